--- a/lemonridge/cli.py
+++ b/lemonridge/cli/main.py
@@ -10,31 +10,36 @@
 from dataclasses import replace
 from typing import TYPE_CHECKING
 
-from lemonridge import __version__, config, ignored_signals, logs
+from lemonridge import __version__
+from lemonridge.config import platform as platform_config
+from lemonridge.service import ignored_signals, log_format
 
 if TYPE_CHECKING:
-    from lemonridge.iscsi import config as iscsi
+    from lemonridge.config import operator_file as iscsi
 
 
 def _load(
     options: argparse.Namespace,
-) -> tuple[config.Platform | None, iscsi.Iscsi | None, config.FleetPlan | None]:
+) -> tuple[platform_config.Platform | None, iscsi.Iscsi | None, platform_config.FleetPlan | None]:
     """The platform's configuration, unless there is only an operator's file; what that file says of the iSCSI
     front; and of the fleet, where there is no platform that it is laid over."""
     operators = table = plan = None
     if options.config:
-        from lemonridge.iscsi.config import fleet_plan, load  # without a file its library is not loaded
+        from lemonridge.config.operator_file import (  # without a file its library is not loaded
+            fleet_plan,
+            load,
+        )
 
         operators, table = load(options.config)
-    platform = None if operators and "ROUTER_CONFIG" not in os.environ else config.load()
+    platform = None if operators and "ROUTER_CONFIG" not in os.environ else platform_config.load()
     if table is not None:
         if platform is not None:
             plan = fleet_plan(table, platform.name, platform.settings.hosts)
-            settings = replace(platform.settings, further_rate=plan.further_rate)
+            settings = replace(platform.settings, retry_rate=plan.retry_rate)
             platform = replace(platform, fleet=plan, speaks=True, settings=settings)
         elif operators is not None:
             plan = fleet_plan(table, None, operators.settings.hosts)
-            settings = replace(operators.settings, further_rate=plan.further_rate)
+            settings = replace(operators.settings, retry_rate=plan.retry_rate)
             operators = replace(operators, settings=settings)
     if platform is not None and options.peers:
         platform = replace(platform, speaks=platform.fleet is not None)
@@ -45,21 +50,21 @@
     gc.disable()  # a start makes no garbage: to look for it is a seventh of its processor time
     ignored_signals.ignore_reload_signals()
     platform, operators, plan = _load(options)
-    writer = logs.set_up(options.log_level)
+    writer = log_format.set_up(options.log_level)
     if operators is None:
         # The platform speaks plain TCP, and OpenSSL with its certificates is a sixth of a start. Both asyncio
         # and aiohttp do without it where it cannot be loaded.
         sys.modules["ssl"] = None  # type: ignore[assignment]
     import asyncio
 
-    from lemonridge.app import serve  # only `serve` pays for loading the network's parts
+    from lemonridge.service.assembly import serve  # only `serve` pays for loading the network's parts
 
     gc.freeze()
     gc.enable()
     try:
         asyncio.run(serve(platform, operators, plan))
     except OSError as error:
-        raise config.ConfigError(f"cannot listen: {error.strerror or error}") from None
+        raise platform_config.ConfigError(f"cannot listen: {error.strerror or error}") from None
     finally:
         ignored_signals.ignore_all()
         writer.finish()
@@ -101,7 +106,7 @@
 def _schema(_: argparse.Namespace) -> int:
     import orjson
 
-    from lemonridge.iscsi.schema import json_schema
+    from lemonridge.config.operator_schema import json_schema
 
     print(orjson.dumps(json_schema(), option=orjson.OPT_INDENT_2).decode())
     return 0
@@ -138,9 +143,9 @@
 
 
 def _policy(options: argparse.Namespace) -> int:
-    from lemonridge import policies  # it needs the libraries of operators' files
+    from lemonridge.cli import policy_commands  # it needs the libraries of operators' files
 
-    return policies.run(policies.parser().parse_args(options.words))
+    return policy_commands.run(policy_commands.parser().parse_args(options.words))
 
 
 def _fleet(options: argparse.Namespace) -> int:
@@ -148,10 +153,10 @@
 
     import orjson
 
-    from lemonridge.fleet.report import table, whole
-    from lemonridge.net.calling import views
+    from lemonridge.fleet.status_report import table, whole
+    from lemonridge.net.admin_client import views
 
-    addresses = [config.Address.parse(one, "ADDR") for one in options.address]
+    addresses = [platform_config.Address.parse(one, "ADDR") for one in options.address]
     told, silent = asyncio.run(views(addresses))
     if options.json:
         print(orjson.dumps({"brokers": told, "silent": silent}, option=orjson.OPT_INDENT_2).decode())
@@ -216,10 +221,13 @@
     drill.set_defaults(run=_drill)
     bench = commands.add_parser("bench", help="measure a part in one run, against stand-ins on loopback")
     bench.add_argument("name", choices=("extents", "iscsi", "decisions", "fleet", "policy", "nodes"))
-    bench.add_argument("--part", choices=("membership", "cold", "states", "switch", "processes"),
-                       default="cold",
-                       help="fleet: in virtual time, on processes, or every state of a small one; policy: "
-                            "states, switch or processes")  # fmt: skip
+    bench.add_argument(
+        "--part",
+        choices=("membership", "cold", "states", "switch", "processes"),
+        default="cold",
+        help="fleet: in virtual time, on processes, or every state of a small one; policy: "
+        "states, switch or processes",
+    )
     bench.add_argument("--plot", metavar="FILE", help="policy, switch: draw it, processes too")
     bench.add_argument("--against", metavar="DIR", help="iscsi: another checkout, for CPU a command in turns")
     bench.add_argument("--seed", type=int, default=1)
@@ -308,6 +316,6 @@
     options = parser().parse_args(arguments)
     try:
         return int(options.run(options))
-    except config.ConfigError as error:
+    except platform_config.ConfigError as error:
         print(f"lemonridge: {error}", file=sys.stderr)
         return 2
--- a/lemonridge/policies.py
+++ b/lemonridge/cli/policy_commands.py
@@ -17,11 +17,11 @@
 import msgspec
 import orjson
 
-from lemonridge.config import Address, ConfigError
-from lemonridge.governance import Store, StoreError
-from lemonridge.net.calling import CallError, call
-from lemonridge.rollout import document
-from lemonridge.rollout.document import Policy, PolicyError
+from lemonridge.config.platform import Address, ConfigError
+from lemonridge.coordination.policy_coordinator import Store, StoreError
+from lemonridge.net.admin_client import CallError, call
+from lemonridge.rollout import policy_document
+from lemonridge.rollout.policy_document import Policy, PolicyError
 
 REFUSED, UNKNOWN = 1, 3
 LOOK_S = 0.1  # between two looks at a change that is waited for
@@ -99,7 +99,9 @@
     if options.part == "show":
         print(written(msgspec.convert(_seen(address)["policy"], Policy)), end="")
     elif options.part == "diff":
-        lines = document.difference(msgspec.convert(_seen(address)["policy"], Policy), read(options.file))
+        lines = policy_document.difference(
+            msgspec.convert(_seen(address)["policy"], Policy), read(options.file)
+        )
         print("\n".join(lines) or "nothing differs")
     elif options.part == "history":
         print("\n".join(_seen(address)["history"]) or "nothing has changed since the brokers' own files")
@@ -108,8 +110,11 @@
     elif options.part == "force":
         return _force(options, address)
     elif options.part == "propose":
-        proposed = {"policy": msgspec.to_builtins(read(options.file)), "note": options.note,
-                    "dry": options.dry_run}  # fmt: skip
+        proposed = {
+            "policy": msgspec.to_builtins(read(options.file)),
+            "note": options.note,
+            "dry": options.dry_run,
+        }
         line = "policy-propose " + orjson.dumps(proposed).decode()
         return _propose(line, address, 0.0 if options.dry_run else options.wait)
     else:
@@ -165,19 +170,28 @@
     for view in views:
         goes = view["goes_by"]
         under = view["under_way"]
-        rows.append((view["name"], str(view["epoch"]), view["state"][:8],
-                     goes if isinstance(goes, str) else "-".join(map(str, dict.fromkeys(goes))),
-                     str(view["lease_ms"]), "yes" if view["votes"] else "no" if view["voter"] else "-",
-                     f"{under['phase']} on {under['slot']}" if under else "", view["fault"]))  # fmt: skip
+        rows.append(
+            (
+                view["name"],
+                str(view["epoch"]),
+                view["state"][:8],
+                goes if isinstance(goes, str) else "-".join(map(str, dict.fromkeys(goes))),
+                str(view["lease_ms"]),
+                "yes" if view["votes"] else "no" if view["voter"] else "-",
+                f"{under['phase']} on {under['slot']}" if under else "",
+                view["fault"],
+            )
+        )
     wide = [max(len(row[column]) for row in rows) for column in range(len(rows[0]))]
-    return "\n".join("  ".join(cell.ljust(width) for cell, width in zip(row, wide, strict=True)).rstrip()
-                     for row in rows)  # fmt: skip
+    return "\n".join(
+        "  ".join(cell.ljust(width) for cell, width in zip(row, wide, strict=True)).rstrip() for row in rows
+    )
 
 
 def read(path: str) -> Policy:
     """The policy of a TOML file; PolicyError names the key."""
     try:
-        return document.policy_of(tomllib.loads(Path(path).read_text(encoding="utf-8")))
+        return policy_document.policy_of(tomllib.loads(Path(path).read_text(encoding="utf-8")))
     except OSError as error:
         raise PolicyError(f"cannot be read: {error.strerror}") from None
     except (tomllib.TOMLDecodeError, UnicodeDecodeError) as error:
--- a/lemonridge/simhost.py
+++ b/lemonridge/cli/simulator.py
@@ -10,28 +10,47 @@
 from collections.abc import Iterable
 from typing import Any, TextIO
 
-from lemonridge import api
-from lemonridge.fleet.companion import Companion, decide
-from lemonridge.fleet.machine import Tell
-from lemonridge.fleet.roster import MEMBERS_MAX, Roster
-from lemonridge.policy import Scheduler
-from lemonridge.settings import SettingsError, settings_from
+from lemonridge.config.scheduler_settings import SettingsError, settings_from
+from lemonridge.fleet.fleet_member import Tell
+from lemonridge.fleet.member_list import MEMBERS_MAX, Roster
+from lemonridge.fleet.scheduler_bridge import Companion, decide
+from lemonridge.scheduling import Scheduler
+from lemonridge.scheduling.actions import Action, Cancel, Fail, Reject, Send, SetTimer, SlowStartBegan
+from lemonridge.scheduling.events import (
+    AttemptEnded,
+    AttemptResult,
+    ClientDisconnected,
+    Endpoint,
+    EndpointListUpdate,
+    EndpointsChanged,
+    EndpointState,
+    Event,
+    RequestArrived,
+    ResponseStarted,
+    TimerFired,
+)
 
 RESULTS = {
-    0: api.Result.OK,
-    255: api.Result.ERROR,
-    254: api.Result.FULL,
-    253: api.Result.TIMEOUT,
-    252: api.Result.CONNECT_FAILED,
-    251: api.Result.RESET,
-    250: api.Result.CANCELLED,
-    249: api.Result.NOT_SENT,
+    0: AttemptResult.OK,
+    255: AttemptResult.ERROR,
+    254: AttemptResult.QUEUE_FULL,
+    253: AttemptResult.TIMEOUT,
+    252: AttemptResult.CONNECT_FAILED,
+    251: AttemptResult.RESET,
+    250: AttemptResult.CANCELLED,
+    249: AttemptResult.NOT_SENT,
 }
 LIST_KINDS = {
-    "patch": api.ListKind.PATCH,
-    "whole": api.ListKind.WHOLE,
-    "stale_copy": api.ListKind.STALE,
-    "broken": api.ListKind.BROKEN,
+    "patch": EndpointListUpdate.DELTA,
+    "whole": EndpointListUpdate.SNAPSHOT,
+    "stale_copy": EndpointListUpdate.CACHED,
+    "broken": EndpointListUpdate.WATCH_FAILED,
+}
+
+ENDPOINT_STATES = {
+    "active": EndpointState.ACTIVE,
+    "leaving": EndpointState.DRAINING,
+    "left": EndpointState.REMOVED,
 }
 
 
@@ -42,18 +61,18 @@
     """A line that the wire does not allow; the text is fit to print."""
 
 
-def _entry(row: list[Any]) -> api.Entry:
-    return api.Entry(
+def _entry(row: list[Any]) -> Endpoint:
+    return Endpoint(
         node=row[5],
         shard=row[4],
         zone=row[6],
-        condition=api.Condition(row[1]),
+        condition=ENDPOINT_STATES[row[1]],
         started_us=row[3] or 0,
     )
 
 
-def _arrived(item: list[Any]) -> api.Arrived:
-    return api.Arrived(
+def _arrived(item: list[Any]) -> RequestArrived:
+    return RequestArrived(
         request=item[2],
         shard=-1 if item[3] is None else int(item[3]),
         volume=item[4],
@@ -67,8 +86,8 @@
     )
 
 
-def _ended(item: list[Any]) -> api.Ended:
-    return api.Ended(
+def _ended(item: list[Any]) -> AttemptEnded:
+    return AttemptEnded(
         request=item[2],
         attempt=item[3],
         node=item[4],
@@ -87,16 +106,16 @@
     return float(held) if isinstance(held, (int, float)) and not isinstance(held, bool) else None
 
 
-def _order(who: int, action: api.Action) -> list[Any]:
-    if isinstance(action, api.Send):
+def _order(who: int, action: Action) -> list[Any]:
+    if isinstance(action, Send):
         return ["issue", who, action.request, action.node, 0]
-    if isinstance(action, api.Cancel):
+    if isinstance(action, Cancel):
         return ["undo-send", who, action.request, action.attempt]
-    if isinstance(action, api.Refuse):
+    if isinstance(action, Reject):
         return ["push-back", who, action.request, action.backoff_us]
-    if isinstance(action, api.Fail):
+    if isinstance(action, Fail):
         return ["drop-request", who, action.request]
-    if isinstance(action, api.SetTimer):
+    if isinstance(action, SetTimer):
         return ["schedule", who, 0, action.at_us]
     return ["stream-changes", who, True]
 
@@ -113,14 +132,14 @@
             self.companion = Companion(roster, now // 1000, seed, now, settings)
 
     def handle(
-        self, now: int, events: list[api.Event], heard: list[tuple[int, bytes]]
-    ) -> tuple[list[api.Action], list[Tell]]:
+        self, now: int, events: list[Event], heard: list[tuple[int, bytes]]
+    ) -> tuple[list[Action], list[Tell]]:
         """Decide: the decisions go by what the fleet's machine has before they are told anything else."""
         companion = self.companion
         if companion is None:
             return self.scheduler.handle(now, events), []
         actions, tells = decide(self.scheduler.handle, companion, now, events, heard)
-        return [*actions, api.SetTimer(companion.wake_us)], tells
+        return [*actions, SetTimer(companion.wake_us)], tells
 
 
 class Host:
@@ -128,7 +147,7 @@
 
     def __init__(self, peers: bool = False) -> None:
         self.instances: dict[int, Instance] = {}
-        self.pages: dict[int, tuple[api.Entry, ...]] = {}
+        self.pages: dict[int, tuple[Endpoint, ...]] = {}
         self.heard: dict[int, list[tuple[int, bytes]]] = {}
         self.peers, self.now = peers, 0
 
@@ -141,7 +160,7 @@
                 raise TypeError
         except (ValueError, KeyError, TypeError):
             raise WireError("a batch must be an object with 'time-us' and 'happened'") from None
-        waiting: dict[int, list[api.Event]] = {}
+        waiting: dict[int, list[Event]] = {}
         self.now = now
         for item in happened:
             try:
@@ -155,7 +174,7 @@
             orders.extend(self._decide(who, now, events))
         return json.dumps({"orders": orders}, separators=(",", ":"))
 
-    def _take(self, item: list[Any], waiting: dict[int, list[api.Event]]) -> None:
+    def _take(self, item: list[Any], waiting: dict[int, list[Event]]) -> None:
         name, who = item[0], item[1]
         if name == "page":
             self.pages[who] = tuple(map(_entry, item[2]))
@@ -171,21 +190,21 @@
             del self.instances[who]
             waiting.pop(who, None)
             return
-        event: api.Event
+        event: Event
         if name == "completed":
             event = _ended(item)
         elif name == "inbound":
             event = _arrived(item)
         elif name == "wake":
-            event = api.TimerFired()
+            event = TimerFired()
         elif name == "left":
-            event = api.Gone(item[2])
+            event = ClientDisconnected(item[2])
         elif name == "first":
-            event = api.Started(item[2], item[3])
+            event = ResponseStarted(item[2], item[3])
         elif name == "discovery":
             kind = LIST_KINDS[item[2]]
-            broken = kind is api.ListKind.BROKEN
-            event = api.Listed(kind, () if broken else self.pages[item[4]])
+            broken = kind is EndpointListUpdate.WATCH_FAILED
+            event = EndpointsChanged(kind, () if broken else self.pages[item[4]])
         elif name == "peer-data":
             self.heard.setdefault(who, []).append((int(item[2]), bytes.fromhex(item[3])))
             waiting.setdefault(who, [])
@@ -197,12 +216,12 @@
             raise WireError(f"unknown event '{name}'")
         waiting.setdefault(who, []).append(event)
 
-    def _decide(self, who: int, now: int, events: list[api.Event]) -> Iterable[list[Any]]:
+    def _decide(self, who: int, now: int, events: list[Event]) -> Iterable[list[Any]]:
         try:
             actions, tells = self.instances[who].handle(now, events, self.heard.pop(who, []))
         except Exception as error:  # the wire wants a broken policy reported, whatever broke
             return [["fault", who, f"{type(error).__name__}: {error}"]]
-        orders = [_order(who, action) for action in actions if not isinstance(action, api.SlowStartBegan)]
+        orders = [_order(who, action) for action in actions if not isinstance(action, SlowStartBegan)]
         return [*orders, *(["memo-to", who, one.to, one.data.hex()] for one in tells)]
 
 
--- a/lemonridge/iscsi/config.py
+++ b/lemonridge/config/operator_file.py
@@ -14,15 +14,7 @@
 from pathlib import Path
 from typing import Any
 
-from lemonridge import api
-from lemonridge.config import Address, ConfigError, FleetPlan, RolloutPlan
-from lemonridge.core.directory import Listing
-from lemonridge.extents.map import Extent, ExtentMap, MapError
-from lemonridge.extents.routing import Limits
-from lemonridge.iscsi.chap import Account
-from lemonridge.iscsi.keys import Wishes
-from lemonridge.iscsi.login import TargetRule
-from lemonridge.iscsi.schema import (
+from lemonridge.config.operator_schema import (
     ClassTable,
     ExtentsTable,
     FleetFile,
@@ -34,7 +26,22 @@
     PolicyTable,
     SecretsFile,
     read,
-)  # fmt: skip
+)
+from lemonridge.config.platform import Address, ConfigError, FleetPlan, RolloutPlan
+from lemonridge.core.endpoint_registry import Listing
+from lemonridge.extents.extent_map import Extent, ExtentMap, MapError
+from lemonridge.extents.routing import Limits
+from lemonridge.iscsi.chap import Account
+from lemonridge.iscsi.keys import Wishes
+from lemonridge.iscsi.login import TargetRule
+from lemonridge.scheduling.events import Endpoint, EndpointState
+from lemonridge.scheduling.settings import (
+    DeduplicationScope,
+    IdempotencyKind,
+    RequestClass,
+    Settings,
+    VolumePlan,
+)
 
 READ, WRITE = 0, 1  # the two classes
 
@@ -90,7 +97,7 @@
     unit_bytes: int
     connect_us: int
     keepalive_us: int
-    settings: api.Settings
+    settings: Settings
     plans: tuple[str, ...]
     luns: dict[int, Lun]
     nodes: tuple[Listing, ...]
@@ -202,11 +209,16 @@
     if fixed and (extents.file or any(row.extents for row in told.lun)):
         raise ConfigError("lun.extent: the map stands in this file or elsewhere, not both")
     accounts = _secrets(front.secrets)
-    targets = {name: _target(name, initiators, chap, accounts, path) for name, initiators, chap, path in (
-        (front.target, front.initiators, front.chap, "iscsi"),
-        *((row.name, row.initiators, row.chap, f"target[{number}]")
-          for number, row in enumerate(told.target)),
-    )}  # fmt: skip
+    targets = {
+        name: _target(name, initiators, chap, accounts, path)
+        for name, initiators, chap, path in (
+            (front.target, front.initiators, front.chap, "iscsi"),
+            *(
+                (row.name, row.initiators, row.chap, f"target[{number}]")
+                for number, row in enumerate(told.target)
+            ),
+        )
+    }
     if len(targets) != 1 + len(told.target):
         raise ConfigError("two targets have one name")
     max_transfer, unit_bytes = front.max_transfer_kib * 1024, front.unit_kib * 1024
@@ -222,34 +234,34 @@
         unit_bytes=unit_bytes,
         connect_us=int(told.initiator.connect_timeout_ms * 1000),
         keepalive_us=int(told.initiator.idle_s * 1e6),
-        settings=api.Settings(
+        settings=Settings(
             hosts=front.brokers,
             classes=(
-                _class(told.classes.read, api.Semantics.SAFE),
-                _class(told.classes.write, api.Semantics.ONCE),
+                _class(told.classes.read, IdempotencyKind.IDEMPOTENT),
+                _class(told.classes.write, IdempotencyKind.NOT_IDEMPOTENT),
             ),
             plans=tuple(map(plan_from, told.plan)),
-            asks_list=False,
-            units_top=float(math.ceil(max_transfer / unit_bytes)),
-            units_mean=rules.units_mean,
-            cold_units=rules.cold_units,
-            tip_multiple=rules.tip_multiple,
-            tells_elsewhere=False,
-            meter_us=0,
+            polls_endpoint_list=False,
+            largest_request_units=float(math.ceil(max_transfer / unit_bytes)),
+            mean_request_units=rules.mean_request_units,
+            slow_start_units=rules.slow_start_units,
+            overload_multiple=rules.overload_multiple,
+            reports_peer_usage=False,
+            usage_meter_period_us=0,
             max_attempts=rules.max_attempts,
             may_cancel=True,
             max_backoff_us=0,
             tick_us=0,
-            ask_within_us=0,
-            cold_share=rules.cold_share,
-            ramp_us=int(rules.ramp_s * 1e6),
-            fall_us=int(rules.fall_ms * 1000),
+            poll_within_us=0,
+            slow_start_initial_fraction=rules.slow_start_initial_fraction,
+            slow_start_ramp_us=int(rules.ramp_s * 1e6),
+            overload_window_us=int(rules.fall_ms * 1000),
             drain_grace_us=500_000,
-            look_back_us=0,
-            free_resends=0.0,
-            extra_ratio=0.0,
-            key_rest_us=0,
-            further_rate=0.0,
+            retry_budget_window_us=0,
+            retry_budget_floor=0.0,
+            retry_budget_ratio=0.0,
+            key_quarantine_us=0,
+            retry_rate=0.0,
         ),
         plans=names,
         luns=luns,
@@ -360,21 +372,21 @@
     )
 
 
-def _class(row: ClassTable, semantics: api.Semantics) -> api.ClassInfo:
-    return api.ClassInfo(
-        aim_us=int(row.aim_ms * 1000),
+def _class(row: ClassTable, semantics: IdempotencyKind) -> RequestClass:
+    return RequestClass(
+        latency_objective_us=int(row.aim_ms * 1000),
         deadline_us=int(row.deadline_ms * 1000),
-        semantics=semantics,
-        group=api.Group.ALL,
-        memory_us=0,
+        idempotency=semantics,
+        deduplication_scope=DeduplicationScope.ALL,
+        deduplication_window_us=0,
         sequential=False,
-        worth=row.worth,
+        priority_weight=row.priority_weight,
     )
 
 
-def plan_from(row: PlanTable) -> api.Plan:
+def plan_from(row: PlanTable) -> VolumePlan:
     """Rates in units a second; a limit of 0 is none."""
-    return api.Plan(
+    return VolumePlan(
         base_rate=row.rate,
         reserve=row.reserve,
         weight=row.weight,
@@ -387,8 +399,8 @@
 def listing(row: NodeTable, path: str) -> Listing:
     """A node of the file or of etcd: ADDRESS and TARGET, together its address here."""
     address = Address.parse(row.address, f"{path}.address")
-    states = {"up": api.Condition.ACTIVE, "draining": api.Condition.LEAVING}
-    entry = api.Entry(
+    states = {"up": EndpointState.ACTIVE, "draining": EndpointState.DRAINING}
+    entry = Endpoint(
         node=row.name, shard=row.shard, zone=0, condition=states[row.health], started_us=row.started_ms * 1000
     )
     return Listing(entry, f"{address}/{row.target}")
--- a/lemonridge/iscsi/schema.py
+++ b/lemonridge/config/operator_schema.py
@@ -10,7 +10,7 @@
 import msgspec
 from msgspec import Meta, Struct, field
 
-from lemonridge.config import ConfigError
+from lemonridge.config.platform import ConfigError
 
 T = TypeVar("T")
 IQN = r"^(iqn\.\d{4}-\d{2}\.[a-z0-9.:-]+|eui\.[0-9A-Fa-f]{16})$"
@@ -90,12 +90,18 @@
     chap: str | None = None
 
 
-class ClassTable(Struct, forbid_unknown_fields=True, frozen=True, kw_only=True):
+class ClassTable(
+    Struct,
+    forbid_unknown_fields=True,
+    frozen=True,
+    kw_only=True,
+    rename={"priority_weight": "worth"},
+):
     """[classes.read] and [classes.write]."""
 
     aim_ms: Positive
     deadline_ms: Positive
-    worth: Figure = 1.0
+    priority_weight: Figure = 1.0
 
 
 class ClassesTable(Struct, forbid_unknown_fields=True, frozen=True, kw_only=True):
@@ -103,14 +109,25 @@
     write: ClassTable
 
 
-class RulesTable(Struct, forbid_unknown_fields=True, frozen=True, kw_only=True):
+class RulesTable(
+    Struct,
+    forbid_unknown_fields=True,
+    frozen=True,
+    kw_only=True,
+    rename={
+        "mean_request_units": "units_mean",
+        "slow_start_units": "cold_units",
+        "overload_multiple": "tip_multiple",
+        "slow_start_initial_fraction": "cold_share",
+    },
+):
     """[rules]: the figures of the rules on nodes."""
 
-    units_mean: Figure = 1.0
-    cold_units: Figure = 8.0
-    tip_multiple: Figure = 2.5
+    mean_request_units: Figure = 1.0
+    slow_start_units: Figure = 8.0
+    overload_multiple: Figure = 2.5
     max_attempts: Annotated[int, Meta(ge=1, le=4)] = 4
-    cold_share: Figure = 0.2
+    slow_start_initial_fraction: Figure = 0.2
     ramp_s: Figure = 17
     fall_ms: Figure = 1000
 
--- a/lemonridge/config.py
+++ b/lemonridge/config/platform.py
@@ -10,8 +10,8 @@
 
 import orjson
 
-from lemonridge import api
-from lemonridge.settings import SettingsError, held_field, names, settings_from
+from lemonridge.config.scheduler_settings import SettingsError, held_field, names, settings_from
+from lemonridge.scheduling.settings import Settings
 
 SOCKETS, MEMORY_MB = 1024, 192  # where no limit is told
 PEERS_MAX = 256  # brokers of a tier that speak to each other; past it none does
@@ -60,7 +60,7 @@
     bytes_s: float = 8192.0
     error_us: int = 50_000
     secret: bytes = b""
-    further_rate: float = 0.0
+    retry_rate: float = 0.0
     admin: Address | None = None  # where operators call, where there is no platform to say so
     rollout: RolloutPlan | None = None  # None: each broker goes by its own file
 
@@ -73,7 +73,7 @@
     listen: Address
     discovery: Address
     seed: int
-    settings: api.Settings
+    settings: Settings
     classes: tuple[str, ...]
     writes: tuple[bool, ...]
     plans: tuple[str, ...]
@@ -156,8 +156,11 @@
     passed = environment.get("ROUTER_PASSED_SOCKET") or None
     if passed is not None and not (passed.isascii() and passed.isdigit() and len(passed) < 8):
         raise ConfigError(f"ROUTER_PASSED_SOCKET must be a descriptor's number, not {passed!r}")
-    return replace(platform, admin=Address.parse(admin, "'admin_addr'") if admin else None,
-                   passed=None if passed is None else int(passed))  # fmt: skip
+    return replace(
+        platform,
+        admin=Address.parse(admin, "'admin_addr'") if admin else None,
+        passed=None if passed is None else int(passed),
+    )
 
 
 def _running(platform: Platform, before: Platform) -> Platform:
@@ -170,7 +173,7 @@
         passed=before.passed,
         fleet=before.fleet,
         speaks=before.speaks,
-        settings=replace(platform.settings, further_rate=before.settings.further_rate),
+        settings=replace(platform.settings, retry_rate=before.settings.retry_rate),
     )
 
 
--- a/lemonridge/settings.py
+++ b/lemonridge/config/scheduler_settings.py
@@ -4,12 +4,24 @@
 
 from typing import Any
 
-from lemonridge import api
+from lemonridge.scheduling.settings import (
+    DeduplicationScope,
+    IdempotencyKind,
+    RequestClass,
+    Settings,
+    VolumePlan,
+)
 
 SEMANTICS = {
-    "repeatable": api.Semantics.SAFE,
-    "by_key": api.Semantics.KEYED,
-    "once": api.Semantics.ONCE,
+    "repeatable": IdempotencyKind.IDEMPOTENT,
+    "by_key": IdempotencyKind.WITH_IDEMPOTENCY_KEY,
+    "once": IdempotencyKind.NOT_IDEMPOTENT,
+}
+
+DEDUPLICATION_SCOPES = {
+    "all": DeduplicationScope.ALL,
+    "zone": DeduplicationScope.ZONE,
+    "cell": DeduplicationScope.SHARD,
 }
 
 
@@ -42,28 +54,28 @@
     return rows
 
 
-def _class(row: dict[str, Any]) -> api.ClassInfo:
+def _class(row: dict[str, Any]) -> RequestClass:
     semantics = SEMANTICS.get(row.get("semantics", ""))
     if semantics is None:
         raise SettingsError("settings lack a known 'classes.semantics'")
-    keyed = semantics is api.Semantics.KEYED
+    keyed = semantics is IdempotencyKind.WITH_IDEMPOTENCY_KEY
     try:
-        group = api.Group(row["group"]) if keyed else api.Group.ALL
-    except (KeyError, ValueError):
+        group = DEDUPLICATION_SCOPES[row["group"]] if keyed else DeduplicationScope.ALL
+    except (KeyError, TypeError):
         raise SettingsError("settings lack a known 'classes.group'") from None
-    return api.ClassInfo(
-        aim_us=_number(row, "aim-us", "classes"),
+    return RequestClass(
+        latency_objective_us=_number(row, "aim-us", "classes"),
         deadline_us=_number(row, "deadline-us", "classes"),
-        semantics=semantics,
-        group=group,
-        memory_us=_number(row, "memory-span-us", "classes") if keyed else 0,
+        idempotency=semantics,
+        deduplication_scope=group,
+        deduplication_window_us=_number(row, "memory-span-us", "classes") if keyed else 0,
         sequential=bool(row.get("sequential", False)),
-        worth=row.get("gain") or 0.0,
+        priority_weight=row.get("gain") or 0.0,
     )
 
 
-def _plan(row: dict[str, Any]) -> api.Plan:
-    return api.Plan(
+def _plan(row: dict[str, Any]) -> VolumePlan:
+    return VolumePlan(
         base_rate=row.get("base-rate") or 0.0,
         reserve=row.get("guaranteed") or 0.0,
         weight=row.get("weight") or 0.0,
@@ -73,37 +85,37 @@
     )
 
 
-def settings_from(facts: Any) -> api.Settings:
+def settings_from(facts: Any) -> Settings:
     """The module's settings from the wire's; keys that are not known are ignored."""
     rules, limits = _part(facts, "rules"), _part(facts, "limits")
     family = _part(facts, "family-info")
     clients = facts.get("clients")
-    return api.Settings(
+    return Settings(
         hosts=_number(facts, "fleet-size", "facts"),
         classes=tuple(map(_class, _rows(facts, "classes"))),
         plans=tuple(map(_plan, _rows(facts, "grades"))),
-        asks_list=facts.get("discovery") == "ask",
-        units_top=family.get("units-top") or 0.0,
-        units_mean=family.get("unit-mean") or 0.0,
-        cold_units=family.get("cold-units") or 0.0,
-        tip_multiple=rules.get("tip-multiple") or 0.0,
-        tells_elsewhere=bool(family.get("tells-elsewhere")),
-        meter_us=family.get("meter-us") or 0,
+        polls_endpoint_list=facts.get("discovery") == "ask",
+        largest_request_units=family.get("units-top") or 0.0,
+        mean_request_units=family.get("unit-mean") or 0.0,
+        slow_start_units=family.get("cold-units") or 0.0,
+        overload_multiple=rules.get("tip-multiple") or 0.0,
+        reports_peer_usage=bool(family.get("tells-elsewhere")),
+        usage_meter_period_us=family.get("meter-us") or 0,
         max_attempts=_number(limits, "max-attempts", "limits"),
         may_cancel=bool(limits.get("cancelling")),
         max_backoff_us=(limits.get("max-retry-after-us") or 0) if limits.get("retry-after") else 0,
         tick_us=_number(facts, "tick-us", "facts"),
-        ask_within_us=rules.get("ask-within-us") or 0,
-        cold_share=_number(rules, "cold-share", "rules"),
-        ramp_us=_number(rules, "ramp-time-us", "rules"),
-        fall_us=_number(rules, "fall-us", "rules"),
+        poll_within_us=rules.get("ask-within-us") or 0,
+        slow_start_initial_fraction=_number(rules, "cold-share", "rules"),
+        slow_start_ramp_us=_number(rules, "ramp-time-us", "rules"),
+        overload_window_us=_number(rules, "fall-us", "rules"),
         drain_grace_us=_number(rules, "drain-grace-us", "rules"),
-        look_back_us=rules.get("look-back-us") or 0,
-        free_resends=rules.get("free-resends") or 0.0,
-        extra_ratio=rules.get("extra-ratio") or 0.0,
-        key_rest_us=rules.get("key-rest-us") or 0,
-        further_rate=0.0,
-        marks_retry=bool(clients.get("marks-retry")) if isinstance(clients, dict) else False,
+        retry_budget_window_us=rules.get("look-back-us") or 0,
+        retry_budget_floor=rules.get("free-resends") or 0.0,
+        retry_budget_ratio=rules.get("extra-ratio") or 0.0,
+        key_quarantine_us=rules.get("key-rest-us") or 0,
+        retry_rate=0.0,
+        clients_mark_retries=bool(clients.get("marks-retry")) if isinstance(clients, dict) else False,
     )
 
 
--- a/lemonridge/etcd.py
+++ b/lemonridge/coordination/etcd.py
@@ -19,13 +19,14 @@
 import aiohttp
 import orjson
 
-from lemonridge import api
-from lemonridge.config import ConfigError
-from lemonridge.core.directory import Directory, Listing
-from lemonridge.counters import Counters
-from lemonridge.iscsi.config import Etcd, Iscsi, listing, plan_from
-from lemonridge.iscsi.schema import NodeTable, PlanTable, read
-from lemonridge.net.watching import Backoff, client
+from lemonridge.config.operator_file import Etcd, Iscsi, listing, plan_from
+from lemonridge.config.operator_schema import NodeTable, PlanTable, read
+from lemonridge.config.platform import ConfigError
+from lemonridge.core.counters import Counters
+from lemonridge.core.endpoint_registry import Directory, Listing
+from lemonridge.net.watch_stream import Backoff, client
+from lemonridge.scheduling.events import EndpointListUpdate, EndpointState
+from lemonridge.scheduling.settings import VolumePlan
 
 log = logging.getLogger(__name__)
 
@@ -110,8 +111,9 @@
         ranges = [one["response_range"] for one in told["responses"]]
         return [self._event(row) for one in ranges for row in one.get("kvs", ())]
 
-    async def watch(self, http: aiohttp.ClientSession, kind: str,
-                    revision: int) -> AsyncGenerator[list[Event], None]:  # fmt: skip
+    async def watch(
+        self, http: aiohttp.ClientSession, kind: str, revision: int
+    ) -> AsyncGenerator[list[Event], None]:
         """The events from `revision` on, however the stream was cut, until it is to be renewed."""
         create = {"create_request": {**self._span(kind), "start_revision": str(revision)}}
         renew = asyncio.get_running_loop().time() + RENEW_S
@@ -194,8 +196,10 @@
                     await self._follow(http)
                 except (CompactedError, OutOfStepError) as error:
                     lost = isinstance(error, OutOfStepError)
-                    log.info("etcd out of step" if lost else "etcd compacted",
-                             extra={"kind": self._kind, "revision": self._revision})  # fmt: skip
+                    log.info(
+                        "etcd out of step" if lost else "etcd compacted",
+                        extra={"kind": self._kind, "revision": self._revision},
+                    )
                     self._counters["etcd.out_of_step" if lost else "etcd.compacted"] += 1
                     self._revision = 0
                 except FAILURES as error:
@@ -203,8 +207,10 @@
 
     async def _follow(self, http: aiohttp.ClientSession) -> None:
         """One watch, and what runs beside it; the end of either ends both."""
-        works = [asyncio.create_task(self._listen(http)),
-                 asyncio.create_task(self._feed.beside(self._etcd, http))]  # fmt: skip
+        works = [
+            asyncio.create_task(self._listen(http)),
+            asyncio.create_task(self._feed.beside(self._etcd, http)),
+        ]
         try:
             done, _ = await asyncio.wait(works, return_when=asyncio.FIRST_COMPLETED)
             for work in done:
@@ -242,12 +248,12 @@
             self._put(row)
 
     def finish(self) -> None:
-        self._directory.take(api.ListKind.WHOLE, list(self._nodes.values()))
+        self._directory.take(EndpointListUpdate.SNAPSHOT, list(self._nodes.values()))
 
     def changes(self, events: Sequence[Event]) -> None:
         changed = [line for event in events if (line := self._put(event)) is not None]
         if changed:
-            self._directory.take(api.ListKind.PATCH, changed)
+            self._directory.take(EndpointListUpdate.DELTA, changed)
 
     async def beside(self, etcd: EtcdClient, http: aiohttp.ClientSession) -> None:
         await asyncio.Event().wait()
@@ -257,7 +263,7 @@
         name = event.key.removeprefix(self.KIND)
         if event.value is None:
             line = self._nodes.pop(name, None)
-            return line and replace(line, entry=replace(line.entry, condition=api.Condition.LEFT))
+            return line and replace(line, entry=replace(line.entry, condition=EndpointState.REMOVED))
         try:
             told = orjson.loads(event.value)
             if isinstance(told, dict):
@@ -279,8 +285,8 @@
 
     def __init__(self, counters: Counters) -> None:
         self._counters = counters
-        self.plans: dict[str, api.Plan] = {}
-        self.changed: Callable[[dict[str, api.Plan]], None] | None = None
+        self.plans: dict[str, VolumePlan] = {}
+        self.changed: Callable[[dict[str, VolumePlan]], None] | None = None
 
     def begin(self) -> None:
         """What is held stays."""
@@ -335,11 +341,13 @@
                     break
                 except (CompactedError, *FAILURES) as error:
                     await self._backoff.failed(error)
-        plans = tuple(self._plans.plans.get(name, plan)
-                      for name, plan in zip(config.plans, config.settings.plans, strict=True))  # fmt: skip
+        plans = tuple(
+            self._plans.plans.get(name, plan)
+            for name, plan in zip(config.plans, config.settings.plans, strict=True)
+        )
         return replace(config, settings=replace(config.settings, plans=plans))
 
-    def follow(self, changed: Callable[[dict[str, api.Plan]], None]) -> None:
+    def follow(self, changed: Callable[[dict[str, VolumePlan]], None]) -> None:
         """Tell the contracts now, and at each change."""
         self._plans.changed = changed
         changed(self._plans.plans)
--- a/lemonridge/governance.py
+++ b/lemonridge/coordination/policy_coordinator.py
@@ -22,20 +22,20 @@
 import msgspec
 import orjson
 
-from lemonridge import api
-from lemonridge.config import ConfigError, FleetPlan
+from lemonridge.config.platform import ConfigError, FleetPlan
 from lemonridge.core.clock import Clock
-from lemonridge.core.decider import Decider
-from lemonridge.counters import Counters
-from lemonridge.fleet.wire import Item
-from lemonridge.net.peers import Peers
-from lemonridge.operate.calls import Call, Order, Reply
-from lemonridge.rollout import document
-from lemonridge.rollout.document import Policy, PolicyError
+from lemonridge.core.counters import Counters
+from lemonridge.core.decision_host import Decider
+from lemonridge.fleet.datagrams import Item
+from lemonridge.net.peer_transport import Peers
+from lemonridge.operate.admin_calls import Call, Order, Reply
+from lemonridge.rollout import policy_document
 from lemonridge.rollout.leases import NOTHING, Interval
-from lemonridge.rollout.machine import Action, Keep, Kept, Rollout, Say
+from lemonridge.rollout.policy_document import Policy, PolicyError
 from lemonridge.rollout.proposals import SourceProposal
-from lemonridge.service import LocalPolicy
+from lemonridge.rollout.rollout_member import Action, Keep, Kept, Rollout, Say
+from lemonridge.scheduling.settings import Settings, VolumePlan
+from lemonridge.service.service import LocalPolicy
 
 log = logging.getLogger(__name__)
 
@@ -154,10 +154,10 @@
         self._clock, self._counters = clock, counters
         self._loop = asyncio.get_running_loop()
         self._store = store
-        filed = document.policy_from(own.settings, own.plans, own.classes)
-        least = document.floor(filed, plan.rollout.floor)
-        voters = dict.fromkeys(plan.names[: document.VOTERS_MAX], 0)
-        genesis = document.State(epoch=0, prior="", voters=voters, policy=filed, floor=least)
+        filed = policy_document.policy_from(own.settings, own.plans, own.classes)
+        least = policy_document.floor(filed, plan.rollout.floor)
+        voters = dict.fromkeys(plan.names[: policy_document.VOTERS_MAX], 0)
+        genesis = policy_document.State(epoch=0, prior="", voters=voters, policy=filed, floor=least)
         ident = 1 + secrets.randbelow(1 << 62)
         try:
             self.rollout = Rollout(
@@ -271,14 +271,14 @@
             return str(error)
         return ""
 
-    def _apply(self, policy: Policy) -> api.Settings:
+    def _apply(self, policy: Policy) -> Settings:
         one = self._own
-        return document.apply(policy, one.settings, one.plans, one.classes)
+        return policy_document.apply(policy, one.settings, one.plans, one.classes)
 
     def _now(self) -> tuple[Interval, int]:
         return self.rollout.mode(self._clock.now_us()), self.rollout.state.epoch
 
-    def before(self, now_us: int) -> api.Settings | None:
+    def before(self, now_us: int) -> Settings | None:
         """See `LeaseGuard`: asked before each decision, so a lease that has ended is not decided by, whatever
         timer did not come."""
         now = self._now()
@@ -288,13 +288,19 @@
         mode = now[0]
         self._had = self._had or mode != NOTHING
         self._counters["policy.floors" if mode == NOTHING else "policy.modes"] += 1
-        log.info("goes by", extra={"epochs": "floor" if mode == NOTHING else f"{mode[0]}-{mode[1]}",
-                                   "newest": now[1], "fault": self.rollout.fault})  # fmt: skip
+        log.info(
+            "goes by",
+            extra={
+                "epochs": "floor" if mode == NOTHING else f"{mode[0]}-{mode[1]}",
+                "newest": now[1],
+                "fault": self.rollout.fault,
+            },
+        )
         settings = self._settings()
         self._peers.configure(settings)  # what is asked for of a limit is counted by the limit in force
         return settings
 
-    def _settings(self) -> api.Settings:
+    def _settings(self) -> Settings:
         return self._apply(self.rollout.policy((self._mode or self._now())[0]))
 
     def epoch(self, decided_s: float) -> str | None:
@@ -308,9 +314,9 @@
         """Whether this broker knows by what to decide: it has had a lease since its start."""
         return self._had and not self.rollout.fault
 
-    def source_proposal(self, plans: Mapping[str, api.Plan]) -> None:
+    def source_proposal(self, plans: Mapping[str, VolumePlan]) -> None:
         """Contracts of a source outside the fleet, all of it: they are proposed until they are in force."""
-        self._source_proposal.set({name: document.plan_of(name, plan) for name, plan in plans.items()})
+        self._source_proposal.set({name: policy_document.plan_of(name, plan) for name, plan in plans.items()})
 
     def _try(self, now_us: int) -> None:
         """Propose what is wished for, if it is time."""
@@ -322,11 +328,11 @@
         if why:
             self._source_proposal.came_to_nothing(now_us)
 
-    def configure(self, own: LocalPolicy) -> api.Settings:
+    def configure(self, own: LocalPolicy) -> Settings:
         """A new configuration: what of it is policy is proposed, the rest counts from now on."""
         old, self._own = self._own, own
-        filed = document.policy_from(own.settings, own.plans, own.classes)
-        if filed != document.policy_from(old.settings, old.plans, old.classes):
+        filed = policy_document.policy_from(own.settings, own.plans, own.classes)
+        if filed != policy_document.policy_from(old.settings, old.plans, old.classes):
             why = self.rollout.propose(filed, "SIGHUP", self._clock.now_us())
             log.info("policy of the file", extra={"proposed": not why, "why": why})
             self._flush()
@@ -360,7 +366,7 @@
             return self._force(order.text, now_us)
         try:
             told = orjson.loads(order.text)
-            policy, note = document.policy_of(told["policy"]), str(told.get("note", ""))
+            policy, note = policy_document.policy_of(told["policy"]), str(told.get("note", ""))
         except (orjson.JSONDecodeError, PolicyError, KeyError, TypeError) as error:
             return Reply(False, f"not a proposal: {error}")
         if why := self._source_proposal.against(policy):
@@ -369,7 +375,9 @@
             why = self.rollout.wrong(policy)
             return Reply(
                 not why,
-                why or "; ".join(document.difference(self.rollout.state.policy, policy)) or "nothing differs",
+                why
+                or "; ".join(policy_document.difference(self.rollout.state.policy, policy))
+                or "nothing differs",
             )
         return self._proposed(self.rollout.propose(policy, note, now_us))
 
--- a/lemonridge/core/broker.py
+++ b/lemonridge/core/broker.py
@@ -6,8 +6,8 @@
 import logging
 from collections.abc import Callable
 
-from lemonridge import api
-from lemonridge.core.decider import Decider, Mailbox
+from lemonridge.core.counters import Counters
+from lemonridge.core.decision_host import Decider, Mailbox
 from lemonridge.core.model import (
     Answer,
     Attempt,
@@ -19,14 +19,14 @@
     Outcome,
     Request,
     Routes,
-)  # fmt: skip
+)
 from lemonridge.core.open_ids import OpenIds
-from lemonridge.counters import Counters
+from lemonridge.scheduling.events import AttemptEnded, AttemptResult, ClientDisconnected, DataMigrated
 
 log = logging.getLogger(__name__)
 
 # After these the module must hear where the data is: it waits for that, or sent where it was before.
-PLACED = frozenset((api.Result.MOVED, api.Result.NOT_SENT))
+PLACED = frozenset((AttemptResult.DATA_MIGRATED, AttemptResult.NOT_SENT))
 
 
 class Broker:
@@ -54,7 +54,7 @@
             answer = await asyncio.shield(mailbox.answer)
         except asyncio.CancelledError:
             if mailbox.settle(Answer(Kind.GONE)):
-                self._decider.deliver(api.Gone(mailbox.name))
+                self._decider.deliver(ClientDisconnected(mailbox.name))
                 self._counters["answers.gone"] += 1
             elif isinstance(reply := mailbox.answer.result().reply, Flow):
                 reply.close()
@@ -69,7 +69,7 @@
         try:
             self._counters["requests.taken"] += 1
             if routes is not None:
-                routes.open(request, lambda shard: self._decider.deliver(api.Moved(mailbox.name, shard)))
+                routes.open(request, lambda shard: self._decider.deliver(DataMigrated(mailbox.name, shard)))
             while (order := await mailbox.next_send()) is not None:
                 sent_us = self._decider.clock.now_us()
                 relied = request.route.shard if request.route is not None else request.shard
@@ -78,25 +78,35 @@
                 )
                 outcome = await self._attempt(mailbox, attempt)
                 lag_us = self._decider.clock.now_us() - sent_us
-                if outcome.result is api.Result.OK:
+                if outcome.result is AttemptResult.OK:
                     served = mailbox.settle(Answer(Kind.SERVED, outcome.reply))
                     if not served and isinstance(outcome.reply, Flow):
                         outcome.reply.close()
-                self._decider.deliver(api.Ended(
-                    mailbox.name, number, order.node, outcome.result, lag_us, mailbox.answer.done(),
-                    outcome.used, outcome.elsewhere, outcome.held, attempt.begun,
-                ))  # fmt: skip
+                self._decider.deliver(
+                    AttemptEnded(
+                        mailbox.name,
+                        number,
+                        order.node,
+                        outcome.result,
+                        lag_us,
+                        mailbox.answer.done(),
+                        outcome.used,
+                        outcome.elsewhere,
+                        outcome.held,
+                        attempt.begun,
+                    )
+                )
                 if routes is not None and not mailbox.answer.done():
                     shard = await self._route(mailbox, routes, outcome)
                     if shard != relied or outcome.result in PLACED:
-                        self._decider.deliver(api.Moved(mailbox.name, shard))
+                        self._decider.deliver(DataMigrated(mailbox.name, shard))
                 number += 1
         except Exception:
             log.exception("request failed")
             self._counters["requests.broken"] += 1
         finally:
             if mailbox.settle(Answer(Kind.FAILED)):
-                self._decider.deliver(api.Gone(mailbox.name))
+                self._decider.deliver(ClientDisconnected(mailbox.name))
             if routes is not None:
                 routes.close(request)
             self._decider.close(mailbox)
@@ -105,7 +115,7 @@
     async def _route(self, mailbox: Mailbox, routes: Routes, outcome: Outcome) -> int | None:
         """Where the request goes on, if it does: asked after each attempt, since the map may have moved on
         meanwhile. The wait for news of a move ends with the request's deadline."""
-        if outcome.result is not api.Result.MOVED:
+        if outcome.result is not AttemptResult.DATA_MIGRATED:
             return routes.current(mailbox.request)
         try:
             async with asyncio.timeout_at(self._decider.clock.loop_time(mailbox.request.deadline_us)):
@@ -123,7 +133,7 @@
         a request that is over: its client may have left since it was decided on.
         """
         if mailbox.answer.done():
-            return Outcome(api.Result.NOT_SENT)
+            return Outcome(AttemptResult.NOT_SENT)
         mailbox.attempt, mailbox.cancelled = attempt, False
         route = attempt.request.route
         try:
@@ -134,16 +144,16 @@
                 outcome = await self._nodes.attempt(attempt)
         except TimeoutError:
             if not attempt.begun:  # its time ran out here: only a connect that fails tells of the node
-                outcome = Outcome(api.Result.NOT_SENT)
+                outcome = Outcome(AttemptResult.NOT_SENT)
             else:
-                outcome = Outcome(api.Result.CANCELLED if mailbox.cancelled else api.Result.TIMEOUT)
+                outcome = Outcome(AttemptResult.CANCELLED if mailbox.cancelled else AttemptResult.TIMEOUT)
         except ConnectFailedError:
-            outcome = Outcome(api.Result.CONNECT_FAILED)
+            outcome = Outcome(AttemptResult.CONNECT_FAILED)
         except AttemptSuppressedError:
-            outcome = Outcome(api.Result.NOT_SENT)
+            outcome = Outcome(AttemptResult.NOT_SENT)
         except Exception:
             log.exception("attempt failed")
-            outcome = Outcome(api.Result.RESET if attempt.begun else api.Result.CONNECT_FAILED)
+            outcome = Outcome(AttemptResult.RESET if attempt.begun else AttemptResult.CONNECT_FAILED)
         finally:
             mailbox.scope = mailbox.attempt = None
             if route is not None:
--- a/lemonridge/core/decider.py
+++ b/lemonridge/core/decision_host.py
@@ -9,11 +9,32 @@
 from collections.abc import Callable, Iterable, Mapping
 from typing import Protocol
 
-from lemonridge import api
 from lemonridge.core.clock import Clock
+from lemonridge.core.counters import Counters
 from lemonridge.core.model import Answer, Attempt, Kind, Request
-from lemonridge.counters import Counters
-from lemonridge.policy import Scheduler
+from lemonridge.scheduling import Scheduler
+from lemonridge.scheduling.actions import (
+    Action,
+    Cancel,
+    Fail,
+    Reject,
+    Send,
+    SetTimer,
+    SlowStartBegan,
+    Subscribe,
+)
+from lemonridge.scheduling.events import (
+    AttemptEnded,
+    Endpoint,
+    EndpointListUpdate,
+    EndpointsChanged,
+    Event,
+    LimitLevel,
+    RequestArrived,
+    SettingsChanged,
+    TimerFired,
+)
+from lemonridge.scheduling.settings import Settings
 
 log = logging.getLogger(__name__)
 
@@ -28,7 +49,7 @@
         self.attempt: Attempt | None = None  # the one in flight
         self.cancelled = False  # it was called off
         self.decided_s = 0.0  # when the last attempt was, on the loop's clock
-        self._orders: deque[api.Send] = deque()
+        self._orders: deque[Send] = deque()
         self._waiter: asyncio.Future[None] | None = None
 
     def settle(self, answer: Answer) -> bool:
@@ -41,15 +62,15 @@
         self._wake()
         return True
 
-    def deliver(self, action: api.Send | api.Cancel | api.Refuse | api.Fail) -> None:
+    def deliver(self, action: Send | Cancel | Reject | Fail) -> None:
         """Take a decision. A final answer leaves at once, also while an attempt is out."""
-        if isinstance(action, api.Send):
+        if isinstance(action, Send):
             self._orders.append(action)
             self.decided_s = asyncio.get_running_loop().time()
             self._wake()
-        elif isinstance(action, api.Refuse):
+        elif isinstance(action, Reject):
             self.settle(Answer(Kind.REFUSED, backoff_us=action.backoff_us))
-        elif isinstance(action, api.Fail):
+        elif isinstance(action, Fail):
             self.settle(Answer(Kind.FAILED))
         elif self.attempt is not None and action.attempt == self.attempt.number:
             self._call_off()
@@ -60,7 +81,7 @@
             self.cancelled = True
             self.scope.reschedule(asyncio.get_running_loop().time())
 
-    async def next_send(self) -> api.Send | None:
+    async def next_send(self) -> Send | None:
         """The next attempt to make; None once the request is over."""
         while not self._orders:
             if self.answer.done():
@@ -82,15 +103,15 @@
 class Observer(Protocol):
     """Sees what the decisions see, before they do, and what they decide."""
 
-    def arrived(self, event: api.Arrived) -> None: ...
+    def arrived(self, event: RequestArrived) -> None: ...
 
-    def listed(self, entries: Iterable[api.Entry]) -> None: ...
+    def listed(self, entries: Iterable[Endpoint]) -> None: ...
 
     def sent(self, node: str, request: Request) -> None: ...
 
-    def ended(self, event: api.Ended, request: Request | None) -> None: ...
+    def ended(self, event: AttemptEnded, request: Request | None) -> None: ...
 
-    def acted(self, action: api.Action) -> None: ...
+    def acted(self, action: Action) -> None: ...
 
     def renewed(self) -> None: ...
 
@@ -98,7 +119,7 @@
 class LeaseGuard(Protocol):
     """Says by which settings the decisions go, where that may end by time alone."""
 
-    def before(self, now_us: int) -> api.Settings | None:
+    def before(self, now_us: int) -> Settings | None:
         """Settings to go by from now on; None where nothing changed."""
 
     def epoch(self, decided_s: float) -> str | None:
@@ -108,17 +129,17 @@
 class Decider:
     """Owns the scheduler. The events of one turn of the event loop go to it together."""
 
-    def __init__(self, settings: api.Settings, seed: int, clock: Clock, counters: Counters) -> None:
+    def __init__(self, settings: Settings, seed: int, clock: Clock, counters: Counters) -> None:
         self._settings, self._seed = settings, seed
         self.clock, self._counters = clock, counters
         self._loop = asyncio.get_running_loop()
         self._scheduler = Scheduler(settings, seed, asked=True)
         self._mailboxes: dict[str, Mailbox] = {}
-        self._events: list[api.Event] = []
+        self._events: list[Event] = []
         self._due = False
         self._timer: asyncio.TimerHandle | None = None
         self._taken = 0
-        self.relist: Callable[[], tuple[api.Entry, ...]] = tuple
+        self.relist: Callable[[], tuple[Endpoint, ...]] = tuple
         self.observer: Observer | None = None
         self.fence: LeaseGuard | None = None
         self._beat_s: float | None = None
@@ -134,7 +155,7 @@
         self._taken += 1
         mailbox = Mailbox(f"r{self._taken}", request)
         self._mailboxes[mailbox.name] = mailbox
-        arrived = api.Arrived(
+        arrived = RequestArrived(
             mailbox.name,
             request.shard,
             request.volume,
@@ -151,16 +172,16 @@
         self.deliver(arrived)
         return mailbox
 
-    def configure(self, settings: api.Settings) -> None:
+    def configure(self, settings: Settings) -> None:
         """New settings, for every request that comes from now on."""
         self._settings = settings
-        self.deliver(api.Configured(settings, False))
+        self.deliver(SettingsChanged(settings, False))
 
-    def export_limits(self) -> dict[int, api.LimitLevel]:
+    def export_limits(self) -> dict[int, LimitLevel]:
         """Hand the limits over to another process of this broker, by volume."""
         return self._scheduler.export_limits()
 
-    def import_limits(self, levels: Mapping[int, api.LimitLevel]) -> None:
+    def import_limits(self, levels: Mapping[int, LimitLevel]) -> None:
         """Be the process whose limits fill, from these levels on."""
         self._scheduler.import_limits(self.clock.now_us(), levels)
 
@@ -179,12 +200,12 @@
         """The life of a request is over."""
         self._mailboxes.pop(mailbox.name, None)
 
-    def deliver(self, event: api.Event) -> None:
+    def deliver(self, event: Event) -> None:
         """Note an event for the end of this turn of the loop."""
-        if self.observer is not None and isinstance(event, api.Ended):
+        if self.observer is not None and isinstance(event, AttemptEnded):
             mailbox = self._mailboxes.get(event.request)
             self.observer.ended(event, None if mailbox is None else mailbox.request)
-        elif self.observer is not None and isinstance(event, api.Listed):
+        elif self.observer is not None and isinstance(event, EndpointsChanged):
             self.observer.listed(event.entries)
         self._events.append(event)
         if not self._due:
@@ -193,7 +214,7 @@
 
     def look(self) -> None:
         """Ask the fence anew at the end of this turn of the loop."""
-        self.deliver(api.TimerFired())
+        self.deliver(TimerFired())
 
     def watch_for_stops(self) -> None:
         """Look from now on whether this process was stopped (SIGSTOP, a machine that had no time for it). One
@@ -220,7 +241,7 @@
         try:
             if self.fence is not None and (settings := self.fence.before(self.clock.now_us())) is not None:
                 self._settings = settings
-                events.insert(0, api.Configured(settings, True))
+                events.insert(0, SettingsChanged(settings, True))
             actions = self._scheduler.handle(self.clock.now_us(), events)
         except Exception:
             self._start_over()
@@ -228,26 +249,24 @@
         if log.isEnabledFor(logging.DEBUG):
             self._trace(events, actions)
         for action in actions:
-            if isinstance(action, (api.Refuse, api.Fail)):
+            if isinstance(action, (Reject, Fail)):
                 self._counters[f"given_up.{action.why.value}"] += 1
-            if isinstance(action, api.SetTimer):
+            if isinstance(action, SetTimer):
                 self._wake_at(action.at_us)
-            elif isinstance(action, api.SlowStartBegan):
+            elif isinstance(action, SlowStartBegan):
                 if self.observer is not None:
                     self.observer.acted(action)
-            elif not isinstance(action, api.Subscribe):  # the watch of the node list never ends
+            elif not isinstance(action, Subscribe):  # the watch of the node list never ends
                 mailbox = self._mailboxes.get(action.request)
                 if mailbox is not None:
-                    if self.observer is not None and isinstance(action, api.Send):
+                    if self.observer is not None and isinstance(action, Send):
                         self.observer.sent(action.node, mailbox.request)
                     mailbox.deliver(action)
 
-    def _trace(self, events: list[api.Event], actions: list[api.Action]) -> None:
+    def _trace(self, events: list[Event], actions: list[Action]) -> None:
         """What was told and decided, a line each: to be added up over all brokers."""
         for told in (*events, *actions):
-            if not isinstance(
-                told, (api.Listed, api.Configured, api.TimerFired, api.SetTimer, api.Subscribe)
-            ):
+            if not isinstance(told, (EndpointsChanged, SettingsChanged, TimerFired, SetTimer, Subscribe)):
                 log.debug(type(told).__name__.lower(), extra=dataclasses.asdict(told))
 
     def _wake_at(self, at_us: int) -> None:
@@ -258,7 +277,7 @@
 
     def _woke(self) -> None:
         self._timer = None
-        self.deliver(api.TimerFired())
+        self.deliver(TimerFired())
 
     def _start_over(self) -> None:
         """An exception left the module's state in doubt: answer what it held, begin a new one.
@@ -277,4 +296,4 @@
         self._scheduler = Scheduler(self._settings, self._seed, asked=True)
         if self.observer is not None:
             self.observer.renewed()
-        self.deliver(api.Listed(api.ListKind.STALE, self.relist()))
+        self.deliver(EndpointsChanged(EndpointListUpdate.CACHED, self.relist()))
--- a/lemonridge/core/directory.py
+++ b/lemonridge/core/endpoint_registry.py
@@ -8,9 +8,9 @@
 from dataclasses import dataclass, replace
 from typing import Protocol
 
-from lemonridge import api
 from lemonridge.core.start_times import NEWS_LATE_US, StartTime, StartTimes
 from lemonridge.operate.maintenance import Back, Maintenance
+from lemonridge.scheduling.events import Endpoint, EndpointListUpdate, EndpointsChanged, EndpointState, Event
 
 log = logging.getLogger(__name__)
 
@@ -21,14 +21,14 @@
 class Listing:
     """One line of the list with the address to dial."""
 
-    entry: api.Entry
+    entry: Endpoint
     address: str
 
 
 class EventSink(Protocol):
     """Takes events; the decider does."""
 
-    def deliver(self, event: api.Event) -> None: ...
+    def deliver(self, event: Event) -> None: ...
 
 
 class Directory:
@@ -56,31 +56,40 @@
         silent_us = 0 if self._heard_us is None else now_us - self._heard_us
         self._heard_us, self._late_us = now_us, NEWS_LATE_US + silent_us
 
-    def take(self, kind: api.ListKind, listings: list[Listing]) -> None:
+    def take(self, kind: EndpointListUpdate, listings: list[Listing]) -> None:
         """Apply a change, or a whole list: a node that it does not name is gone."""
         before = self._told
-        if kind is not api.ListKind.PATCH:
+        if kind is not EndpointListUpdate.DELTA:
             self._told, self._nodes = {}, {}
         news = [one for one in listings if before.get(one.entry.node) != one]
         for listing in listings:
-            if listing.entry.condition is api.Condition.LEFT:
+            if listing.entry.condition is EndpointState.REMOVED:
                 self._told.pop(listing.entry.node, None)
             else:
                 self._told[listing.entry.node] = listing
         for listing in news[:LOGGED_MAX]:
             entry = listing.entry
-            log.info("listed", extra={
-                "node": entry.node, "condition": entry.condition.value, "shard": entry.shard,
-                "started_us": entry.started_us, "address": listing.address})  # fmt: skip
+            log.info(
+                "listed",
+                extra={
+                    "node": entry.node,
+                    "condition": entry.condition.value,
+                    "shard": entry.shard,
+                    "started_us": entry.started_us,
+                    "address": listing.address,
+                },
+            )
         if len(news) > LOGGED_MAX:
             log.info("listed", extra={"further": len(news) - LOGGED_MAX, "nodes": len(self._told)})
-        first = kind is not api.ListKind.PATCH and not self.fresh.is_set()
+        first = kind is not EndpointListUpdate.DELTA and not self.fresh.is_set()
         listings = [self._placed(one, None if first else self._late_us) for one in listings]
         self._starts.prune(self._told)
         self._maintenance.prune(self._told)
-        if kind is not api.ListKind.STALE:
+        if kind is not EndpointListUpdate.CACHED:
             self.fresh.set()
-        self.listed = self.listed or bool(listings) or kind is api.ListKind.WHOLE  # also an empty one is news
+        self.listed = (
+            self.listed or bool(listings) or kind is EndpointListUpdate.SNAPSHOT
+        )  # also an empty one is news
         self._tell(kind, listings)
 
     def _placed(self, listing: Listing, late_us: int | None) -> Listing:
@@ -91,20 +100,20 @@
         )
         return Listing(replace(entry, started_us=started_us), listing.address)
 
-    def _tell(self, kind: api.ListKind, listings: list[Listing]) -> None:
+    def _tell(self, kind: EndpointListUpdate, listings: list[Listing]) -> None:
         """Lay the bans over these lines, and pass them on."""
         lines = [Listing(self._maintenance.over(one.entry), one.address) for one in listings]
         for line in lines:
-            if line.entry.condition is api.Condition.LEFT:
+            if line.entry.condition is EndpointState.REMOVED:
                 self._nodes.pop(line.entry.node, None)
             else:
                 self._nodes[line.entry.node] = line
-        self._sink.deliver(api.Listed(kind, tuple(line.entry for line in lines)))
+        self._sink.deliver(EndpointsChanged(kind, tuple(line.entry for line in lines)))
 
     def _retell(self, node: str) -> None:
         """A ban on a node began or ended. One that discovery does not list has nothing to be told of."""
         if (told := self._told.get(node)) is not None:
-            self._tell(api.ListKind.PATCH, [self._placed(told, None)])
+            self._tell(EndpointListUpdate.DELTA, [self._placed(told, None)])
 
     def disable(self, node: str) -> bool:
         """Nothing more to this node, whatever discovery says; False where it is not known, or too many are
@@ -139,7 +148,7 @@
         """Go by what the process before this one heard of starts, and tell the decisions."""
         self._starts.inherit(starts)
         if self._told:
-            self._tell(api.ListKind.PATCH, [self._placed(one, None) for one in self._told.values()])
+            self._tell(EndpointListUpdate.DELTA, [self._placed(one, None) for one in self._told.values()])
 
     def inherit(self, out: Mapping[str, int], back: Mapping[str, Back]) -> None:
         """Go by the bans of the process before this one."""
@@ -147,7 +156,7 @@
         for node in (*out, *back):
             self._retell(node)
 
-    def entries(self) -> tuple[api.Entry, ...]:
+    def entries(self) -> tuple[Endpoint, ...]:
         return tuple(listing.entry for listing in self._nodes.values())
 
     def shard(self, node: str) -> int | None:
@@ -158,19 +167,20 @@
     def shards(self) -> frozenset[int]:
         """The shards that have a node which may get new work."""
         return frozenset(
-            one.entry.shard for one in self._nodes.values() if one.entry.condition is api.Condition.ACTIVE
+            one.entry.shard for one in self._nodes.values() if one.entry.condition is EndpointState.ACTIVE
         )
 
-    def serves(self, shard: int) -> api.Condition:
+    def serves(self, shard: int) -> EndpointState:
         """The best condition of a shard's nodes."""
         found = {one.entry.condition for one in self._nodes.values() if one.entry.shard == shard}
         return next(
-            (one for one in (api.Condition.ACTIVE, api.Condition.LEAVING) if one in found), api.Condition.LEFT
+            (one for one in (EndpointState.ACTIVE, EndpointState.DRAINING) if one in found),
+            EndpointState.REMOVED,
         )
 
     def address(self, node: str) -> str | None:
         """Where to send new work for `node`; None where the list forbids it."""
         listing = self._nodes.get(node)
-        if listing is None or listing.entry.condition is not api.Condition.ACTIVE:
+        if listing is None or listing.entry.condition is not EndpointState.ACTIVE:
             return None
         return listing.address
--- a/lemonridge/core/model.py
+++ b/lemonridge/core/model.py
@@ -7,7 +7,7 @@
 from enum import Enum
 from typing import Protocol, runtime_checkable
 
-from lemonridge import api
+from lemonridge.scheduling.events import AttemptResult
 
 
 class Route(Protocol):
@@ -70,7 +70,7 @@
     """How an attempt ended; `reply` is the node's answer, in the form of its wire, and after MOVED what the
     node knows of where the data went."""
 
-    result: api.Result
+    result: AttemptResult
     reply: object = None
     used: int | None = None
     elsewhere: float | None = None
--- a/lemonridge/extents/etcd.py
+++ b/lemonridge/extents/etcd_source.py
@@ -16,10 +16,10 @@
 import aiohttp
 import msgspec
 
-from lemonridge.etcd import FAILURES, EtcdClient, Event, OutOfStepError
-from lemonridge.extents.map import Change, ChangeResult, Extent, MapError
+from lemonridge.coordination.etcd import FAILURES, EtcdClient, Event, OutOfStepError
+from lemonridge.extents.extent_map import Change, ChangeResult, Extent, MapError
 from lemonridge.extents.router import Router
-from lemonridge.net.watching import client
+from lemonridge.net.watch_stream import client
 
 log = logging.getLogger(__name__)
 
--- a/lemonridge/extents/file.py
+++ b/lemonridge/extents/file_source.py
@@ -11,7 +11,7 @@
 
 import msgspec
 
-from lemonridge.extents.map import Extent
+from lemonridge.extents.extent_map import Extent
 from lemonridge.extents.router import Router
 
 log = logging.getLogger(__name__)
@@ -58,8 +58,9 @@
             log.error("map file not read", extra={"path": str(self._path), "error": str(error)})
             return
         if told.version < self._router.map.version and self._seen is not None:
-            log.warning("map file is older", extra={"version": told.version,
-                                                    "held": self._router.map.version})  # fmt: skip
+            log.warning(
+                "map file is older", extra={"version": told.version, "held": self._router.map.version}
+            )
             return
         if self._router.whole(told.version, (Extent(*row) for row in told.extents if row[0] in self._luns)):
             self._seen = seen
--- a/lemonridge/extents/keep.py
+++ b/lemonridge/extents/map_cache.py
@@ -22,7 +22,7 @@
 import lmdb
 import xxhash
 
-from lemonridge.extents.map import Change, Extent, ExtentMap, MapError
+from lemonridge.extents.extent_map import Change, Extent, ExtentMap, MapError
 
 T = TypeVar("T")
 log = logging.getLogger(__name__)
--- a/lemonridge/extents/router.py
+++ b/lemonridge/extents/router.py
@@ -9,11 +9,11 @@
 from typing import Protocol
 
 from lemonridge.core.clock import Clock
-from lemonridge.core.directory import Directory
+from lemonridge.core.counters import Counters
+from lemonridge.core.endpoint_registry import Directory
 from lemonridge.core.model import Request
-from lemonridge.counters import Counters
 from lemonridge.extents import routing
-from lemonridge.extents.map import Builder, Change, ChangeResult, Extent, ExtentMap, MapError
+from lemonridge.extents.extent_map import Builder, Change, ChangeResult, Extent, ExtentMap, MapError
 from lemonridge.extents.refresh import Batch, Refreshes, Spot
 from lemonridge.extents.routing import Decision, Limits, Route, Standing, Told, Verdict
 
@@ -92,8 +92,9 @@
         return True
 
     def _sizes(self, before: dict[int, int]) -> None:
-        changed = [volume for volume, blocks in before.items()
-                   if blocks and self.map.blocks(volume) != blocks]  # fmt: skip
+        changed = [
+            volume for volume, blocks in before.items() if blocks and self.map.blocks(volume) != blocks
+        ]
         if changed:
             self.resized(changed)
 
@@ -163,9 +164,16 @@
         if decision.verdict is Verdict.GIVE_UP:
             assert decision.cause is not None
             self.counters[f"routes.{decision.cause.value}"] += 1
-            log.info("route given up", extra={
-                "volume": route.piece.volume, "block": route.piece.first, "cause": decision.cause.value,
-                "version": route.piece.version, "redirects": route.redirects})  # fmt: skip
+            log.info(
+                "route given up",
+                extra={
+                    "volume": route.piece.volume,
+                    "block": route.piece.first,
+                    "cause": decision.cause.value,
+                    "version": route.piece.version,
+                    "redirects": route.redirects,
+                },
+            )
             return None
         self.counters["redirects.ahead"] += route.ahead
         return route.shard
--- a/lemonridge/extents/routing.py
+++ b/lemonridge/extents/routing.py
@@ -14,7 +14,7 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from lemonridge.extents.map import Extent, ExtentMap, MapError, Piece
+from lemonridge.extents.extent_map import Extent, ExtentMap, MapError, Piece
 
 
 @dataclass(frozen=True, slots=True)
@@ -117,8 +117,16 @@
             raise RouteError(Cause.OLD)
 
 
-def begin(held: ExtentMap, standing: Standing, limits: Limits, volume: int, first: int, length: int,
-          writes: bool, now_us: int) -> list[Route]:  # fmt: skip
+def begin(
+    held: ExtentMap,
+    standing: Standing,
+    limits: Limits,
+    volume: int,
+    first: int,
+    length: int,
+    writes: bool,
+    now_us: int,
+) -> list[Route]:
     """The routes of a command's pieces, in the order of their blocks."""
     standing.usable(held, limits, writes, now_us)
     try:
@@ -130,8 +138,9 @@
     return [Route(piece, writes) for piece in pieces]
 
 
-def everywhere(held: ExtentMap, standing: Standing, limits: Limits, volume: int, writes: bool,
-               now_us: int) -> list[int]:  # fmt: skip
+def everywhere(
+    held: ExtentMap, standing: Standing, limits: Limits, volume: int, writes: bool, now_us: int
+) -> list[int]:
     """The shards for a command that concerns a whole volume."""
     standing.usable(held, limits, writes, now_us)
     shards = sorted(held.shards(volume))
--- a/lemonridge/fleet/wire.py
+++ b/lemonridge/fleet/datagrams.py
@@ -407,8 +407,18 @@
 
 def encode(head: Head, items: Iterable[Item], mark: int, tagger: Tagger | None = None) -> bytes:
     """The bytes; ValueError past DATAGRAM_MAX."""
-    parts = [_HEAD.pack(VERSION, head.state, mark, head.sender, head.life, head.round,
-                        head.number % WRAP, head.sent_ms % WRAP)]  # fmt: skip
+    parts = [
+        _HEAD.pack(
+            VERSION,
+            head.state,
+            mark,
+            head.sender,
+            head.life,
+            head.round,
+            head.number % WRAP,
+            head.sent_ms % WRAP,
+        )
+    ]
     for item in items:
         kind = type(item)
         parts.append(bytes((_CODES[kind],)))
--- a/lemonridge/fleet/demand.py
+++ b/lemonridge/fleet/demand.py
@@ -4,7 +4,7 @@
 
 from math import exp
 
-from lemonridge.fleet.escrow import Key
+from lemonridge.fleet.quota_lending import Key
 
 FADE_US = 700_000  # memory of a rate: a lead that moves each second must be followed, single requests not
 COLD_US = 4_000_000  # of what is asked for at a cold node, where a broker sees a request now and then
--- a/lemonridge/fleet/machine.py
+++ b/lemonridge/fleet/fleet_member.py
@@ -14,13 +14,7 @@
 
 import crc32c
 
-from lemonridge.fleet.counts import Counted, Counts
-from lemonridge.fleet.demand import AHEAD, COLD_US, Rates
-from lemonridge.fleet.escrow import WHOLE, Key, Kind, Ledger, Slice
-from lemonridge.fleet.judgements import Evidence, PeerHealthReports, Seen, Verdict
-from lemonridge.fleet.members import ALIVE, Members
-from lemonridge.fleet.roster import Roster
-from lemonridge.fleet.wire import (
+from lemonridge.fleet.datagrams import (
     DATAGRAM_MAX,
     HEAD_BYTES,
     ROLLOUT,
@@ -48,7 +42,13 @@
     decode,
     encode,
     size,
-)  # fmt: skip
+)
+from lemonridge.fleet.demand import AHEAD, COLD_US, Rates
+from lemonridge.fleet.health_gossip import Evidence, PeerHealthReports, Seen, Verdict
+from lemonridge.fleet.member_list import Roster
+from lemonridge.fleet.membership import ALIVE, Members
+from lemonridge.fleet.quota_lending import WHOLE, Key, Kind, Ledger, Slice
+from lemonridge.fleet.usage_totals import Counted, Counts
 
 BYTES_S, ERROR_US = 8192.0, 50_000  # where nothing else is said
 TICK_US = 50_000  # while budgets are in use: how soon demand that moves is followed, against CPU
@@ -220,8 +220,9 @@
         self.roster, self.tuning, self._tagger = roster, tuning or Tuning(), tagger
         self._random = Random(f"{seed}/fleet")
         self.members = Members(roster, life, seed, now_us)
-        self.ledger = Ledger(roster.me, life, self._random.randrange(1, 1 << 30), self.tuning.error_us,
-                             now_us).among(roster.others)  # fmt: skip
+        self.ledger = Ledger(
+            roster.me, life, self._random.randrange(1, 1 << 30), self.tuning.error_us, now_us
+        ).among(roster.others)
         self.rates, self.cold_rates = Rates(), Rates(COLD_US)
         self.evidence, self.peer_reports, self.shared = Evidence(), PeerHealthReports(), Counts()
         self._told_us = self._recall_us = now_us
@@ -508,8 +509,10 @@
         some = list(self.members.there())
         if len(some) > FAN:
             some = self._random.sample(some, FAN)
-        judges = [Judge(one.node, int(one.what), one.weight, min(65535, (now_us - one.at_us) // 1000))
-                  for one in self.evidence.observations(now_us)[:JUDGES]]  # fmt: skip
+        judges = [
+            Judge(one.node, int(one.what), one.weight, min(65535, (now_us - one.at_us) // 1000))
+            for one in self.evidence.observations(now_us)[:JUDGES]
+        ]
         counts = [Count(*row) for row in self.shared.news(COUNTS)] if self.tuning.counts else []
         said: list[Item] = [*judges, *counts]
         if self.tuning.counts and not said and self.roster.size <= FAN + 1:
--- a/lemonridge/fleet/members.py
+++ b/lemonridge/fleet/membership.py
@@ -18,8 +18,8 @@
 from math import log
 from random import Random
 
-from lemonridge.fleet.roster import Roster
-from lemonridge.fleet.wire import Ack, Fact, Item, Ping, PingRequest, State
+from lemonridge.fleet.datagrams import Ack, Fact, Item, Ping, PingRequest, State
+from lemonridge.fleet.member_list import Roster
 
 PERIOD_US = 500_000  # between two questions: time to detect against bytes
 AGAIN = 0.2  # part of a period after which a question without an answer is put again (ours): of links that
--- a/lemonridge/fleet/escrow.py
+++ b/lemonridge/fleet/quota_lending.py
@@ -19,7 +19,7 @@
 from dataclasses import dataclass, field
 from enum import IntEnum
 
-from lemonridge.fleet.wire import WRAP, Cleared, Grant, Item, Release, Want
+from lemonridge.fleet.datagrams import WRAP, Cleared, Grant, Item, Release, Want
 
 WHOLE = 1_000_000  # parts of a volume's limit, or of the further attempts
 SPAN_US = 1_500_000  # of a loan: what a dead borrower keeps from others, against questions a second
--- a/lemonridge/fleet/companion.py
+++ b/lemonridge/fleet/scheduler_bridge.py
@@ -8,11 +8,9 @@
 
 from collections.abc import Callable, Iterable, Sequence
 
-from lemonridge import api
-from lemonridge.fleet import machine
-from lemonridge.fleet.escrow import WHOLE, Kind
-from lemonridge.fleet.judgements import ReportedCondition, Seen, Verdict
-from lemonridge.fleet.machine import (
+from lemonridge.fleet import fleet_member
+from lemonridge.fleet.datagrams import Item, Tagger
+from lemonridge.fleet.fleet_member import (
     BYTES_S,
     ERROR_US,
     Fleet,
@@ -28,17 +26,41 @@
     TimerFired,
     Tuning,
 )
-from lemonridge.fleet.roster import Roster, key_of
-from lemonridge.fleet.wire import Item, Tagger
+from lemonridge.fleet.health_gossip import ReportedCondition, Seen, Verdict
+from lemonridge.fleet.member_list import Roster, key_of
+from lemonridge.fleet.quota_lending import WHOLE, Kind
+from lemonridge.scheduling.actions import Action, SlowStartBegan
+from lemonridge.scheduling.events import (
+    AttemptEnded,
+    AttemptResult,
+    Endpoint,
+    EndpointsChanged,
+    Event,
+    PeerHealthReported,
+    PeerUsageReported,
+    QuotaChanged,
+    RequestArrived,
+    SharedBudget,
+)
+from lemonridge.scheduling.settings import Settings
 
 NODES_MAX = 65536  # names that are kept for what comes by key
 MICRO = 1e12  # micro-units a second in a unit a microsecond
-BUDGETS = {Kind.LIMIT: api.Budget.LIMIT, Kind.COLD: api.Budget.COLD, Kind.FURTHER: api.Budget.FURTHER}
-SEEN = {api.Result.OK: Seen.GOOD, api.Result.FULL: Seen.GOOD, api.Result.ERROR: Seen.ERROR,
-        api.Result.CONNECT_FAILED: Seen.CONNECT_FAILED, api.Result.TIMEOUT: Seen.SILENT}  # fmt: skip
+BUDGETS = {
+    Kind.LIMIT: SharedBudget.LIMIT,
+    Kind.COLD: SharedBudget.SLOW_START,
+    Kind.FURTHER: SharedBudget.RETRIES,
+}
+SEEN = {
+    AttemptResult.OK: Seen.GOOD,
+    AttemptResult.QUEUE_FULL: Seen.GOOD,
+    AttemptResult.ERROR: Seen.ERROR,
+    AttemptResult.CONNECT_FAILED: Seen.CONNECT_FAILED,
+    AttemptResult.TIMEOUT: Seen.SILENT,
+}
 
 
-Decide = Callable[[int, Iterable[api.Event]], list[api.Action]]  # a scheduler's `handle`
+Decide = Callable[[int, Iterable[Event]], list[Action]]  # a scheduler's `handle`
 
 
 class Companion:
@@ -51,22 +73,22 @@
         life: int,
         seed: int,
         now_us: int,
-        settings: api.Settings,
+        settings: Settings,
         bytes_s: float = BYTES_S,
         error_us: int = ERROR_US,
         tagger: Tagger | None = None,
     ) -> None:
         self.settings = settings
-        tuning = Tuning(bytes_s, error_us, not settings.tells_elsewhere, settings.further_rate)
+        tuning = Tuning(bytes_s, error_us, not settings.reports_peer_usage, settings.retry_rate)
         self.fleet = Fleet(roster, life, seed, now_us, tuning, tagger)
-        self.events: list[api.Event] = []
+        self.events: list[Event] = []
         self.tells: list[Tell] = []
         self.passed: list[Passed] = []  # for the machine that changes policies
         self.wake_us = now_us
         self.nodes: dict[int, str] = {}  # names by key
         self._handle(now_us)
 
-    def _handle(self, now_us: int, *events: machine.Event) -> None:
+    def _handle(self, now_us: int, *events: fleet_member.Event) -> None:
         for action in self.fleet.handle(now_us, events):
             if isinstance(action, Sliced):
                 self._sliced(action, now_us)
@@ -77,7 +99,7 @@
             elif isinstance(action, Passed):
                 self.passed.append(action)
             elif isinstance(action, Served):
-                self.events.append(api.Served(action.volume, action.units))
+                self.events.append(PeerUsageReported(action.volume, action.units))
             elif isinstance(action, SetTimer):
                 self.wake_us = action.at_us
 
@@ -100,7 +122,7 @@
 
     # What the decisions see
 
-    def arrived(self, event: api.Arrived, now_us: int) -> None:
+    def arrived(self, event: RequestArrived, now_us: int) -> None:
         """A request, before the decisions are told of it."""
         plan = self.settings.plans[event.plan]
         if plan.limit:
@@ -109,20 +131,20 @@
                 self._sliced(sliced, now_us)
         self.fleet.asked(event.shard, event.units, now_us)
 
-    def listed(self, entries: Iterable[api.Entry]) -> None:
+    def listed(self, entries: Iterable[Endpoint]) -> None:
         """The node list, or a part of it."""
         for entry in entries:
             if len(self.nodes) < NODES_MAX:
                 self.nodes.setdefault(key_of(entry.node), entry.node)
 
-    def ended(self, event: api.Ended, now_us: int, volume: int = 0, units: float = 0.0) -> None:
+    def ended(self, event: AttemptEnded, now_us: int, volume: int = 0, units: float = 0.0) -> None:
         """An attempt ended, of a request of that volume and size."""
         seen = SEEN.get(event.result)
         if seen is not None and self.fleet.ended(key_of(event.node), seen, now_us):
             self._handle(now_us, TimerFired())
-        if event.result is api.Result.OK and units:
+        if event.result is AttemptResult.OK and units:
             self.fleet.served(volume, units)
-        if not event.finished and event.result is not api.Result.NOT_SENT and self.settings.further_rate:
+        if not event.finished and event.result is not AttemptResult.NOT_SENT and self.settings.retry_rate:
             self.fleet.tried(now_us)
 
     # What they decide
@@ -131,10 +153,10 @@
         """An attempt was decided on."""
         self.fleet.sent(key_of(node), units)
 
-    def slow_start_began(self, action: api.SlowStartBegan, now_us: int) -> None:
+    def slow_start_began(self, action: SlowStartBegan, now_us: int) -> None:
         """A cold spell began. Brokers may hold one start for two times (by the list, by their own eyes), so
         its budget goes by the node's name, and the time goes with each question."""
-        began = machine.SlowStartBegan(
+        began = fleet_member.SlowStartBegan(
             action.node, key_of(action.node), action.shard, action.rate, action.born_us, action.until_us
         )
         self._handle(now_us, began)
@@ -154,48 +176,56 @@
                 return
             name, own, whole = self.nodes[told.key], told.base, MICRO
         part = told.slice
-        self.events.append(api.Sliced(BUDGETS[told.kind], name, (part.parts - own) / whole, part.until_us,
-                                      (part.after - own) / whole, now_us))  # fmt: skip
+        self.events.append(
+            QuotaChanged(
+                BUDGETS[told.kind],
+                name,
+                (part.parts - own) / whole,
+                part.until_us,
+                (part.after - own) / whole,
+                now_us,
+            )
+        )
 
     def _judged(self, verdict: Verdict) -> None:
         """What others say of a node, if this broker knows it. That one came back cold is shown alone: an
         answer, or the list, tells."""
         node = self.nodes.get(verdict.node)
         if node is not None and verdict.what is not ReportedCondition.COLD:
-            self.events.append(api.Judged(node, verdict.sources, verdict.agreed, verdict.at_us))
+            self.events.append(PeerHealthReported(node, verdict.sources, verdict.agreed, verdict.at_us))
 
 
 def decide(
     handle: Decide,
     companion: Companion,
     now_us: int,
-    events: Sequence[api.Event],
+    events: Sequence[Event],
     heard: Iterable[tuple[int, bytes]],
-) -> tuple[list[api.Action], list[Tell]]:
+) -> tuple[list[Action], list[Tell]]:
     """One moment of a scheduler and its companion, for hosts whose events come in batches: the decisions, the
     datagrams to send, and in `companion.wake_us` when to come again at the latest. The decisions are told of
     a slice before anything that came with or after it."""
-    told: list[api.Event] = []
+    told: list[Event] = []
 
-    def take() -> list[api.Event]:
+    def take() -> list[Event]:
         taken, companion.events = companion.events, []
         return taken
 
     for source, data in heard:
         companion.received(source, data, now_us)
     for event in events:
-        if isinstance(event, api.Arrived):
+        if isinstance(event, RequestArrived):
             companion.arrived(event, now_us)
-        elif isinstance(event, api.Listed):
+        elif isinstance(event, EndpointsChanged):
             companion.listed(event.entries)
-        elif isinstance(event, api.Ended):
+        elif isinstance(event, AttemptEnded):
             companion.ended(event, now_us)
         told += [*take(), event]
     if now_us >= companion.wake_us:
         companion.woke(now_us)
     actions = handle(now_us, [*take(), *told])
     for action in list(actions):
-        if isinstance(action, api.SlowStartBegan):
+        if isinstance(action, SlowStartBegan):
             companion.slow_start_began(action, now_us)
     if later := take():
         actions += handle(now_us, later)
--- a/lemonridge/fleet/report.py
+++ b/lemonridge/fleet/status_report.py
@@ -5,9 +5,9 @@
 from collections.abc import Iterable, Mapping
 from typing import Any
 
-from lemonridge.fleet.escrow import WHOLE, Kind
-from lemonridge.fleet.machine import Fleet
-from lemonridge.fleet.wire import State
+from lemonridge.fleet.datagrams import State
+from lemonridge.fleet.fleet_member import Fleet
+from lemonridge.fleet.quota_lending import WHOLE, Kind
 
 BUDGETS_MAX, JUDGEMENTS_MAX = 64, 64  # shown at a time: the most active
 
@@ -54,14 +54,27 @@
     for key, pool in active[:BUDGETS_MAX]:
         told = fleet.ledger.slice(key, now_us)
         whole = WHOLE if key[0] != Kind.COLD else max(1, pool.base)
-        rows.append({
-            "kind": Kind(key[0]).name.lower(), "key": f"{key[1]:016x}", "hosts": pool.hosts,
-            "uses": pool.holds, "own": pool.base / whole, "left": fleet.ledger.mine(pool, now_us) / whole,
-            "has": told.parts / whole, "needs": min(1.0, pool.need / whole),
-            "lent": {fleet.roster.names[who]: max(one.parts for one in loans) / whole
-                     for who, loans in pool.lent.items()},
-            "borrowed": {fleet.roster.names[who]: one.parts / whole for who, one in pool.borrowed.items()
-                         if one.end_us > now_us}})  # fmt: skip
+        rows.append(
+            {
+                "kind": Kind(key[0]).name.lower(),
+                "key": f"{key[1]:016x}",
+                "hosts": pool.hosts,
+                "uses": pool.holds,
+                "own": pool.base / whole,
+                "left": fleet.ledger.mine(pool, now_us) / whole,
+                "has": told.parts / whole,
+                "needs": min(1.0, pool.need / whole),
+                "lent": {
+                    fleet.roster.names[who]: max(one.parts for one in loans) / whole
+                    for who, loans in pool.lent.items()
+                },
+                "borrowed": {
+                    fleet.roster.names[who]: one.parts / whole
+                    for who, one in pool.borrowed.items()
+                    if one.end_us > now_us
+                },
+            }
+        )
     return rows
 
 
@@ -69,13 +82,27 @@
     def name(node: int) -> str:
         return nodes.get(node, f"{node:016x}")
 
-    rows = [{"node": name(one.node), "what": one.what.name.lower(), "by": fleet.roster.names[fleet.roster.me],
-             "weight": one.weight, "age_ms": (now_us - one.at_us) // 1000}
-            for one in fleet.evidence.observations(now_us)]  # fmt: skip
+    rows = [
+        {
+            "node": name(one.node),
+            "what": one.what.name.lower(),
+            "by": fleet.roster.names[fleet.roster.me],
+            "weight": one.weight,
+            "age_ms": (now_us - one.at_us) // 1000,
+        }
+        for one in fleet.evidence.observations(now_us)
+    ]
     for node, voices in fleet.peer_reports.voices(now_us).items():
-        rows += [{"node": name(node), "what": one.what.name.lower(), "by": fleet.roster.names[who],
-                  "weight": one.weight, "age_ms": (now_us - one.at_us) // 1000}
-                 for who, one in voices.items()]  # fmt: skip
+        rows += [
+            {
+                "node": name(node),
+                "what": one.what.name.lower(),
+                "by": fleet.roster.names[who],
+                "weight": one.weight,
+                "age_ms": (now_us - one.at_us) // 1000,
+            }
+            for who, one in voices.items()
+        ]
     return rows[:JUDGEMENTS_MAX]
 
 
@@ -86,8 +113,10 @@
     lines = ["seen by ".ljust(12) + " ".join(name[:10].rjust(10) for name in names)]
     for view in views:
         seen = {member["name"]: member for member in view["members"]}
-        cells = [view["state"] if name == view["name"] else seen[name]["state"] if name in seen else "-"
-                 for name in names]  # fmt: skip
+        cells = [
+            view["state"] if name == view["name"] else seen[name]["state"] if name in seen else "-"
+            for name in names
+        ]
         lines.append(view["name"][:11].ljust(12) + " ".join(cell.rjust(10) for cell in cells))
         lines.append("  heard ms  " + " ".join(_cell(seen.get(name), "heard_ms") for name in names))
         lines.append("  lost      " + " ".join(_cell(seen.get(name), "lost") for name in names))
@@ -104,8 +133,10 @@
     judged = [row for view in views for row in view["judgements"] if row["by"] == view["name"]]
     if judged:
         lines += ["", "node".ljust(20) + "judgement"]
-    lines += [f"{row['node'][:19]:20}{row['what']} by {row['by']}, {row['weight']} times, "
-              f"{row['age_ms']} ms ago" for row in judged]  # fmt: skip
+    lines += [
+        f"{row['node'][:19]:20}{row['what']} by {row['by']}, {row['weight']} times, {row['age_ms']} ms ago"
+        for row in judged
+    ]
     return "\n".join(lines)
 
 
--- a/lemonridge/fleet/counts.py
+++ b/lemonridge/fleet/usage_totals.py
@@ -78,5 +78,8 @@
 
     def known(self, kind: Counted, key: int, now_us: int) -> dict[int, Total]:
         """What others have told of a counter, by owner, as long as it is worth something."""
-        return {who: one for who, one in self._heard.get((int(kind), key), {}).items()
-                if now_us - one.at_us <= WORTH_US}  # fmt: skip
+        return {
+            who: one
+            for who, one in self._heard.get((int(kind), key), {}).items()
+            if now_us - one.at_us <= WORTH_US
+        }
--- a/lemonridge/iscsi/connection.py
+++ b/lemonridge/iscsi/connection.py
@@ -18,7 +18,7 @@
     Pdu,
     PduError,
     read_pdu,
-)  # fmt: skip
+)
 
 if TYPE_CHECKING:
     from lemonridge.iscsi.portal import IscsiFront
@@ -112,8 +112,10 @@
                 if reply.status == AUTHENTICATION:
                     front.counters["logins.unauthenticated"] += 1
                     front.attempts.failed(self.peer, front.clock.now_us())
-                log.warning("login refused", extra={
-                    "peer": self.peer, "status": f"{reply.status:#06x}", "why": login.why})  # fmt: skip
+                log.warning(
+                    "login refused",
+                    extra={"peer": self.peer, "status": f"{reply.status:#06x}", "why": login.why},
+                )
             lun = pdu.lun
             if reply.over and not reply.status:
                 lun = lun[:6] + front.tsih_for(login).to_bytes(2, "big")
--- a/lemonridge/iscsi/device.py
+++ b/lemonridge/iscsi/device.py
@@ -15,19 +15,24 @@
 from dataclasses import dataclass, field
 from functools import partial
 
+from lemonridge.config.operator_file import Iscsi
 from lemonridge.iscsi import scsi
-from lemonridge.iscsi.config import Iscsi
 from lemonridge.iscsi.pdu import pack_lun
 from lemonridge.iscsi.reservation_file import NotKeptError, ReservationFile
 from lemonridge.iscsi.reservations import Action, Attention, Done, Effect, Refusal, Reservations
 
 ATTENTIONS_MAX = 8  # that wait for one nexus and LUN; past it the newest is left out, as SAM-5 allows
-POWER_ON, RESET, CLEARED, CAPACITY_CHANGED = (
-    (0x29, 0x00), (0x29, 0x03), (0x2F, 0x00), (0x2A, 0x09))  # fmt: skip
+POWER_ON, RESET, CLEARED, CAPACITY_CHANGED = ((0x29, 0x00), (0x29, 0x03), (0x2F, 0x00), (0x2A, 0x09))
 VENDOR, PRODUCT, REVISION = b"LEMONRDG", b"BROKERED DISK   ", b"0003"
 
 INQUIRY, REQUEST_SENSE, MODE_SENSE_6, MODE_SENSE_10, MODE_SELECT_6, MODE_SELECT_10 = (
-    0x12, 0x03, 0x1A, 0x5A, 0x15, 0x55)  # fmt: skip
+    0x12,
+    0x03,
+    0x1A,
+    0x5A,
+    0x15,
+    0x55,
+)
 START_STOP, RESERVE_IN, RESERVE_OUT, REPORT_LUNS, MAINTENANCE_IN = 0x1B, 0x5E, 0x5F, 0xA0, 0xA3
 PORT_GROUPS, OPCODES = 0x0A, 0x0C
 WITH_DATA = frozenset((MODE_SELECT_6, MODE_SELECT_10, RESERVE_OUT))  # answered here once their data are there
@@ -36,14 +41,45 @@
 
 # (opcode, service action or -1, CDB length): what REPORT SUPPORTED OPERATION CODES tells
 SUPPORTED = (
-    (0x00, -1, 6), (0x03, -1, 6), (0x08, -1, 6), (0x0A, -1, 6), (0x12, -1, 6), (0x15, -1, 6), (0x1A, -1, 6),
-    (0x1B, -1, 6), (0x25, -1, 10), (0x28, -1, 10), (0x2A, -1, 10), (0x2F, -1, 10), (0x35, -1, 10),
-    (0x41, -1, 10), (0x42, -1, 10), (0x55, -1, 10), (0x5A, -1, 10), (0x5E, 0, 10), (0x5E, 1, 10),
-    (0x5E, 2, 10), (0x5E, 3, 10), (0x5F, 0, 10), (0x5F, 1, 10), (0x5F, 2, 10),
-    (0x5F, 3, 10), (0x5F, 4, 10), (0x5F, 5, 10),
-    (0x5F, 6, 10), (0x88, -1, 16), (0x89, -1, 16), (0x8A, -1, 16), (0x8F, -1, 16), (0x91, -1, 16),
-    (0x93, -1, 16), (0x9E, 0x10, 16), (0xA0, -1, 12), (0xA3, 0x0A, 12), (0xA3, 0x0C, 12),
-)  # fmt: skip
+    (0x00, -1, 6),
+    (0x03, -1, 6),
+    (0x08, -1, 6),
+    (0x0A, -1, 6),
+    (0x12, -1, 6),
+    (0x15, -1, 6),
+    (0x1A, -1, 6),
+    (0x1B, -1, 6),
+    (0x25, -1, 10),
+    (0x28, -1, 10),
+    (0x2A, -1, 10),
+    (0x2F, -1, 10),
+    (0x35, -1, 10),
+    (0x41, -1, 10),
+    (0x42, -1, 10),
+    (0x55, -1, 10),
+    (0x5A, -1, 10),
+    (0x5E, 0, 10),
+    (0x5E, 1, 10),
+    (0x5E, 2, 10),
+    (0x5E, 3, 10),
+    (0x5F, 0, 10),
+    (0x5F, 1, 10),
+    (0x5F, 2, 10),
+    (0x5F, 3, 10),
+    (0x5F, 4, 10),
+    (0x5F, 5, 10),
+    (0x5F, 6, 10),
+    (0x88, -1, 16),
+    (0x89, -1, 16),
+    (0x8A, -1, 16),
+    (0x8F, -1, 16),
+    (0x91, -1, 16),
+    (0x93, -1, 16),
+    (0x9E, 0x10, 16),
+    (0xA0, -1, 12),
+    (0xA3, 0x0A, 12),
+    (0xA3, 0x0C, 12),
+)
 
 Reply = scsi.Reply
 
@@ -200,8 +236,14 @@
             data = struct.pack(">8B8s16s4s", *head, VENDOR, PRODUCT, REVISION)
             data += bytes(22) + struct.pack(">4H", 0x00A0, 0x0460, 0x04C0, 0x0960)
             return self._data(command, data.ljust(96, b"\0")[:room])
-        pages = {0x00: self._pages, 0x80: self._serial, 0x83: self._names, 0xB0: self._limits,
-                 0xB1: self._characteristics, 0xB2: self._provisioning}  # fmt: skip
+        pages = {
+            0x00: self._pages,
+            0x80: self._serial,
+            0x83: self._names,
+            0xB0: self._limits,
+            0xB1: self._characteristics,
+            0xB2: self._provisioning,
+        }
         page = pages.get(cdb[2])
         if page is None:
             return scsi.invalid_field()
@@ -219,8 +261,13 @@
         naa = bytes([0x60 | self._fixed[lun][0] & 0x0F]) + self._fixed[lun][1:]
         text = self.config.target.encode() + b",t,0x0001\0"
         text += bytes(-len(text) % 4)
-        rows = ((2, 0x01, VENDOR + self._serial(lun)), (1, 0x03, naa), (3, 0x98, text),
-                (1, 0x94, struct.pack(">HH", 0, 1)), (1, 0x95, struct.pack(">HH", 0, 1)))  # fmt: skip
+        rows = (
+            (2, 0x01, VENDOR + self._serial(lun)),
+            (1, 0x03, naa),
+            (3, 0x98, text),
+            (1, 0x94, struct.pack(">HH", 0, 1)),
+            (1, 0x95, struct.pack(">HH", 0, 1)),
+        )
         made = b""
         for code, kind, value in rows:
             protocol = 0x50 if kind & 0x80 else 0
@@ -285,8 +332,11 @@
     def _reserve_in(self, command: scsi.Command) -> Reply:
         held = self.reservations.get(command.lun) or Reservations()
         parts: dict[int, Callable[[], bytes]] = {
-            0: held.read_keys, 1: held.read_reservation, 3: held.read_full_status,
-            2: partial(held.capabilities, self._keeper is not None)}  # fmt: skip
+            0: held.read_keys,
+            1: held.read_reservation,
+            3: held.read_full_status,
+            2: partial(held.capabilities, self._keeper is not None),
+        }
         made = parts.get(command.cdb[1] & 0x1F)
         if made is None:
             return scsi.invalid_field()
@@ -340,8 +390,9 @@
             return self._data(command, (struct.pack(">I", len(group)) + group)[:room])
         options, wanted, action = cdb[2] & 7, cdb[3], int.from_bytes(cdb[4:6], "big")
         if options == 0:
-            rows = b"".join(struct.pack(">BxHxBH", code, max(0, one), one >= 0, size)
-                            for code, one, size in SUPPORTED)  # fmt: skip
+            rows = b"".join(
+                struct.pack(">BxHxBH", code, max(0, one), one >= 0, size) for code, one, size in SUPPORTED
+            )
             return self._data(command, (struct.pack(">I", len(rows)) + rows)[:room])
         row = next((row for row in SUPPORTED if row[0] == wanted and (row[1] < 0 or row[1] == action)), None)
         if options > 3 or (options == 1 and row is not None and row[1] >= 0):
@@ -365,6 +416,9 @@
         return Reply(scsi.Status.GOOD)
     if why is Refusal.CONFLICT:
         return Reply(scsi.Status.RESERVATION_CONFLICT)
-    return {Refusal.FIELD: scsi.invalid_field(), Refusal.PARAMETER: scsi.check(0x05, 0x26),
-            Refusal.RELEASE: scsi.check(0x05, 0x26, 0x04), Refusal.RESOURCES: scsi.check(0x05, 0x55, 0x04),
-            }[why]  # fmt: skip
+    return {
+        Refusal.FIELD: scsi.invalid_field(),
+        Refusal.PARAMETER: scsi.check(0x05, 0x26),
+        Refusal.RELEASE: scsi.check(0x05, 0x26, 0x04),
+        Refusal.RESOURCES: scsi.check(0x05, 0x55, 0x04),
+    }[why]
--- a/lemonridge/iscsi/initiator.py
+++ b/lemonridge/iscsi/initiator.py
@@ -8,9 +8,10 @@
 import secrets
 from dataclasses import dataclass, field
 
-from lemonridge import api
-from lemonridge.config import Address
-from lemonridge.core.directory import Directory
+from lemonridge.config.operator_file import Iscsi
+from lemonridge.config.platform import Address
+from lemonridge.core.counters import Counters
+from lemonridge.core.endpoint_registry import Directory
 from lemonridge.core.model import (
     Attempt,
     AttemptSuppressedError,
@@ -18,10 +19,8 @@
     LocalFailureError,
     Outcome,
 )
-from lemonridge.counters import Counters
 from lemonridge.extents.routing import Route
 from lemonridge.iscsi import chap, scsi, versions
-from lemonridge.iscsi.config import Iscsi
 from lemonridge.iscsi.keys import Agreed, NegotiationError, Pairs, conclude, parse, proposal
 from lemonridge.iscsi.numbers import later
 from lemonridge.iscsi.pdu import (
@@ -39,8 +38,9 @@
     pack_lun,
     pack_text,
     read_pdu,
-)  # fmt: skip
-from lemonridge.net.wire import LOCAL_ERRORS, peer_has_closed
+)
+from lemonridge.net.sockets import LOCAL_ERRORS, peer_has_closed
+from lemonridge.scheduling.events import AttemptResult
 
 log = logging.getLogger(__name__)
 
@@ -92,7 +92,7 @@
         if session.ended:  # what is written to it now would go nowhere, and count as what may have run
             raise ConnectFailedError
         if not session.has_room:
-            return Outcome(api.Result.FULL)
+            return Outcome(AttemptResult.QUEUE_FULL)
         ahs = b""
         if isinstance(route, Route):
             if not session.versioned:
@@ -103,14 +103,14 @@
         try:
             reply = await session.execute(command, ahs)
         except (LostError, ConnectionError):
-            return Outcome(api.Result.RESET)
+            return Outcome(AttemptResult.RESET)
         if reply.status in NEVER_RAN:
-            return Outcome(api.Result.FULL)
+            return Outcome(AttemptResult.QUEUE_FULL)
         if reply.status == scsi.Status.TASK_ABORTED:
-            return Outcome(api.Result.ERROR)
+            return Outcome(AttemptResult.ERROR)
         if ahs and (told := versions.unpack_moved(reply.sense)) is not None:
-            return Outcome(api.Result.MOVED, told)
-        return Outcome(api.Result.OK, reply)
+            return Outcome(AttemptResult.DATA_MIGRATED, told)
+        return Outcome(AttemptResult.OK, reply)
 
     async def close(self) -> None:
         """Log out of every session."""
@@ -236,8 +236,9 @@
         flags = now << 2 | (FINAL | following if following != now else 0)
         data, text = pack_text(pairs), b""
         while True:
-            self._write(Pdu(Op.LOGIN, flags, lun=isid + b"\0\0", tag=0, data=data, immediate=True),
-                        number=True)  # fmt: skip
+            self._write(
+                Pdu(Op.LOGIN, flags, lun=isid + b"\0\0", tag=0, data=data, immediate=True), number=True
+            )
             answer = await read_pdu(self._reader)
             if answer.opcode != Op.LOGIN_RESPONSE or answer.words[4] >> 16:
                 raise PduError(PduError.PROTOCOL, f"login refused with {answer.words[4] >> 16:#06x}", answer)
@@ -265,8 +266,18 @@
         data = command.data[:first] if agreed.immediate_data else b""
         flags = FINAL | (0x40 if command.reads else 0) | (0x20 if command.writes else 0) | 1  # simple task
         cdb = [int.from_bytes(command.cdb[n : n + 4], "big") for n in range(0, 16, 4)]
-        self._write(Pdu(Op.SCSI_COMMAND, flags, lun=pack_lun(command.lun), tag=tag, data=data, ahs=ahs,
-                        words=[command.length, 0, 0, *cdb]), number=True)  # fmt: skip
+        self._write(
+            Pdu(
+                Op.SCSI_COMMAND,
+                flags,
+                lun=pack_lun(command.lun),
+                tag=tag,
+                data=data,
+                ahs=ahs,
+                words=[command.length, 0, 0, *cdb],
+            ),
+            number=True,
+        )
         try:
             return await flight.done
         except asyncio.CancelledError:
@@ -275,9 +286,17 @@
             if self._heard < sent:
                 self._fail("silent")
             else:
-                self._write(Pdu(Op.TASK_MANAGEMENT, FINAL | 1, lun=pack_lun(command.lun),
-                                tag=next(self._tags) % NONE, immediate=True,
-                                words=[tag, 0, 0, self._cmd_sn, 0, 0, 0]), number=True)  # fmt: skip
+                self._write(
+                    Pdu(
+                        Op.TASK_MANAGEMENT,
+                        FINAL | 1,
+                        lun=pack_lun(command.lun),
+                        tag=next(self._tags) % NONE,
+                        immediate=True,
+                        words=[tag, 0, 0, self._cmd_sn, 0, 0, 0],
+                    ),
+                    number=True,
+                )
             raise
         finally:
             self._flights.pop(tag, None)
@@ -358,8 +377,12 @@
         elif pdu.opcode == Op.NOP_IN:
             self._numbers(pdu, status=pdu.tag != NONE)
             if pdu.words[0] != NONE:  # a ping
-                self._write(Pdu(Op.NOP_OUT, lun=pdu.lun, immediate=True, words=[pdu.words[0]] + [0] * 6,
-                                data=pdu.data), number=True)  # fmt: skip
+                self._write(
+                    Pdu(
+                        Op.NOP_OUT, lun=pdu.lun, immediate=True, words=[pdu.words[0]] + [0] * 6, data=pdu.data
+                    ),
+                    number=True,
+                )
         elif pdu.opcode in (Op.TASK_MANAGEMENT_RESPONSE, Op.LOGOUT_RESPONSE):
             self._numbers(pdu, status=True)
         elif pdu.opcode == Op.ASYNC:
@@ -394,9 +417,16 @@
             raise PduError(PduError.PROTOCOL, "asks for data that there is not", pdu)
         for count, offset in enumerate(range(start, end, self._agreed.send_segment)):
             until = min(offset + self._agreed.send_segment, end)
-            self._write(Pdu(Op.DATA_OUT, FINAL if until == end else 0, lun=pdu.lun, tag=pdu.tag,
-                            data=flight.command.data[offset:until],
-                            words=[pdu.words[0], 0, 0, 0, count, offset, 0]))  # fmt: skip
+            self._write(
+                Pdu(
+                    Op.DATA_OUT,
+                    FINAL if until == end else 0,
+                    lun=pdu.lun,
+                    tag=pdu.tag,
+                    data=flight.command.data[offset:until],
+                    words=[pdu.words[0], 0, 0, 0, count, offset, 0],
+                )
+            )
 
 
 def _residual(pdu: Pdu) -> int:
--- a/lemonridge/iscsi/keys.py
+++ b/lemonridge/iscsi/keys.py
@@ -53,33 +53,43 @@
     section: str = ""
 
 
-TABLE = {key.name: key for key in (
-    Key("HeaderDigest", Kind.LIST, Phase.LOGIN, NONE, values=("CRC32C", NONE), section="13.1"),
-    Key("DataDigest", Kind.LIST, Phase.LOGIN, NONE, values=("CRC32C", NONE), section="13.1"),
-    Key("MaxConnections", Kind.LEAST, Phase.LEADING, "1", 1, 65535, section="13.2"),
-    Key("SendTargets", Kind.DECLARED, Phase.FULL, section="13.3"),
-    Key("TargetName", Kind.DECLARED, Phase.LOGIN, section="13.4"),
-    Key("InitiatorName", Kind.DECLARED, Phase.LOGIN, section="13.5"),
-    Key("TargetAlias", Kind.DECLARED, Phase.ANY, section="13.6"),
-    Key("InitiatorAlias", Kind.DECLARED, Phase.ANY, section="13.7"),
-    Key("TargetAddress", Kind.DECLARED, Phase.ANY, section="13.8"),
-    Key("TargetPortalGroupTag", Kind.DECLARED, Phase.LOGIN, section="13.9"),
-    Key("InitialR2T", Kind.OR, Phase.LEADING, "Yes", section="13.10"),
-    Key("ImmediateData", Kind.AND, Phase.LEADING, "Yes", section="13.11"),
-    Key("MaxRecvDataSegmentLength", Kind.DECLARED, Phase.ANY, "8192", 512, SEGMENT_TOP, section="13.12"),
-    Key("MaxBurstLength", Kind.LEAST, Phase.LEADING, "262144", 512, SEGMENT_TOP, section="13.13"),
-    Key("FirstBurstLength", Kind.LEAST, Phase.LEADING, "65536", 512, SEGMENT_TOP, section="13.14"),
-    Key("DefaultTime2Wait", Kind.MOST, Phase.LEADING, "2", 0, 3600, section="13.15"),
-    Key("DefaultTime2Retain", Kind.LEAST, Phase.LEADING, "20", 0, 3600, section="13.16"),
-    Key("MaxOutstandingR2T", Kind.LEAST, Phase.LEADING, "1", 1, 65535, section="13.17"),
-    Key("DataPDUInOrder", Kind.OR, Phase.LEADING, "Yes", section="13.18"),
-    Key("DataSequenceInOrder", Kind.OR, Phase.LEADING, "Yes", section="13.19"),
-    Key("ErrorRecoveryLevel", Kind.LEAST, Phase.LEADING, "0", 0, 2, section="13.20"),
-    Key("SessionType", Kind.DECLARED, Phase.LOGIN, "Normal", values=("Normal", "Discovery"), section="13.21"),
-    Key("TaskReporting", Kind.LIST, Phase.LEADING, "RFC3720", values=("RFC3720",), section="13.23"),
-    Key("iSCSIProtocolLevel", Kind.LEAST, Phase.LEADING, "1", 0, 31, section="13.24"),
-    Key("AuthMethod", Kind.LIST, Phase.LOGIN, NONE, values=("CHAP", NONE), section="12"),
-)}  # fmt: skip
+TABLE = {
+    key.name: key
+    for key in (
+        Key("HeaderDigest", Kind.LIST, Phase.LOGIN, NONE, values=("CRC32C", NONE), section="13.1"),
+        Key("DataDigest", Kind.LIST, Phase.LOGIN, NONE, values=("CRC32C", NONE), section="13.1"),
+        Key("MaxConnections", Kind.LEAST, Phase.LEADING, "1", 1, 65535, section="13.2"),
+        Key("SendTargets", Kind.DECLARED, Phase.FULL, section="13.3"),
+        Key("TargetName", Kind.DECLARED, Phase.LOGIN, section="13.4"),
+        Key("InitiatorName", Kind.DECLARED, Phase.LOGIN, section="13.5"),
+        Key("TargetAlias", Kind.DECLARED, Phase.ANY, section="13.6"),
+        Key("InitiatorAlias", Kind.DECLARED, Phase.ANY, section="13.7"),
+        Key("TargetAddress", Kind.DECLARED, Phase.ANY, section="13.8"),
+        Key("TargetPortalGroupTag", Kind.DECLARED, Phase.LOGIN, section="13.9"),
+        Key("InitialR2T", Kind.OR, Phase.LEADING, "Yes", section="13.10"),
+        Key("ImmediateData", Kind.AND, Phase.LEADING, "Yes", section="13.11"),
+        Key("MaxRecvDataSegmentLength", Kind.DECLARED, Phase.ANY, "8192", 512, SEGMENT_TOP, section="13.12"),
+        Key("MaxBurstLength", Kind.LEAST, Phase.LEADING, "262144", 512, SEGMENT_TOP, section="13.13"),
+        Key("FirstBurstLength", Kind.LEAST, Phase.LEADING, "65536", 512, SEGMENT_TOP, section="13.14"),
+        Key("DefaultTime2Wait", Kind.MOST, Phase.LEADING, "2", 0, 3600, section="13.15"),
+        Key("DefaultTime2Retain", Kind.LEAST, Phase.LEADING, "20", 0, 3600, section="13.16"),
+        Key("MaxOutstandingR2T", Kind.LEAST, Phase.LEADING, "1", 1, 65535, section="13.17"),
+        Key("DataPDUInOrder", Kind.OR, Phase.LEADING, "Yes", section="13.18"),
+        Key("DataSequenceInOrder", Kind.OR, Phase.LEADING, "Yes", section="13.19"),
+        Key("ErrorRecoveryLevel", Kind.LEAST, Phase.LEADING, "0", 0, 2, section="13.20"),
+        Key(
+            "SessionType",
+            Kind.DECLARED,
+            Phase.LOGIN,
+            "Normal",
+            values=("Normal", "Discovery"),
+            section="13.21",
+        ),
+        Key("TaskReporting", Kind.LIST, Phase.LEADING, "RFC3720", values=("RFC3720",), section="13.23"),
+        Key("iSCSIProtocolLevel", Kind.LEAST, Phase.LEADING, "1", 0, 31, section="13.24"),
+        Key("AuthMethod", Kind.LIST, Phase.LOGIN, NONE, values=("CHAP", NONE), section="12"),
+    )
+}
 
 # Of RFC 3720, obsolete; whoever still offers them is answered so (13.25).
 OBSOLETE = frozenset(("IFMarker", "OFMarker", "IFMarkInt", "OFMarkInt"))
@@ -136,14 +146,22 @@
         """The value that this side would propose for a key."""
         yes = {True: "Yes", False: "No"}
         return {
-            "HeaderDigest": ",".join(self.digests), "DataDigest": ",".join(self.digests),
-            "MaxConnections": str(self.max_connections), "InitialR2T": yes[self.initial_r2t],
-            "ImmediateData": yes[self.immediate_data], "MaxBurstLength": str(self.max_burst),
-            "FirstBurstLength": str(self.first_burst), "DefaultTime2Wait": str(self.time2wait),
-            "DefaultTime2Retain": str(self.time2retain), "MaxOutstandingR2T": str(self.max_r2t),
-            "DataPDUInOrder": "Yes", "DataSequenceInOrder": "Yes", "ErrorRecoveryLevel": str(self.recovery),
-            "TaskReporting": "RFC3720", "iSCSIProtocolLevel": "1",
-        }[name]  # fmt: skip
+            "HeaderDigest": ",".join(self.digests),
+            "DataDigest": ",".join(self.digests),
+            "MaxConnections": str(self.max_connections),
+            "InitialR2T": yes[self.initial_r2t],
+            "ImmediateData": yes[self.immediate_data],
+            "MaxBurstLength": str(self.max_burst),
+            "FirstBurstLength": str(self.first_burst),
+            "DefaultTime2Wait": str(self.time2wait),
+            "DefaultTime2Retain": str(self.time2retain),
+            "MaxOutstandingR2T": str(self.max_r2t),
+            "DataPDUInOrder": "Yes",
+            "DataSequenceInOrder": "Yes",
+            "ErrorRecoveryLevel": str(self.recovery),
+            "TaskReporting": "RFC3720",
+            "iSCSIProtocolLevel": "1",
+        }[name]
 
 
 def number(text: str) -> int | None:
@@ -213,10 +231,15 @@
         return replace(agreed, pdu_in_order=yes)
     if name == "DataSequenceInOrder":
         return replace(agreed, sequence_in_order=yes)
-    fields = {"MaxConnections": "max_connections", "MaxBurstLength": "max_burst",
-              "FirstBurstLength": "first_burst", "DefaultTime2Wait": "time2wait",
-              "DefaultTime2Retain": "time2retain", "MaxOutstandingR2T": "max_r2t",
-              "ErrorRecoveryLevel": "recovery"}  # fmt: skip
+    fields = {
+        "MaxConnections": "max_connections",
+        "MaxBurstLength": "max_burst",
+        "FirstBurstLength": "first_burst",
+        "DefaultTime2Wait": "time2wait",
+        "DefaultTime2Retain": "time2retain",
+        "MaxOutstandingR2T": "max_r2t",
+        "ErrorRecoveryLevel": "recovery",
+    }
     return replace(agreed, **{fields[name]: int(result)}) if name in fields else agreed  # type: ignore[arg-type]
 
 
@@ -283,8 +306,9 @@
         return None
 
 
-def conclude(proposed: Sequence[tuple[str, str]], answers: Iterable[tuple[str, str]],
-             recv_segment: int) -> tuple[Agreed, dict[str, str]]:  # fmt: skip
+def conclude(
+    proposed: Sequence[tuple[str, str]], answers: Iterable[tuple[str, str]], recv_segment: int
+) -> tuple[Agreed, dict[str, str]]:
     """What holds after a peer's answers to what was proposed, and its private keys.
 
     NegotiationError if an answer is none that the proposal allows (6.2): the peer and this side would go by
--- a/lemonridge/iscsi/mapped.py
+++ b/lemonridge/iscsi/mapped.py
@@ -5,15 +5,15 @@
 
 from collections.abc import Callable
 
+from lemonridge.config.operator_file import READ, WRITE, Iscsi, Lun
 from lemonridge.core.broker import Broker
+from lemonridge.core.counters import Counters
 from lemonridge.core.model import Answer, Kind, Request
-from lemonridge.counters import Counters
 from lemonridge.extents.carrier import Carrier
 from lemonridge.extents.joining import Whole
 from lemonridge.extents.router import Router
 from lemonridge.extents.routing import Cause, RouteError
 from lemonridge.iscsi import scsi
-from lemonridge.iscsi.config import READ, WRITE, Iscsi, Lun
 
 
 def _good(reply: object) -> bool:
--- a/lemonridge/iscsi/portal.py
+++ b/lemonridge/iscsi/portal.py
@@ -6,14 +6,13 @@
 import logging
 import secrets
 
-from lemonridge import api
-from lemonridge.config import Address
+from lemonridge.config.operator_file import Iscsi
+from lemonridge.config.platform import Address
 from lemonridge.core.broker import Broker
 from lemonridge.core.clock import Clock
-from lemonridge.core.directory import Directory
-from lemonridge.counters import Counters
+from lemonridge.core.counters import Counters
+from lemonridge.core.endpoint_registry import Directory
 from lemonridge.iscsi import scsi
-from lemonridge.iscsi.config import Iscsi
 from lemonridge.iscsi.connection import Connection
 from lemonridge.iscsi.device import Device
 from lemonridge.iscsi.login import Attempts, Known, Rules, TargetLogin
@@ -23,6 +22,7 @@
 from lemonridge.iscsi.session import Session
 from lemonridge.iscsi.task import Task
 from lemonridge.net.listener import Listener, listening_socket
+from lemonridge.scheduling.events import EndpointState
 
 log = logging.getLogger(__name__)
 
@@ -170,7 +170,7 @@
         row = self.config.luns[lun]
         if row.mapped:
             return 0
-        return {api.Condition.ACTIVE: 0, api.Condition.LEAVING: 15}.get(self._directory.serves(row.shard), 3)
+        return {EndpointState.ACTIVE: 0, EndpointState.DRAINING: 15}.get(self._directory.serves(row.shard), 3)
 
     def forget(self, session: Session) -> None:
         if self.sessions.get(session.tsih) is session:
--- a/lemonridge/iscsi/runner.py
+++ b/lemonridge/iscsi/runner.py
@@ -15,7 +15,7 @@
 from lemonridge.iscsi.pdu import FINAL, NONE, Op, Pdu, PduError, unpack_lun
 from lemonridge.iscsi.task import Task
 from lemonridge.iscsi.transfer import Ask, Inbound, Outbound, Part, TransferError
-from lemonridge.net.wire import peer_has_closed
+from lemonridge.net.sockets import peer_has_closed
 
 if TYPE_CHECKING:
     from lemonridge.iscsi.connection import Connection
@@ -135,8 +135,14 @@
             self._transfers = max(self._transfers, one.tag)
             if task.connection is not None:
                 self._front.counters["r2ts"] += 1
-                task.connection.send(Pdu(Op.R2T, lun=task.pdu.lun, tag=task.tag, words=[
-                    one.tag, 0, 0, 0, one.r2t_sn, one.offset, one.length]))  # fmt: skip
+                task.connection.send(
+                    Pdu(
+                        Op.R2T,
+                        lun=task.pdu.lun,
+                        tag=task.tag,
+                        words=[one.tag, 0, 0, 0, one.r2t_sn, one.offset, one.length],
+                    )
+                )
 
     def data_out(self, connection: Connection, pdu: Pdu) -> None:
         task = self._session.tasks.get(pdu.tag)
@@ -197,16 +203,30 @@
         flags = FINAL | (0x02 if residual > 0 else 0x04 if residual < 0 else 0)
         sense = len(reply.sense).to_bytes(2, "big") + reply.sense if reply.sense else b""
         count = outbound.count if outbound is not None else 0
-        task.status = Pdu(Op.SCSI_RESPONSE, flags, byte3=reply.status, tag=task.tag, data=sense,
-                          words=[0, 0, 0, 0, count, 0, abs(residual)])  # fmt: skip
+        task.status = Pdu(
+            Op.SCSI_RESPONSE,
+            flags,
+            byte3=reply.status,
+            tag=task.tag,
+            data=sense,
+            words=[0, 0, 0, 0, count, 0, abs(residual)],
+        )
         connection.send(task.status, status=True)
         if not self._session.agreed.recovery:
             self._session.forget(task)
 
     def _data_in(self, connection: Connection, task: Task, outbound: Outbound, part: Part) -> None:
         data = outbound.data[part.offset : part.offset + part.length]
-        connection.send(Pdu(Op.DATA_IN, FINAL if part.final else 0, lun=task.pdu.lun, tag=task.tag, data=data,
-                            words=[NONE, 0, 0, 0, part.data_sn, part.offset, 0]))  # fmt: skip
+        connection.send(
+            Pdu(
+                Op.DATA_IN,
+                FINAL if part.final else 0,
+                lun=task.pdu.lun,
+                tag=task.tag,
+                data=data,
+                words=[NONE, 0, 0, 0, part.data_sn, part.offset, 0],
+            )
+        )
 
     def release(self, task: Task) -> None:
         """Its status is known to the initiator: nothing of it can be asked for again."""
@@ -232,8 +252,9 @@
                 task.outbound.acknowledged = max(task.outbound.acknowledged, first)
                 return
             if kind == RDATA_SNACK and task.outbound is not None and not first and not run:
-                task.outbound = Outbound(task.outbound.data, connection.agreed.send_segment,
-                                         self._session.agreed.max_burst)  # fmt: skip
+                task.outbound = Outbound(
+                    task.outbound.data, connection.agreed.send_segment, self._session.agreed.max_burst
+                )
             if task.outbound is not None and (parts := task.outbound.again(first, run)) is not None:
                 for part in parts:
                     self._data_in(connection, task, task.outbound, part)
@@ -275,8 +296,9 @@
                 if connection.agreed.send_segment == task.outbound.segment:
                     first = expected
                 else:
-                    task.outbound = Outbound(task.outbound.data, connection.agreed.send_segment,
-                                             self._session.agreed.max_burst)  # fmt: skip
+                    task.outbound = Outbound(
+                        task.outbound.data, connection.agreed.send_segment, self._session.agreed.max_burst
+                    )
             self._send(task, first)
         elif task.inbound is not None:
             self._recover(task, task.inbound.stalled())
--- a/lemonridge/iscsi/session.py
+++ b/lemonridge/iscsi/session.py
@@ -227,8 +227,10 @@
             raise PduError(PduError.PROTOCOL, "too much text", pdu)
         if pdu.flags & CONTINUE:
             self._asked[connection] = text
-            connection.send(Pdu(Op.TEXT_RESPONSE, 0, lun=pdu.lun, tag=pdu.tag,
-                                words=[self._tag(), 0, 0, 0, 0, 0, 0]), status=True)  # fmt: skip
+            connection.send(
+                Pdu(Op.TEXT_RESPONSE, 0, lun=pdu.lun, tag=pdu.tag, words=[self._tag(), 0, 0, 0, 0, 0, 0]),
+                status=True,
+            )
             return
         try:
             pairs = parse(text)
@@ -260,8 +262,10 @@
             tag = self._tag()
             self._text = {tag: rest}  # one exchange at a time (11.10.2)
         flags = CONTINUE if rest else FINAL
-        connection.send(Pdu(Op.TEXT_RESPONSE, flags, lun=pdu.lun, tag=pdu.tag, data=part,
-                            words=[tag, 0, 0, 0, 0, 0, 0]), status=True)  # fmt: skip
+        connection.send(
+            Pdu(Op.TEXT_RESPONSE, flags, lun=pdu.lun, tag=pdu.tag, data=part, words=[tag, 0, 0, 0, 0, 0, 0]),
+            status=True,
+        )
 
     def _targets(self, connection: Connection, value: str) -> list[tuple[str, str]]:
         """SendTargets (Appendix C): the targets that this initiator may see."""
@@ -291,8 +295,9 @@
             response = 2
         elif victim is None and not (reason == 2 and any(t.connection is None for t in self.tasks.values())):
             response = 1
-        connection.send(Pdu(Op.LOGOUT_RESPONSE, byte2=response, tag=pdu.tag,
-                            words=[0, 0, 0, 0, 0, times, 0]), status=True)  # fmt: skip
+        connection.send(
+            Pdu(Op.LOGOUT_RESPONSE, byte2=response, tag=pdu.tag, words=[0, 0, 0, 0, 0, times, 0]), status=True
+        )
         if response:
             return True
         if reason == 0:
--- a/lemonridge/lab/checkers/escrow.py
+++ b/lemonridge/lab/checkers/escrow.py
@@ -12,8 +12,8 @@
 from collections.abc import Callable, Hashable, Iterable
 from dataclasses import dataclass, replace
 
-from lemonridge.fleet.escrow import SPAN_US, WHOLE, Borrowed, Key, Kind, Ledger, Loan, Pool
-from lemonridge.fleet.wire import Cleared, Grant, Item, Recall, Release, Want
+from lemonridge.fleet.datagrams import Cleared, Grant, Item, Recall, Release, Want
+from lemonridge.fleet.quota_lending import SPAN_US, WHOLE, Borrowed, Key, Kind, Ledger, Loan, Pool
 from lemonridge.lab.checkers.exhaust import Found, explore
 
 STEP_US = SPAN_US // 3
@@ -79,10 +79,20 @@
 
 def search(bounds: Bounds, make: Make = ledger, states_max: int = 5_000_000) -> Found[State]:
     """Every state within the bounds, or the shortest way to one in which a budget is passed."""
-    ledgers = tuple(_begun(make(number, 1, START_US - 10 * SPAN_US), START_US, bounds)
-                    for number in range(BROKERS))  # fmt: skip
-    start = State(START_US, ledgers, (0,) * BROKERS, (), bounds.asks, bounds.doubles, bounds.crashes,
-                  bounds.lags, bounds.recalls)  # fmt: skip
+    ledgers = tuple(
+        _begun(make(number, 1, START_US - 10 * SPAN_US), START_US, bounds) for number in range(BROKERS)
+    )
+    start = State(
+        START_US,
+        ledgers,
+        (0,) * BROKERS,
+        (),
+        bounds.asks,
+        bounds.doubles,
+        bounds.crashes,
+        bounds.lags,
+        bounds.recalls,
+    )
     return explore(start, _key, lambda state: _moves(state, bounds, make), _wrong, states_max)
 
 
@@ -100,8 +110,11 @@
 
 def _wrong(state: State) -> str:
     for key, users in USERS.items():
-        parts = [state.ledgers[n].slice(key, _clock(state, n)).parts
-                 for n in users if key in state.ledgers[n].pools]  # fmt: skip
+        parts = [
+            state.ledgers[n].slice(key, _clock(state, n)).parts
+            for n in users
+            if key in state.ledgers[n].pools
+        ]
         if sum(parts) > WHOLE:
             return f"{sum(parts)} parts of budget {key[1]} are in use: {parts}"
     return ""
@@ -220,32 +233,72 @@
     other.__dict__.update(made.__dict__)
     other.active, other._recalled, other._clear = set(), dict(made._recalled), set(made._clear)
     other.pools = {
-        key: Pool(pool.base, pool.hosts, pool.holds, pool.need,
-                  {who: list(rows) for who, rows in pool.lent.items()},
-                  dict(pool.borrowed), set(pool.users), asks=dict(pool.asks), released=pool.released,
-                  asked_us=pool.asked_us)
-        for key, pool in made.pools.items()}  # fmt: skip
+        key: Pool(
+            pool.base,
+            pool.hosts,
+            pool.holds,
+            pool.need,
+            {who: list(rows) for who, rows in pool.lent.items()},
+            dict(pool.borrowed),
+            set(pool.users),
+            asks=dict(pool.asks),
+            released=pool.released,
+            asked_us=pool.asked_us,
+        )
+        for key, pool in made.pools.items()
+    }
     return other
 
 
 def _key(state: State) -> Hashable:
     """Times relative to each broker's clock, and nothing of what is over."""
-    return (tuple(_seen(state.ledgers[n], _clock(state, n)) for n in range(BROKERS)), state.lags,
-            tuple((m.source, m.to, m.life, m.item) for m in state.flights),
-            state.asks, state.doubles, state.crashes, state.slow, state.recalls)  # fmt: skip
+    return (
+        tuple(_seen(state.ledgers[n], _clock(state, n)) for n in range(BROKERS)),
+        state.lags,
+        tuple((m.source, m.to, m.life, m.item) for m in state.flights),
+        state.asks,
+        state.doubles,
+        state.crashes,
+        state.slow,
+        state.recalls,
+    )
 
 
 def _seen(made: Ledger, now_us: int) -> Hashable:
     fresh = max(0, made.whole_us - now_us)
-    return (made.life, made._ask, fresh, tuple(sorted(made._recalled.items())),
-            tuple(sorted(made._clear)) if fresh else (), tuple(
-        (key, pool.base, pool.holds, pool.released, tuple(sorted(pool.users)),
-         tuple(sorted((who, _loan(row, now_us)) for who, rows in pool.lent.items() for row in rows
-                      if row.end_us > now_us)),
-         tuple(sorted((who, one.ask, one.parts, one.end_us - now_us) for who, one in pool.borrowed.items()
-                      if one.end_us > now_us)),
-         tuple((ask, now_us - at) for ask, at in pool.asks.items() if now_us - at < SPAN_US))
-        for key, pool in sorted(made.pools.items())))  # fmt: skip
+    return (
+        made.life,
+        made._ask,
+        fresh,
+        tuple(sorted(made._recalled.items())),
+        tuple(sorted(made._clear)) if fresh else (),
+        tuple(
+            (
+                key,
+                pool.base,
+                pool.holds,
+                pool.released,
+                tuple(sorted(pool.users)),
+                tuple(
+                    sorted(
+                        (who, _loan(row, now_us))
+                        for who, rows in pool.lent.items()
+                        for row in rows
+                        if row.end_us > now_us
+                    )
+                ),
+                tuple(
+                    sorted(
+                        (who, one.ask, one.parts, one.end_us - now_us)
+                        for who, one in pool.borrowed.items()
+                        if one.end_us > now_us
+                    )
+                ),
+                tuple((ask, now_us - at) for ask, at in pool.asks.items() if now_us - at < SPAN_US),
+            )
+            for key, pool in sorted(made.pools.items())
+        ),
+    )
 
 
 def _loan(row: Loan, now_us: int) -> tuple[int, int, int, int]:
@@ -265,8 +318,10 @@
     def lent_to_me(self, peer: int, life: int, told: Grant, now_us: int) -> bool:
         done = super().lent_to_me(peer, life, told, now_us)
         for pool in self.pools.values():
-            pool.borrowed = {who: Borrowed(one.ask, one.parts, one.end_us + 10 * SPAN_US)
-                             for who, one in pool.borrowed.items()}  # fmt: skip
+            pool.borrowed = {
+                who: Borrowed(one.ask, one.parts, one.end_us + 10 * SPAN_US)
+                for who, one in pool.borrowed.items()
+            }
         return done
 
 
--- a/lemonridge/lab/checkers/extents.py
+++ b/lemonridge/lab/checkers/extents.py
@@ -40,8 +40,9 @@
     """What a read of some blocks found, block by block; -1 throughout if it is of another length."""
     if len(data) != blocks * BLOCK:
         return (-1,) * blocks
-    return tuple(read_stamp(data[place * BLOCK : (place + 1) * BLOCK], first + place)
-                 for place in range(blocks))  # fmt: skip
+    return tuple(
+        read_stamp(data[place * BLOCK : (place + 1) * BLOCK], first + place) for place in range(blocks)
+    )
 
 
 def end_of(status: int) -> str:
--- a/lemonridge/lab/checkers/policy.py
+++ b/lemonridge/lab/checkers/policy.py
@@ -93,8 +93,10 @@
         waiting.append((one.begun, interval[0]))
         if interval[1] < newest:
             found.mixed_epochs += 1
-            found.note(f"{one.ident} of broker {one.broker} came by epoch {one.epoch} at {one.begun:.3f}, "
-                       f"after one by {newest}")  # fmt: skip
+            found.note(
+                f"{one.ident} of broker {one.broker} came by epoch {one.epoch} at {one.begun:.3f}, "
+                f"after one by {newest}"
+            )
 
 
 def _stale(
@@ -109,8 +111,10 @@
         interval = epochs(one.epoch)
         if interval is not None and interval[1] < least:
             found.stale_serving += 1
-            found.note(f"{one.ident} of broker {one.broker} came by epoch {one.epoch} at {one.begun:.3f}, "
-                       f"long after {least} was decided")  # fmt: skip
+            found.note(
+                f"{one.ident} of broker {one.broker} came by epoch {one.epoch} at {one.begun:.3f}, "
+                f"long after {least} was decided"
+            )
 
 
 def _changes(found: Findings, proposed: Sequence[Proposed], ends: Sequence[Mapping[str, object]]) -> None:
@@ -153,8 +157,11 @@
     most = max([floor, *limits.values()])
 
     def rate(begin: float, end: float) -> float:
-        used = [limits.get(epoch, most) for epoch, (first, last) in spans.items()
-                if first - EDGE_S <= end and begin <= last + EDGE_S]  # fmt: skip
+        used = [
+            limits.get(epoch, most)
+            for epoch, (first, last) in spans.items()
+            if first - EDGE_S <= end and begin <= last + EDGE_S
+        ]
         return max([floor, *used])
 
     stores: dict[int, tuple[float, float]] = {}
@@ -169,5 +176,7 @@
         stores[one.volume] = level, one.at
         if level < -(slack + now * ON_SOCKETS_S) - 1e-9:
             found.limit_excess += 1
-            found.note(f"limit of volume {one.volume} passed: {level:.1f} at {one.at:.3f} by {one.broker}, "
-                       f"epoch {one.epoch}")  # fmt: skip
+            found.note(
+                f"limit of volume {one.volume} passed: {level:.1f} at {one.at:.3f} by {one.broker}, "
+                f"epoch {one.epoch}"
+            )
--- a/lemonridge/lab/checkers/rollout.py
+++ b/lemonridge/lab/checkers/rollout.py
@@ -85,8 +85,9 @@
 
     def noted(one: Ballot, made: Proposer) -> Ballot:
         rows = tuple(sorted((n, told.took, told.value) for n, told in made._promises.items()))
-        return one._replace(promises=rows, value=made.value, accepts=tuple(sorted(made._accepts)),
-                            chosen=made.chosen)  # fmt: skip
+        return one._replace(
+            promises=rows, value=made.value, accepts=tuple(sorted(made._accepts)), chosen=made.chosen
+        )
 
     def moves(room: Room) -> Iterator[tuple[str, Room]]:
         top = max((one.turn for one in room.rounds), default=0)
@@ -159,8 +160,10 @@
     """A room's key. The voters are alike: what counts is what is so of each, not which it is."""
     profiles = []
     for number, row in enumerate(room.voters):
-        told = tuple((next((one[1:] for one in made.promises if one[0] == number), None),
-                      number in made.accepts) for made in room.rounds)  # fmt: skip
+        told = tuple(
+            (next((one[1:] for one in made.promises if one[0] == number), None), number in made.accepts)
+            for made in room.rounds
+        )
         profiles.append((row, told))
     rounds = tuple((one.who, one.turn, one.alive, one.value, one.chosen) for one in room.rounds)
     return tuple(sorted(profiles, key=repr)), rounds, room.tries, room.wipes, room.crashes
@@ -197,8 +200,11 @@
 
 def _lessor_rows(made: LeaseGrantor, now: int) -> tuple[Any, ...]:
     """What it knows; how long ago something ended is nothing to anyone."""
-    rows = sorted((who, life, one.low, one.high, max(one.end_us, now), one.ask)
-                  for who, lives in made.grants.items() for life, one in lives.items())  # fmt: skip
+    rows = sorted(
+        (who, life, one.low, one.high, max(one.end_us, now), one.ask)
+        for who, lives in made.grants.items()
+        for life, one in lives.items()
+    )
     return (max(made.quiet_us, now), *rows)
 
 
@@ -211,8 +217,9 @@
 
 
 def _holder_row(made: Holder, now: int) -> tuple[Any, ...]:
-    asks = tuple((n, one.sent_us, one.uses, one.want) for n, one in made._asks.items()
-                 if one.sent_us + SPAN > now)  # fmt: skip
+    asks = tuple(
+        (n, one.sent_us, one.uses, one.want) for n, one in made._asks.items() if one.sent_us + SPAN > now
+    )
     grants = tuple(sorted((voter, told, end) for voter, (told, end) in made._grants.items() if end > now))
     return made.uses, made.want, made._ask, asks, grants
 
@@ -233,9 +240,15 @@
     ways = []
     for to in _ORDERS:
         back = [to.index(n) for n in range(MEMBERS)]
-        ways.append((
-            [fleet.asks[n] for n in back], [fleet.newest[n] for n in back], [fleet.lag[n] for n in back],
-            [fleet.lives[n] for n in back], to))  # fmt: skip
+        ways.append(
+            (
+                [fleet.asks[n] for n in back],
+                [fleet.newest[n] for n in back],
+                [fleet.lag[n] for n in back],
+                [fleet.lives[n] for n in back],
+                to,
+            )
+        )
     least = min(way[:4] for way in ways)
     told = min(_rows(fleet, way[4]) for way in ways if way[:4] == least)
     return *map(tuple, least), told, fleet.chosen, fleet.at, fleet.ticks, fleet.lags, fleet.restarts
@@ -366,10 +379,15 @@
                 )
             if fleet.restarts:
                 quiet = (fleet.at + SPAN + ERROR,)
-                yield f"{n} restarts", fleet._replace(
-                    lives=_put(fleet.lives, n, fleet.lives[n] + 1), restarts=fleet.restarts - 1,
-                    holders=_put(fleet.holders, n, (NOTHING, made.want, 0, (), ())),
-                    lessors=_put(fleet.lessors, n, quiet))  # fmt: skip
+                yield (
+                    f"{n} restarts",
+                    fleet._replace(
+                        lives=_put(fleet.lives, n, fleet.lives[n] + 1),
+                        restarts=fleet.restarts - 1,
+                        holders=_put(fleet.holders, n, (NOTHING, made.want, 0, (), ())),
+                        lessors=_put(fleet.lessors, n, quiet),
+                    ),
+                )
         for message in dict.fromkeys(fleet.sent):
             yield from coming(fleet, message)
         if fleet.ticks:
@@ -390,20 +408,36 @@
         for voter in bounds.granted[n] if bounds.granted else voters:
             made.granted(voter, ask, lessors[voter].asked(n, 1, ask, uses, want, 0, 10), 10)
         holders.append(_holder_row(made, 10))
-    start = Fleet(tuple(_lessor_rows(one, 10) for one in lessors), tuple(holders), (1,) * MEMBERS,
-                  (0,) * MEMBERS, 0, 10, (0,) * MEMBERS, (), (bounds.asks,) * MEMBERS, bounds.ticks,
-                  bounds.lags, bounds.restarts, 0 if bounds.sets else bounds.epochs)  # fmt: skip
+    start = Fleet(
+        tuple(_lessor_rows(one, 10) for one in lessors),
+        tuple(holders),
+        (1,) * MEMBERS,
+        (0,) * MEMBERS,
+        0,
+        10,
+        (0,) * MEMBERS,
+        (),
+        (bounds.asks,) * MEMBERS,
+        bounds.ticks,
+        bounds.lags,
+        bounds.restarts,
+        0 if bounds.sets else bounds.epochs,
+    )
     return start, moves, wrong
 
 
 STATED_AGREEMENT = (Bounds(), Bounds(wipes=1))  # two tries of one proposer did not end in 200 s
 _THREE, _HELD = (0, 1, 2), ((0, 1), (0, 1), (1, 2))
 STATED_LEASES = (
-    Bounds(flights=0, ticks=1), Bounds(flights=0, ticks=2), Bounds(flights=1, ticks=1),
-    Bounds(flights=0, ticks=1, lags=1), Bounds(flights=0, ticks=1, restarts=1),
-    Bounds(flights=0, ticks=2, restarts=1), Bounds(flights=0, ticks=1, epochs=2),
+    Bounds(flights=0, ticks=1),
+    Bounds(flights=0, ticks=2),
+    Bounds(flights=1, ticks=1),
+    Bounds(flights=0, ticks=1, lags=1),
+    Bounds(flights=0, ticks=1, restarts=1),
+    Bounds(flights=0, ticks=2, restarts=1),
+    Bounds(flights=0, ticks=1, epochs=2),
     Bounds(flights=0, ticks=1, sets=(_THREE, (0, 1)), granted=_HELD),
     Bounds(flights=0, ticks=1, sets=((0, 1), _THREE), granted=((0, 1),) * 3),
     Bounds(flights=0, ticks=1, epochs=2, asks=2, sets=((0,), (0, 1), (1,)), granted=((0,), (), (0,))),
-)  # fmt: skip
+)
 WIDE = Bounds(asks=5, epochs=3, ticks=14, lags=1, flights=6, restarts=1)
--- a/lemonridge/lab/checkers/soak.py
+++ b/lemonridge/lab/checkers/soak.py
@@ -27,10 +27,10 @@
     rate: float
     burst: float
     slack: float
-    units_mean: float
-    cold_units: float  # that a cold node bears in one second in any case
-    cold_share: float  # of its power, that a node has as it starts
-    tip_multiple: float  # of its power of that moment, that a cold node bears
+    mean_request_units: float
+    slow_start_units: float  # that a cold node bears in one second in any case
+    slow_start_initial_fraction: float  # of its power, that a node has as it starts
+    overload_multiple: float  # of its power of that moment, that a cold node bears
     ramp_s: float  # after which a node is warm
 
 
@@ -47,8 +47,17 @@
             self.notes.append(f"{what}: {note}")
 
 
-FIGURES = ("lost", "duplicate", "late_drain", "cold_overloads", "limit_excess", "sent_after_leave",
-           "deadline_over", "bad_refusals", "crashes")  # fmt: skip
+FIGURES = (
+    "lost",
+    "duplicate",
+    "late_drain",
+    "cold_overloads",
+    "limit_excess",
+    "sent_after_leave",
+    "deadline_over",
+    "bad_refusals",
+    "crashes",
+)
 
 
 def judge(record: SoakRecord, limits: SoakLimits) -> Findings:
@@ -136,7 +145,10 @@
         if attempt.ident in record.requests:
             by_node[attempt.node].append(attempt)
     power = max((_power(record, node, came, limits) for node, came in by_node.items()), default=0.0)
-    allowed = max(limits.cold_units / limits.units_mean, limits.tip_multiple * limits.cold_share * power)
+    allowed = max(
+        limits.slow_start_units / limits.mean_request_units,
+        limits.overload_multiple * limits.slow_start_initial_fraction * power,
+    )
     top = allowed + (3 * sqrt(allowed) + 3 if allowed < 30 else 2 * sqrt(allowed) + 2)
     for node, rows in record.starts.items():
         for started_at, told_at in rows:
@@ -144,7 +156,7 @@
             if begins_at > started_at + 1.0:
                 continue  # it is no longer as cold as that
             within = [one for one in by_node[node] if begins_at <= one.begun_at < begins_at + 1.0]
-            work = sum(record.requests[one.ident].units for one in within) / limits.units_mean
+            work = sum(record.requests[one.ident].units for one in within) / limits.mean_request_units
             if work > top:
                 found.add("cold_overloads", f"{node} got the work of {work:.1f}, allowed {top:.1f}")
 
@@ -157,7 +169,7 @@
         if one.served and one.over_at is not None:
             at = one.over_at
             if not any(start <= at < start + limits.ramp_s for start, _ in record.starts.get(node, ())):
-                done.append((at, record.requests[one.ident].units / limits.units_mean))
+                done.append((at, record.requests[one.ident].units / limits.mean_request_units))
     recent: deque[tuple[float, float]] = deque()
     work = most = 0.0
     for at, units in sorted(done):
--- a/lemonridge/lab/command.py
+++ b/lemonridge/lab/command.py
@@ -10,7 +10,7 @@
 
 import orjson
 
-from lemonridge.config import Address, ConfigError
+from lemonridge.config.platform import Address, ConfigError
 from lemonridge.lab.conform import suite
 from lemonridge.lab.drills import extents as drill_extents
 from lemonridge.lab.drills import iscsi as drill_iscsi
@@ -63,8 +63,14 @@
 
     if not 2 <= options.brokers <= 32 or options.mutation == "unchecked":
         raise ConfigError("drill fleet: --brokers from 2 to 32, and a mutation of its own")
-    told = fleet.Options(options.seed, options.seconds, options.brokers, not options.even, not options.calm,
-                         options.mutation or "")  # fmt: skip
+    told = fleet.Options(
+        options.seed,
+        options.seconds,
+        options.brokers,
+        not options.even,
+        not options.calm,
+        options.mutation or "",
+    )
     given = schedule.read(options.schedule) if options.schedule else fleet.plan(told)
     if options.write_schedule:
         Path(options.write_schedule).write_text(schedule.write(given))
@@ -100,8 +106,9 @@
 
     if not 3 <= options.brokers <= 16 or options.seconds < 12:
         raise ConfigError("drill policy: --brokers from 3 to 16, --seconds from 12")
-    told = policy.Options(options.seed, options.seconds, options.brokers, not options.calm,
-                          options.mutation or "")  # fmt: skip
+    told = policy.Options(
+        options.seed, options.seconds, options.brokers, not options.calm, options.mutation or ""
+    )
     try:
         figures, found, answers = asyncio.run(policy.run(told))
     except ProgramError as error:
@@ -168,10 +175,25 @@
     for bounds in escrow.STATED:
         found = escrow.search(bounds)
         broken = broken or bool(found.broken) or not found.whole
-        print(line({"bench": "fleet", "part": "states", "asks": bounds.asks, "flights": bounds.flights,
-                    "doubles": bounds.doubles, "crashes": bounds.crashes, "lags": bounds.lags,
-                    "recalls": bounds.recalls, "budgets": len(bounds.budgets), "states": found.states,
-                    "whole": int(found.whole), "broken": found.broken or "none"}), flush=True)  # fmt: skip
+        print(
+            line(
+                {
+                    "bench": "fleet",
+                    "part": "states",
+                    "asks": bounds.asks,
+                    "flights": bounds.flights,
+                    "doubles": bounds.doubles,
+                    "crashes": bounds.crashes,
+                    "lags": bounds.lags,
+                    "recalls": bounds.recalls,
+                    "budgets": len(bounds.budgets),
+                    "states": found.states,
+                    "whole": int(found.whole),
+                    "broken": found.broken or "none",
+                }
+            ),
+            flush=True,
+        )
         for move in found.path:
             print(f"  {move}")
     return 1 if broken else 0
@@ -204,12 +226,28 @@
     searches += [(rollout.leases(one), "leases", one) for one in rollout.STATED_LEASES]  # type: ignore[misc]
     for found, what, bounds in searches:
         broken = broken or bool(found.broken) or not found.whole
-        print(line({"bench": "policy", "part": what, "tries": sum(bounds.tries), "wipes": bounds.wipes,
-                    "crashes": bounds.crashes, "asks": bounds.asks, "ticks": bounds.ticks,
-                    "flights": bounds.flights, "lags": bounds.lags, "restarts": bounds.restarts,
-                    "epochs": bounds.epochs, "states": found.states,
+        print(
+            line(
+                {
+                    "bench": "policy",
+                    "part": what,
+                    "tries": sum(bounds.tries),
+                    "wipes": bounds.wipes,
+                    "crashes": bounds.crashes,
+                    "asks": bounds.asks,
+                    "ticks": bounds.ticks,
+                    "flights": bounds.flights,
+                    "lags": bounds.lags,
+                    "restarts": bounds.restarts,
+                    "epochs": bounds.epochs,
+                    "states": found.states,
                     "voters": "-".join(str(len(one)) for one in bounds.sets) or "all",
-                    "whole": int(found.whole), "broken": found.broken or "none"}), flush=True)  # fmt: skip
+                    "whole": int(found.whole),
+                    "broken": found.broken or "none",
+                }
+            ),
+            flush=True,
+        )
         for move in found.path:
             print(f"  {move}")
     return 1 if broken else 0
@@ -240,8 +278,9 @@
     except ProgramError as error:
         print(f"lemonridge: the broker failed: {error}", file=sys.stderr)
         return 1
-    counts = {outcome: sum(one.outcome == outcome for one in results)
-              for outcome in ("passed", "failed", "skipped")}  # fmt: skip
+    counts = {
+        outcome: sum(one.outcome == outcome for one in results) for outcome in ("passed", "failed", "skipped")
+    }
     print(line({"conform": options.name, "cases": len(results), **counts}))
     return 0 if results and not counts["failed"] else 1
 
@@ -292,11 +331,23 @@
         )
     )
     for result in results:
-        print(line({**result["levels"], "seed": result["seed"], **result["figures"],
-                    "cpu_us": result["cpu_us"]}))  # fmt: skip
+        print(
+            line(
+                {**result["levels"], "seed": result["seed"], **result["figures"], "cpu_us": result["cpu_us"]}
+            )
+        )
     wrong = runs.broken(results)
-    print(line({"lab": Path(options.file).stem, "runs": len(results), "died": len(died),
-                "rules_broken": wrong, "digest": runs.digest(results)}))  # fmt: skip
+    print(
+        line(
+            {
+                "lab": Path(options.file).stem,
+                "runs": len(results),
+                "died": len(died),
+                "rules_broken": wrong,
+                "digest": runs.digest(results),
+            }
+        )
+    )
     return 0 if not died and not wrong else 1
 
 
@@ -348,8 +399,16 @@
 
     async def whole() -> Tally:
         def plan(port: int) -> tool.Plan:
-            return tool.Plan(port, options.iqn, options.rate, options.seconds, options.size_kib * 1024,
-                             options.writes, arrivals=options.arrivals, seed=options.seed)  # fmt: skip
+            return tool.Plan(
+                port,
+                options.iqn,
+                options.rate,
+                options.seconds,
+                options.size_kib * 1024,
+                options.writes,
+                arrivals=options.arrivals,
+                seed=options.seed,
+            )
 
         if port:
             return await tool.run(plan(port), print)
@@ -378,15 +437,22 @@
         raise ConfigError("load: --deadline-ms from 10 to 60000")
 
     def plan(at: int) -> tool.Plan:
-        return tool.Plan(at, options.rate, options.seconds, deadline_ms=options.deadline_ms,
-                         arrivals=options.arrivals, connections=options.connections,
-                         seed=options.seed)  # fmt: skip
+        return tool.Plan(
+            at,
+            options.rate,
+            options.seconds,
+            deadline_ms=options.deadline_ms,
+            arrivals=options.arrivals,
+            connections=options.connections,
+            seed=options.seed,
+        )
 
     async def whole() -> tuple[Tally, dict[str, int]]:
         if port:
             return await tool.run(plan(port), print), {}
-        async with tool.standing(options.serve_standins, deadline_ms=options.deadline_ms,
-                                 seed=options.seed) as (program, at, _):  # fmt: skip
+        async with tool.standing(
+            options.serve_standins, deadline_ms=options.deadline_ms, seed=options.seed
+        ) as (program, at, _):
             tally = await tool.run(plan(at), print)
         return tally, program.counts
 
--- a/lemonridge/lab/conform/data.py
+++ b/lemonridge/lab/conform/data.py
@@ -127,10 +127,12 @@
 
 def _broken() -> None:
     breaches = {
-        "unknown-transfer-tag": (1000, 0, 0, 512, True), "wrong-data-sn": (0, 1, 0, 512, True),
-        "wrong-offset": (0, 0, 512, 512, True), "past-the-burst": (0, 0, 0, 1024, True),
+        "unknown-transfer-tag": (1000, 0, 0, 512, True),
+        "wrong-data-sn": (0, 1, 0, 512, True),
+        "wrong-offset": (0, 0, 512, 512, True),
+        "past-the-burst": (0, 0, 0, 1024, True),
         "too-little": (0, 0, 0, 100, True),
-    }  # fmt: skip
+    }
     for name, (shift, data_sn, offset, length, final) in breaches.items():
 
         @case(f"write.broken.{name}", "11.7")
@@ -263,8 +265,16 @@
     peer = await context.session()
     tag = next(peer.tags)
     words = list(struct.unpack(">4I", read10(0, 512).ljust(16, b"\0")))
-    peer.put(Pdu(Op.SCSI_COMMAND, FINAL | 0x60, lun=pack_lun(0), tag=tag, words=[512, 0, 0, *words],
-                 data=bytes(512)))  # fmt: skip
+    peer.put(
+        Pdu(
+            Op.SCSI_COMMAND,
+            FINAL | 0x60,
+            lun=pack_lun(0),
+            tag=tag,
+            words=[512, 0, 0, *words],
+            data=bytes(512),
+        )
+    )
     response = await peer.get(Op.SCSI_RESPONSE)
     same((response.byte3, response.data[4]), (2, 0x05))
 
@@ -415,8 +425,9 @@
             data = _bytes(context, 512)
             tag = peer.command(write10(0, 512), data=data, along=0)
             pdu = await _ask(peer, tag)
-            out = Pdu(Op.DATA_OUT, FINAL, tag=tag, data=data,
-                      words=[pdu.words[0], 0, peer.exp_stat_sn, 0, 0, 0, 0])  # fmt: skip
+            out = Pdu(
+                Op.DATA_OUT, FINAL, tag=tag, data=data, words=[pdu.words[0], 0, peer.exp_stat_sn, 0, 0, 0, 0]
+            )
             raw = bytearray(out.encode(False, True))
             raw[100] ^= 1
             peer.raw(bytes(raw))
@@ -446,8 +457,9 @@
 
 
 async def _reassign(peer: Peer, tag: int, expected: int = 0) -> int:
-    peer.put(Pdu(Op.TASK_MANAGEMENT, FINAL | 8, tag=6000, immediate=True,
-                 words=[tag, 0, 0, 0, expected, 0, 0]))  # fmt: skip
+    peer.put(
+        Pdu(Op.TASK_MANAGEMENT, FINAL | 8, tag=6000, immediate=True, words=[tag, 0, 0, 0, expected, 0, 0])
+    )
     return (await peer.get(Op.TASK_MANAGEMENT_RESPONSE)).byte2
 
 
--- a/lemonridge/lab/conform/faulty.py
+++ b/lemonridge/lab/conform/faulty.py
@@ -71,25 +71,35 @@
 
 
 FAULTS = (
-    Fault("a status number that stands still", "numbers.status",
-          _on(Op.SCSI_RESPONSE, _word(1, lambda sn: 2))),
+    Fault(
+        "a status number that stands still", "numbers.status", _on(Op.SCSI_RESPONSE, _word(1, lambda sn: 2))
+    ),
     Fault("another task's tag", "unit.*", _on(Op.SCSI_RESPONSE, _tag)),
     Fault("no residual", "read.residual.*", _on(Op.SCSI_RESPONSE, _no_residual)),
     Fault("no sense", "opcodes.unknown-*", _on(Op.SCSI_RESPONSE, _data(lambda data: b""))),
     Fault("data numbered from one", "read.512.*", _on(Op.DATA_IN, _word(4, lambda sn: sn + 1))),
-    Fault("a bit flipped in the data", "blocks.write-10.*",
-          _on(Op.DATA_IN, _data(lambda data: bytes([data[0] ^ 1]) + data[1:] if data else data))),
-    Fault("an answer past the offer", "negotiate.MaxBurstLength.*",
-          _on(Op.LOGIN_RESPONSE, _data(lambda data: data.replace(b"Length=512\0", b"Length=1024\0")))),
+    Fault(
+        "a bit flipped in the data",
+        "blocks.write-10.*",
+        _on(Op.DATA_IN, _data(lambda data: bytes([data[0] ^ 1]) + data[1:] if data else data)),
+    ),
+    Fault(
+        "an answer past the offer",
+        "negotiate.MaxBurstLength.*",
+        _on(Op.LOGIN_RESPONSE, _data(lambda data: data.replace(b"Length=512\0", b"Length=1024\0"))),
+    ),
     Fault("a stage that is not left", "login.response", _on(Op.LOGIN_RESPONSE, _not_final)),
     Fault("no session handle", "login.response", _on(Op.LOGIN_RESPONSE, _no_tsih)),
     Fault("another echo", "nop.*", _on(Op.NOP_IN, _data(lambda data: data[::-1]))),
     Fault("another reason", "connections.opcode-*", _on(Op.REJECT, _reason)),
-    Fault("a burst that is too long", "write.131072.initial-r2t-Yes.*",
-          _on(Op.R2T, _word(6, lambda length: length * 2))),
+    Fault(
+        "a burst that is too long",
+        "write.131072.initial-r2t-Yes.*",
+        _on(Op.R2T, _word(6, lambda length: length * 2)),
+    ),
     Fault("a logout that fails", "logout.session", _on(Op.LOGOUT_RESPONSE, _response)),
     Fault("an aborted task that was not there", "manage.abort-*", _on(Op.TASK_MANAGEMENT_RESPONSE, _reason)),
-)  # fmt: skip
+)
 
 
 class Proxy:
--- a/lemonridge/lab/conform/login.py
+++ b/lemonridge/lab/conform/login.py
@@ -14,7 +14,7 @@
     SECRET,
     CaseContext,
     case,
-)  # fmt: skip
+)
 from lemonridge.lab.conform.peer import Peer, expect, same
 
 OPERATIONAL = FINAL | 1 << 2 | 3  # straight to the full feature phase
@@ -42,21 +42,32 @@
     "HeaderDigest": ("None", "CRC32C", "CRC32C,None", "None,CRC32C", "X-odd,None"),
     "DataDigest": ("None", "CRC32C", "None,CRC32C"),
     "MaxConnections": ("1", "2", "65535", "0x2"),
-    "InitialR2T": ("Yes", "No"), "ImmediateData": ("Yes", "No"),
+    "InitialR2T": ("Yes", "No"),
+    "ImmediateData": ("Yes", "No"),
     "MaxBurstLength": ("512", "8192", "16777215", "0x4000"),
     "FirstBurstLength": ("512", "65536", "0x200"),
-    "DefaultTime2Wait": ("0", "7", "3600"), "DefaultTime2Retain": ("0", "20", "3600"),
-    "MaxOutstandingR2T": ("1", "8", "65535"), "DataPDUInOrder": ("Yes", "No"),
-    "DataSequenceInOrder": ("Yes", "No"), "ErrorRecoveryLevel": ("0", "1", "2"),
-    "TaskReporting": ("RFC3720", "FastAbort,RFC3720"), "iSCSIProtocolLevel": ("1", "31"),
-}  # fmt: skip
+    "DefaultTime2Wait": ("0", "7", "3600"),
+    "DefaultTime2Retain": ("0", "20", "3600"),
+    "MaxOutstandingR2T": ("1", "8", "65535"),
+    "DataPDUInOrder": ("Yes", "No"),
+    "DataSequenceInOrder": ("Yes", "No"),
+    "ErrorRecoveryLevel": ("0", "1", "2"),
+    "TaskReporting": ("RFC3720", "FastAbort,RFC3720"),
+    "iSCSIProtocolLevel": ("1", "31"),
+}
 ILLEGAL = {
-    "HeaderDigest": ("CRC16", ""), "MaxConnections": ("0", "65536", "two", "-1", ""),
-    "InitialR2T": ("yes", "1"), "ImmediateData": ("Maybe",),
-    "MaxBurstLength": ("511", "16777216", "1e4"), "FirstBurstLength": ("1", "x"),
-    "DefaultTime2Wait": ("3601",), "DefaultTime2Retain": ("99999",), "MaxOutstandingR2T": ("0", "65536"),
-    "DataPDUInOrder": ("",), "ErrorRecoveryLevel": ("3", "0x"),
-}  # fmt: skip
+    "HeaderDigest": ("CRC16", ""),
+    "MaxConnections": ("0", "65536", "two", "-1", ""),
+    "InitialR2T": ("yes", "1"),
+    "ImmediateData": ("Maybe",),
+    "MaxBurstLength": ("511", "16777216", "1e4"),
+    "FirstBurstLength": ("1", "x"),
+    "DefaultTime2Wait": ("3601",),
+    "DefaultTime2Retain": ("99999",),
+    "MaxOutstandingR2T": ("0", "65536"),
+    "DataPDUInOrder": ("",),
+    "ErrorRecoveryLevel": ("3", "0x"),
+}
 UNKNOWN = ("X-org.example.Odd", "Z-what", "NoSuchKey", "X#Odd")
 OLD = ("IFMarker", "OFMarker", "IFMarkInt", "OFMarkInt")
 
@@ -140,8 +151,14 @@
 @case("negotiate.order", "6.2")
 async def _order(context: CaseContext) -> None:
     """The order of the keys and their split over PDUs change nothing."""
-    offers = {"MaxBurstLength": "8192", "FirstBurstLength": "4096", "ImmediateData": "No",
-              "InitialR2T": "Yes", "ErrorRecoveryLevel": "1", "HeaderDigest": "None"}  # fmt: skip
+    offers = {
+        "MaxBurstLength": "8192",
+        "FirstBurstLength": "4096",
+        "ImmediateData": "No",
+        "InitialR2T": "Yes",
+        "ErrorRecoveryLevel": "1",
+        "HeaderDigest": "None",
+    }
     told = []
     for round_ in range(3):
         peer = await context.peer()
@@ -313,11 +330,14 @@
             same((await peer.step(OPERATIONAL, {})).words[4], 0)
 
     wrong: dict[str, dict[str, str | None]] = {
-        "secret": {"CHAP_R": chap.encode(bytes(16))}, "name": {"CHAP_N": "nobody"},
-        "no-name": {"CHAP_N": None}, "no-response": {"CHAP_R": None},
-        "malformed": {"CHAP_R": "0xzz"}, "not-binary": {"CHAP_R": "12"},
+        "secret": {"CHAP_R": chap.encode(bytes(16))},
+        "name": {"CHAP_N": "nobody"},
+        "no-name": {"CHAP_N": None},
+        "no-response": {"CHAP_R": None},
+        "malformed": {"CHAP_R": "0xzz"},
+        "not-binary": {"CHAP_R": "12"},
         "short": {"CHAP_R": "0x00"},
-    }  # fmt: skip
+    }
     for name, changes in wrong.items():
 
         @case(f"chap.refused.{name}", "12.1.3")
--- a/lemonridge/lab/conform/peer.py
+++ b/lemonridge/lab/conform/peer.py
@@ -137,23 +137,48 @@
 
     # Commands
 
-    def command(self, cdb: bytes, read: int = 0, data: bytes = b"", lun: int = 0, along: int | None = None,
-                final: bool = True, tag: int | None = None, length: int | None = None,
-                immediate: bool = False) -> int:  # fmt: skip
+    def command(
+        self,
+        cdb: bytes,
+        read: int = 0,
+        data: bytes = b"",
+        lun: int = 0,
+        along: int | None = None,
+        final: bool = True,
+        tag: int | None = None,
+        length: int | None = None,
+        immediate: bool = False,
+    ) -> int:
         """Send a command; `along` bytes of its data go with it (all by default). Its tag is returned."""
         tag = next(self.tags) if tag is None else tag
         words = list(struct.unpack(">4I", cdb.ljust(16, b"\0")))
         flags = (FINAL if final else 0) | (0x40 if read else 0) | (0x20 if data else 0) | 1
         part = data if along is None else data[:along]
-        self.put(Pdu(Op.SCSI_COMMAND, flags, lun=pack_lun(lun), tag=tag, data=part, immediate=immediate,
-                     words=[read or (len(data) if length is None else length), 0, 0, *words]))  # fmt: skip
+        self.put(
+            Pdu(
+                Op.SCSI_COMMAND,
+                flags,
+                lun=pack_lun(lun),
+                tag=tag,
+                data=part,
+                immediate=immediate,
+                words=[read or (len(data) if length is None else length), 0, 0, *words],
+            )
+        )
         return tag
 
     def out(
         self, tag: int, transfer: int, data_sn: int, offset: int, data: bytes, final: bool = True
     ) -> None:
-        self.put(Pdu(Op.DATA_OUT, FINAL if final else 0, tag=tag, data=data,
-                     words=[transfer, 0, 0, 0, data_sn, offset, 0]))  # fmt: skip
+        self.put(
+            Pdu(
+                Op.DATA_OUT,
+                FINAL if final else 0,
+                tag=tag,
+                data=data,
+                words=[transfer, 0, 0, 0, data_sn, offset, 0],
+            )
+        )
 
     async def finish(self, tag: int) -> tuple[Pdu, bytes]:
         """The response of a command and its data, which must come in order; R2Ts must not come."""
@@ -181,11 +206,22 @@
         same(status, 0, f"status of {cdb[0]:#04x} with sense {sense.hex()}")
         return found
 
-    async def sense(self, cdb: bytes, key: int, code: int, qualifier: int = 0, read: int = 0,
-                    data: bytes = b"", lun: int = 0) -> None:  # fmt: skip
+    async def sense(
+        self,
+        cdb: bytes,
+        key: int,
+        code: int,
+        qualifier: int = 0,
+        read: int = 0,
+        data: bytes = b"",
+        lun: int = 0,
+    ) -> None:
         status, _, sense = await self.do(cdb, read, data, lun)
-        same((status, sense[2:3].hex(), sense[12:14].hex()), (2, f"{key:02x}", f"{code:02x}{qualifier:02x}"),
-             f"sense of {cdb[0]:#04x}")  # fmt: skip
+        same(
+            (status, sense[2:3].hex(), sense[12:14].hex()),
+            (2, f"{key:02x}", f"{code:02x}{qualifier:02x}"),
+            f"sense of {cdb[0]:#04x}",
+        )
 
     async def rejected(self, reason: int) -> Pdu:
         pdu = await self.get(Op.REJECT)
--- a/lemonridge/lab/conform/scsi.py
+++ b/lemonridge/lab/conform/scsi.py
@@ -258,9 +258,14 @@
 
 
 def _forms() -> None:
-    forms = {"6": (b"\x0a\0\0\x09\x02\0", b"\x08\0\0\x09\x02\0"), "10": (write10(9, 1024), read10(9, 1024)),
-             "16": (b"\x8a\0" + (9).to_bytes(8, "big") + (2).to_bytes(4, "big") + b"\0\0",
-                    b"\x88\0" + (9).to_bytes(8, "big") + (2).to_bytes(4, "big") + b"\0\0")}  # fmt: skip
+    forms = {
+        "6": (b"\x0a\0\0\x09\x02\0", b"\x08\0\0\x09\x02\0"),
+        "10": (write10(9, 1024), read10(9, 1024)),
+        "16": (
+            b"\x8a\0" + (9).to_bytes(8, "big") + (2).to_bytes(4, "big") + b"\0\0",
+            b"\x88\0" + (9).to_bytes(8, "big") + (2).to_bytes(4, "big") + b"\0\0",
+        ),
+    }
     for writes, (out, _) in forms.items():
         for reads, (_, into) in forms.items():
 
--- a/lemonridge/lab/conform/session.py
+++ b/lemonridge/lab/conform/session.py
@@ -157,9 +157,11 @@
 
 def _logouts() -> None:
     for name, reason, cid, response in (
-        ("session", 0, 0, 0), ("connection", 1, 0, 0), ("unknown-connection", 1, 9, 1),
+        ("session", 0, 0, 0),
+        ("connection", 1, 0, 0),
+        ("unknown-connection", 1, 9, 1),
         ("recovery-level-0", 2, 0, 2),
-    ):  # fmt: skip
+    ):
 
         @case(f"logout.{name}", "11.14")
         async def _(
@@ -314,8 +316,9 @@
 @case("connections.split-at-every-byte", "4.2")
 async def _bytewise(context: CaseContext) -> None:
     peer = await context.session()
-    pdu = Pdu(Op.NOP_OUT, FINAL, tag=9, immediate=True, data=b"split!",
-              words=[NONE, peer.cmd_sn, 0, 0, 0, 0, 0])  # fmt: skip
+    pdu = Pdu(
+        Op.NOP_OUT, FINAL, tag=9, immediate=True, data=b"split!", words=[NONE, peer.cmd_sn, 0, 0, 0, 0, 0]
+    )
     for one in pdu.encode():
         peer.raw(bytes([one]))
         await peer.writer.drain()
@@ -351,11 +354,17 @@
 
 def _functions() -> None:
     for name, function, lun, response in (
-        ("abort-unknown-task", 1, 0, 1), ("abort-task-set", 2, 0, 0), ("abort-task-set-no-lun", 2, 99, 2),
-        ("clear-aca", 3, 0, 5), ("clear-task-set", 4, 0, 0), ("lun-reset", 5, 0, 0),
+        ("abort-unknown-task", 1, 0, 1),
+        ("abort-task-set", 2, 0, 0),
+        ("abort-task-set-no-lun", 2, 99, 2),
+        ("clear-aca", 3, 0, 5),
+        ("clear-task-set", 4, 0, 0),
+        ("lun-reset", 5, 0, 0),
         ("lun-reset-no-lun", 5, 99, 2),
-        ("target-warm-reset", 6, 0, 0), ("reassign-unknown", 8, 0, 1), ("function-15", 15, 0, 5),
-    ):  # fmt: skip
+        ("target-warm-reset", 6, 0, 0),
+        ("reassign-unknown", 8, 0, 1),
+        ("function-15", 15, 0, 5),
+    ):
 
         @case(f"manage.{name}", "11.6.1")
         async def _(
--- a/lemonridge/lab/conform/suite.py
+++ b/lemonridge/lab/conform/suite.py
@@ -122,8 +122,9 @@
     mover = Mover([node], Etcd(), "/", ticks, Random(seed))
     for lun in (0, 1, 300):
         mover.lay(lun, 1, BLOCKS)
-    text = CONFIG.format(store=STORE, guarded=GUARDED, mutual=MUTUAL, private=PRIVATE, folder="{folder}",
-                         port=node.port)  # fmt: skip
+    text = CONFIG.format(
+        store=STORE, guarded=GUARDED, mutual=MUTUAL, private=PRIVATE, folder="{folder}", port=node.port
+    )
     try:
         async with running(text, secrets=SECRETS, stop=proxy is None) as (_, port):
             if proxy is not None:
--- a/lemonridge/lab/demo.py
+++ b/lemonridge/lab/demo.py
@@ -24,9 +24,13 @@
 def _config(port: int) -> str:
     """Three LUNs, one on each node's shard, and the nodes in etcd."""
     head = CONFIG.format(store=STORE, port=0, front="").partition("[[lun]]")[0]
-    for old, new in (("cold_units = 1000000", "cold_units = 8"), ("deadline_ms = 5000", "deadline_ms = 2000"),
-                     ("aim_ms = 4000", "aim_ms = 400"), ("rate = 1000000", "rate = 100"),
-                     ("reserve = 1000000", "reserve = 80")):  # fmt: skip
+    for old, new in (
+        ("cold_units = 1000000", "cold_units = 8"),
+        ("deadline_ms = 5000", "deadline_ms = 2000"),
+        ("aim_ms = 4000", "aim_ms = 400"),
+        ("rate = 1000000", "rate = 100"),
+        ("reserve = 1000000", "reserve = 80"),
+    ):
         head = head.replace(old, new)
     luns = "".join(LUN.format(lun=lun) for lun in range(NODES))
     return f'{head}{luns}[etcd]\nendpoint = "127.0.0.1:{port}"\nprefix = "{PREFIX}"\n'
@@ -67,8 +71,13 @@
                 node.kill()
         await etcd.stop()
     counts = program.counts
-    return {"demo": "iscsi", **tally.figures(), "attempts": counts.get("attempts.sent", 0),
-            "unreached": counts.get("attempts.connect_failed", 0), "after_return": warmed}  # fmt: skip
+    return {
+        "demo": "iscsi",
+        **tally.figures(),
+        "attempts": counts.get("attempts.sent", 0),
+        "unreached": counts.get("attempts.connect_failed", 0),
+        "after_return": warmed,
+    }
 
 
 def main(seconds: float) -> dict[str, object]:
--- a/lemonridge/lab/drills/extents.py
+++ b/lemonridge/lab/drills/extents.py
@@ -91,8 +91,12 @@
         self.random = {name: Random(f"{seed}/{name}") for name in ("lay", "load", "move", "fault", "news")}
         self.etcd = Etcd()
         self.etcd.chunk = 4096
-        self.nodes = [ExtentNode(f"n{n}", n, self.ticks, self.random["fault"], options.checked,
-                                 plain=not options.mapped) for n in range(NODES)]  # fmt: skip
+        self.nodes = [
+            ExtentNode(
+                f"n{n}", n, self.ticks, self.random["fault"], options.checked, plain=not options.mapped
+            )
+            for n in range(NODES)
+        ]
         self.mover = Mover(self.nodes, self.etcd, PREFIX, self.ticks, self.random["lay"])
         self.drains = Drains(self.etcd, PREFIX)
         self.writes = 0
@@ -269,8 +273,9 @@
                     if status == 0:
                         break
                     await asyncio.sleep(0.1)
-                final.update(((lun, first + place), ident)
-                             for place, ident in enumerate(stamps(data, first, LENGTH)))  # fmt: skip
+                final.update(
+                    ((lun, first + place), ident) for place, ident in enumerate(stamps(data, first, LENGTH))
+                )
         return final
 
     def _figures(
@@ -280,18 +285,29 @@
         cuts = statistics.quantiles(taken, n=100) if len(taken) > 1 else [0.0] * 99
         ends = {end: sum(one.end == end for one in asked) for end in ("served", "refused", "failed")}
         return {
-            "drill": "extents", "seed": self.options.seed, "seconds": round(took, 1),
-            "requests": len(asked) + self.tally.unanswered, **ends, "moves": self.mover.moves,
-            "pieces": counts.get("pieces", 0), "redirects": counts.get("redirects", 0),
-            "queued": counts.get("redirects.queued", 0), "refreshes": counts.get("refreshes", 0),
-            "whole_maps": counts.get("map.whole", 0), "p50_ms": round(cuts[49] * 1000, 2),
+            "drill": "extents",
+            "seed": self.options.seed,
+            "seconds": round(took, 1),
+            "requests": len(asked) + self.tally.unanswered,
+            **ends,
+            "moves": self.mover.moves,
+            "pieces": counts.get("pieces", 0),
+            "redirects": counts.get("redirects", 0),
+            "queued": counts.get("redirects.queued", 0),
+            "refreshes": counts.get("refreshes", 0),
+            "whole_maps": counts.get("map.whole", 0),
+            "p50_ms": round(cuts[49] * 1000, 2),
             "p99_ms": round(cuts[98] * 1000, 2),
             "cpu_us": round(cpu / max(1, len(asked)) * 1e6),
-            "run_twice": found.run_twice, "refused_ran": found.refused_ran, "late_work": self.drains.late,
-            "misdirected_writes": found.misdirected_writes, "wrong_reads": found.wrong_reads,
-            "lost_writes": found.lost_writes, "double_answers": doubled,
+            "run_twice": found.run_twice,
+            "refused_ran": found.refused_ran,
+            "late_work": self.drains.late,
+            "misdirected_writes": found.misdirected_writes,
+            "wrong_reads": found.wrong_reads,
+            "lost_writes": found.lost_writes,
+            "double_answers": doubled,
             "unanswered": self.tally.unanswered,
-        }  # fmt: skip
+        }
 
 
 RULES = (
--- a/lemonridge/lab/drills/fleet.py
+++ b/lemonridge/lab/drills/fleet.py
@@ -38,7 +38,7 @@
 def askers(brokers: int, site: Site, seconds: float, calm_s: float) -> list[Asker]:
     """The volumes: limited ones that flood and move, and others that ask steadily."""
     hosts = min(HOSTS, brokers)
-    full = site.limit / (1 + site.units_top) * 2  # requests a second that fill a limit
+    full = site.limit / (1 + site.largest_request_units) * 2  # requests a second that fill a limit
     shards = tuple(range(NODES))
 
     def among(first: int) -> list[int]:
@@ -47,21 +47,68 @@
     one, three, four = among(0), among(1), among(2)
     made = [
         # Ten times its limit, from one broker to the next each second; at rest in the calm.
-        Asker(1, "basic", hosts, shards, lambda t: 10 * full,
-              lambda t: one[int(t) % hosts] if t < calm_s else one[0], site.units_top),
+        Asker(
+            1,
+            "basic",
+            hosts,
+            shards,
+            lambda t: 10 * full,
+            lambda t: one[int(t) % hosts] if t < calm_s else one[0],
+            site.largest_request_units,
+        ),
         # Ten times its limit, at one of its brokers alone.
-        Asker(HOT, "basic", hosts, shards, lambda t: 10 * full, lambda t: among(3)[0], site.units_top),
+        Asker(
+            HOT,
+            "basic",
+            hosts,
+            shards,
+            lambda t: 10 * full,
+            lambda t: among(3)[0],
+            site.largest_request_units,
+        ),
         # Ten times its limit at all of its brokers in turn, request by request.
-        Asker(3, "basic", hosts, shards, lambda t: 3 * full, lambda t: three[int(t * 1000) % hosts],
-              site.units_top),
+        Asker(
+            3,
+            "basic",
+            hosts,
+            shards,
+            lambda t: 3 * full,
+            lambda t: three[int(t * 1000) % hosts],
+            site.largest_request_units,
+        ),
         # At one of its brokers steadily; a second one comes and goes, which has lent its part meanwhile.
-        Asker(5, "brisk", hosts, shards, lambda t: site.brisk * (2.5 if t % 7 < 3.2 else 1.5) / 1.5,
-              lambda t: one[1] if t % 7 >= 3.2 or int(t * 1000) % 5 < 3 else one[-1], site.units_top),
+        Asker(
+            5,
+            "brisk",
+            hosts,
+            shards,
+            lambda t: site.brisk * (2.5 if t % 7 < 3.2 else 1.5) / 1.5,
+            lambda t: one[1] if t % 7 >= 3.2 or int(t * 1000) % 5 < 3 else one[-1],
+            site.largest_request_units,
+        ),
         # In surges, moving every three seconds.
-        Asker(4, "basic", hosts, shards, lambda t: 5 * full if int(t) % 4 < 2 else full / 2,
-              lambda t: four[int(t / 3) % hosts], site.units_top)]  # fmt: skip
-    made += [Asker(100 + n, "priority", 1, shards, lambda t: 5.0, lambda t, n=n: n,  # type: ignore[misc]
-                   site.units_top) for n in range(brokers)]  # fmt: skip
+        Asker(
+            4,
+            "basic",
+            hosts,
+            shards,
+            lambda t: 5 * full if int(t) % 4 < 2 else full / 2,
+            lambda t: four[int(t / 3) % hosts],
+            site.largest_request_units,
+        ),
+    ]
+    made += [
+        Asker(
+            100 + n,
+            "priority",
+            1,
+            shards,
+            lambda t: 5.0,
+            lambda t, n=n: n,  # type: ignore[misc]
+            site.largest_request_units,
+        )
+        for n in range(brokers)
+    ]
     return made
 
 
@@ -84,8 +131,10 @@
     )
     async with standing(schedule.brokers, NODES, options.seed, site, options.peers, module=module) as rig:
         clients = Clients([one.port for one in rig.brokers], options.seed, site.deadline_ms)
-        await asyncio.gather(clients.run(askers(schedule.brokers, site, schedule.seconds, schedule.calm_s),
-                                         schedule.seconds), rig.play(schedule))  # fmt: skip
+        await asyncio.gather(
+            clients.run(askers(schedule.brokers, site, schedule.seconds, schedule.calm_s), schedule.seconds),
+            rig.play(schedule),
+        )
         await rig.stop()
         return *judge(options, schedule, rig, clients, site), rig
 
@@ -98,21 +147,37 @@
     limit = Limit(site.limit, site.burst, site.slack)
     further = Limit(site.further, max(site.further, schedule.brokers), 1.0) if site.further else None
     brisk = Limit(site.brisk, site.burst, site.slack)
-    found = check(came, clients.asked, {1: limit, HOT: limit, 3: limit, 4: limit, 5: brisk}, further,
-                  {one.number: one.discovery.told for one in rig.brokers},
-                  {one.number: one.down for one in rig.brokers},
-                  sum(node.falls for node in rig.nodes), clients.surplus)  # fmt: skip
+    found = check(
+        came,
+        clients.asked,
+        {1: limit, HOT: limit, 3: limit, 4: limit, 5: brisk},
+        further,
+        {one.number: one.discovery.told for one in rig.brokers},
+        {one.number: one.down for one in rig.brokers},
+        sum(node.falls for node in rig.nodes),
+        clients.surplus,
+    )
     calm, end = rig.begun + schedule.calm_s, rig.begun + schedule.seconds
     healed = healed_ms(came, HOT, calm, end, AT_ONE * site.limit)
     share = min(used(came, volume, calm + SETTLE_S, end) / site.limit for volume in (1, HOT))
     figures: dict[str, object] = {
-        "drill": "fleet", "seed": options.seed, "brokers": schedule.brokers, "requests": len(clients.asked),
-        "served": sum(one.end == "served" for one in clients.asked), "splits": rig.splits,
-        "kills": sum(one.kills for one in rig.brokers), "stops": sum(one.stops for one in rig.brokers),
-        "limit_excess": found.limit_excess, "cold_overloads": found.cold_overloads,
-        "budget_excess": found.budget_excess, "late_sends": found.late_sends,
-        "double_answers": found.double_answers, "unanswered": found.unanswered,
-        "healed_after_ms": int(healed), "used_of_limit": round(share, 3)}  # fmt: skip
+        "drill": "fleet",
+        "seed": options.seed,
+        "brokers": schedule.brokers,
+        "requests": len(clients.asked),
+        "served": sum(one.end == "served" for one in clients.asked),
+        "splits": rig.splits,
+        "kills": sum(one.kills for one in rig.brokers),
+        "stops": sum(one.stops for one in rig.brokers),
+        "limit_excess": found.limit_excess,
+        "cold_overloads": found.cold_overloads,
+        "budget_excess": found.budget_excess,
+        "late_sends": found.late_sends,
+        "double_answers": found.double_answers,
+        "unanswered": found.unanswered,
+        "healed_after_ms": int(healed),
+        "used_of_limit": round(share, 3),
+    }
     return figures, found
 
 
--- a/lemonridge/lab/drills/iscsi.py
+++ b/lemonridge/lab/drills/iscsi.py
@@ -107,8 +107,14 @@
             self.mover.random = _Only(node)  # type: ignore[assignment]
             self.mover.lay(lun, 1, BLOCKS)
         self.etcd.txn({f"{PREFIX}nodes/{node.name}": node.row() for node in self.nodes})
-        text = CONFIG.format(store=STORE, guarded=GUARDED, folder="{folder}", port=self.etcd.port,
-                             prefix=PREFIX, deadline=int(DEADLINE_S * 1000))  # fmt: skip
+        text = CONFIG.format(
+            store=STORE,
+            guarded=GUARDED,
+            folder="{folder}",
+            port=self.etcd.port,
+            prefix=PREFIX,
+            deadline=int(DEADLINE_S * 1000),
+        )
         async with running(text, secrets=SECRETS, heard=self.drains.heard) as (program, port):
             self.link.behind = port
             await self.link.start()
@@ -131,18 +137,29 @@
         random = self.random["client"]
         level = number % 3
         guarded = random.random() < 0.5
-        digests = {"HeaderDigest": "CRC32C" if level == 0 and random.random() < 0.5 else "None",
-                   "DataDigest": "CRC32C" if level or random.random() < 0.5 else "None"}  # fmt: skip
+        digests = {
+            "HeaderDigest": "CRC32C" if level == 0 and random.random() < 0.5 else "None",
+            "DataDigest": "CRC32C" if level or random.random() < 0.5 else "None",
+        }
         return Client(
-            self.link, GUARDED if guarded else STORE, f"iqn.2026-12.org.lemonridge:client-{number}",
-            connections=1 + number % 4 if level != 1 else 1, level=level, random=random,
-            account=(ACCOUNT, SECRET) if guarded else None, keys=digests)  # fmt: skip
+            self.link,
+            GUARDED if guarded else STORE,
+            f"iqn.2026-12.org.lemonridge:client-{number}",
+            connections=1 + number % 4 if level != 1 else 1,
+            level=level,
+            random=random,
+            account=(ACCOUNT, SECRET) if guarded else None,
+            keys=digests,
+        )
 
     # The day
 
     async def _day(self, clients: list[Client], until: float) -> None:
-        lanes = [self._lane(client, number * LANES + lane, until)
-                 for number, client in enumerate(clients) for lane in range(LANES)]  # fmt: skip
+        lanes = [
+            self._lane(client, number * LANES + lane, until)
+            for number, client in enumerate(clients)
+            for lane in range(LANES)
+        ]
         await asyncio.gather(self._cuts(until), self._deaths(until), self._flood(until), *lanes)
         self.link.calm()
 
@@ -213,8 +230,16 @@
         """One initiator sends far more than its window, opens connections and reads nothing."""
         loop, random = asyncio.get_running_loop(), self.random["client"]
         while loop.time() < until:
-            client = Client(self.link, STORE, "iqn.2026-12.org.lemonridge:flood", 1, 0, random, None,
-                            {"HeaderDigest": "None", "DataDigest": "None"})  # fmt: skip
+            client = Client(
+                self.link,
+                STORE,
+                "iqn.2026-12.org.lemonridge:flood",
+                1,
+                0,
+                random,
+                None,
+                {"HeaderDigest": "None", "DataDigest": "None"},
+            )
             self.tally.flooded += await client.flood(random.randrange(50, 400))
             await asyncio.sleep(random.uniform(0.2, 0.6))
             await client.close()
@@ -226,8 +251,16 @@
         link = Link(Random(0))
         link.behind = port
         await link.start()
-        client = Client(link, STORE, "iqn.2026-12.org.lemonridge:final", 1, 0, Random(0), None,
-                        {"HeaderDigest": "None", "DataDigest": "None"})  # fmt: skip
+        client = Client(
+            link,
+            STORE,
+            "iqn.2026-12.org.lemonridge:final",
+            1,
+            0,
+            Random(0),
+            None,
+            {"HeaderDigest": "None", "DataDigest": "None"},
+        )
         final: dict[tuple[int, int], int] = {}
         for lun in range(2):
             for first in range(0, BLOCKS, 128):
@@ -237,8 +270,9 @@
                     if status == 0:
                         break
                     await asyncio.sleep(0.05)
-                final.update(((lun, first + place), ident)
-                             for place, ident in enumerate(stamps(found, first, 128)))  # fmt: skip
+                final.update(
+                    ((lun, first + place), ident) for place, ident in enumerate(stamps(found, first, 128))
+                )
         await client.close()
         link.stop()
         return final
@@ -247,18 +281,27 @@
         asked = self.tally.asked
         ends = {end: sum(one.end == end for one in asked) for end in ("served", "refused", "failed")}
         return {
-            "drill": "iscsi", "seed": self.options.seed,
-            "commands": len(asked) + self.tally.unanswered, **ends,
-            "lost": self.tally.lost, "cut": self.link.cut, "flipped": self.link.flipped,
+            "drill": "iscsi",
+            "seed": self.options.seed,
+            "commands": len(asked) + self.tally.unanswered,
+            **ends,
+            "lost": self.tally.lost,
+            "cut": self.link.cut,
+            "flipped": self.link.flipped,
             "recovered": sum(client.recovered for client in clients),
             "sessions": sum(client.sessions for client in clients),
-            "reassigned": counts.get("tasks.reassigned", 0), "recovery_r2ts": counts.get("r2ts.recovery", 0),
-            "snacks": counts.get("snacks", 0), "flooded": self.tally.flooded,
-            "refused_ran": found.refused_ran, "late_work": self.drains.late,
-            "run_twice": found.run_twice, "wrong_data": found.wrong_reads + found.misdirected_writes,
+            "reassigned": counts.get("tasks.reassigned", 0),
+            "recovery_r2ts": counts.get("r2ts.recovery", 0),
+            "snacks": counts.get("snacks", 0),
+            "flooded": self.tally.flooded,
+            "refused_ran": found.refused_ran,
+            "late_work": self.drains.late,
+            "run_twice": found.run_twice,
+            "wrong_data": found.wrong_reads + found.misdirected_writes,
             "lost_writes": found.lost_writes,
-            "double_answers": sum(client.doubled for client in clients), "unanswered": self.tally.unanswered,
-        }  # fmt: skip
+            "double_answers": sum(client.doubled for client in clients),
+            "unanswered": self.tally.unanswered,
+        }
 
 
 class _Only:
--- a/lemonridge/lab/drills/policy.py
+++ b/lemonridge/lab/drills/policy.py
@@ -14,15 +14,15 @@
 import msgspec
 import orjson
 
-from lemonridge.config import Address
+from lemonridge.config.platform import Address
 from lemonridge.lab.checkers import fleet as rules
 from lemonridge.lab.checkers.policy import Findings, Proposed, check, epochs
 from lemonridge.lab.links.datagrams import Stretch
 from lemonridge.lab.links.schedule import Fault
 from lemonridge.lab.load.fleet import Asker, Clients
 from lemonridge.lab.rig import Broker, Rig, Site, standing
-from lemonridge.net.calling import CallError, call
-from lemonridge.rollout.document import Policy
+from lemonridge.net.admin_client import CallError, call
+from lemonridge.rollout.policy_document import Policy
 
 NODES = 3
 LEASE_MS, CLOCK_MS, FLOOR = 1500.0, 50.0, 0.25
@@ -139,8 +139,10 @@
         try:
             before = await self.seen(broker)
             policy = msgspec.convert(before["policy"], Policy)
-            rows = tuple(msgspec.structs.replace(row, limit=limit) if row.name == "basic" else row
-                         for row in policy.plan)  # fmt: skip
+            rows = tuple(
+                msgspec.structs.replace(row, limit=limit) if row.name == "basic" else row
+                for row in policy.plan
+            )
             aim = 1000.0 if sound else rig.site.deadline_ms - 50.0  # the short one's requests end before
             classes = tuple(
                 msgspec.structs.replace(row, aim_ms=aim if row.name == "read" else row.aim_ms)
@@ -184,8 +186,9 @@
     async def seen(self, broker: Broker) -> dict[str, Any]:
         """A broker's report; each epoch's limit is noted on the way."""
         told: dict[str, Any] = orjson.loads(await self.ask(broker, "policy"))
-        self.limits[told["epoch"]] = next(row["limit"] for row in told["policy"]["plan"]
-                                          if row["name"] == "basic")  # fmt: skip
+        self.limits[told["epoch"]] = next(
+            row["limit"] for row in told["policy"]["plan"] if row["name"] == "basic"
+        )
         self.came |= {line.partition(": ")[2] for line in told["history"]}
         return told
 
@@ -252,8 +255,15 @@
             rest = tuple(n for n in everyone if n not in some)
             kind = ("split", "one-way", "loss", "delay", "double", "cut")[turn % 6]
             turn += 1
-            fault = Fault(kind=kind, at_s=0.0, for_s=length, brokers=some, to=rest, share=0.3,  # type: ignore[arg-type]
-                          ms=(1.0, 250.0))  # fmt: skip
+            fault = Fault(
+                kind=kind,  # type: ignore[arg-type]
+                at_s=0.0,
+                for_s=length,
+                brokers=some,
+                to=rest,
+                share=0.3,
+                ms=(1.0, 250.0),
+            )
             pairs = [(i, j) for i in some for j in rest]
             if kind != "one-way":
                 pairs += [(j, i) for i, j in pairs]
@@ -276,11 +286,37 @@
     """Two volumes that flood their limit, one at all of its brokers in turn, one moving; and steady ones."""
     hosts, shards = min(3, brokers), tuple(range(NODES))
     made = [
-        Asker(1, "basic", hosts, shards, lambda t: 60.0, lambda t: int(t * 1000) % hosts, site.units_top),
-        Asker(2, "basic", hosts, shards, lambda t: 60.0, lambda t: int(t / 2) % hosts, site.units_top),
+        Asker(
+            1,
+            "basic",
+            hosts,
+            shards,
+            lambda t: 60.0,
+            lambda t: int(t * 1000) % hosts,
+            site.largest_request_units,
+        ),
+        Asker(
+            2,
+            "basic",
+            hosts,
+            shards,
+            lambda t: 60.0,
+            lambda t: int(t / 2) % hosts,
+            site.largest_request_units,
+        ),
+    ]
+    return made + [
+        Asker(
+            100 + n,
+            "priority",
+            1,
+            shards,
+            lambda t: 8.0,
+            lambda t, n=n: n,  # type: ignore[misc]
+            site.largest_request_units,
+        )
+        for n in range(brokers)
     ]
-    return made + [Asker(100 + n, "priority", 1, shards, lambda t: 8.0, lambda t, n=n: n,  # type: ignore[misc]
-                         site.units_top) for n in range(brokers)]  # fmt: skip
 
 
 async def run(options: Options) -> tuple[dict[str, object], Findings, rules.Findings]:
@@ -299,25 +335,55 @@
         ends = await drill.together()
         await rig.stop()
     came = [one for node in rig.nodes for one in node.came]
-    found = check(came, drill.proposed, ends, drill.limits, site.limit * FLOOR, FLOODED, site.burst,
-                  site.slack, (LEASE_MS + CLOCK_MS) / 1000 + 0.3)  # fmt: skip
-    answers = rules.check(came, clients.asked, {}, None, {}, {one.number: one.down for one in rig.brokers},
-                          sum(node.falls for node in rig.nodes), clients.surplus)  # fmt: skip
+    found = check(
+        came,
+        drill.proposed,
+        ends,
+        drill.limits,
+        site.limit * FLOOR,
+        FLOODED,
+        site.burst,
+        site.slack,
+        (LEASE_MS + CLOCK_MS) / 1000 + 0.3,
+    )
+    answers = rules.check(
+        came,
+        clients.asked,
+        {},
+        None,
+        {},
+        {one.number: one.down for one in rig.brokers},
+        sum(node.falls for node in rig.nodes),
+        clients.surplus,
+    )
     sound = [one for one in drill.proposed if one.sound]
     figures: dict[str, object] = {
-        "drill": "policy", "seed": options.seed, "brokers": options.brokers, "requests": len(clients.asked),
-        "served": sum(one.end == "served" for one in clients.asked), "changes": len(drill.proposed),
-        "sound": len(sound), "in_force": sum(one.note in drill.came for one in sound),
+        "drill": "policy",
+        "seed": options.seed,
+        "brokers": options.brokers,
+        "requests": len(clients.asked),
+        "served": sum(one.end == "served" for one in clients.asked),
+        "changes": len(drill.proposed),
+        "sound": len(sound),
+        "in_force": sum(one.note in drill.came for one in sound),
         "rejected": sum(one.end == "nowhere" for one in drill.proposed),
         "aborted": sum(one.end in ("another", "unknown", "") for one in drill.proposed),
-        "epoch": ends[0]["epoch"], "kills": sum(one.kills for one in rig.brokers), "wipes": drill.wipes,
+        "epoch": ends[0]["epoch"],
+        "kills": sum(one.kills for one in rig.brokers),
+        "wipes": drill.wipes,
         "votes": drill.votes,
-        "splits": rig.splits, "stops": sum(one.stops for one in rig.brokers),
-        "mixed_epochs": found.mixed_epochs, "half_changes": found.half_changes,
-        "lost_changes": found.lost_changes, "stale_serving": found.stale_serving,
-        "limit_excess": found.limit_excess, "double_answers": answers.double_answers,
-        "unanswered": answers.unanswered, "worst_switch_ms": _switch_ms(came, drill.proposed),
-        "worst_stall_ms": _stall_ms(came)}  # fmt: skip
+        "splits": rig.splits,
+        "stops": sum(one.stops for one in rig.brokers),
+        "mixed_epochs": found.mixed_epochs,
+        "half_changes": found.half_changes,
+        "lost_changes": found.lost_changes,
+        "stale_serving": found.stale_serving,
+        "limit_excess": found.limit_excess,
+        "double_answers": answers.double_answers,
+        "unanswered": answers.unanswered,
+        "worst_switch_ms": _switch_ms(came, drill.proposed),
+        "worst_stall_ms": _stall_ms(came),
+    }
     return figures, found, answers
 
 
