--- a/lemonridge/lab/drills/soak.py
+++ b/lemonridge/lab/drills/soak.py
@@ -46,10 +46,10 @@
     rate=20.0,
     burst=40.0,
     slack=6.0,
-    units_mean=2.0,
-    cold_units=12.0,
-    cold_share=0.2,
-    tip_multiple=2.5,
+    mean_request_units=2.0,
+    slow_start_units=12.0,
+    slow_start_initial_fraction=0.2,
+    overload_multiple=2.5,
     ramp_s=5.0,
 )
 LIMITED_VOLUMES = (1, 2)
@@ -78,24 +78,72 @@
 
 def settings(classes: list[SoakClass]) -> dict[str, Any]:
     """The settings object of a broker's configuration."""
-    rows = [{"aim-us": int(one.deadline_s * 4e5), "deadline-us": int(one.deadline_s * 1e6), "gain": 1.0,
-             "group": one.group, "memory-span-us": int(one.window_s * 1e6), "name": one.name,
-             "semantics": one.semantics} for one in classes]  # fmt: skip
-    plans = [{"base-rate": 10.0, "burst": 0.0, "cap": 0.0, "guaranteed": 10.0, "limit-slack": 0.0,
-              "name": "free", "weight": 1.0, "worth-factor": 1.0},
-             {"base-rate": 5.0, "burst": LIMIT.burst, "cap": LIMIT.rate, "guaranteed": 0.0,
-              "limit-slack": LIMIT.slack, "name": "basic", "weight": 1.0, "worth-factor": 1.0}]  # fmt: skip
+    rows = [
+        {
+            "aim-us": int(one.deadline_s * 4e5),
+            "deadline-us": int(one.deadline_s * 1e6),
+            "gain": 1.0,
+            "group": one.group,
+            "memory-span-us": int(one.window_s * 1e6),
+            "name": one.name,
+            "semantics": one.semantics,
+        }
+        for one in classes
+    ]
+    plans = [
+        {
+            "base-rate": 10.0,
+            "burst": 0.0,
+            "cap": 0.0,
+            "guaranteed": 10.0,
+            "limit-slack": 0.0,
+            "name": "free",
+            "weight": 1.0,
+            "worth-factor": 1.0,
+        },
+        {
+            "base-rate": 5.0,
+            "burst": LIMIT.burst,
+            "cap": LIMIT.rate,
+            "guaranteed": 0.0,
+            "limit-slack": LIMIT.slack,
+            "name": "basic",
+            "weight": 1.0,
+            "worth-factor": 1.0,
+        },
+    ]
     return {
-        "fleet-size": 1, "discovery": "push", "tick-us": 2000, "azs": ["a", "b"], "classes": rows,
+        "fleet-size": 1,
+        "discovery": "push",
+        "tick-us": 2000,
+        "azs": ["a", "b"],
+        "classes": rows,
         "grades": plans,
-        "family-info": {"class-writes": [one.writes for one in classes], "cold-units": LIMIT.cold_units,
-                        "meter-us": 0, "n-shards": SHARDS, "tells-elsewhere": False,
-                        "unit-mean": LIMIT.units_mean, "units-top": 6},
-        "limits": {"cancelling": True, "connect-timeout-us": 250_000, "keepalive-us": 5_000_000,
-                   "max-attempts": 4, "max-retry-after-us": 500_000, "retry-after": True},
-        "rules": {"cold-share": LIMIT.cold_share, "drain-grace-us": 500_000, "fall-us": 1_000_000,
-                  "ramp-time-us": int(LIMIT.ramp_s * 1e6), "tip-multiple": LIMIT.tip_multiple},
-    }  # fmt: skip
+        "family-info": {
+            "class-writes": [one.writes for one in classes],
+            "cold-units": LIMIT.slow_start_units,
+            "meter-us": 0,
+            "n-shards": SHARDS,
+            "tells-elsewhere": False,
+            "unit-mean": LIMIT.mean_request_units,
+            "units-top": 6,
+        },
+        "limits": {
+            "cancelling": True,
+            "connect-timeout-us": 250_000,
+            "keepalive-us": 5_000_000,
+            "max-attempts": 4,
+            "max-retry-after-us": 500_000,
+            "retry-after": True,
+        },
+        "rules": {
+            "cold-share": LIMIT.slow_start_initial_fraction,
+            "drain-grace-us": 500_000,
+            "fall-us": 1_000_000,
+            "ramp-time-us": int(LIMIT.ramp_s * 1e6),
+            "tip-multiple": LIMIT.overload_multiple,
+        },
+    }
 
 
 class Soak:
@@ -107,8 +155,11 @@
         self.record = SoakRecord()
         self._config = folder / "config.json"
         self._discoveries = [SoakDiscovery(self.record) for _ in range(2)]
-        self._nodes = [SoakNode(f"n{shard}-{number}", shard, "ab"[number], self.record, self._random)
-                       for shard in range(SHARDS) for number in range(NODES_OF_A_SHARD)]  # fmt: skip
+        self._nodes = [
+            SoakNode(f"n{shard}-{number}", shard, "ab"[number], self.record, self._random)
+            for shard in range(SHARDS)
+            for number in range(NODES_OF_A_SHARD)
+        ]
         self._program: Program | None = None
         self._port = 0
         self._idle: list[tuple[asyncio.StreamReader, asyncio.StreamWriter]] = []
@@ -127,10 +178,18 @@
 
     def _configure(self, discovery: int) -> None:
         fresh = self._config.with_suffix(".new")
-        fresh.write_bytes(orjson.dumps({
-            "name": "n1", "listen": f"127.0.0.1:{self._port}",
-            "discovery": f"127.0.0.1:{self._discoveries[discovery].port}", "seed": "7",
-            "settings": settings(self._classes), "limits": {"sockets": SOCKETS}}))  # fmt: skip
+        fresh.write_bytes(
+            orjson.dumps(
+                {
+                    "name": "n1",
+                    "listen": f"127.0.0.1:{self._port}",
+                    "discovery": f"127.0.0.1:{self._discoveries[discovery].port}",
+                    "seed": "7",
+                    "settings": settings(self._classes),
+                    "limits": {"sockets": SOCKETS},
+                }
+            )
+        )
         fresh.replace(self._config)
 
     async def _start(self) -> Program:
@@ -416,10 +475,14 @@
             listener.close()
         found = judge(self.record, LIMIT)
         figures: dict[str, object] = {
-            "drill": "soak", "seed": self._options.seed, "lives": self.lives, "signals": self.signals,
+            "drill": "soak",
+            "seed": self._options.seed,
+            "lives": self.lives,
+            "signals": self.signals,
             "requests": len(self.record.requests),
             "served": sum(one.status == 200 for one in self.record.requests.values()),
-            "judge_late_ms": int(1000 * max((b - a for a, b in self.record.held_up), default=0))}  # fmt: skip
+            "judge_late_ms": int(1000 * max((b - a for a, b in self.record.held_up), default=0)),
+        }
         return figures | {name: found.counts[name] for name in FIGURES}, found
 
 
--- a/lemonridge/lab/fleet_mutants.py
+++ b/lemonridge/lab/fleet_mutants.py
@@ -10,7 +10,7 @@
 import time
 from collections.abc import Callable
 
-from lemonridge import api
+from lemonridge.scheduling.settings import Settings
 
 
 def _clock(offset_ms: float) -> None:
@@ -21,7 +21,7 @@
 
 
 def _lends_unlowered() -> None:
-    from lemonridge.fleet.escrow import Ledger, Pool
+    from lemonridge.fleet.quota_lending import Ledger, Pool
 
     def mine(self: Ledger, pool: Pool, now_us: int) -> int:
         return pool.base
@@ -30,76 +30,78 @@
 
 
 def _keeps_for_ever() -> None:
-    from lemonridge.fleet import escrow
-    from lemonridge.fleet.wire import Grant
+    from lemonridge.fleet import quota_lending
+    from lemonridge.fleet.datagrams import Grant
 
-    real = escrow.Ledger.lent_to_me
+    real = quota_lending.Ledger.lent_to_me
 
-    def lent(self: escrow.Ledger, peer: int, life: int, told: Grant, now_us: int) -> bool:
+    def lent(self: quota_lending.Ledger, peer: int, life: int, told: Grant, now_us: int) -> bool:
         done = real(self, peer, life, told, now_us)
         for pool in self.pools.values():
             for one in pool.borrowed.values():
                 one.end_us = now_us + 3_600_000_000
         return done
 
-    escrow.Ledger.lent_to_me = lent  # type: ignore[method-assign]
+    quota_lending.Ledger.lent_to_me = lent  # type: ignore[method-assign]
 
 
 def _forgets_its_loans() -> None:
-    from lemonridge.fleet import escrow
+    from lemonridge.fleet import quota_lending
 
-    real = escrow.Ledger.__init__
+    real = quota_lending.Ledger.__init__
 
-    def begin(self: escrow.Ledger, me: int, life: int, first_ask: int, error_us: int, now_us: int) -> None:
+    def begin(
+        self: quota_lending.Ledger, me: int, life: int, first_ask: int, error_us: int, now_us: int
+    ) -> None:
         real(self, me, life, first_ask, error_us, now_us)
         self.whole_us = now_us
 
-    escrow.Ledger.__init__ = begin  # type: ignore[method-assign]
+    quota_lending.Ledger.__init__ = begin  # type: ignore[method-assign]
 
 
 def _spends_further() -> None:
-    from lemonridge import policy
-    from lemonridge.stores import TokenBucket
+    from lemonridge import scheduling
+    from lemonridge.scheduling.token_bucket import TokenBucket
 
     class Bottomless(TokenBucket):
         def fill(self, now: int) -> float:
             super().fill(now)
             return 1e9
 
-    real = policy.Scheduler.__init__
+    real = scheduling.Scheduler.__init__
 
-    def begin(self: policy.Scheduler, settings: api.Settings, seed: int, asked: bool = False) -> None:
+    def begin(self: scheduling.Scheduler, settings: Settings, seed: int, asked: bool = False) -> None:
         real(self, settings, seed, asked)
         self.retries.further = Bottomless(0)
 
-    policy.Scheduler.__init__ = begin  # type: ignore[method-assign]
+    scheduling.Scheduler.__init__ = begin  # type: ignore[method-assign]
 
 
 def _liar() -> None:
     """Says of every node that it cannot be reached, all the time."""
-    from lemonridge.fleet import judgements, machine
+    from lemonridge.fleet import fleet_member, health_gossip
 
-    real = machine.Fleet.ended
+    real = fleet_member.Fleet.ended
 
-    def ended(self: machine.Fleet, node: int, seen: judgements.Seen, now_us: int) -> bool:
-        real(self, node, judgements.Seen.CONNECT_FAILED, now_us)
-        self._told_us = now_us - machine.TELL_US
+    def ended(self: fleet_member.Fleet, node: int, seen: health_gossip.Seen, now_us: int) -> bool:
+        real(self, node, health_gossip.Seen.CONNECT_FAILED, now_us)
+        self._told_us = now_us - fleet_member.TELL_US
         return False
 
-    machine.Fleet.ended = ended  # type: ignore[method-assign]
+    fleet_member.Fleet.ended = ended  # type: ignore[method-assign]
 
 
 def _believes_one() -> None:
-    from lemonridge.fleet import judgements
+    from lemonridge.fleet import health_gossip
 
-    judgements.AGREE = 1
+    health_gossip.AGREE = 1
 
 
 def _decides_at_once() -> None:
     """After a stop, by what was known before it."""
-    from lemonridge.core import decider
+    from lemonridge.core import decision_host
 
-    decider.CATCH_UP_S = 0.0
+    decision_host.CATCH_UP_S = 0.0
 
 
 def _serves_on() -> None:
@@ -127,10 +129,16 @@
 
 
 FAULTS: dict[str, Callable[[], None]] = {
-    "lends-unlowered": _lends_unlowered, "keeps-for-ever": _keeps_for_ever,
-    "forgets-its-loans": _forgets_its_loans, "spends-further": _spends_further, "liar": _liar,
-    "believes-one": _believes_one, "decides-at-once": _decides_at_once,
-    "serves-on": _serves_on, "switches-at-once": _switches_at_once}  # fmt: skip
+    "lends-unlowered": _lends_unlowered,
+    "keeps-for-ever": _keeps_for_ever,
+    "forgets-its-loans": _forgets_its_loans,
+    "spends-further": _spends_further,
+    "liar": _liar,
+    "believes-one": _believes_one,
+    "decides-at-once": _decides_at_once,
+    "serves-on": _serves_on,
+    "switches-at-once": _switches_at_once,
+}
 
 
 def main(arguments: list[str]) -> int:
@@ -141,7 +149,7 @@
             _clock(float(value))
         else:
             FAULTS[value]()
-    from lemonridge.cli import main as run
+    from lemonridge.cli.main import main as run
 
     return run(arguments)
 
--- a/lemonridge/lab/links/datagrams.py
+++ b/lemonridge/lab/links/datagrams.py
@@ -82,8 +82,10 @@
 
     def told(self, number: int) -> list[str]:
         """The addresses that a broker is told, its own among them."""
-        return [self.listen(number) if other == number else self._address(number, other)
-                for other in range(self.count)]  # fmt: skip
+        return [
+            self.listen(number) if other == number else self._address(number, other)
+            for other in range(self.count)
+        ]
 
     def _address(self, owner: int, other: int) -> str:
         transport = self._ends[owner, other].transport
--- a/lemonridge/lab/links/drains.py
+++ b/lemonridge/lab/links/drains.py
@@ -21,7 +21,7 @@
     def heard(self, at_s: float, pairs: dict[str, str]) -> None:
         """A log line of the program."""
         if pairs.get("event") == "listed":
-            if pairs["condition"] == "leaving":
+            if pairs["condition"] == "draining":
                 self._told.setdefault(pairs["node"], at_s)
             else:
                 self._told.pop(pairs["node"], None)
--- a/lemonridge/lab/links/schedule.py
+++ b/lemonridge/lab/links/schedule.py
@@ -13,14 +13,28 @@
 import msgspec
 from msgspec import Meta, Struct
 
-from lemonridge.config import ConfigError
-from lemonridge.iscsi.schema import plain
+from lemonridge.config.operator_schema import plain
+from lemonridge.config.platform import ConfigError
 
 Share = Annotated[float, Meta(ge=0, le=1)]
 Seconds = Annotated[float, Meta(ge=0, le=3600)]
 Number = Annotated[int, Meta(ge=0, lt=256)]
-Kind = Literal["cut", "one-way", "split", "loss", "delay", "double", "reorder", "corrupt", "kill", "stop",
-               "late", "node-death", "node-drain", "node-bad"]  # fmt: skip
+Kind = Literal[
+    "cut",
+    "one-way",
+    "split",
+    "loss",
+    "delay",
+    "double",
+    "reorder",
+    "corrupt",
+    "kill",
+    "stop",
+    "late",
+    "node-death",
+    "node-drain",
+    "node-bad",
+]
 GAP_S = 0.5  # between two faults of one process
 THIN: tuple[Kind, ...] = ("loss", "delay", "double", "reorder", "corrupt", "cut")
 ALONE = ("kill", "stop", "late", "node-death", "node-drain", "node-bad")
--- a/lemonridge/lab/load/client.py
+++ b/lemonridge/lab/load/client.py
@@ -28,7 +28,7 @@
     pack_text,
     read_pdu,
     unpack_text,
-)  # fmt: skip
+)
 from lemonridge.lab.links.pdus import DirectLink, Link
 
 __all__ = ["Client", "CommandLostError", "Link"]
@@ -103,8 +103,13 @@
         names = {"InitiatorName": client.name, "TargetName": client.target, "SessionType": "Normal"}
         keys = {**client.keys, "MaxRecvDataSegmentLength": str(SEGMENT)}
         if not tsih:
-            keys |= {"ErrorRecoveryLevel": str(client.level), "MaxConnections": str(client.connections),
-                     "InitialR2T": "Yes", "ImmediateData": "Yes", "MaxOutstandingR2T": "2"}  # fmt: skip
+            keys |= {
+                "ErrorRecoveryLevel": str(client.level),
+                "MaxConnections": str(client.connections),
+                "InitialR2T": "Yes",
+                "ImmediateData": "Yes",
+                "MaxOutstandingR2T": "2",
+            }
         if client.account is not None:
             await self._step(0, {**names, "AuthMethod": "CHAP"}, tsih)
             told = unpack_text((await self._step(0, {"CHAP_A": "7,5"}, tsih)).data)
@@ -278,8 +283,14 @@
         tag = next(self._tags) % NONE
         flags = FINAL | (0x40 if read else 0) | (0x20 if data else 0) | 1
         words = list(struct.unpack(">4I", cdb.ljust(16, b"\0")))
-        pdu = Pdu(Op.SCSI_COMMAND, flags, lun=pack_lun(lun), tag=tag, data=data[:4096],
-                  words=[len(data) or read, self.cmd_sn, 0, *words])  # fmt: skip
+        pdu = Pdu(
+            Op.SCSI_COMMAND,
+            flags,
+            lun=pack_lun(lun),
+            tag=tag,
+            data=data[:4096],
+            words=[len(data) or read, self.cmd_sn, 0, *words],
+        )
         self.cmd_sn = (self.cmd_sn + 1) % (1 << 32)
         command = Command(pdu, data, read, asyncio.get_running_loop().create_future())
         self.commands[tag] = command
--- a/lemonridge/lab/load/fleet.py
+++ b/lemonridge/lab/load/fleet.py
@@ -42,7 +42,7 @@
     shards: tuple[int, ...]
     rate: Callable[[float], float]
     where: Callable[[float], int]
-    units_top: int = 2
+    largest_request_units: int = 2
     writes: float = 0.3
 
 
@@ -93,9 +93,14 @@
                 continue
             number += 1
             writes = random.random() < asker.writes
-            told = Asked(f"{self.seed & 0xFFFF:04x}{asker.volume & 0xFFFF:04x}{number:08x}",
-                         asker.where(due - begun), asker.volume, random.randint(1, asker.units_top), due,
-                         due + self.deadline_ms / 1000)  # fmt: skip
+            told = Asked(
+                f"{self.seed & 0xFFFF:04x}{asker.volume & 0xFFFF:04x}{number:08x}",
+                asker.where(due - begun),
+                asker.volume,
+                random.randint(1, asker.largest_request_units),
+                due,
+                due + self.deadline_ms / 1000,
+            )
             self.asked.append(told)
             task = asyncio.create_task(self._one(told, asker, writes, random.choice(asker.shards)))
             self._out.add(task)
@@ -150,10 +155,16 @@
 def _text(told: Asked, asker: Asker, writes: bool, shard: int, left_ms: int) -> bytes:
     cls, body = ("new-write", b"w" * 64 * told.units) if writes else ("read", b"")
     shard = -1 if writes else shard
-    lines = [f"{'PUT' if writes else 'GET'} /{cls}/{told.volume:016x}/{int(told.ident, 16):016x}"
-             f"?units={told.units}&shard={shard} HTTP/1.1", "Host: app.svc", f"X-Request-Id: {told.ident}",
-             f"X-Class: {cls}", f"X-Qos-Policy: {asker.plan}", f"X-Deadline-Ms: {left_ms}",
-             f"X-Placement: units={told.units},shard={shard},hosts={asker.hosts}"]  # fmt: skip
+    lines = [
+        f"{'PUT' if writes else 'GET'} /{cls}/{told.volume:016x}/{int(told.ident, 16):016x}"
+        f"?units={told.units}&shard={shard} HTTP/1.1",
+        "Host: app.svc",
+        f"X-Request-Id: {told.ident}",
+        f"X-Class: {cls}",
+        f"X-Qos-Policy: {asker.plan}",
+        f"X-Deadline-Ms: {left_ms}",
+        f"X-Placement: units={told.units},shard={shard},hosts={asker.hosts}",
+    ]
     if writes:
         lines += [f"Idempotency-Key: {told.ident}", f"Content-Length: {len(body)}"]
     return "\r\n".join((*lines, "", "")).encode() + body
--- a/lemonridge/lab/load/http.py
+++ b/lemonridge/lab/load/http.py
@@ -31,8 +31,9 @@
     """`rate` requests a second for `seconds`; each of a class at random, of `volumes`, for a shard at random.
 
     A class is (name, writes): a write is a `PUT` with a body of `units` times 64 bytes and an idempotency
-    key. Where `units_top` is set, units are drawn evenly from 1 to it. Where `table` holds volumes as
-    (weight, shards), a volume is drawn by weight and its shard among its own, as the model draws them."""
+    key. Where `largest_request_units` is set, units are drawn evenly from 1 to it. Where `table` holds
+    volumes as (weight, shards), a volume is drawn by weight and its shard among its own, as the model draws
+    them."""
 
     port: int
     rate: float
@@ -42,7 +43,7 @@
     volumes: int = 16
     shards: int = 2
     units: int = 2
-    units_top: int = 0
+    largest_request_units: int = 0
     table: tuple[tuple[float, tuple[int, ...]], ...] = ()
     deadline_ms: int = 1500
     arrivals: str = "poisson"
@@ -56,9 +57,13 @@
     plan: Plan, number: int, cls: str, writes: bool, volume: int, shard: int, units: int
 ) -> dict[str, str]:
     """The headers of one request; its id is new with each, as PROTOCOL asks."""
-    told = {"X-Request-Id": f"{plan.seed & 0xFFFFFFFF:08x}{number:08x}", "X-Class": cls,
-            "X-Qos-Policy": plan.plan, "X-Deadline-Ms": str(plan.deadline_ms),
-            "X-Placement": f"units={units},shard={shard},hosts=1"}  # fmt: skip
+    told = {
+        "X-Request-Id": f"{plan.seed & 0xFFFFFFFF:08x}{number:08x}",
+        "X-Class": cls,
+        "X-Qos-Policy": plan.plan,
+        "X-Deadline-Ms": str(plan.deadline_ms),
+        "X-Placement": f"units={units},shard={shard},hosts=1",
+    }
     if writes:
         told["Idempotency-Key"] = f"{volume:x}-{number:x}"
     return told
@@ -99,7 +104,9 @@
             cls, writes = random.choice(plan.classes)
             volume, shard = _place(plan, random)
             shard = -1 if writes and plan.new_objects else shard
-            units = 1 + random.randrange(plan.units_top) if plan.units_top else plan.units
+            units = (
+                1 + random.randrange(plan.largest_request_units) if plan.largest_request_units else plan.units
+            )
             return one(due, number, cls, writes, volume, shard, units)
 
         await open_loop(tally, plan.rate, plan.arrivals, plan.seconds, plan.outstanding, random, draw, say)
@@ -116,21 +123,58 @@
 
 def facts(shards: int, deadline_ms: int) -> dict[str, Any]:
     """The settings of a small site for the stand-ins: a read and a keyed write, each aiming at its end."""
-    cls = {"aim-us": deadline_ms * 1000, "deadline-us": deadline_ms * 1000, "gain": 2.0,
-           "memory-span-us": 3_000_000}  # fmt: skip
+    cls = {
+        "aim-us": deadline_ms * 1000,
+        "deadline-us": deadline_ms * 1000,
+        "gain": 2.0,
+        "memory-span-us": 3_000_000,
+    }
     return {
-        "fleet-size": 1, "discovery": "push", "tick-us": 2000, "azs": ["hall-a"],
-        "classes": [{**cls, "group": "all", "name": "read", "semantics": "repeatable"},
-                    {**cls, "group": "cell", "name": "new-write", "semantics": "by_key"}],
-        "grades": [{"base-rate": 2000.0, "burst": 0.0, "cap": 0.0, "guaranteed": 2000.0, "limit-slack": 0.0,
-                    "name": "priority", "weight": 1.0, "worth-factor": 1.0}],
-        "family-info": {"class-writes": [False, True], "cold-units": 1000.0, "meter-us": 0,
-                        "n-shards": shards, "tells-elsewhere": False, "unit-mean": 2.0, "units-top": 6},
-        "limits": {"cancelling": True, "connect-timeout-us": 250000, "keepalive-us": 15000000,
-                   "max-attempts": 4, "max-retry-after-us": 500000, "retry-after": True},
-        "rules": {"cold-share": 0.2, "drain-grace-us": 500000, "fall-us": 1000000, "ramp-time-us": 1000000,
-                  "tip-multiple": 2.5},
-    }  # fmt: skip
+        "fleet-size": 1,
+        "discovery": "push",
+        "tick-us": 2000,
+        "azs": ["hall-a"],
+        "classes": [
+            {**cls, "group": "all", "name": "read", "semantics": "repeatable"},
+            {**cls, "group": "cell", "name": "new-write", "semantics": "by_key"},
+        ],
+        "grades": [
+            {
+                "base-rate": 2000.0,
+                "burst": 0.0,
+                "cap": 0.0,
+                "guaranteed": 2000.0,
+                "limit-slack": 0.0,
+                "name": "priority",
+                "weight": 1.0,
+                "worth-factor": 1.0,
+            }
+        ],
+        "family-info": {
+            "class-writes": [False, True],
+            "cold-units": 1000.0,
+            "meter-us": 0,
+            "n-shards": shards,
+            "tells-elsewhere": False,
+            "unit-mean": 2.0,
+            "units-top": 6,
+        },
+        "limits": {
+            "cancelling": True,
+            "connect-timeout-us": 250000,
+            "keepalive-us": 15000000,
+            "max-attempts": 4,
+            "max-retry-after-us": 500000,
+            "retry-after": True,
+        },
+        "rules": {
+            "cold-share": 0.2,
+            "drain-grace-us": 500000,
+            "fall-us": 1000000,
+            "ramp-time-us": 1000000,
+            "tip-multiple": 2.5,
+        },
+    }
 
 
 @asynccontextmanager
@@ -143,23 +187,34 @@
     cores: int = 2,
     queue: int = 64,
     work_ms: float = 2.0,
-    units_mean: float = 0.0,
+    mean_request_units: float = 0.0,
 ) -> AsyncGenerator[tuple[Program, int, list[DiskNode]], None]:
     """The broker on the platform's front before `count` stand-in nodes (node n holds shard n modulo `shards`)
     and discovery, ready; its port and the nodes, until the block ends, when it is stopped (ProgramError if it
     does not end well)."""
     discovery = await Discovery().start()
-    nodes = [await DiskNode(f"s-{n}", n % shards, cores, queue, work_ms, seed + n, units_mean).start()
-             for n in range(count)]  # fmt: skip
+    nodes = [
+        await DiskNode(f"s-{n}", n % shards, cores, queue, work_ms, seed + n, mean_request_units).start()
+        for n in range(count)
+    ]
     try:
         for node in nodes:
             await discovery.set(node.row())
         with TemporaryDirectory() as folder:
             config = Path(folder) / "config.json"
-            config.write_text(json.dumps({
-                "name": "load", "listen": "127.0.0.1:0", "discovery": f"127.0.0.1:{discovery.port}",
-                "seed": f"{seed:016x}", "known": {}, "settings": facts(shards, deadline_ms),
-                "limits": {"sockets": 1024}}))  # fmt: skip
+            config.write_text(
+                json.dumps(
+                    {
+                        "name": "load",
+                        "listen": "127.0.0.1:0",
+                        "discovery": f"127.0.0.1:{discovery.port}",
+                        "seed": f"{seed:016x}",
+                        "known": {},
+                        "settings": facts(shards, deadline_ms),
+                        "limits": {"sockets": 1024},
+                    }
+                )
+            )
             program = Program("serve", environment={"ROUTER_CONFIG": str(config)})
             try:
                 port = await program.start()
--- a/lemonridge/lab/load/initiator.py
+++ b/lemonridge/lab/load/initiator.py
@@ -44,7 +44,10 @@
         told: dict[str, str | None] = {
             "InitiatorName": "iqn.2026-12.org.lemonridge:test",
             "TargetName": "iqn.2026-12.org.lemonridge:store",
-            "SessionType": "Normal", "MaxRecvDataSegmentLength": str(self.segment), **keys}  # fmt: skip
+            "SessionType": "Normal",
+            "MaxRecvDataSegmentLength": str(self.segment),
+            **keys,
+        }
         data = pack_text((key, value) for key, value in told.items() if value is not None)
         self.send(Pdu(Op.LOGIN, flags, lun=self.isid + bytes(2), tag=0, immediate=True, data=data))
         async with asyncio.timeout(PATIENCE_S):
@@ -84,8 +87,16 @@
         for count, at in enumerate(range(start, start + length, 8192)):
             end = min(at + 8192, start + length)
             flags = FINAL if end == start + length else 0
-            self.send(Pdu(Op.DATA_OUT, flags, lun=pdu.lun, tag=pdu.tag, data=data[at:end],
-                          words=[pdu.words[0], 0, 0, 0, count, at, 0]))  # fmt: skip
+            self.send(
+                Pdu(
+                    Op.DATA_OUT,
+                    flags,
+                    lun=pdu.lun,
+                    tag=pdu.tag,
+                    data=data[at:end],
+                    words=[pdu.words[0], 0, 0, 0, count, at, 0],
+                )
+            )
 
     def command(self, cdb: bytes, read: int = 0, data: bytes = b"", lun: int = 0) -> int:
         """Send a command; the first half of a write's data goes along, up to 4096 bytes."""
@@ -94,8 +105,16 @@
         words = list(struct.unpack(">4I", cdb.ljust(16, b"\0")))
         flags = FINAL | (0x40 if read else 0) | (0x20 if data else 0)
         self.waiting[self.tags] = (asyncio.get_running_loop().create_future(), bytearray(), data)
-        self.send(Pdu(Op.SCSI_COMMAND, flags, lun=pack_lun(lun), tag=self.tags, data=along,
-                      words=[read or len(data), 0, 0, *words]))  # fmt: skip
+        self.send(
+            Pdu(
+                Op.SCSI_COMMAND,
+                flags,
+                lun=pack_lun(lun),
+                tag=self.tags,
+                data=along,
+                words=[read or len(data), 0, 0, *words],
+            )
+        )
         return self.tags
 
     async def answer(self, tag: int) -> tuple[int, bytes, bytes]:
--- a/lemonridge/lab/load/iscsi.py
+++ b/lemonridge/lab/load/iscsi.py
@@ -39,8 +39,10 @@
     link = DirectLink(plan.port)
     none = {"HeaderDigest": "None", "DataDigest": "None"}
     name = "iqn.2026-12.org.lemonridge:load"
-    clients = [Client(link, plan.target, f"{name}-{number}", 1, 0, Random(number), None, none)
-               for number in range(plan.sessions)]  # fmt: skip
+    clients = [
+        Client(link, plan.target, f"{name}-{number}", 1, 0, Random(number), None, none)
+        for number in range(plan.sessions)
+    ]
     data = bytes(plan.size)
 
     async def one(client: Client, at: float, writes: bool, lun: int, place: int) -> None:
--- a/lemonridge/lab/measure/extents.py
+++ b/lemonridge/lab/measure/extents.py
@@ -13,7 +13,7 @@
 from random import Random
 from statistics import median
 
-from lemonridge.extents.map import Change, Extent, ExtentMap
+from lemonridge.extents.extent_map import Change, Extent, ExtentMap
 from lemonridge.lab.drills.extents import Drill, Options
 
 SIZES = (1_000, 100_000, 1_000_000)
@@ -58,9 +58,16 @@
             for change in todo:
                 atlas.apply(change)
             changes.append((time.perf_counter() - began) / CHANGES)
-        rows.append({"extents": size, "mib": round(held / 2**20, 2), "peak_mib": round(peak / 2**20, 2),
-                     "build_s": round(build, 3), "lookup_us": round(min(lookups) * 1e6, 2),
-                     "change_us": round(min(changes) * 1e6, 2)})  # fmt: skip
+        rows.append(
+            {
+                "extents": size,
+                "mib": round(held / 2**20, 2),
+                "peak_mib": round(peak / 2**20, 2),
+                "build_s": round(build, 3),
+                "lookup_us": round(min(lookups) * 1e6, 2),
+                "change_us": round(min(changes) * 1e6, 2),
+            }
+        )
     for row in rows:
         row["lookup_ratio"] = round(float(str(row["lookup_us"])) / float(str(rows[0]["lookup_us"])), 2)
         row["change_ratio"] = round(float(str(row["change_us"])) / float(str(rows[0]["change_us"])), 2)
@@ -75,8 +82,10 @@
 def wire_figures(seed: int, seconds: float) -> list[dict[str, object]]:
     """One line a setting: the share of pieces redirected, the time of an answer, and CPU a command."""
     rows: list[dict[str, object]] = []
-    settings = [("no map", Options(seed, seconds, 0, faults=False, mapped=False, extents=1)),
-                ("one extent a LUN", Options(seed, seconds, 0, faults=False, extents=1))]  # fmt: skip
+    settings = [
+        ("no map", Options(seed, seconds, 0, faults=False, mapped=False, extents=1)),
+        ("one extent a LUN", Options(seed, seconds, 0, faults=False, extents=1)),
+    ]
     settings += [
         (
             f"16 extents, a move every {every} ms" if every else "16 extents, no moves",
@@ -87,11 +96,19 @@
     for name, options in settings:
         told = _day(options)
         pieces = int(str(told["pieces"])) or int(str(told["requests"]))
-        rows.append({"setting": name, "requests": told["requests"], "served": told["served"],
-                     "moves": told["moves"],
-                     "redirected": round(int(str(told["redirects"])) / max(1, pieces), 5),
-                     "refreshes": told["refreshes"], "p50_ms": told["p50_ms"], "p99_ms": told["p99_ms"],
-                     "cpu_us": told["cpu_us"]})  # fmt: skip
+        rows.append(
+            {
+                "setting": name,
+                "requests": told["requests"],
+                "served": told["served"],
+                "moves": told["moves"],
+                "redirected": round(int(str(told["redirects"])) / max(1, pieces), 5),
+                "refreshes": told["refreshes"],
+                "p50_ms": told["p50_ms"],
+                "p99_ms": told["p99_ms"],
+                "cpu_us": told["cpu_us"],
+            }
+        )
     return rows
 
 
@@ -103,5 +120,8 @@
         mapped = Options(seed + number, seconds, 0, faults=False, extents=1)
         without.append(int(str(_day(plain)["cpu_us"])))
         with_map.append(int(str(_day(mapped)["cpu_us"])))
-    return {"cpu_us_without": median(without), "cpu_us_with": median(with_map),
-            "ratio": round(median(with_map) / median(without), 3)}  # fmt: skip
+    return {
+        "cpu_us_without": median(without),
+        "cpu_us_with": median(with_map),
+        "ratio": round(median(with_map) / median(without), 3),
+    }
--- a/lemonridge/lab/measure/fleet_cold.py
+++ b/lemonridge/lab/measure/fleet_cold.py
@@ -21,13 +21,17 @@
         def where(t: float) -> int:
             return int(t * 1000) % (BROKERS - 1) if t < WARM_S else BROKERS - 1
 
-        asker = Asker(9, "priority", 1, (0,), lambda t: RATE, where, site.units_top, 0.0)
+        asker = Asker(9, "priority", 1, (0,), lambda t: RATE, where, site.largest_request_units, 0.0)
         await asyncio.gather(clients.run([asker], WARM_S + 1.0 + RAMP_S), _die(rig))
         await rig.stop()
         node = rig.nodes[0]
         asked = sum(one.units for one in clients.asked if one.due >= rig.begun + WARM_S + 1.0)
-        return {"asked": asked, "sent": node.cold_units, "falls": node.falls,
-                "bytes_s": rig.network.bytes / BROKERS / (WARM_S + 1.0 + RAMP_S)}  # fmt: skip
+        return {
+            "asked": asked,
+            "sent": node.slow_start_units,
+            "falls": node.falls,
+            "bytes_s": rig.network.bytes / BROKERS / (WARM_S + 1.0 + RAMP_S),
+        }
 
 
 async def _die(rig: Rig) -> None:
@@ -40,7 +44,16 @@
     rows: list[dict[str, object]] = []
     for seed in seeds:
         even, lent = asyncio.run(once(seed, False)), asyncio.run(once(seed, True))
-        rows.append({"measure": "cold", "seed": seed, "asked": even["asked"], "even": even["sent"],
-                     "lent": lent["sent"], "ratio": round(lent["sent"] / max(1.0, even["sent"]), 2),
-                     "falls": even["falls"] + lent["falls"], "bytes_s": round(lent["bytes_s"])})  # fmt: skip
+        rows.append(
+            {
+                "measure": "cold",
+                "seed": seed,
+                "asked": even["asked"],
+                "even": even["sent"],
+                "lent": lent["sent"],
+                "ratio": round(lent["sent"] / max(1.0, even["sent"]), 2),
+                "falls": even["falls"] + lent["falls"],
+                "bytes_s": round(lent["bytes_s"]),
+            }
+        )
     return rows
--- a/lemonridge/lab/measure/iscsi.py
+++ b/lemonridge/lab/measure/iscsi.py
@@ -72,9 +72,16 @@
 
 
 SETTINGS = (
-    Setting(4096, 1), Setting(4096, 8), Setting(4096, 32), Setting(4096, 32, 1, True), Setting(4096, 32, 4),
-    Setting(262144, 1), Setting(262144, 8), Setting(262144, 8, 1, True), Setting(262144, 8, 4),
-)  # fmt: skip
+    Setting(4096, 1),
+    Setting(4096, 8),
+    Setting(4096, 32),
+    Setting(4096, 32, 1, True),
+    Setting(4096, 32, 4),
+    Setting(262144, 1),
+    Setting(262144, 8),
+    Setting(262144, 8, 1, True),
+    Setting(262144, 8, 4),
+)
 
 
 async def _node() -> ExtentNode:
@@ -87,8 +94,16 @@
 async def _load(port: int, target: str, setting: Setting, seconds: float, level: int) -> list[float]:
     """Reads and writes by turns, `depth` at a time; the time of each in s."""
     digest = "CRC32C" if setting.digests else "None"
-    client = Client(DirectLink(port), target, "iqn.2026-12.org.lemonridge:bench", setting.connections, level,
-                    Random(1), None, {"HeaderDigest": digest, "DataDigest": digest})  # fmt: skip
+    client = Client(
+        DirectLink(port),
+        target,
+        "iqn.2026-12.org.lemonridge:bench",
+        setting.connections,
+        level,
+        Random(1),
+        None,
+        {"HeaderDigest": digest, "DataDigest": digest},
+    )
     loop = asyncio.get_running_loop()
     taken: list[float] = []
     data = bytes(setting.size)
@@ -156,10 +171,16 @@
         p50, p99 = _cuts(through)
         base50, base99 = _cuts(direct)
         row: dict[str, object] = {
-            "setting": setting.name, "per_s": round(len(through) / seconds),
-            "direct_per_s": round(len(direct) / seconds), "ratio": round(len(through) / len(direct), 3),
-            "p50_ms": p50, "direct_p50_ms": base50, "p99_ms": p99, "direct_p99_ms": base99,
-            "cpu_us": round(cpu)}  # fmt: skip
+            "setting": setting.name,
+            "per_s": round(len(through) / seconds),
+            "direct_per_s": round(len(direct) / seconds),
+            "ratio": round(len(through) / len(direct), 3),
+            "p50_ms": p50,
+            "direct_p50_ms": base50,
+            "p99_ms": p99,
+            "direct_p99_ms": base99,
+            "cpu_us": round(cpu),
+        }
         if against is not None and setting.connections == 1 and not setting.digests:
             before, ours = [], [cpu]
             for _ in range(2):
@@ -176,8 +197,16 @@
         link = Link(Random(level))
         link.behind = port
         await link.start()
-        client = Client(link, STORE, "iqn.2026-12.org.lemonridge:bench", 1, level, Random(1), None,
-                        {"HeaderDigest": "None", "DataDigest": "None"})  # fmt: skip
+        client = Client(
+            link,
+            STORE,
+            "iqn.2026-12.org.lemonridge:bench",
+            1,
+            level,
+            Random(1),
+            None,
+            {"HeaderDigest": "None", "DataDigest": "None"},
+        )
         took = []
         for _ in range(rounds):
             await client.run(cdb(0x28, 0, 4096), 0, b"", 4096)
--- a/lemonridge/lab/measure/membership.py
+++ b/lemonridge/lab/measure/membership.py
@@ -13,10 +13,10 @@
 from statistics import median
 from typing import Protocol, TypeAlias
 
-from lemonridge.fleet.machine import Action, Fleet, Received, SetTimer, Tell, TimerFired, Tuning
-from lemonridge.fleet.members import PERIOD_US
-from lemonridge.fleet.roster import Roster
-from lemonridge.fleet.wire import HEAD_BYTES, State
+from lemonridge.fleet.datagrams import HEAD_BYTES, State
+from lemonridge.fleet.fleet_member import Action, Fleet, Received, SetTimer, Tell, TimerFired, Tuning
+from lemonridge.fleet.member_list import Roster
+from lemonridge.fleet.membership import PERIOD_US
 
 START_US = 1_800_000_000_000_000
 DELAY_MS = (1.4, 35.0)  # one way, as the site's messages take
@@ -76,8 +76,10 @@
 
     def wake(self, now_us: int) -> list[Action]:
         self._now = now_us
-        return [*(Tell(n, bytes(HEAD_BYTES)) for n in range(self._count) if n != self._me),
-                SetTimer(now_us + PERIOD_US)]  # fmt: skip
+        return [
+            *(Tell(n, bytes(HEAD_BYTES)) for n in range(self._count) if n != self._me),
+            SetTimer(now_us + PERIOD_US),
+        ]
 
     def dead(self) -> set[int]:
         return {n for n, at in self._heard.items() if self._now - at > self.PATIENCE * PERIOD_US}
@@ -174,10 +176,18 @@
     bytes_s = (made.told_bytes - before) / count / ((made.now_us - at_us) / 1e6)
     accused = made.accused
     times = made.detect(0)
-    return {"measure": "membership", "scheme": name, "brokers": count, "loss": loss, "slow": int(slow),
-            "bytes_s": round(bytes_s), "accused": accused, "known_to": len(times),
-            "median_s": round(median(times), 2) if times else None,
-            "all_s": round(times[-1], 2) if len(times) == count - 1 else None}  # fmt: skip
+    return {
+        "measure": "membership",
+        "scheme": name,
+        "brokers": count,
+        "loss": loss,
+        "slow": int(slow),
+        "bytes_s": round(bytes_s),
+        "accused": accused,
+        "known_to": len(times),
+        "median_s": round(median(times), 2) if times else None,
+        "all_s": round(times[-1], 2) if len(times) == count - 1 else None,
+    }
 
 
 def figures(
--- a/lemonridge/lab/measure/nodes.py
+++ b/lemonridge/lab/measure/nodes.py
@@ -57,8 +57,14 @@
         before, after = float(getattr(few, self.name)), float(getattr(many, self.name))
         bound = self.at_most(before)
         holds = after >= bound if self.least else after <= bound
-        return {"measure": "nodes", "what": self.name, f"at_{FEW}": round(before, 3),
-                f"at_{MANY}": round(after, 3), "bound": round(bound, 3), "holds": holds}  # fmt: skip
+        return {
+            "measure": "nodes",
+            "what": self.name,
+            f"at_{FEW}": round(before, 3),
+            f"at_{MANY}": round(after, 3),
+            "bound": round(bound, 3),
+            "holds": holds,
+        }
 
 
 THOUSANDS = MANY / 1000
@@ -94,10 +100,19 @@
         await discovery.set(nodes.row(number))
     with TemporaryDirectory() as folder:
         config = Path(folder) / "config.json"
-        config.write_text(json.dumps({
-            "name": "nodes", "listen": "127.0.0.1:0", "discovery": f"127.0.0.1:{discovery.port}",
-            "seed": f"{seed:016x}", "known": {}, "settings": http.facts(count, 1500),
-            "limits": {"sockets": 2048}}))  # fmt: skip
+        config.write_text(
+            json.dumps(
+                {
+                    "name": "nodes",
+                    "listen": "127.0.0.1:0",
+                    "discovery": f"127.0.0.1:{discovery.port}",
+                    "seed": f"{seed:016x}",
+                    "known": {},
+                    "settings": http.facts(count, 1500),
+                    "limits": {"sockets": 2048},
+                }
+            )
+        )
         program = Program("serve", environment={"ROUTER_CONFIG": str(config)})
         port = await program.start()
         try:
@@ -129,9 +144,14 @@
     finally:
         for task in beside:
             task.cancel()
-    return Usage(program.cpu_s - cpu_s, _peak_mib(program.process.pid), most[0],
-                 nodes.connections - connections, discovery.bytes - list_bytes,
-                 tally.served / max(1, tally.due))  # fmt: skip
+    return Usage(
+        program.cpu_s - cpu_s,
+        _peak_mib(program.process.pid),
+        most[0],
+        nodes.connections - connections,
+        discovery.bytes - list_bytes,
+        tally.served / max(1, tally.due),
+    )
 
 
 async def _change(nodes: ManyNodes, discovery: Discovery, spared: set[int], seed: int) -> None:
--- a/lemonridge/lab/measure/rollout.py
+++ b/lemonridge/lab/measure/rollout.py
@@ -12,11 +12,11 @@
 
 import msgspec
 
-from lemonridge.fleet.wire import HEAD_BYTES, Item, size
-from lemonridge.rollout import document, leases, machine
-from lemonridge.rollout.document import Class, Plan, Policy, Rules
+from lemonridge.fleet.datagrams import HEAD_BYTES, Item, size
+from lemonridge.rollout import leases, policy_document, rollout_member
 from lemonridge.rollout.leases import NOTHING, common
-from lemonridge.rollout.machine import Keep, Rollout, Say
+from lemonridge.rollout.policy_document import Class, Plan, Policy, Rules
+from lemonridge.rollout.rollout_member import Keep, Rollout, Say
 
 STEP_US = 10_000
 DELAY_US = (500, 25_000)
@@ -24,9 +24,11 @@
 
 def policy(limit: float = 24.0, aim_ms: float = 300.0, attempts: int = 4) -> Policy:
     basic = Plan(name="basic", limit=limit, burst=12.0, slack=2.0)
-    return Policy(plan=(basic, Plan(name="gold", reserve=40.0)),
-                  classes=(Class(name="read", aim_ms=aim_ms),),
-                  rules=Rules(max_attempts=attempts))  # fmt: skip
+    return Policy(
+        plan=(basic, Plan(name="gold", reserve=40.0)),
+        classes=(Class(name="read", aim_ms=aim_ms),),
+        rules=Rules(max_attempts=attempts),
+    )
 
 
 def judge(_: Policy) -> str:
@@ -37,20 +39,24 @@
     """Brokers, each with a disk, and what is between them: delays, losses, cuts, copies, crashes, stops."""
 
     def __init__(
-        self, size: int = 5, seed: int = 1, error_us: int = machine.ERROR_US, span_us: int = machine.SPAN_US
+        self,
+        size: int = 5,
+        seed: int = 1,
+        error_us: int = rollout_member.ERROR_US,
+        span_us: int = rollout_member.SPAN_US,
     ) -> None:
         self.span_us, self.bytes = span_us, 0
         self.extra, self.slow, self.error_us = [0] * size, [1.0] * size, error_us
         self.now, self.size, self.random = 10**9, size, Random(seed)
         self.names = tuple(f"b{n}" for n in range(size))
-        self.genesis = document.State(
+        self.genesis = policy_document.State(
             epoch=0,
             prior="",
             voters=dict.fromkeys(self.names[:5], 0),
             policy=policy(),
-            floor=document.floor(policy(), 0.25),
+            floor=policy_document.floor(policy(), 0.25),
         )
-        kept = machine.Kept(0, document.encode(self.genesis))
+        kept = rollout_member.Kept(0, policy_document.encode(self.genesis))
         self.disks: list[bytes | None] = [msgspec.msgpack.encode(kept)] * size
         self.lives = [0] * size
         self.brokers: list[Rollout | None] = [None] * size
@@ -92,11 +98,15 @@
 
     def spares(self, n: int) -> bool:
         """Whether a store may be lost: a majority of the voters would have theirs, nothing is voted on."""
-        kept = [msgspec.msgpack.decode(disk, type=machine.Kept) if disk else None for disk in self.disks]
-        states = [document.decode(one.state) for one in kept if one and one.state]
+        kept = [
+            msgspec.msgpack.decode(disk, type=rollout_member.Kept) if disk else None for disk in self.disks
+        ]
+        states = [policy_document.decode(one.state) for one in kept if one and one.state]
         newest = max(states, key=lambda one: one.epoch)
-        left = sum(one is not None and m != n and newest.voters.get(self.names[m]) == one.ident
-                   for m, one in enumerate(kept))  # fmt: skip
+        left = sum(
+            one is not None and m != n and newest.voters.get(self.names[m]) == one.ident
+            for m, one in enumerate(kept)
+        )
         return left > len(newest.voters) // 2 and not any(one and one.took for one in kept)
 
     def broker(self, n: int) -> Rollout:
@@ -174,9 +184,9 @@
     size: int,
     loss: float,
     seed: int,
-    span_us: int = machine.SPAN_US,
+    span_us: int = rollout_member.SPAN_US,
     dead: bool = False,
-    error_us: int = machine.ERROR_US,
+    error_us: int = rollout_member.ERROR_US,
     prepared: Callable[[Net], None] = lambda net: None,
 ) -> tuple[float, float]:
     """Seconds from a proposal until all that are up go by the new policy alone, and the longest rest (by the
@@ -237,23 +247,39 @@
     for brokers in (3, 5, 16, 64):
         for loss in (0.0, 0.1, 0.3):
             took = [_change(brokers, loss, seed) for seed in range(seeds if brokers < 64 else 2)]
-            rows.append({"measure": "switch", "brokers": brokers, "loss": loss,
-                         "force_s": round(median(one for one, _ in took), 2),
-                         "force_most_s": round(max(one for one, _ in took), 2),
-                         "floor_most_s": round(max(one for _, one in took), 2)})  # fmt: skip
+            rows.append(
+                {
+                    "measure": "switch",
+                    "brokers": brokers,
+                    "loss": loss,
+                    "force_s": round(median(one for one, _ in took), 2),
+                    "force_most_s": round(max(one for one, _ in took), 2),
+                    "floor_most_s": round(max(one for _, one in took), 2),
+                }
+            )
         rows.append({"measure": "rest", "brokers": brokers, "bytes_s": round(_rest(brokers))})
     for span_ms in (500, 1000, 2000, 4000, 8000):
         took = [_change(5, 0.0, seed, span_ms * 1000, dead=True) for seed in range(seeds)]
-        rows.append({"measure": "lease", "lease_ms": span_ms,
-                     "one_dead_s": round(median(one for one, _ in took), 2),
-                     "cut_off_floor": round(_apart(span_ms * 1000), 2),
-                     "cut_off_floor_60s": round(_apart(span_ms * 1000, 60.0), 2)})  # fmt: skip
+        rows.append(
+            {
+                "measure": "lease",
+                "lease_ms": span_ms,
+                "one_dead_s": round(median(one for one, _ in took), 2),
+                "cut_off_floor": round(_apart(span_ms * 1000), 2),
+                "cut_off_floor_60s": round(_apart(span_ms * 1000, 60.0), 2),
+            }
+        )
     for error_ms in (1, 10, 50, 100, 200):
         took = [_clocks(error_ms, seed) for seed in range(seeds)]
-        rows.append({"measure": "clock", "error_ms": error_ms,
-                     "one_dead_s": round(median(one for one, _ in took), 2),
-                     "force_most_s": round(max(one for one, _ in took), 2),
-                     "floor_most_s": round(max(one for _, one in took), 2)})  # fmt: skip
+        rows.append(
+            {
+                "measure": "clock",
+                "error_ms": error_ms,
+                "one_dead_s": round(median(one for one, _ in took), 2),
+                "force_most_s": round(max(one for one, _ in took), 2),
+                "floor_most_s": round(max(one for _, one in took), 2),
+            }
+        )
     return rows
 
 
@@ -266,20 +292,33 @@
     from matplotlib import pyplot as plt
 
     def told(measure: str, key: str, **among: object) -> list[float]:
-        return [float(str(row[key])) for row in rows if row["measure"] == measure
-                and all(row[name] == value for name, value in among.items())]  # fmt: skip
+        return [
+            float(str(row[key]))
+            for row in rows
+            if row["measure"] == measure and all(row[name] == value for name, value in among.items())
+        ]
 
     shape, (left, right) = plt.subplots(1, 2, figsize=(10, 4))
     for loss in (0.0, 0.1, 0.3):
-        left.plot(told("switch", "brokers", loss=loss), told("switch", "force_s", loss=loss), marker="o",
-                  label=f"model, {loss:.0%} lost")  # fmt: skip
+        left.plot(
+            told("switch", "brokers", loss=loss),
+            told("switch", "force_s", loss=loss),
+            marker="o",
+            label=f"model, {loss:.0%} lost",
+        )
     if told("processes", "brokers"):
-        left.plot(told("processes", "brokers"), told("processes", "force_s"), marker="s", linestyle="--",
-                  label="processes, none lost")  # fmt: skip
+        left.plot(
+            told("processes", "brokers"),
+            told("processes", "force_s"),
+            marker="s",
+            linestyle="--",
+            label="processes, none lost",
+        )
     left.set(xlabel="brokers", ylabel="s until all go by a change", xscale="log", ylim=(0, None))
     for key, seconds in (("cut_off_floor", 10), ("cut_off_floor_60s", 60)):
-        right.plot(told("lease", "lease_ms"), told("lease", key), marker="o",
-                   label=f"cut off for {seconds} s")  # fmt: skip
+        right.plot(
+            told("lease", "lease_ms"), told("lease", key), marker="o", label=f"cut off for {seconds} s"
+        )
     right.set(xlabel="lease, ms", ylabel="share of that time on the floor", ylim=(0, 1))
     for axes in (left, right):
         axes.grid(alpha=0.3)
--- a/lemonridge/lab/measure/rollout_live.py
+++ b/lemonridge/lab/measure/rollout_live.py
@@ -10,12 +10,12 @@
 import msgspec
 import orjson
 
-from lemonridge.config import Address
+from lemonridge.config.platform import Address
 from lemonridge.lab.drills.policy import NODES, askers
 from lemonridge.lab.load.fleet import Asked, Clients
 from lemonridge.lab.rig import Rig, Site, standing
-from lemonridge.net.calling import call
-from lemonridge.rollout.document import Policy
+from lemonridge.net.admin_client import call
+from lemonridge.rollout.policy_document import Policy
 
 SIZES = (3, 5, 9, 16, 32)
 LEASE_MS = 2000.0
@@ -46,12 +46,19 @@
     steady = [one for one in clients.asked if one.volume >= 100]
     mean = _served(steady, begun + FIRST_S, begun + seconds) / (seconds - FIRST_S)
     after = [_served(steady, moment, moment + 1.0) / mean for moment in at]
-    return {"measure": "processes", "brokers": brokers, "seed": seed, "changes": len(took),
-            "epochs": len(set(epochs)),
-            "force_s": round(median(took), 2), "force_most_s": round(max(took), 2),
-            "served_s": round(mean, 1), "served_after": round(sum(after) / len(after), 2),
-            "served_after_least": round(min(after), 2),
-            "not_served": sum(one.end != "served" for one in steady)}  # fmt: skip
+    return {
+        "measure": "processes",
+        "brokers": brokers,
+        "seed": seed,
+        "changes": len(took),
+        "epochs": len(set(epochs)),
+        "force_s": round(median(took), 2),
+        "force_most_s": round(max(took), 2),
+        "served_s": round(mean, 1),
+        "served_after": round(sum(after) / len(after), 2),
+        "served_after_least": round(min(after), 2),
+        "not_served": sum(one.end != "served" for one in steady),
+    }
 
 
 def _served(asked: list[Asked], low: float, high: float) -> int:
@@ -68,8 +75,9 @@
     loop = asyncio.get_running_loop()
     seen = await _seen(rig, number)
     policy, epoch = msgspec.convert(seen["policy"], Policy), int(seen["epoch"]) + 1
-    rows = tuple(msgspec.structs.replace(row, limit=limit) if row.name == "basic" else row
-                 for row in policy.plan)  # fmt: skip
+    rows = tuple(
+        msgspec.structs.replace(row, limit=limit) if row.name == "basic" else row for row in policy.plan
+    )
     told = {"policy": msgspec.to_builtins(msgspec.structs.replace(policy, plan=rows)), "note": "bench"}
     begun = loop.time()
     address = Address("127.0.0.1", rig.brokers[number].admin)
--- a/lemonridge/lab/measure/validate.py
+++ b/lemonridge/lab/measure/validate.py
@@ -40,14 +40,30 @@
 def scenario(nodes: int, work_ms: float, load: float, seconds: float) -> Scenario:
     """The model's form of the deployment."""
     return Scenario(
-        name="validate", seconds=seconds, load=load, brokers=1, hosts=1, volumes=VOLUMES, retries=0,
-        delay_ms=(0.02, 0.05), register_ms=(0.0, 0.0),
-        nodes=NodeSpec(count=nodes, cores=CORES, queue=QUEUE, slowest=1.0, fastest=1.0, ramp_s=0,
-                       cold_units=1e6),
-        classes=[ClassSpec(name="read", share=1.0, work_ms=work_ms, aim_ms=DEADLINE_MS,
-                           deadline_ms=DEADLINE_MS, law="exponential")],
+        name="validate",
+        seconds=seconds,
+        load=load,
+        brokers=1,
+        hosts=1,
+        volumes=VOLUMES,
+        retries=0,
+        delay_ms=(0.02, 0.05),
+        register_ms=(0.0, 0.0),
+        nodes=NodeSpec(
+            count=nodes, cores=CORES, queue=QUEUE, slowest=1.0, fastest=1.0, ramp_s=0, slow_start_units=1e6
+        ),
+        classes=[
+            ClassSpec(
+                name="read",
+                share=1.0,
+                work_ms=work_ms,
+                aim_ms=DEADLINE_MS,
+                deadline_ms=DEADLINE_MS,
+                law="exponential",
+            )
+        ],
         plans=[PlanSpec(name="priority", share=1.0, rate=1e6)],
-    )  # fmt: skip
+    )
 
 
 def in_model(chosen: Scenario, seed: int) -> dict[str, float]:
@@ -61,16 +77,34 @@
     """The same figures of the real program before stand-ins of the same parameters."""
     nodes = chosen.nodes.count
     table = tuple((volume.weight, tuple(volume.shards)) for volume in World(chosen, seed).volumes)
-    async with load_http.standing(nodes, shards=nodes, deadline_ms=DEADLINE_MS, seed=seed, cores=CORES,
-                                  queue=QUEUE, work_ms=chosen.classes[0].work_ms,
-                                  units_mean=UNITS_MEAN) as (_, port, _):  # fmt: skip
-        plan = load_http.Plan(port, chosen.rate(), chosen.seconds, classes=(("read", False),), shards=nodes,
-                              units_top=UNITS_TOP, table=table, deadline_ms=DEADLINE_MS,
-                              seed=seed)  # fmt: skip
+    async with load_http.standing(
+        nodes,
+        shards=nodes,
+        deadline_ms=DEADLINE_MS,
+        seed=seed,
+        cores=CORES,
+        queue=QUEUE,
+        work_ms=chosen.classes[0].work_ms,
+        mean_request_units=UNITS_MEAN,
+    ) as (_, port, _):
+        plan = load_http.Plan(
+            port,
+            chosen.rate(),
+            chosen.seconds,
+            classes=(("read", False),),
+            shards=nodes,
+            largest_request_units=UNITS_TOP,
+            table=table,
+            deadline_ms=DEADLINE_MS,
+            seed=seed,
+        )
         tally = await load_http.run(plan)
     times = tally.times["read"]
-    return {"served": tally.served / max(1, tally.due), "p50_ms": times.get_value_at_percentile(50) / 1000,
-            "p99_ms": times.get_value_at_percentile(99) / 1000}  # fmt: skip
+    return {
+        "served": tally.served / max(1, tally.due),
+        "p50_ms": times.get_value_at_percentile(50) / 1000,
+        "p99_ms": times.get_value_at_percentile(99) / 1000,
+    }
 
 
 def compare(model: dict[str, float], real: dict[str, float]) -> list[Row]:
--- a/lemonridge/lab/model/baselines.py
+++ b/lemonridge/lab/model/baselines.py
@@ -10,50 +10,69 @@
 from random import Random
 from typing import Protocol
 
-from lemonridge import api
-from lemonridge.policy import Scheduler
-
-UNRUN = frozenset((api.Result.FULL, api.Result.CONNECT_FAILED, api.Result.NOT_SENT, api.Result.MOVED))
+from lemonridge.scheduling import Scheduler
+from lemonridge.scheduling.actions import Action, Fail, Reject, RejectReason, Send
+from lemonridge.scheduling.events import (
+    AttemptEnded,
+    AttemptResult,
+    ClientDisconnected,
+    Endpoint,
+    EndpointListUpdate,
+    EndpointsChanged,
+    EndpointState,
+    Event,
+    RequestArrived,
+)
+from lemonridge.scheduling.settings import IdempotencyKind, Settings
+
+UNRUN = frozenset(
+    (
+        AttemptResult.QUEUE_FULL,
+        AttemptResult.CONNECT_FAILED,
+        AttemptResult.NOT_SENT,
+        AttemptResult.DATA_MIGRATED,
+    )
+)
 
 
 class Decides(Protocol):
     """What the model hosts."""
 
-    def handle(self, now_us: int, events: Iterable[api.Event]) -> list[api.Action]: ...
+    def handle(self, now_us: int, events: Iterable[Event]) -> list[Action]: ...
 
 
 class Baseline:
     """Sends each request to one of its shard's nodes as soon as it comes."""
 
-    def __init__(self, settings: api.Settings, seed: int, rule: str) -> None:
+    def __init__(self, settings: Settings, seed: int, rule: str) -> None:
         self._settings, self._random, self._rule = settings, Random(seed), rule
-        self._nodes: dict[str, api.Entry] = {}
+        self._nodes: dict[str, Endpoint] = {}
         self._shards: dict[int, list[str]] = {}
         self._all: list[str] = []
         self._out: dict[str, int] = {}
         self._turn = 0
-        self._open: dict[str, tuple[api.Arrived, int, bool]] = {}  # attempts made, whether it may have run
+        self._open: dict[str, tuple[RequestArrived, int, bool]] = {}  # attempts made, whether it may have run
 
-    def handle(self, now_us: int, events: Iterable[api.Event]) -> list[api.Action]:
-        actions: list[api.Action] = []
+    def handle(self, now_us: int, events: Iterable[Event]) -> list[Action]:
+        actions: list[Action] = []
         for event in events:
-            if isinstance(event, api.Arrived):
+            if isinstance(event, RequestArrived):
                 self._open[event.request] = (event, 0, False)
                 self._send(event.request, actions)
-            elif isinstance(event, api.Ended):
+            elif isinstance(event, AttemptEnded):
                 self._ended(event, now_us, actions)
-            elif isinstance(event, api.Listed):
+            elif isinstance(event, EndpointsChanged):
                 self._listed(event)
-            elif isinstance(event, api.Gone):
+            elif isinstance(event, ClientDisconnected):
                 self._open.pop(event.request, None)
         return actions
 
-    def _listed(self, event: api.Listed) -> None:
-        if event.kind is not api.ListKind.PATCH:
+    def _listed(self, event: EndpointsChanged) -> None:
+        if event.kind is not EndpointListUpdate.DELTA:
             self._nodes = {}
         for entry in event.entries:
             self._nodes[entry.node] = entry
-        usable = [one for one in self._nodes.values() if one.condition is api.Condition.ACTIVE]
+        usable = [one for one in self._nodes.values() if one.condition is EndpointState.ACTIVE]
         self._all, self._shards = [one.node for one in usable], {}
         for one in usable:
             self._shards.setdefault(one.shard, []).append(one.node)
@@ -72,18 +91,18 @@
             return min(pair, key=lambda node: self._out.get(node, 0))
         return self._random.choice(nodes)
 
-    def _send(self, request: str, actions: list[api.Action]) -> None:
+    def _send(self, request: str, actions: list[Action]) -> None:
         event, made, ran = self._open[request]
         node = self._pick(event.shard)
         if node is None:
-            actions.append(api.Refuse(request, 0, api.Why.LATE))
+            actions.append(Reject(request, 0, RejectReason.OBJECTIVE_MISSED))
             del self._open[request]
             return
         self._open[request] = (event, made + 1, ran)
         self._out[node] = self._out.get(node, 0) + 1
-        actions.append(api.Send(request, node))
+        actions.append(Send(request, node))
 
-    def _ended(self, event: api.Ended, now_us: int, actions: list[api.Action]) -> None:
+    def _ended(self, event: AttemptEnded, now_us: int, actions: list[Action]) -> None:
         self._out[event.node] = self._out.get(event.node, 1) - 1
         held = self._open.get(event.request)
         if held is None:
@@ -94,16 +113,16 @@
             return
         ran = ran or event.result not in UNRUN
         self._open[event.request] = (arrived, made, ran)
-        safe = self._settings.classes[arrived.cls].semantics is api.Semantics.SAFE
+        safe = self._settings.classes[arrived.cls].idempotency is IdempotencyKind.IDEMPOTENT
         if made < self._settings.max_attempts and now_us < arrived.deadline_us and (safe or not ran):
             self._send(event.request, actions)
             return
         del self._open[event.request]
-        spent = api.Why.SPENT
+        spent = RejectReason.ATTEMPTS_EXHAUSTED
         refusable = safe or not ran
-        actions.append(api.Refuse(event.request, 0, spent) if refusable else api.Fail(event.request, spent))
+        actions.append(Reject(event.request, 0, spent) if refusable else Fail(event.request, spent))
 
 
-def make(policy: str, settings: api.Settings, seed: int) -> Decides:
+def make(policy: str, settings: Settings, seed: int) -> Decides:
     """The module, or a baseline by its name."""
     return Scheduler(settings, seed) if policy == "module" else Baseline(settings, seed, policy)
--- a/lemonridge/lab/model/node.py
+++ b/lemonridge/lab/model/node.py
@@ -52,7 +52,9 @@
         if self.started_us < 0 or not self.spec.ramp_s:
             return 1.0
         done = (now_us - self.started_us) / (self.spec.ramp_s * 1e6)
-        return min(1.0, self.spec.cold_share + (1 - self.spec.cold_share) * done)
+        return min(
+            1.0, self.spec.slow_start_initial_fraction + (1 - self.spec.slow_start_initial_fraction) * done
+        )
 
     def offer(self, now_us: float, work: Work) -> bool:
         """Take an attempt; False turns it away unseen."""
@@ -74,7 +76,7 @@
         self._recent_us += cost_us
         while self._recent[0][0] < now_us - span:
             self._recent_us -= self._recent.popleft()[1]
-        bears = self.spec.tip_multiple * self.warmth(now_us) * self.speed * self.spec.cores * span
+        bears = self.spec.overload_multiple * self.warmth(now_us) * self.speed * self.spec.cores * span
         return self._recent_us > bears
 
     def _next(self, now_us: float) -> None:
--- a/lemonridge/lab/model/outcome.py
+++ b/lemonridge/lab/model/outcome.py
@@ -84,8 +84,12 @@
         """A cold spell began; what the node can do in it, as far as it lies within the run."""
         spec = node.spec
         lasts = max(0.0, min(spec.ramp_s, self._scenario.seconds - now_us / 1e6))
-        warmest = spec.cold_share + (1 - spec.cold_share) * (lasts / spec.ramp_s if spec.ramp_s else 1.0)
-        self.cold_could_us += lasts * 1e6 * spec.cores * node.speed * (spec.cold_share + warmest) / 2
+        warmest = spec.slow_start_initial_fraction + (1 - spec.slow_start_initial_fraction) * (
+            lasts / spec.ramp_s if spec.ramp_s else 1.0
+        )
+        self.cold_could_us += (
+            lasts * 1e6 * spec.cores * node.speed * (spec.slow_start_initial_fraction + warmest) / 2
+        )
 
     def served(self, request: Request, now_us: float) -> None:
         line, row = self.lines[request.cls], self._scenario.classes[request.cls]
@@ -140,21 +144,35 @@
     def figures(self) -> dict[str, float]:
         """Everything that depends on the scenario and the seed alone."""
         asked = sum(line.asked for line in self.lines)
-        rows = [(line, row.worth) for line, row in zip(self.lines, self._scenario.classes, strict=True)]
-        worth = sum(line.asked * weight for line, weight in rows)
+        rows = [
+            (line, row.priority_weight) for line, row in zip(self.lines, self._scenario.classes, strict=True)
+        ]
+        priority_weight = sum(line.asked * weight for line, weight in rows)
         in_time = sum(line.in_time * weight for line, weight in rows)
         took = sorted(value for line in self.lines for value in line.took_ms)
         return {
-            "asked": asked, "service": round(in_time / worth, 6) if worth else 0.0,
-            **{name: sum(getattr(line, name) for line in self.lines)
-               for name in ("in_time", "late", "refused", "failed", "lost")},
-            "attempts": self.attempts, "p50_ms": _part(took, 0.5), "p99_ms": _part(took, 0.99),
-            "reserves": round(self.reservations(), 6), "over_limit": self.over_limit, "fallen": self.fallen,
+            "asked": asked,
+            "service": round(in_time / priority_weight, 6) if priority_weight else 0.0,
+            **{
+                name: sum(getattr(line, name) for line in self.lines)
+                for name in ("in_time", "late", "refused", "failed", "lost")
+            },
+            "attempts": self.attempts,
+            "p50_ms": _part(took, 0.5),
+            "p99_ms": _part(took, 0.99),
+            "reserves": round(self.reservations(), 6),
+            "over_limit": self.over_limit,
+            "fallen": self.fallen,
             **({"message_bytes": self.message_bytes} if self._scenario.peers else {}),
-            **({"limits_used": round(self.limits_used(), 4),
-                "cold_used": round(self.cold_us / self.cold_could_us, 4) if self.cold_could_us else 0.0}
-               if self._scenario.lead else {}),
-        }  # fmt: skip
+            **(
+                {
+                    "limits_used": round(self.limits_used(), 4),
+                    "cold_used": round(self.cold_us / self.cold_could_us, 4) if self.cold_could_us else 0.0,
+                }
+                if self._scenario.lead
+                else {}
+            ),
+        }
 
     def digest(self) -> str:
         return hashlib.sha256(orjson.dumps(self.figures(), option=orjson.OPT_SORT_KEYS)).hexdigest()[:16]
--- a/lemonridge/lab/model/report.py
+++ b/lemonridge/lab/model/report.py
@@ -19,8 +19,9 @@
     """The mean of after less before over runs of the same levels and seed, and its confidence interval by
     Student's t (paired: common random numbers make the difference steadier than either)."""
     held = {_key(result): float(result["figures"][figure]) for result in before}
-    pairs = [(held[_key(result)], float(result["figures"][figure]))
-             for result in after if _key(result) in held]  # fmt: skip
+    pairs = [
+        (held[_key(result)], float(result["figures"][figure])) for result in after if _key(result) in held
+    ]
     if not pairs:
         raise ValueError("the two have no run in common")
     steps = np.array([b - a for a, b in pairs])
@@ -49,8 +50,10 @@
     for name, points in sorted(lines.items()):
         xs = sorted(points)
         means = [float(np.mean(points[x])) for x in xs]
-        spread = [[mean - min(points[x]) for x, mean in zip(xs, means, strict=True)],
-                  [max(points[x]) - mean for x, mean in zip(xs, means, strict=True)]]  # fmt: skip
+        spread = [
+            [mean - min(points[x]) for x, mean in zip(xs, means, strict=True)],
+            [max(points[x]) - mean for x, mean in zip(xs, means, strict=True)],
+        ]
         axes.errorbar(xs, means, yerr=spread, marker="o", capsize=3, label=name or figure)
     axes.set_xlabel(factor)
     axes.set_ylabel(figure)
--- a/lemonridge/lab/model/request.py
+++ b/lemonridge/lab/model/request.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass, field
 from typing import Protocol
 
-from lemonridge import api
+from lemonridge.scheduling.events import Event
 
 
 class Taker(Protocol):
@@ -15,7 +15,7 @@
     up: bool
     open: dict[str, Request]
 
-    def tell(self, event: api.Event) -> None: ...
+    def tell(self, event: Event) -> None: ...
 
 
 @dataclass(slots=True, eq=False)
--- a/lemonridge/lab/model/runs.py
+++ b/lemonridge/lab/model/runs.py
@@ -35,8 +35,11 @@
 
 def listed(experiment: Experiment) -> list[Run]:
     """Every run; the seeds of one combination are those of every other, for paired differences."""
-    runs = [(levels, experiment.seed_base + number)
-            for levels in combinations(experiment) for number in range(experiment.seeds)]  # fmt: skip
+    runs = [
+        (levels, experiment.seed_base + number)
+        for levels in combinations(experiment)
+        for number in range(experiment.seeds)
+    ]
     return [Run(index, levels, seed) for index, (levels, seed) in enumerate(runs)]
 
 
@@ -50,10 +53,14 @@
     began = time.perf_counter()
     out = World(scenario, run.seed).run()
     return {
-        "levels": run.levels, "seed": run.seed, "policy": scenario.policy, "figures": out.figures(),
-        "digest": out.digest(), "took_s": round(time.perf_counter() - began, 3),
+        "levels": run.levels,
+        "seed": run.seed,
+        "policy": scenario.policy,
+        "figures": out.figures(),
+        "digest": out.digest(),
+        "took_s": round(time.perf_counter() - began, 3),
         "cpu_us": round(out.cpu_us / max(1, sum(line.asked for line in out.lines)), 2),
-    }  # fmt: skip
+    }
 
 
 def _based(experiment: Experiment, seed_base: int | None) -> Experiment:
--- a/lemonridge/lab/model/spec.py
+++ b/lemonridge/lab/model/spec.py
@@ -10,8 +10,8 @@
 import msgspec
 from msgspec import Meta, Struct, field
 
-from lemonridge.config import ConfigError
-from lemonridge.iscsi.schema import plain
+from lemonridge.config.operator_schema import plain
+from lemonridge.config.platform import ConfigError
 
 Share = Annotated[float, Meta(ge=0, le=1)]
 Positive = Annotated[float, Meta(gt=0, lt=1e9)]
@@ -20,7 +20,13 @@
 REQUESTS_MAX = 20_000_000  # of one run: past it the file is refused rather than the memory filled
 
 
-class ClassSpec(Struct, forbid_unknown_fields=True, frozen=True, kw_only=True):
+class ClassSpec(
+    Struct,
+    forbid_unknown_fields=True,
+    frozen=True,
+    kw_only=True,
+    rename={"priority_weight": "worth"},
+):
     """One class of request; `work_ms` is the mean time on a core of speed 1."""
 
     name: str
@@ -28,7 +34,7 @@
     work_ms: Positive
     aim_ms: Positive
     deadline_ms: Positive
-    worth: Figure = 1.0
+    priority_weight: Figure = 1.0
     semantics: Literal["safe", "keyed", "once"] = "safe"
     new: bool = False  # may go to any node
     law: Literal["lognormal", "exponential", "fixed"] = "lognormal"  # of the work
@@ -46,7 +52,17 @@
     limit: Figure = 0.0
 
 
-class NodeSpec(Struct, forbid_unknown_fields=True, frozen=True, kw_only=True):
+class NodeSpec(
+    Struct,
+    forbid_unknown_fields=True,
+    frozen=True,
+    kw_only=True,
+    rename={
+        "slow_start_initial_fraction": "cold_share",
+        "overload_multiple": "tip_multiple",
+        "slow_start_units": "cold_units",
+    },
+):
     """Every node; its speed is drawn once, evenly."""
 
     count: Count
@@ -55,11 +71,11 @@
     queue: Count = 60
     slowest: Positive = 0.85
     fastest: Positive = 1.7
-    cold_share: Annotated[float, Meta(gt=0, le=1)] = 0.2
+    slow_start_initial_fraction: Annotated[float, Meta(gt=0, le=1)] = 0.2
     ramp_s: Figure = 17
-    tip_multiple: Positive = 2.5
+    overload_multiple: Positive = 2.5
     fall_s: Positive = 1.0
-    cold_units: Figure = 8.0
+    slow_start_units: Figure = 8.0
     pause_every_s: Figure = 0  # 0: it never pauses
     pause_ms: Figure = 20
     cached: Share = 0.0  # of requests that cost 60% less
--- a/lemonridge/lab/model/streams.py
+++ b/lemonridge/lab/model/streams.py
@@ -17,8 +17,9 @@
     """Draws in blocks: numpy's generators cost more a call than a draw."""
 
     def __init__(self, seed: int, name: str) -> None:
-        self.generator = np.random.Generator(np.random.PCG64(
-            np.random.SeedSequence((seed, zlib.crc32(name.encode())))))  # fmt: skip
+        self.generator = np.random.Generator(
+            np.random.PCG64(np.random.SeedSequence((seed, zlib.crc32(name.encode()))))
+        )
         self._uniform: list[float] = []
         self._exponential: list[float] = []
         self._normal: list[float] = []
--- a/lemonridge/lab/model/world.py
+++ b/lemonridge/lab/model/world.py
@@ -16,18 +16,40 @@
 
 import simpy
 
-from lemonridge import api
-from lemonridge.fleet.companion import Companion, decide
-from lemonridge.fleet.machine import Tell
-from lemonridge.fleet.roster import Roster
+from lemonridge.fleet.fleet_member import Tell
+from lemonridge.fleet.member_list import Roster
+from lemonridge.fleet.scheduler_bridge import Companion, decide
 from lemonridge.lab.model.baselines import make
 from lemonridge.lab.model.node import Node, Work
 from lemonridge.lab.model.outcome import Outcome
 from lemonridge.lab.model.request import Request, Volume
 from lemonridge.lab.model.spec import ClassSpec, Scenario, Trouble
 from lemonridge.lab.model.streams import Stream, Streams
-
-SEMANTICS = {"safe": api.Semantics.SAFE, "keyed": api.Semantics.KEYED, "once": api.Semantics.ONCE}
+from lemonridge.scheduling.actions import Cancel, Fail, Reject, Send, SetTimer
+from lemonridge.scheduling.events import (
+    AttemptEnded,
+    AttemptResult,
+    Endpoint,
+    EndpointListUpdate,
+    EndpointsChanged,
+    EndpointState,
+    Event,
+    RequestArrived,
+    TimerFired,
+)
+from lemonridge.scheduling.settings import (
+    DeduplicationScope,
+    IdempotencyKind,
+    RequestClass,
+    Settings,
+    VolumePlan,
+)
+
+SEMANTICS = {
+    "safe": IdempotencyKind.IDEMPOTENT,
+    "keyed": IdempotencyKind.WITH_IDEMPOTENCY_KEY,
+    "once": IdempotencyKind.NOT_IDEMPOTENT,
+}
 CONNECT_US = 250_000.0  # until a connect to a machine that is cut off is given up
 UNITS_TOP, UNITS_MEAN = 6, 3.5
 
@@ -47,7 +69,7 @@
         self.world, self.number, self.up = world, number, True
         self.scheduler = make(world.scenario.policy, world.settings, world.seed * 1009 + number)
         self.open: dict[str, Request] = {}
-        self.events: list[api.Event] = []
+        self.events: list[Event] = []
         self.cpu_s, self.decided, self.life = 0.0, 0, 0
         self._due = False
         self.heard: list[tuple[int, bytes]] = []  # datagrams of other brokers, until the next decision
@@ -67,7 +89,7 @@
         """A datagram of another broker."""
         if self.up:
             self.heard.append((source, data))
-            self.tell(api.TimerFired())
+            self.tell(TimerFired())
 
     def _later(self) -> None:
         """Come again when the companion wants to; what was asked for before costs a look."""
@@ -77,9 +99,9 @@
 
     def _due_now(self, life: int, at_us: int) -> None:
         if life == self.life and self.up and self.companion is not None and self.companion.wake_us == at_us:
-            self.tell(api.TimerFired())
+            self.tell(TimerFired())
 
-    def tell(self, event: api.Event) -> None:
+    def tell(self, event: Event) -> None:
         self.events.append(event)
         if not self._due:
             self._due = True
@@ -104,23 +126,23 @@
         self.cpu_s += time.perf_counter() - began
         self.decided += len(events)
         for action in actions:
-            if isinstance(action, api.Send):
+            if isinstance(action, Send):
                 self.world.send(self, self.open.get(action.request), action.node)
-            elif isinstance(action, api.Refuse):
+            elif isinstance(action, Reject):
                 self.world.answer(self.open.get(action.request), "refused", action.backoff_us)
-            elif isinstance(action, api.Fail):
+            elif isinstance(action, Fail):
                 self.world.answer(self.open.get(action.request), "failed", 0)
-            elif isinstance(action, api.Cancel):
+            elif isinstance(action, Cancel):
                 request = self.open.get(action.request)
                 if request is not None:
-                    self.world.ended(request, action.attempt, api.Result.CANCELLED, 0.0)
-            elif isinstance(action, api.SetTimer):
+                    self.world.ended(request, action.attempt, AttemptResult.CANCELLED, 0.0)
+            elif isinstance(action, SetTimer):
                 wait = max(0.0, float(action.at_us - self.world.clock_us()))
                 self.world.after(wait, partial(self._woke, life))
 
     def _woke(self, life: int) -> None:
         if life == self.life:
-            self.tell(api.TimerFired())
+            self.tell(TimerFired())
 
     def restart(self) -> None:
         """It knows nothing any more; what it held is lost to its clients until they ask again."""
@@ -136,7 +158,7 @@
         )
         self.up = True
         self.begin()
-        self.tell(api.Listed(api.ListKind.WHOLE, self.world.entries()))
+        self.tell(EndpointsChanged(EndpointListUpdate.SNAPSHOT, self.world.entries()))
 
 
 class World:
@@ -150,9 +172,17 @@
         self._names = 0
         spec, draw = scenario.nodes, self.streams["speeds"]
         self.shards = spec.count // spec.replicas
-        self.nodes = {f"n{number}": Node(f"n{number}", number % self.shards, number % 2, spec,
-                                         draw.between(spec.slowest, spec.fastest), self.after)
-                      for number in range(spec.count)}  # fmt: skip
+        self.nodes = {
+            f"n{number}": Node(
+                f"n{number}",
+                number % self.shards,
+                number % 2,
+                spec,
+                draw.between(spec.slowest, spec.fastest),
+                self.after,
+            )
+            for number in range(spec.count)
+        }
         for node in self.nodes.values():
             node.bind(self.now)
         self.brokers = [Broker(self, number) for number in range(scenario.brokers)]
@@ -182,38 +212,49 @@
 
     # What there is
 
-    def _settings(self) -> api.Settings:
+    def _settings(self) -> Settings:
         s = self.scenario
-        classes = tuple(api.ClassInfo(int(row.aim_ms * 1000), int(row.deadline_ms * 1000),
-                                      SEMANTICS[row.semantics], api.Group.ALL, 3_000_000, False, row.worth)
-                        for row in s.classes)  # fmt: skip
-        plans = tuple(api.Plan(row.rate, row.reserve, row.weight, row.limit, max(row.limit, 2.0 * UNITS_TOP),
-                               0.0) for row in s.plans)  # fmt: skip
-        return api.Settings(
+        classes = tuple(
+            RequestClass(
+                int(row.aim_ms * 1000),
+                int(row.deadline_ms * 1000),
+                SEMANTICS[row.semantics],
+                DeduplicationScope.ALL,
+                3_000_000,
+                False,
+                row.priority_weight,
+            )
+            for row in s.classes
+        )
+        plans = tuple(
+            VolumePlan(row.rate, row.reserve, row.weight, row.limit, max(row.limit, 2.0 * UNITS_TOP), 0.0)
+            for row in s.plans
+        )
+        return Settings(
             hosts=s.brokers,
             classes=classes,
             plans=plans,
-            asks_list=False,
-            units_top=float(UNITS_TOP),
-            units_mean=UNITS_MEAN,
-            cold_units=s.nodes.cold_units,
-            tip_multiple=s.nodes.tip_multiple,
-            tells_elsewhere=False,
-            meter_us=0,
+            polls_endpoint_list=False,
+            largest_request_units=float(UNITS_TOP),
+            mean_request_units=UNITS_MEAN,
+            slow_start_units=s.nodes.slow_start_units,
+            overload_multiple=s.nodes.overload_multiple,
+            reports_peer_usage=False,
+            usage_meter_period_us=0,
             max_attempts=4,
             may_cancel=True,
             max_backoff_us=500_000,
             tick_us=s.tick_us,
-            ask_within_us=0,
-            cold_share=s.nodes.cold_share,
-            ramp_us=int(s.nodes.ramp_s * 1e6),
-            fall_us=int(s.nodes.fall_s * 1e6),
+            poll_within_us=0,
+            slow_start_initial_fraction=s.nodes.slow_start_initial_fraction,
+            slow_start_ramp_us=int(s.nodes.ramp_s * 1e6),
+            overload_window_us=int(s.nodes.fall_s * 1e6),
             drain_grace_us=500_000,
-            look_back_us=0,
-            free_resends=0.0,
-            extra_ratio=0.0,
-            key_rest_us=0,
-            further_rate=0.0,
+            retry_budget_window_us=0,
+            retry_budget_floor=0.0,
+            retry_budget_ratio=0.0,
+            key_quarantine_us=0,
+            retry_rate=0.0,
         )
 
     def _volumes(self) -> list[Volume]:
@@ -239,28 +280,28 @@
             total += volume.weight
             self._weights.append(total)
 
-    def entries(self) -> tuple[api.Entry, ...]:
+    def entries(self) -> tuple[Endpoint, ...]:
         return tuple(self._entry(node) for node in self.nodes.values() if node.up)
 
-    def _entry(self, node: Node, condition: api.Condition = api.Condition.ACTIVE) -> api.Entry:
+    def _entry(self, node: Node, condition: EndpointState = EndpointState.ACTIVE) -> Endpoint:
         started = int(node.started_us) + 1_000_000_000 if node.started_us >= 0 else 0
-        return api.Entry(node.name, node.shard, node.hall, condition, started)
+        return Endpoint(node.name, node.shard, node.hall, condition, started)
 
-    def register(self, node: Node, condition: api.Condition) -> None:
+    def register(self, node: Node, condition: EndpointState) -> None:
         """Every broker hears of a change, each in its own time; in a blackout none does."""
         if self.blackout:
             return
         entry, draw = self._entry(node, condition), self.streams["register"]
         for broker in self.brokers:
             wait = draw.between(*self.scenario.register_ms) * 1000
-            self.after(wait, partial(broker.tell, api.Listed(api.ListKind.PATCH, (entry,))))
+            self.after(wait, partial(broker.tell, EndpointsChanged(EndpointListUpdate.DELTA, (entry,))))
 
     # A run
 
     def run(self) -> Outcome:
         for broker in self.brokers:
             broker.begin()
-            broker.tell(api.Listed(api.ListKind.STALE, self.entries()))
+            broker.tell(EndpointsChanged(EndpointListUpdate.CACHED, self.entries()))
         for trouble in self.scenario.troubles:
             self.after(trouble.at_s * 1e6, partial(self._trouble, trouble))
         if self.scenario.nodes.pause_every_s:
@@ -324,9 +365,19 @@
             self.answer(request, "lost", 0)
             return
         request.broker.open[request.name] = request
-        request.broker.tell(api.Arrived(
-            request.name, request.shard, request.volume.number, int(request.deadline_us) + 1_000_000_000,
-            None, request.cls, request.volume.plan, request.units, len(request.volume.hosts)))  # fmt: skip
+        request.broker.tell(
+            RequestArrived(
+                request.name,
+                request.shard,
+                request.volume.number,
+                int(request.deadline_us) + 1_000_000_000,
+                None,
+                request.cls,
+                request.volume.plan,
+                request.units,
+                len(request.volume.hosts),
+            )
+        )
 
     def answer(self, request: Request | None, end: str, backoff_us: int) -> None:
         """A client's final answer to one try; it may try again."""
@@ -367,40 +418,53 @@
         wait = self.delay()
         cut = self.hall and node.hall != broker.number % 2
         if cut:
-            self.after(CONNECT_US, lambda: self.ended(request, number, api.Result.CONNECT_FAILED, CONNECT_US))
+            self.after(
+                CONNECT_US, lambda: self.ended(request, number, AttemptResult.CONNECT_FAILED, CONNECT_US)
+            )
             return
         if self.streams["loss"].uniform() >= self.loss:
             self.after(wait, lambda: self._reach(request, number, node, wait))
         left = max(0.0, request.deadline_us - self.now())
-        self.after(left, lambda: self.ended(request, number, api.Result.TIMEOUT, left))
+        self.after(left, lambda: self.ended(request, number, AttemptResult.TIMEOUT, left))
 
     def _reach(self, request: Request, number: int, node: Node, wait: float) -> None:
         began = self.now() - wait
 
-        def told(result: api.Result) -> None:
+        def told(result: AttemptResult) -> None:
             back = self.delay()
             self.after(back, lambda: self.ended(request, number, result, self.now() - began))
 
         if not node.up:
-            told(api.Result.CONNECT_FAILED)
+            told(AttemptResult.CONNECT_FAILED)
             return
         life = node.life
-        if not node.offer(self.now(), Work(request.cost_us, lambda: told(api.Result.OK))):
-            told(api.Result.FULL if node.up else api.Result.RESET)
+        if not node.offer(self.now(), Work(request.cost_us, lambda: told(AttemptResult.OK))):
+            told(AttemptResult.QUEUE_FULL if node.up else AttemptResult.RESET)
             return
         request.attempts[number] = f"{node.name}/{life}"
 
-    def ended(self, request: Request, number: int, result: api.Result, lag_us: float) -> None:
+    def ended(self, request: Request, number: int, result: AttemptResult, lag_us: float) -> None:
         """An attempt's end comes to its broker, once."""
         where = request.attempts.pop(number, None)
         if where is None:
             return
         broker = request.broker
-        served = result is api.Result.OK and not request.answered
+        served = result is AttemptResult.OK and not request.answered
         if served:
             self.answer(request, "served", 0)
-        broker.tell(api.Ended(request.name, number, where.partition("/")[0], result, int(lag_us),
-                              request.answered, None, None, None))  # fmt: skip
+        broker.tell(
+            AttemptEnded(
+                request.name,
+                number,
+                where.partition("/")[0],
+                result,
+                int(lag_us),
+                request.answered,
+                None,
+                None,
+                None,
+            )
+        )
         if request.answered and not request.attempts:
             broker.open.pop(request.name, None)
 
@@ -410,7 +474,7 @@
             for request in list(broker.open.values()):
                 for number, where in list(request.attempts.items()):
                     if where.startswith(f"{node.name}/"):
-                        told = partial(self.ended, request, number, api.Result.RESET, 1000.0)
+                        told = partial(self.ended, request, number, AttemptResult.RESET, 1000.0)
                         self.after(self.delay(), told)
 
     # Troubles
@@ -454,7 +518,7 @@
         else:  # a rolling deploy: each drains for a second, is gone, and comes back cold
 
             def drain() -> None:
-                self.register(node, api.Condition.LEAVING)
+                self.register(node, EndpointState.DRAINING)
                 self.after(1e6, gone)
 
             def gone() -> None:
@@ -480,10 +544,10 @@
         if node.up:
             node.die()
             self._lost(node)
-            self.register(node, api.Condition.LEFT)
+            self.register(node, EndpointState.REMOVED)
 
     def _start(self, node: Node) -> None:
         node.start(self.now())
         if node.up:
             self.out.slow_start_began(node, self.now())
-            self.register(node, api.Condition.ACTIVE)
+            self.register(node, EndpointState.ACTIVE)
--- a/lemonridge/lab/program.py
+++ b/lemonridge/lab/program.py
@@ -40,9 +40,14 @@
     async def start(self) -> int:
         """The port that it listens on."""
         self.process = await asyncio.create_subprocess_exec(
-            sys.executable, "-m", *self._module, *self._arguments, stderr=asyncio.subprocess.PIPE,
-            cwd=self._cwd, env={**os.environ, "PYTHONDONTWRITEBYTECODE": "1", **self._environment},
-        )  # fmt: skip
+            sys.executable,
+            "-m",
+            *self._module,
+            *self._arguments,
+            stderr=asyncio.subprocess.PIPE,
+            cwd=self._cwd,
+            env={**os.environ, "PYTHONDONTWRITEBYTECODE": "1", **self._environment},
+        )
         self._reader = asyncio.create_task(self._read())
         async with asyncio.timeout_at(asyncio.get_running_loop().time() + START_S):
             return await self._listening
--- a/lemonridge/lab/rig.py
+++ b/lemonridge/lab/rig.py
@@ -18,7 +18,7 @@
 from tempfile import TemporaryDirectory
 from typing import Any
 
-from lemonridge.governance import Store
+from lemonridge.coordination.policy_coordinator import Store
 from lemonridge.lab.links.datagrams import Network, Stretch, kept_port
 from lemonridge.lab.links.schedule import LINKS, Fault, Schedule
 from lemonridge.lab.load.http import ready
@@ -37,14 +37,14 @@
     burst: float = 12.0  # two largest requests for each of three brokers: no more, so that excess shows
     slack: float = 2.0
     brisk: float = 80.0  # of a `brisk` one, with the same burst: what passes its limit for a second shows
-    units_top: int = 2
+    largest_request_units: int = 2
     deadline_ms: int = 1500
     aim_ms: int = 1000
-    cold_units: float = 8.0
-    cold_share: float = 0.2
+    slow_start_units: float = 8.0
+    slow_start_initial_fraction: float = 0.2
     ramp_s: float = 6.0
     fall_s: float = 1.0
-    tip_multiple: float = 2.5
+    overload_multiple: float = 2.5
     unit_ms: float = 10.0
     cores: int = 2
     further: float = 0.0  # further attempts a second, of all brokers; their peers stand in a file then
@@ -55,27 +55,70 @@
 
     def facts(self, brokers: int, nodes: int, me: int) -> dict[str, Any]:
         """The settings as PROTOCOL's configuration holds them."""
-        cls = {"aim-us": self.aim_ms * 1000, "deadline-us": self.deadline_ms * 1000, "gain": 2.0,
-               "memory-span-us": 3_000_000}  # fmt: skip
+        cls = {
+            "aim-us": self.aim_ms * 1000,
+            "deadline-us": self.deadline_ms * 1000,
+            "gain": 2.0,
+            "memory-span-us": 3_000_000,
+        }
         plan = {"burst": 0.0, "cap": 0.0, "limit-slack": 0.0, "weight": 1.0, "worth-factor": 1.0}
         return {
-            "fleet-size": brokers, "me": me, "discovery": "push", "tick-us": 2000, "azs": ["hall-a"],
-            "classes": [{**cls, "group": "all", "name": "read", "semantics": "repeatable"},
-                        {**cls, "group": "cell", "name": "new-write", "semantics": "by_key"}],
-            "grades": [{**plan, "base-rate": self.limit / 4, "guaranteed": 0.0, "name": "basic",
-                        "cap": self.limit, "burst": self.burst, "limit-slack": self.slack},
-                       {**plan, "base-rate": self.brisk / 4, "guaranteed": 0.0, "name": "brisk",
-                        "cap": self.brisk, "burst": self.burst, "limit-slack": self.slack},
-                       {**plan, "base-rate": 40.0, "guaranteed": 40.0, "name": "priority"}],
-            "family-info": {"class-writes": [False, True], "cold-units": self.cold_units, "meter-us": 0,
-                            "n-shards": nodes, "tells-elsewhere": False, "unit-mean": 1.5,
-                            "units-top": self.units_top},
-            "limits": {"cancelling": True, "connect-timeout-us": 250000, "keepalive-us": 15000000,
-                       "max-attempts": 4, "max-retry-after-us": 500000, "retry-after": True, "peers": True},
-            "rules": {"cold-share": self.cold_share, "drain-grace-us": 500000,
-                      "fall-us": int(self.fall_s * 1e6), "ramp-time-us": int(self.ramp_s * 1e6),
-                      "tip-multiple": self.tip_multiple},
-        }  # fmt: skip
+            "fleet-size": brokers,
+            "me": me,
+            "discovery": "push",
+            "tick-us": 2000,
+            "azs": ["hall-a"],
+            "classes": [
+                {**cls, "group": "all", "name": "read", "semantics": "repeatable"},
+                {**cls, "group": "cell", "name": "new-write", "semantics": "by_key"},
+            ],
+            "grades": [
+                {
+                    **plan,
+                    "base-rate": self.limit / 4,
+                    "guaranteed": 0.0,
+                    "name": "basic",
+                    "cap": self.limit,
+                    "burst": self.burst,
+                    "limit-slack": self.slack,
+                },
+                {
+                    **plan,
+                    "base-rate": self.brisk / 4,
+                    "guaranteed": 0.0,
+                    "name": "brisk",
+                    "cap": self.brisk,
+                    "burst": self.burst,
+                    "limit-slack": self.slack,
+                },
+                {**plan, "base-rate": 40.0, "guaranteed": 40.0, "name": "priority"},
+            ],
+            "family-info": {
+                "class-writes": [False, True],
+                "cold-units": self.slow_start_units,
+                "meter-us": 0,
+                "n-shards": nodes,
+                "tells-elsewhere": False,
+                "unit-mean": 1.5,
+                "units-top": self.largest_request_units,
+            },
+            "limits": {
+                "cancelling": True,
+                "connect-timeout-us": 250000,
+                "keepalive-us": 15000000,
+                "max-attempts": 4,
+                "max-retry-after-us": 500000,
+                "retry-after": True,
+                "peers": True,
+            },
+            "rules": {
+                "cold-share": self.slow_start_initial_fraction,
+                "drain-grace-us": 500000,
+                "fall-us": int(self.fall_s * 1e6),
+                "ramp-time-us": int(self.ramp_s * 1e6),
+                "tip-multiple": self.overload_multiple,
+            },
+        }
 
 
 class Register(Discovery):
@@ -145,9 +188,21 @@
     def __init__(self, folder: Path, brokers: int, nodes: int, seed: int, site: Site, peers: bool) -> None:
         self.folder, self.site, self.seed, self.peers = folder, site, seed, peers
         self.network = Network(brokers, seed)
-        self.nodes = [ColdNode(f"s-{n}", n, brokers, site.cores, unit_ms=site.unit_ms,
-                               cold_share=site.cold_share, ramp_s=site.ramp_s, fall_s=site.fall_s,
-                               tip_multiple=site.tip_multiple, seed=seed) for n in range(nodes)]  # fmt: skip
+        self.nodes = [
+            ColdNode(
+                f"s-{n}",
+                n,
+                brokers,
+                site.cores,
+                unit_ms=site.unit_ms,
+                slow_start_initial_fraction=site.slow_start_initial_fraction,
+                ramp_s=site.ramp_s,
+                fall_s=site.fall_s,
+                overload_multiple=site.overload_multiple,
+                seed=seed,
+            )
+            for n in range(nodes)
+        ]
         self.brokers: list[Broker] = []
         self.begun = 0.0
         self.splits = 0
@@ -174,9 +229,15 @@
                 more = ("--config", str(self.fleet_file(number)))
             port, admin = kept_port(), kept_port()
             self._kept += port, admin
-            broker = Broker(number, port.getsockname()[1], admin.getsockname()[1],
-                            self.folder / f"b{number}.json", register, more,
-                            module=module(number))  # fmt: skip
+            broker = Broker(
+                number,
+                port.getsockname()[1],
+                admin.getsockname()[1],
+                self.folder / f"b{number}.json",
+                register,
+                more,
+                module=module(number),
+            )
             broker.config.write_text(json.dumps(self.config(broker)))
             self.brokers.append(broker)
         there = [one for one in self.brokers if one.number not in late]
@@ -186,11 +247,18 @@
     def config(self, broker: Broker) -> dict[str, Any]:
         """What the platform would tell a broker."""
         number = broker.number
-        return {"name": f"b{number}", "listen": f"127.0.0.1:{broker.port}",
-                "discovery": f"127.0.0.1:{broker.discovery.port}", "seed": f"{self.seed * 97 + number:016x}",
-                "known": {}, "settings": self.facts(number),
-                "limits": {"sockets": 1024}, "admin_addr": f"127.0.0.1:{broker.admin}",
-                "peer_listen": self.network.listen(number), "peers": self.network.told(number)}  # fmt: skip
+        return {
+            "name": f"b{number}",
+            "listen": f"127.0.0.1:{broker.port}",
+            "discovery": f"127.0.0.1:{broker.discovery.port}",
+            "seed": f"{self.seed * 97 + number:016x}",
+            "known": {},
+            "settings": self.facts(number),
+            "limits": {"sockets": 1024},
+            "admin_addr": f"127.0.0.1:{broker.admin}",
+            "peer_listen": self.network.listen(number),
+            "peers": self.network.told(number),
+        }
 
     def facts(self, number: int) -> dict[str, Any]:
         """The settings of a broker."""
@@ -205,8 +273,10 @@
 
     def fleet_file(self, number: int) -> Path:
         """What operators would write for a broker: its peers, and the budget of further attempts."""
-        members = "".join(f'[[fleet.member]]\nname = "b{n}"\naddress = "{at}"\n'
-                          for n, at in enumerate(self.network.told(number)))  # fmt: skip
+        members = "".join(
+            f'[[fleet.member]]\nname = "b{n}"\naddress = "{at}"\n'
+            for n, at in enumerate(self.network.told(number))
+        )
         if self.site.lease_ms:
             Store(str(self.store(number))).begin()
             members = (
--- a/lemonridge/lab/soak_mutants.py
+++ b/lemonridge/lab/soak_mutants.py
@@ -11,6 +11,9 @@
 import sys
 from collections.abc import Callable
 
+from lemonridge.scheduling.actions import Reject, RejectReason
+from lemonridge.scheduling.events import EndpointListUpdate, EndpointState
+
 
 def _loses_answers() -> None:
     from lemonridge.net.http_connection import Connection
@@ -27,38 +30,37 @@
 
 
 def _repeats_anything() -> None:
-    from lemonridge.policy.retries import RetryRules
+    from lemonridge.scheduling.retries import RetryRules
 
     RetryRules.repeatable = lambda self, request, node: True  # type: ignore[method-assign]
 
 
 def _sends_to_draining() -> None:
-    from lemonridge import api
-    from lemonridge.core.directory import Directory, Listing
+    from lemonridge.core.endpoint_registry import Directory, Listing
 
     real = Directory._tell
 
-    def tell(self: Directory, kind: api.ListKind, listings: list[Listing]) -> None:
-        real(self, kind, [one for one in listings if one.entry.condition is api.Condition.ACTIVE])
+    def tell(self: Directory, kind: EndpointListUpdate, listings: list[Listing]) -> None:
+        real(self, kind, [one for one in listings if one.entry.condition is EndpointState.ACTIVE])
 
     Directory._tell = tell  # type: ignore[method-assign]
 
 
 def _floods_cold_nodes() -> None:
-    from lemonridge.policy.slow_start import SlowStart
+    from lemonridge.scheduling.slow_start import SlowStart
 
     SlowStart.in_slow_start = lambda self, node: False  # type: ignore[method-assign]
 
 
 def _knows_no_limit() -> None:
-    from lemonridge.stores import TokenBucket
+    from lemonridge.scheduling.token_bucket import TokenBucket
 
     TokenBucket.wait_us = lambda self, units, now: 0  # type: ignore[method-assign]
 
 
 def _sends_for_the_gone() -> None:
     from lemonridge.core.broker import Broker
-    from lemonridge.core.decider import Decider
+    from lemonridge.core.decision_host import Decider
     from lemonridge.core.model import Answer, Request
 
     async def serve(self: Broker, request: Request) -> Answer:
@@ -72,24 +74,23 @@
 
 
 def _tells_the_whole_deadline() -> None:
-    from lemonridge.net import http_nodes
+    from lemonridge.net import http_endpoints
 
-    http_nodes.told_deadline_ms = lambda left_us: left_us // 1000 + 400
+    http_endpoints.told_deadline_ms = lambda left_us: left_us // 1000 + 400
 
 
 def _refuses_anything() -> None:
-    from lemonridge import api
-    from lemonridge.policy import Request, Scheduler
+    from lemonridge.scheduling import Request, Scheduler
 
-    def give_up(self: Scheduler, request: Request, why: api.Why) -> None:
-        self.context.actions.append(api.Refuse(request.id, 0, why))
+    def give_up(self: Scheduler, request: Request, why: RejectReason) -> None:
+        self.context.actions.append(Reject(request.id, 0, why))
         self._finish(request)
 
     Scheduler._give_up = give_up  # type: ignore[method-assign]
 
 
 def _dies_of_a_signal() -> None:
-    from lemonridge import signals
+    from lemonridge.service import signals
 
     def handle(self: signals.SignalReceiver, number: int, action: Callable[[], object]) -> None:
         signal.signal(number, signal.SIG_DFL)
@@ -112,7 +113,7 @@
 
 def main(arguments: list[str]) -> int:
     """Plant the fault, then run the command line with what is left."""
-    from lemonridge.cli import main as run
+    from lemonridge.cli.main import main as run
 
     MUTANTS[arguments[0]][0]()
     return run(arguments[1:])
--- a/lemonridge/lab/standins/cold.py
+++ b/lemonridge/lab/standins/cold.py
@@ -50,9 +50,9 @@
     cores: int = 2
     queue: int = 64
     unit_ms: float = 10.0
-    cold_share: float = 0.2
+    slow_start_initial_fraction: float = 0.2
     ramp_s: float = 6.0
-    tip_multiple: float = 2.5
+    overload_multiple: float = 2.5
     fall_s: float = 1.0
     ports: list[int] = field(default_factory=list)
     _kept: list[socket.socket] = field(default_factory=list)  # its addresses, while it is dead
@@ -63,7 +63,7 @@
     seed: int = 1
     alive: bool = False
     held: int = 0
-    cold_units: float = 0.0  # sent while cold
+    slow_start_units: float = 0.0  # sent while cold
     _recent: deque[tuple[float, float]] = field(default_factory=deque)
     _recent_units: float = 0.0
     _writers: set[asyncio.StreamWriter] = field(default_factory=set)
@@ -103,31 +103,45 @@
 
     def row(self, broker: int, health: str = "up") -> dict[str, Any]:
         """Its entry in the list that this broker is told."""
-        return {"host": self.name, "dial": f"127.0.0.1:{self.ports[broker]}", "site": "a", "class": "m",
-                "block": self.shard, "health": health, "share": 1.0, "born_ms": self.born_ms}  # fmt: skip
+        return {
+            "host": self.name,
+            "dial": f"127.0.0.1:{self.ports[broker]}",
+            "site": "a",
+            "class": "m",
+            "block": self.shard,
+            "health": health,
+            "share": 1.0,
+            "born_ms": self.born_ms,
+        }
 
     def warmth(self) -> float:
         """Its part of its power."""
         if self.born is None:
             return 1.0
         done = (time.monotonic() - self.born) / self.ramp_s
-        return min(1.0, self.cold_share + (1 - self.cold_share) * done)
+        return min(1.0, self.slow_start_initial_fraction + (1 - self.slow_start_initial_fraction) * done)
 
     def bears(self) -> float:
         """Units that it bears within the time of a fall, as warm as it is now."""
-        return self.tip_multiple * self.warmth() * self.cores * self.fall_s * 1000 / self.unit_ms
+        return self.overload_multiple * self.warmth() * self.cores * self.fall_s * 1000 / self.unit_ms
 
     async def _serve(self, broker: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self._writers.add(writer)
         try:
             while True:
                 head = (await reader.readuntil(b"\r\n\r\n")).decode("latin-1").split("\r\n")
-                told = {name.lower(): value for name, _, value in
-                        (line.partition(": ") for line in head[1:-2])}  # fmt: skip
+                told = {
+                    name.lower(): value for name, _, value in (line.partition(": ") for line in head[1:-2])
+                }
                 begun = time.monotonic()
                 await reader.readexactly(int(told.get("content-length", 0)))
-                answer = await self._run(broker, head[0].split()[1], told.get("x-request-id", ""),
-                                         told.get("x-policy-epoch", ""), begun)  # fmt: skip
+                answer = await self._run(
+                    broker,
+                    head[0].split()[1],
+                    told.get("x-request-id", ""),
+                    told.get("x-policy-epoch", ""),
+                    begun,
+                )
                 writer.write(answer)
                 await writer.drain()
         except (asyncio.IncompleteReadError, ConnectionError, ValueError, IndexError):
@@ -149,7 +163,7 @@
             )
         )
         if self.warmth() < 1.0:
-            self.cold_units += units
+            self.slow_start_units += units
             self._recent.append((now, units))
             self._recent_units += units
             while self._recent[0][0] < now - self.fall_s:
--- a/lemonridge/lab/standins/many_nodes.py
+++ b/lemonridge/lab/standins/many_nodes.py
@@ -65,5 +65,13 @@
     def row(self, number: int, health: str = "up") -> dict[str, Any]:
         """A node's entry in discovery's list."""
         network, host = divmod(number, NODE_OF_NETWORK)
-        return {"host": f"n-{number}", "dial": f"127.1.{network}.{host + 1}:{self.port}", "site": "a",
-                "class": "m", "block": number, "health": health, "share": 1.0, "born_ms": 0}  # fmt: skip
+        return {
+            "host": f"n-{number}",
+            "dial": f"127.1.{network}.{host + 1}:{self.port}",
+            "site": "a",
+            "class": "m",
+            "block": number,
+            "health": health,
+            "share": 1.0,
+            "born_ms": 0,
+        }
--- a/lemonridge/lab/standins/mover.py
+++ b/lemonridge/lab/standins/mover.py
@@ -11,7 +11,7 @@
 from random import Random
 from typing import Any
 
-from lemonridge.extents.etcd import HEAD, key_of
+from lemonridge.extents.etcd_source import HEAD, key_of
 from lemonridge.extents.routing import Told
 from lemonridge.lab.standins.etcd import Etcd
 from lemonridge.lab.standins.node import ExtentNode, Hold, Key
--- a/lemonridge/lab/standins/node.py
+++ b/lemonridge/lab/standins/node.py
@@ -211,8 +211,11 @@
 
     def _login(self, pdu: Pdu) -> None:
         self.expected = pdu.words[1]
-        told = {"MaxRecvDataSegmentLength": str(SEGMENT), "MaxBurstLength": str(BURST),
-                "FirstBurstLength": "8192"}  # fmt: skip
+        told = {
+            "MaxRecvDataSegmentLength": str(SEGMENT),
+            "MaxBurstLength": str(BURST),
+            "FirstBurstLength": "8192",
+        }
         self.versioned = unpack_text(pdu.data).get(versions.KEY) == versions.AGREED
         if self.versioned:
             told[versions.KEY] = versions.AGREED
@@ -269,8 +272,17 @@
         return True
 
     def _data(self, pdu: Pdu, data: bytes) -> None:
-        self.send(Pdu(Op.DATA_IN, FINAL, lun=pdu.lun, tag=pdu.tag, data=data[: pdu.words[0]],
-                      words=[NONE, 0, 0, 0, 0, 0, 0]), False)  # fmt: skip
+        self.send(
+            Pdu(
+                Op.DATA_IN,
+                FINAL,
+                lun=pdu.lun,
+                tag=pdu.tag,
+                data=data[: pdu.words[0]],
+                words=[NONE, 0, 0, 0, 0, 0, 0],
+            ),
+            False,
+        )
         self._status(pdu)
 
     def _refuse(self, pdu: Pdu, told: Told) -> None:
@@ -281,8 +293,15 @@
         self.transfers += 1
         length = min(BURST, work.blocks * BLOCK - len(work.data))
         work.asked = len(work.data) + length
-        self.send(Pdu(Op.R2T, lun=work.pdu.lun, tag=work.pdu.tag,
-                      words=[self.transfers, 0, 0, 0, 0, len(work.data), length]), False)  # fmt: skip
+        self.send(
+            Pdu(
+                Op.R2T,
+                lun=work.pdu.lun,
+                tag=work.pdu.tag,
+                words=[self.transfers, 0, 0, 0, 0, len(work.data), length],
+            ),
+            False,
+        )
 
     def _data_out(self, pdu: Pdu) -> None:
         work = self.works.get(pdu.tag)
@@ -350,8 +369,17 @@
         for at in range(0, len(found), 8192):
             part = found[at : at + 8192]
             final = FINAL if at + 8192 >= len(found) or (at + 8192) % BURST == 0 else 0
-            self.send(Pdu(Op.DATA_IN, final, lun=work.pdu.lun, tag=work.pdu.tag, data=part,
-                          words=[NONE, 0, 0, 0, at // 8192, at, 0]), False)  # fmt: skip
+            self.send(
+                Pdu(
+                    Op.DATA_IN,
+                    final,
+                    lun=work.pdu.lun,
+                    tag=work.pdu.tag,
+                    data=part,
+                    words=[NONE, 0, 0, 0, at // 8192, at, 0],
+                ),
+                False,
+            )
         self._status(work.pdu)
 
     def _status(self, pdu: Pdu, reply: scsi.Reply | None = None) -> None:
--- a/lemonridge/lab/standins/platform.py
+++ b/lemonridge/lab/standins/platform.py
@@ -37,9 +37,10 @@
 class DiskNode:
     """One disk node: `cores` requests run at once, `queue` more wait, the rest are turned away.
 
-    Work takes an exponential time of mean `work_ms`, or, where `units_mean` is set, of `work_ms` times the
-    request's units (`?units=` of the query) over `units_mean`, as the model's nodes do. `stall_s` holds every
-    request that comes while it is positive that long before it begins: a node that pauses."""
+    Work takes an exponential time of mean `work_ms`, or, where `mean_request_units` is set, of `work_ms`
+    times the request's units (`?units=` of the query) over `mean_request_units`, as the model's nodes do.
+    `stall_s` holds every request that comes while it is positive that long before it begins: a node that
+    pauses."""
 
     name: str
     shard: int
@@ -47,7 +48,7 @@
     queue: int = 64
     work_ms: float = 2.0
     seed: int = 1
-    units_mean: float = 0.0
+    mean_request_units: float = 0.0
     stall_s: float = 0.0
     born_ms: int = 0
     port: int = 0
@@ -67,8 +68,16 @@
 
     def row(self, health: str = "up") -> dict[str, Any]:
         """Its entry in discovery's list."""
-        return {"host": self.name, "dial": f"127.0.0.1:{self.port}", "site": "a", "class": "m",
-                "block": self.shard, "health": health, "share": 1.0, "born_ms": self.born_ms}  # fmt: skip
+        return {
+            "host": self.name,
+            "dial": f"127.0.0.1:{self.port}",
+            "site": "a",
+            "class": "m",
+            "block": self.shard,
+            "health": health,
+            "share": 1.0,
+            "born_ms": self.born_ms,
+        }
 
     async def _serve(self, request: web.BaseRequest) -> web.StreamResponse:
         if request.path in ("/-/healthy", "/-/load"):
@@ -80,7 +89,7 @@
         placement = dict(part.partition("=")[::2] for part in told.split(","))
         shard = int(placement.get("shard", "-1") or -1)
         units = request.query.get("units") or placement.get("units") or "1"  # a broker passes the query on
-        scale = float(units) / self.units_mean if self.units_mean else 1.0
+        scale = float(units) / self.mean_request_units if self.mean_request_units else 1.0
         if (shard not in (-1, self.shard)) or self.running >= self.cores + self.queue:
             self.turned += 1
             return web.Response(status=503, headers={"X-Not-Run": "1"})
--- a/lemonridge/lab/standins/soak.py
+++ b/lemonridge/lab/standins/soak.py
@@ -72,8 +72,14 @@
         loop = asyncio.get_running_loop()
         while True:
             _, headers, begun_at = await read_request(reader)
-            attempt = SoakAttempt(headers["x-request-id"], self.name, self.shard, self.zone, begun_at,
-                                  int(headers["x-deadline-ms"]))  # fmt: skip
+            attempt = SoakAttempt(
+                headers["x-request-id"],
+                self.name,
+                self.shard,
+                self.zone,
+                begun_at,
+                int(headers["x-deadline-ms"]),
+            )
             self._record.attempts.append(attempt)
             try:
                 await reader.readexactly(int(headers.get("content-length", "0")))
@@ -136,9 +142,16 @@
             drains.append((now + TOLD_S, float("inf")))
         self._seq += 1
         self._versions[node.name] = self._seq
-        self.rows[node.name] = {"host": node.name, "dial": f"127.0.0.1:{node.port}", "site": node.zone,
-                                "class": "m", "block": node.shard, "health": health, "share": 1.0,
-                                "born_ms": born_ms}  # fmt: skip
+        self.rows[node.name] = {
+            "host": node.name,
+            "dial": f"127.0.0.1:{node.port}",
+            "site": node.zone,
+            "class": "m",
+            "block": node.shard,
+            "health": health,
+            "share": 1.0,
+            "born_ms": born_ms,
+        }
         async with self._news:
             self._news.notify_all()
 
--- a/lemonridge/net/operators.py
+++ b/lemonridge/net/admin_server.py
@@ -6,10 +6,10 @@
 import logging
 from collections.abc import Awaitable, Callable
 
-from lemonridge.config import Address
-from lemonridge.counters import Counters
+from lemonridge.config.platform import Address
+from lemonridge.core.counters import Counters
 from lemonridge.net.listener import Listener, listening_socket
-from lemonridge.operate.calls import BadCallError, Order, Reply, longest, parse
+from lemonridge.operate.admin_calls import BadCallError, Order, Reply, longest, parse
 
 log = logging.getLogger(__name__)
 
--- a/lemonridge/net/discovery.py
+++ b/lemonridge/net/discovery.py
@@ -10,12 +10,13 @@
 import aiohttp
 import orjson
 
-from lemonridge import api
-from lemonridge.config import Address, ConfigError
-from lemonridge.core.directory import Directory, Listing
-from lemonridge.counters import Counters
-from lemonridge.net.watching import Backoff, client
-from lemonridge.policy import ASK_TOP_US
+from lemonridge.config.platform import Address, ConfigError
+from lemonridge.core.counters import Counters
+from lemonridge.core.endpoint_registry import Directory, Listing
+from lemonridge.net.watch_stream import Backoff, client
+from lemonridge.scheduling import ASK_TOP_US
+from lemonridge.scheduling.events import Endpoint, EndpointListUpdate, EndpointState
+from lemonridge.scheduling.settings import Settings
 
 log = logging.getLogger(__name__)
 
@@ -29,7 +30,11 @@
 PAUSE_S = 0.05  # before the first retry, doubled up to a limit
 EACH_S = 0.125  # of discovery's time for a call, where it must be asked: brokers spread their calls by that
 LIST_MAX = 4 * 2**20  # bytes of a list, for some 20,000 nodes
-CONDITIONS = {"up": api.Condition.ACTIVE, "draining": api.Condition.LEAVING, "removed": api.Condition.LEFT}
+CONDITIONS = {
+    "up": EndpointState.ACTIVE,
+    "draining": EndpointState.DRAINING,
+    "removed": EndpointState.REMOVED,
+}
 
 
 class MalformedError(Exception):
@@ -55,9 +60,14 @@
     node, shard, born_ms = row["host"], row["block"], row["born_ms"] or 0
     if not isinstance(node, str) or not node or type(shard) is not int or type(born_ms) not in (int, float):
         raise MalformedError("'host' must be a name, 'block' a whole number, 'born_ms' a number")
-    entry = api.Entry(node=node, shard=shard, zone=_zone(row["site"], zones),
-                      condition=CONDITIONS[row["health"]], started_us=int(born_ms) * 1000)  # fmt: skip
-    if entry.condition is api.Condition.LEFT:
+    entry = Endpoint(
+        node=node,
+        shard=shard,
+        zone=_zone(row["site"], zones),
+        condition=CONDITIONS[row["health"]],
+        started_us=int(born_ms) * 1000,
+    )
+    if entry.condition is EndpointState.REMOVED:
         return Listing(entry, "")  # nobody dials it
     return Listing(entry, str(Address.parse(row["dial"], "'dial'")))
 
@@ -91,7 +101,7 @@
             raise errors[0] or UnansweredError("no answer")
 
 
-def pauses(settings: api.Settings) -> tuple[float, float]:
+def pauses(settings: Settings) -> tuple[float, float]:
     """The first and the longest pause before a call, in seconds.
 
     An agent that pushes answers at no cost, and what it has counts as told though no watch is open: with a
@@ -101,10 +111,10 @@
     long costs as much as one that is answered: asked by all at once and again, it answers none. The pauses
     grow with the fleet, and end within the time after which a broker counts as one that did not ask.
     """
-    if not settings.asks_list:
+    if not settings.polls_endpoint_list:
         top_s = settings.drain_grace_us / 4e6 or PAUSE_S
         return min(PAUSE_S, top_s), top_s
-    within_s = (settings.ask_within_us or ASK_TOP_US) / 1e6
+    within_s = (settings.poll_within_us or ASK_TOP_US) / 1e6
     first_s = max(PAUSE_S, min(EACH_S * settings.hosts, within_s / 2))
     return first_s, max(first_s, within_s)
 
@@ -119,10 +129,10 @@
         directory: Directory,
         random: Random,
         counters: Counters,
-        settings: api.Settings,
+        settings: Settings,
     ) -> None:
         self._url, self._zones, self._directory = f"http://{address}/api/targets", zones, directory
-        self._asks = settings.asks_list
+        self._asks = settings.polls_endpoint_list
         self._wait_s = ASKED_S if self._asks else PUSHED_S
         # A call that does not wait is answered at once, or its connection has fallen silent.
         self._answer_s = TOLD_S - GRACE_S if self._asks else settings.drain_grace_us / 2e6 or GRACE_S
@@ -231,5 +241,5 @@
         self._counters["discovery.answers"] += 1
         self._directory.heard()
         if lines or whole:
-            self._directory.take(api.ListKind.WHOLE if whole else api.ListKind.PATCH, lines)
+            self._directory.take(EndpointListUpdate.SNAPSHOT if whole else EndpointListUpdate.DELTA, lines)
         return seq
--- a/lemonridge/net/http_connection.py
+++ b/lemonridge/net/http_connection.py
@@ -15,9 +15,9 @@
 from aiohttp import web
 
 from lemonridge.core.clock import Clock
-from lemonridge.counters import Counters
-from lemonridge.net import heads
-from lemonridge.net.wire import LONG_MAX, has_no_unread_data, peer_has_closed
+from lemonridge.core.counters import Counters
+from lemonridge.net import http_headers
+from lemonridge.net.sockets import LONG_MAX, has_no_unread_data, peer_has_closed
 from lemonridge.operate.lifecycle import Lifecycle, Phase
 
 WAIT_S = 2.0  # a connection with no open request may be closed after that
@@ -197,8 +197,8 @@
         self._handler: web.RequestHandler | None = None
         self._data = bytearray()
         self._searched = 0  # of the data, for the end of a head
-        self._head: heads.Head | None = None  # of the request that has begun, once it is there
-        self._chunks: heads.Chunks | None = None  # where its body comes in chunks
+        self._head: http_headers.Head | None = None  # of the request that has begun, once it is there
+        self._chunks: http_headers.Chunks | None = None  # where its body comes in chunks
         self._body = bytearray()
         self._promised = 0  # bytes of its body
         self.body = b""  # of the open request
@@ -345,7 +345,7 @@
         try:
             if (self._head is None and not self._take_head()) or not self._take_body():
                 return
-        except heads.BadMessageError as error:
+        except http_headers.BadMessageError as error:
             self.refuse(error.status, str(error))
             return
         assert self._head is not None
@@ -371,18 +371,18 @@
         """Read the head of the next request; False where it is not whole yet."""
         while self._data.startswith(b"\r\n") and len(self._data) > 2:  # an empty line before it is allowed
             self._drop(2)
-        end = self._data.find(heads.END, max(0, self._searched - 3))
-        if end < 0 or end > heads.HEAD_MAX:
+        end = self._data.find(http_headers.END, max(0, self._searched - 3))
+        if end < 0 or end > http_headers.HEAD_MAX:
             self._searched = len(self._data)
-            if len(self._data) > heads.HEAD_MAX:
-                raise heads.BadMessageError(431, "the head is too long")
+            if len(self._data) > http_headers.HEAD_MAX:
+                raise http_headers.BadMessageError(431, "the head is too long")
             return False
-        head = heads.request(bytes(self._data[: end + 4]))
+        head = http_headers.request(bytes(self._data[: end + 4]))
         if (head.length or 0) > LONG_MAX:
-            raise heads.BadMessageError(413, "a body holds 32 MiB at most")
+            raise http_headers.BadMessageError(413, "a body holds 32 MiB at most")
         self._promise(head.length or 0)
         self._drop(end + 4)
-        self._head, self._chunks = head, heads.Chunks() if head.length is None else None
+        self._head, self._chunks = head, http_headers.Chunks() if head.length is None else None
         body_s = BODY_S + (head.length or 0) / BODY_RATE
         self.patience_at = max(self.patience_at, asyncio.get_running_loop().time() + body_s)
         if head.fields.get(b"expect") == [b"100-continue"] and not self._data and head.length != 0:
@@ -407,7 +407,7 @@
             whole = len(self._body) == self._head.length
         self._table.buffered += len(self._data) + len(self._body) - before
         if not whole and len(self._body) > LONG_MAX:
-            raise heads.BadMessageError(413, "a body holds 32 MiB at most")
+            raise http_headers.BadMessageError(413, "a body holds 32 MiB at most")
         return whole
 
     def _promise(self, count: int) -> None:
@@ -415,7 +415,7 @@
         bodies have room beside the long ones, for as many as there can be connections."""
         if self._promised + count > SHORT and self._table.promised + count > self._table.buffer_max:
             self._table.counters["requests.no_room"] += 1
-            raise heads.BadMessageError(503, "too much is on its way")
+            raise http_headers.BadMessageError(503, "too much is on its way")
         self._promised += count
         self._table.promised += count
 
--- a/lemonridge/net/http_nodes.py
+++ b/lemonridge/net/http_endpoints.py
@@ -15,10 +15,10 @@
 from aiohttp.tracing import Trace
 from yarl import URL
 
-from lemonridge import api
-from lemonridge.config import Platform
+from lemonridge.config.platform import Platform
 from lemonridge.core.clock import Clock
-from lemonridge.core.directory import Directory
+from lemonridge.core.counters import Counters
+from lemonridge.core.endpoint_registry import Directory
 from lemonridge.core.model import (
     Attempt,
     AttemptSuppressedError,
@@ -26,9 +26,9 @@
     LocalFailureError,
     Outcome,
 )
-from lemonridge.counters import Counters
-from lemonridge.net.http_answer import AnswerReader, LongAnswer, gather
-from lemonridge.net.wire import LOCAL_ERRORS, Payload, has_no_unread_data, session
+from lemonridge.net.http_response import AnswerReader, LongAnswer, gather
+from lemonridge.net.sockets import LOCAL_ERRORS, Payload, has_no_unread_data, session
+from lemonridge.scheduling.events import AttemptResult
 
 BUFFER = 16 * 1024  # of an answer, half of what is held before its connection is read no more
 REST_S = 0.01  # of a connection after an answer: a second one, milliseconds late, must be seen first
@@ -156,9 +156,13 @@
             headers["X-Policy-Epoch"] = epoch
         try:
             response = await self._session.request(
-                payload.method, URL(f"http://{address}{payload.target}", encoded=True), headers=headers,
-                data=payload.body or None, allow_redirects=False, trace_request_ctx=(attempt, address),
-            )  # fmt: skip
+                payload.method,
+                URL(f"http://{address}{payload.target}", encoded=True),
+                headers=headers,
+                data=payload.body or None,
+                allow_redirects=False,
+                trace_request_ctx=(attempt, address),
+            )
             outcome: Outcome | None = None
             try:
                 outcome = await self._outcome(response)
@@ -179,7 +183,7 @@
                 raise AttemptSuppressedError from None
             if not attempt.begun:
                 raise ConnectFailedError from None
-            return Outcome(api.Result.RESET)
+            return Outcome(AttemptResult.RESET)
 
     async def close(self) -> None:
         await self._session.close()
@@ -227,7 +231,7 @@
         reply = await gather(response)
         if isinstance(reply, LongAnswer) and response.status != 200:
             reply.close()
-            return Outcome(api.Result.ERROR)
+            return Outcome(AttemptResult.ERROR)
         headers = response.headers
         told: dict[str, Any] = {
             "used": _whole(headers.get("X-Iops-Used"), 1),
@@ -235,10 +239,10 @@
             "held": _load(headers.get("X-Load")).get(self._held_field),
         }
         if response.status == 200:
-            return Outcome(api.Result.OK, reply, **told)
+            return Outcome(AttemptResult.OK, reply, **told)
         if response.status in (503, 504) and headers.get("X-Not-Run") == "1":
-            return Outcome(api.Result.FULL, **told)
-        return Outcome(api.Result.ERROR, **told)
+            return Outcome(AttemptResult.QUEUE_FULL, **told)
+        return Outcome(AttemptResult.ERROR, **told)
 
 
 def told_deadline_ms(left_us: int) -> int:
--- a/lemonridge/net/http_front.py
+++ b/lemonridge/net/http_front.py
@@ -13,19 +13,19 @@
 from aiohttp.streams import StreamReader
 from multidict import CIMultiDictProxy
 
-from lemonridge import api
-from lemonridge.config import Address, Platform
+from lemonridge.config.platform import Address, Platform
 from lemonridge.core.broker import Broker
 from lemonridge.core.clock import Clock
-from lemonridge.core.directory import Directory
+from lemonridge.core.counters import Counters
+from lemonridge.core.endpoint_registry import Directory
 from lemonridge.core.model import Answer, DuplicateError, Kind, Request
-from lemonridge.counters import Counters
-from lemonridge.net.heads import BadMessageError
-from lemonridge.net.http_answer import LongAnswer
 from lemonridge.net.http_connection import Connection, ConnectionTable
+from lemonridge.net.http_headers import BadMessageError
+from lemonridge.net.http_response import LongAnswer
 from lemonridge.net.listener import Listener, listening_socket
-from lemonridge.net.wire import BrokenError, Payload
+from lemonridge.net.sockets import BrokenError, Payload
 from lemonridge.operate.lifecycle import FAR_US, Lifecycle
+from lemonridge.scheduling.settings import IdempotencyKind
 
 log = logging.getLogger(__name__)
 
@@ -57,9 +57,15 @@
         self.listener: Listener  # from `bind` on
         self._connections: dict[object, Connection] = {}  # by aiohttp's handler
         self._scopes: dict[asyncio.Timeout, int] = {}  # of the open requests, with the time that each came
-        self._server = web.Server(self._handle, request_factory=_request, handler_cancellation=True,
-                                  access_log=None, auto_decompress=False, tcp_keepalive=False,
-                                  logger=log)  # fmt: skip
+        self._server = web.Server(
+            self._handle,
+            request_factory=_request,
+            handler_cancellation=True,
+            access_log=None,
+            auto_decompress=False,
+            tcp_keepalive=False,
+            logger=log,
+        )
 
     has_lease: Callable[[], bool] = staticmethod(
         lambda: True
@@ -208,7 +214,7 @@
         if not HEX.fullmatch(passed["X-Request-Id"]):
             raise BadMessageError(400, "X-Request-Id must be 16 hex digits")
         settings = platform.settings
-        if settings.classes[cls].semantics is api.Semantics.KEYED:
+        if settings.classes[cls].idempotency is IdempotencyKind.WITH_IDEMPOTENCY_KEY:
             passed["Idempotency-Key"] = _header(headers, "Idempotency-Key")
         deadline_ms = DEADLINE.fullmatch(_header(headers, "X-Deadline-Ms"))
         if deadline_ms is None:
@@ -220,7 +226,7 @@
             raise BadMessageError(400, "X-Placement must be units=…,shard=…,hosts=…")
         units, shard, hosts = float(placement[1]), int(placement[2]), int(placement[3])
         # More than the settings know of would spoil what the module keeps for a volume and its plan.
-        if not 0 < units <= (settings.units_top or units) or not 1 <= hosts <= settings.hosts:
+        if not 0 < units <= (settings.largest_request_units or units) or not 1 <= hosts <= settings.hosts:
             raise BadMessageError(400, "X-Placement must name some units and hosts, as the settings allow")
         if shard >= (platform.shards or shard + 1):
             raise BadMessageError(400, "X-Placement names an unknown shard")
--- a/lemonridge/net/heads.py
+++ b/lemonridge/net/http_headers.py
@@ -11,8 +11,10 @@
 HEAD_MAX = 16 * 1024
 END = b"\r\n\r\n"
 # The target may be in absolute form: RFC 9112, 3.2.2.
-_REQUEST = re.compile(rb"([A-Z]{1,20}) (?:http://[0-9A-Za-z.:\[\]-]{1,255})?"
-                      rb"(/[\x21\x22\x24-\x7e]*) HTTP/1\.([01])\r\n")  # fmt: skip
+_REQUEST = re.compile(
+    rb"([A-Z]{1,20}) (?:http://[0-9A-Za-z.:\[\]-]{1,255})?"
+    rb"(/[\x21\x22\x24-\x7e]*) HTTP/1\.([01])\r\n"
+)
 _STATUS = re.compile(rb"HTTP/1\.([01]) ([1-9][0-9]{2})(?: [\t\x20-\x7e\x80-\xff]*)?\r\n")
 _FIELD = re.compile(rb"([!#$%&'*+\-.^_`|~0-9A-Za-z]+):[ \t]*([\t\x20-\x7e\x80-\xff]*)\r\n")
 _LENGTH = re.compile(rb"[0-9]{1,15}")
--- a/lemonridge/net/http_answer.py
+++ b/lemonridge/net/http_response.py
@@ -10,8 +10,8 @@
 import aiohttp
 from aiohttp.client_proto import ResponseHandler
 
-from lemonridge.net import heads
-from lemonridge.net.wire import BODY_MAX, LONG_MAX, BrokenError
+from lemonridge.net import http_headers
+from lemonridge.net.sockets import BODY_MAX, LONG_MAX, BrokenError
 
 log = logging.getLogger(__name__)
 
@@ -52,7 +52,7 @@
             self._head += data
             try:
                 data = self._take_head(self._head)
-            except heads.BadMessageError as error:
+            except http_headers.BadMessageError as error:
                 self._spoilt(str(error))
                 return
         if self._left is None:
@@ -66,26 +66,26 @@
 
     def _take_head(self, head: bytearray) -> bytes:
         """Pass on the head of the answer, without those of 1xx in front; the bytes behind it."""
-        while (end := head.find(heads.END)) >= 0:
+        while (end := head.find(http_headers.END)) >= 0:
             text = bytes(head[: end + 4])
             del head[: end + 4]
-            told = heads.answer(text)
+            told = http_headers.answer(text)
             status, length, chunked = told.code, told.length, told.chunked
             if 100 <= status < 200 and status != 101 and self._informational < INFORMATIONAL_MAX:
                 self._informational += 1
                 continue
             if status < 200:
-                raise heads.BadMessageError(502, "a protocol that was not asked for")
+                raise http_headers.BadMessageError(502, "a protocol that was not asked for")
             if status in BODILESS:
                 length = 0
             self._until_end = length is None and not chunked
             if (self._until_end and not told.closes) or (length or 0) > LONG_MAX:
-                raise heads.BadMessageError(502, "a body without a length, or too long")
+                raise http_headers.BadMessageError(502, "a body without a length, or too long")
             self._head, self._left = None, None if chunked else length
             super().data_received(text)
             return bytes(head)
-        if len(head) > heads.HEAD_MAX:
-            raise heads.BadMessageError(502, "the head is too long")
+        if len(head) > http_headers.HEAD_MAX:
+            raise http_headers.BadMessageError(502, "the head is too long")
         return b""
 
     def close(self) -> None:
--- a/lemonridge/net/listener.py
+++ b/lemonridge/net/listener.py
@@ -8,8 +8,8 @@
 from collections.abc import Callable
 from enum import Enum
 
-from lemonridge.config import Address
-from lemonridge.counters import Counters
+from lemonridge.config.platform import Address
+from lemonridge.core.counters import Counters
 
 log = logging.getLogger(__name__)
 
--- a/lemonridge/net/peers.py
+++ b/lemonridge/net/peer_transport.py
@@ -14,16 +14,18 @@
 from collections.abc import Iterable
 from typing import Any, Protocol
 
-from lemonridge import api
-from lemonridge.config import FleetPlan
+from lemonridge.config.platform import FleetPlan
 from lemonridge.core.clock import Clock
-from lemonridge.core.decider import Decider
+from lemonridge.core.counters import Counters
+from lemonridge.core.decision_host import Decider
 from lemonridge.core.model import Request
-from lemonridge.counters import Counters
-from lemonridge.fleet.companion import Companion
-from lemonridge.fleet.report import report
-from lemonridge.fleet.roster import Roster
-from lemonridge.fleet.wire import Item, Tagger
+from lemonridge.fleet.datagrams import Item, Tagger
+from lemonridge.fleet.member_list import Roster
+from lemonridge.fleet.scheduler_bridge import Companion
+from lemonridge.fleet.status_report import report
+from lemonridge.scheduling.actions import Action, SlowStartBegan
+from lemonridge.scheduling.events import AttemptEnded, Endpoint, RequestArrived
+from lemonridge.scheduling.settings import Settings
 
 log = logging.getLogger(__name__)
 
@@ -63,7 +65,7 @@
         clock: Clock,
         counters: Counters,
         seed: int,
-        settings: api.Settings,
+        settings: Settings,
     ) -> None:
         self.plan, self._decider, self._clock, self._counters = plan, decider, clock, counters
         self._loop = asyncio.get_running_loop()
@@ -101,8 +103,14 @@
                 if error.errno != errno.EADDRINUSE:
                     raise
                 await asyncio.sleep(AGAIN_S)
-        log.info("peers at", extra={"address": str(self.plan.listen), "brokers": len(self.plan.names),
-                                    "me": self.plan.names[self.plan.me]})  # fmt: skip
+        log.info(
+            "peers at",
+            extra={
+                "address": str(self.plan.listen),
+                "brokers": len(self.plan.names),
+                "me": self.plan.names[self.plan.me],
+            },
+        )
 
     def connection_made(self, transport: Any) -> None:
         self._transport = transport
@@ -160,17 +168,17 @@
 
     # What the decider shows
 
-    def arrived(self, event: api.Arrived) -> None:
+    def arrived(self, event: RequestArrived) -> None:
         """A request is about to be told to the decisions."""
         self._companion.arrived(event, self._clock.now_us())
         if self._companion.events:
             self._flush()
 
-    def listed(self, entries: Iterable[api.Entry]) -> None:
+    def listed(self, entries: Iterable[Endpoint]) -> None:
         """The node list, or a part of it."""
         self._companion.listed(entries)
 
-    def ended(self, event: api.Ended, request: Request | None) -> None:
+    def ended(self, event: AttemptEnded, request: Request | None) -> None:
         """An attempt ended."""
         volume, units = (request.volume, request.units) if request is not None else (0, 0.0)
         self._companion.ended(event, self._clock.now_us(), volume, units)
@@ -181,9 +189,9 @@
         """An attempt was decided on."""
         self._companion.sent(node, request.units)
 
-    def acted(self, action: api.Action) -> None:
+    def acted(self, action: Action) -> None:
         """Something else was decided."""
-        if isinstance(action, api.SlowStartBegan):
+        if isinstance(action, SlowStartBegan):
             self._companion.slow_start_began(action, self._clock.now_us())
             self._flush()
 
@@ -192,7 +200,7 @@
         self._companion.renewed(self._clock.now_us())
         self._flush()
 
-    def configure(self, settings: api.Settings) -> None:
+    def configure(self, settings: Settings) -> None:
         """New settings, for what comes from now on."""
         self._companion.settings = settings
 
--- a/lemonridge/net/succession.py
+++ b/lemonridge/net/process_handover.py
@@ -13,9 +13,9 @@
 from typing import Protocol
 
 from lemonridge.core.clock import Clock
+from lemonridge.core.counters import Counters
 from lemonridge.core.open_ids import OpenIds
-from lemonridge.counters import Counters
-from lemonridge.operate.calls import Order, Reply
+from lemonridge.operate.admin_calls import Order, Reply
 from lemonridge.operate.handover import (
     CALL_US,
     GIVE_US,
--- a/lemonridge/net/watching.py
+++ b/lemonridge/net/watch_stream.py
@@ -8,8 +8,8 @@
 
 import aiohttp
 
-from lemonridge.counters import Counters
-from lemonridge.net.wire import session
+from lemonridge.core.counters import Counters
+from lemonridge.net.sockets import session
 
 
 def client() -> aiohttp.ClientSession:
--- a/lemonridge/operate/handover.py
+++ b/lemonridge/operate/handover.py
@@ -15,10 +15,10 @@
 
 import orjson
 
-from lemonridge import api
 from lemonridge.core.start_times import StartTime
-from lemonridge.operate.calls import Call, Order
+from lemonridge.operate.admin_calls import Call, Order
 from lemonridge.operate.maintenance import OUT_MAX, Back
+from lemonridge.scheduling.events import Endpoint, EndpointState, LimitLevel
 
 VERSION = 1
 LINE_MAX = 4 << 20
@@ -38,7 +38,7 @@
 class Row:
     """A node as discovery told it, with its address."""
 
-    entry: api.Entry
+    entry: Endpoint
     address: str
 
 
@@ -49,7 +49,7 @@
     out: Mapping[str, int] = field(default_factory=dict)
     back: Mapping[str, Back] = field(default_factory=dict)
     drained_us: int | None = None
-    levels: Mapping[int, api.LimitLevel] = field(default_factory=dict)  # by volume
+    levels: Mapping[int, LimitLevel] = field(default_factory=dict)  # by volume
     rows: tuple[Row, ...] = ()
     starts: Mapping[str, StartTime] = field(default_factory=dict)
     open_ids: tuple[str, ...] | None = None  # of the requests that the sender holds; None: it tells none
@@ -117,6 +117,14 @@
     ended: tuple[str, ...]
 
 
+# The states of an endpoint on the wire between the two processes.
+STATE_OF_WORD = {
+    "active": EndpointState.ACTIVE,
+    "leaving": EndpointState.DRAINING,
+    "left": EndpointState.REMOVED,
+}
+WORD_OF_STATE = {state: word for word, state in STATE_OF_WORD.items()}
+
 Message = Take | Given | No | Called | Done | Ids
 
 
@@ -130,8 +138,17 @@
         told["drained_us"] = estate.drained_us
         told["levels"] = [[volume, level.saved] for volume, level in estate.levels.items()]
         told["owed"] = [[volume, level.owed, level.owed_until_us] for volume, level in estate.levels.items()]
-        told["rows"] = [[row.entry.node, row.entry.shard, row.entry.zone, row.entry.condition.value,
-                         row.entry.started_us, row.address] for row in estate.rows]  # fmt: skip
+        told["rows"] = [
+            [
+                row.entry.node,
+                row.entry.shard,
+                row.entry.zone,
+                WORD_OF_STATE[row.entry.condition],
+                row.entry.started_us,
+                row.address,
+            ]
+            for row in estate.rows
+        ]
         told["starts"] = {node: [one.told_us, one.own_us] for node, one in estate.starts.items()}
         told["base_us"] = estate.base_us
         if estate.open_ids is not None:
@@ -188,22 +205,27 @@
         raise BadMessageError("it holds too many rows")
     ways = {_whole(volume, 1 << 64): (_units(units), _whole(until)) for volume, units, until in owed}
     drained = told["drained_us"]
-    return Given(HandoverState(
-        out={_text(node): _whole(since) for node, since in told["out"].items()},
-        back={_text(node): Back(_whole(out), _whole(back)) for node, (out, back) in told["back"].items()},
-        drained_us=None if drained is None else _whole(drained),
-        levels={
-            _whole(volume, 1 << 64): api.LimitLevel(_units(saved), *ways.get(volume, ()))
-            for volume, saved in told["levels"]
-        },
-        rows=tuple(
-            Row(api.Entry(_text(node), int(shard), int(zone), api.Condition(condition), _whole(started)),
-                _text(address))
-            for node, shard, zone, condition, started, address in told["rows"]),
-        starts={_text(node): StartTime(_whole(one), _whole(own)) for node, (one, own) in starts.items()},
-        open_ids=None if told.get("ids") is None else _ids(told["ids"]),
-        base_us=_whole(told.get("base_us", 0)),
-    ))  # fmt: skip
+    return Given(
+        HandoverState(
+            out={_text(node): _whole(since) for node, since in told["out"].items()},
+            back={_text(node): Back(_whole(out), _whole(back)) for node, (out, back) in told["back"].items()},
+            drained_us=None if drained is None else _whole(drained),
+            levels={
+                _whole(volume, 1 << 64): LimitLevel(_units(saved), *ways.get(volume, ()))
+                for volume, saved in told["levels"]
+            },
+            rows=tuple(
+                Row(
+                    Endpoint(_text(node), int(shard), int(zone), STATE_OF_WORD[condition], _whole(started)),
+                    _text(address),
+                )
+                for node, shard, zone, condition, started, address in told["rows"]
+            ),
+            starts={_text(node): StartTime(_whole(one), _whole(own)) for node, (one, own) in starts.items()},
+            open_ids=None if told.get("ids") is None else _ids(told["ids"]),
+            base_us=_whole(told.get("base_us", 0)),
+        )
+    )
 
 
 def _whole(value: Any, top: int = TOP) -> int:
--- a/lemonridge/operate/maintenance.py
+++ b/lemonridge/operate/maintenance.py
@@ -9,7 +9,7 @@
 from collections.abc import Container, Mapping
 from dataclasses import dataclass, replace
 
-from lemonridge import api
+from lemonridge.scheduling.events import Endpoint, EndpointState
 
 OUT_MAX = 4096  # nodes that may be out, or be watched after their return, at a time
 
@@ -68,15 +68,15 @@
         for node in [one for one in self._back if one not in listed]:
             del self._back[node]
 
-    def over(self, entry: api.Entry) -> api.Entry:
+    def over(self, entry: Endpoint) -> Endpoint:
         """What the decisions are told of a node, given what discovery says.
 
         A node that is out drains. One that is back was restarted while out, at a moment that discovery tells
         late: until it does, the node counts as started with the call back, which is the coldest it can be.
         """
         if entry.node in self._out:
-            active = entry.condition is api.Condition.ACTIVE
-            return replace(entry, condition=api.Condition.LEAVING) if active else entry
+            active = entry.condition is EndpointState.ACTIVE
+            return replace(entry, condition=EndpointState.DRAINING) if active else entry
         back = self._back.get(entry.node)
         if back is not None and entry.started_us < back.out_us:
             return replace(entry, started_us=back.back_us)
--- a/lemonridge/rollout/leases.py
+++ b/lemonridge/rollout/leases.py
@@ -74,8 +74,12 @@
             return NOTHING
         granted = NOTHING
         if now_us >= self.quiet_us:
-            others = [one.interval for member, kept in self.grants.items() for one in kept.values()
-                      if one.end_us > now_us and one is not before]  # fmt: skip
+            others = [
+                one.interval
+                for member, kept in self.grants.items()
+                for one in kept.values()
+                if one.end_us > now_us and one is not before
+            ]
             for wish in ((want, want), uses):
                 if wish[1] >= newest and wish[0] >= 0 and all(meet(wish, one) for one in others):
                     granted = wish
@@ -177,8 +181,11 @@
     def _count(self, interval: Interval, now_us: int) -> bool:
         """Whether a majority, of each epoch's voters, grants what keeps all others off this interval."""
         low, high = interval
-        grants = [who for who, (told, end_us) in self._grants.items()
-                  if low <= told[0] and told[1] <= high and end_us > now_us]  # fmt: skip
+        grants = [
+            who
+            for who, (told, end_us) in self._grants.items()
+            if low <= told[0] and told[1] <= high and end_us > now_us
+        ]
         return all(sum(who in voters for who in grants) > len(voters) // 2 for voters in self._sets(interval))
 
     def _sets(self, interval: Interval) -> list[tuple[int, ...]]:
--- a/lemonridge/rollout/document.py
+++ b/lemonridge/rollout/policy_document.py
@@ -16,7 +16,7 @@
 import msgspec
 from msgspec import Meta, Struct
 
-from lemonridge import api
+from lemonridge.scheduling.settings import Settings, VolumePlan
 
 VALUE_MAX = 24_576  # bytes of a state: what is voted on, told and kept
 PLANS_MAX, CLASSES_MAX = 64, 32
@@ -40,12 +40,18 @@
     slack: Figure = 0.0
 
 
-class Class(Struct, forbid_unknown_fields=True, frozen=True, kw_only=True):
+class Class(
+    Struct,
+    forbid_unknown_fields=True,
+    frozen=True,
+    kw_only=True,
+    rename={"priority_weight": "worth"},
+):
     """One class: when an answer is wanted, and what a unit of it is worth."""
 
     name: Name
     aim_ms: Annotated[float, Meta(gt=0, le=3_600_000)]
-    worth: Figure = 1.0
+    priority_weight: Figure = 1.0
 
 
 class Rules(Struct, forbid_unknown_fields=True, frozen=True, kw_only=True):
@@ -130,9 +136,16 @@
 def successor(before: State, policy: Policy, by: str, note: str) -> State:
     """The state after a change of policy."""
     line = f"{before.epoch + 1} {by}: {note}"[: NOTE_MAX + 60]
-    return State(epoch=before.epoch + 1, prior=name(encode(before)).hex(), voters=before.voters,
-                 policy=policy, floor=before.floor, by=by, note=note[:NOTE_MAX],
-                 history=(*before.history, line)[-HISTORY_MAX:])  # fmt: skip
+    return State(
+        epoch=before.epoch + 1,
+        prior=name(encode(before)).hex(),
+        voters=before.voters,
+        policy=policy,
+        floor=before.floor,
+        by=by,
+        note=note[:NOTE_MAX],
+        history=(*before.history, line)[-HISTORY_MAX:],
+    )
 
 
 def admitted(before: State, voter: str, ident: int, by: str) -> State:
@@ -154,8 +167,9 @@
     """The state of an emergency call: the policy as it was, with other voters, which no majority decided."""
     made = successor(before, before.policy, by, note)
     line = f"{epoch} {by}: EMERGENCY, only {', '.join(voters)}: {note}"[: NOTE_MAX + 60]
-    return msgspec.structs.replace(made, epoch=epoch, voters=voters, kind="emergency",
-                                   history=(*before.history, line)[-HISTORY_MAX:])  # fmt: skip
+    return msgspec.structs.replace(
+        made, epoch=epoch, voters=voters, kind="emergency", history=(*before.history, line)[-HISTORY_MAX:]
+    )
 
 
 def stepped(before: State, after: State, members: Iterable[str]) -> str:
@@ -174,7 +188,7 @@
 # What a broker's own file says, and what it makes of a policy
 
 
-def plan_of(name: str, row: api.Plan) -> Plan:
+def plan_of(name: str, row: VolumePlan) -> Plan:
     """A plan as the decisions know it."""
     return Plan(
         name=name,
@@ -187,16 +201,23 @@
     )
 
 
-def policy_from(settings: api.Settings, plans: Iterable[str], classes: Iterable[str]) -> Policy:
+def policy_from(settings: Settings, plans: Iterable[str], classes: Iterable[str]) -> Policy:
     """The policy in a broker's settings."""
     return Policy(
         plan=tuple(map(plan_of, plans, settings.plans)),
-        classes=tuple(Class(name=told, aim_ms=row.aim_us / 1000, worth=row.worth)
-                      for told, row in zip(classes, settings.classes, strict=True)),
-        rules=Rules(max_attempts=settings.max_attempts, further_attempts=settings.further_rate))  # fmt: skip
+        classes=tuple(
+            Class(
+                name=label,
+                aim_ms=row.latency_objective_us / 1000,
+                priority_weight=row.priority_weight,
+            )
+            for label, row in zip(classes, settings.classes, strict=True)
+        ),
+        rules=Rules(max_attempts=settings.max_attempts, further_attempts=settings.retry_rate),
+    )
 
 
-def apply(policy: Policy, own: api.Settings, plans: Iterable[str], classes: Iterable[str]) -> api.Settings:
+def apply(policy: Policy, own: Settings, plans: Iterable[str], classes: Iterable[str]) -> Settings:
     """A broker's settings with a policy in force; PolicyError says why this broker cannot serve by it.
 
     The names and their order are the machine's own, since requests come by them."""
@@ -210,23 +231,31 @@
             raise PolicyError(f"{what} '{unknown[0]}' is not served here")
     made_classes = []
     for label, row in zip(classes, own.classes, strict=True):
-        aim_us = int(told_classes[label].aim_ms * 1000)
-        if aim_us > row.deadline_us:
+        latency_objective_us = int(told_classes[label].aim_ms * 1000)
+        if latency_objective_us > row.deadline_us:
             raise PolicyError(f"class '{label}' has an aim past its time of {row.deadline_us // 1000} ms")
-        made_classes.append(replace(row, aim_us=aim_us, worth=told_classes[label].worth))
+        made_classes.append(
+            replace(
+                row,
+                latency_objective_us=latency_objective_us,
+                priority_weight=told_classes[label].priority_weight,
+            )
+        )
     made_plans = tuple(
-        api.Plan(one.base_rate, one.reserve, one.weight, one.limit, one.burst, one.slack)
+        VolumePlan(one.base_rate, one.reserve, one.weight, one.limit, one.burst, one.slack)
         for one in (told_plans[label] for label in plans)
     )
     for label, plan in zip(plans, made_plans, strict=True):
-        if plan.limit and plan.burst + plan.slack < own.units_top:
-            raise PolicyError(f"plan '{label}' could never send a request of {own.units_top:g} units")
+        if plan.limit and plan.burst + plan.slack < own.largest_request_units:
+            raise PolicyError(
+                f"plan '{label}' could never send a request of {own.largest_request_units:g} units"
+            )
     return replace(
         own,
         classes=tuple(made_classes),
         plans=made_plans,
         max_attempts=policy.rules.max_attempts,
-        further_rate=policy.rules.further_attempts,
+        retry_rate=policy.rules.further_attempts,
     )
 
 
@@ -243,10 +272,15 @@
         old = before.get(row.name, row)
         limit = _least(old.limit, row.limit)
         lower = [plan for plan in (old, row) if plan.limit]
-        plans.append(msgspec.structs.replace(
-            row, limit=limit, reserve=min(old.reserve, row.reserve),
-            burst=min((plan.burst for plan in lower), default=0.0),
-            slack=min((plan.slack for plan in lower), default=0.0)))  # fmt: skip
+        plans.append(
+            msgspec.structs.replace(
+                row,
+                limit=limit,
+                reserve=min(old.reserve, row.reserve),
+                burst=min((plan.burst for plan in lower), default=0.0),
+                slack=min((plan.slack for plan in lower), default=0.0),
+            )
+        )
     rules = Rules(
         max_attempts=min(one.rules.max_attempts, other.rules.max_attempts),
         further_attempts=_least(one.rules.further_attempts, other.rules.further_attempts),
@@ -295,10 +329,15 @@
         lines += [f"{what} {told}: gone" for told in olds if told not in news]
         lines += [f"{what} {told}: new" for told in news if told not in olds]
         for told in (told for told in news if told in olds):
-            lines += [f"{what} {told}: {key} {getattr(olds[told], key):g} -> {getattr(news[told], key):g}"
-                      for key in news[told].__struct_fields__
-                      if key != "name" and getattr(olds[told], key) != getattr(news[told], key)]  # fmt: skip
-    lines += [f"rules: {key} {getattr(before.rules, key):g} -> {getattr(after.rules, key):g}"
-              for key in after.rules.__struct_fields__
-              if getattr(before.rules, key) != getattr(after.rules, key)]  # fmt: skip
+            fields = zip(news[told].__struct_fields__, news[told].__struct_encode_fields__, strict=True)
+            lines += [
+                f"{what} {told}: {label} {getattr(olds[told], key):g} -> {getattr(news[told], key):g}"
+                for key, label in fields
+                if key != "name" and getattr(olds[told], key) != getattr(news[told], key)
+            ]
+    lines += [
+        f"rules: {key} {getattr(before.rules, key):g} -> {getattr(after.rules, key):g}"
+        for key in after.rules.__struct_fields__
+        if getattr(before.rules, key) != getattr(after.rules, key)
+    ]
     return lines
--- a/lemonridge/rollout/proposals.py
+++ b/lemonridge/rollout/proposals.py
@@ -12,7 +12,7 @@
 
 import msgspec
 
-from lemonridge.rollout.document import PLANS_MAX, Plan, Policy
+from lemonridge.rollout.policy_document import PLANS_MAX, Plan, Policy
 
 STAGGER_US = 300_000  # between two brokers of the roster: a change takes about that long with all up
 AGAIN_US = 30_000_000  # until a proposal that came to nothing is proposed again
--- a/lemonridge/rollout/machine.py
+++ b/lemonridge/rollout/rollout_member.py
@@ -2,7 +2,7 @@
 
 `heard`, `tick` and `propose` leave actions in `out`, in the order in which they must happen: what a vote
 rests on is kept before the vote leaves. The pieces, each checked by itself, are the agreement (`paxos.py`),
-the leases (`leases.py`) and the document (`document.py`).
+the leases (`leases.py`) and the document (`policy_document.py`).
 
 A change goes: the proposer asks every member whether it could decide by the new state, which brings the state
 there as well; one no makes it nowhere. Silence for CHECK_US counts as being down. Then a majority of the
@@ -18,7 +18,7 @@
 
 import msgspec
 
-from lemonridge.fleet.wire import (
+from lemonridge.fleet.datagrams import (
     Accept,
     AcceptReply,
     BallotRejected,
@@ -33,10 +33,10 @@
     Prepare,
     Promise,
 )
-from lemonridge.rollout import document
-from lemonridge.rollout.document import Policy, PolicyError, State
+from lemonridge.rollout import policy_document
 from lemonridge.rollout.leases import NOTHING, Holder, Interval, LeaseGrantor
 from lemonridge.rollout.paxos import NONE, Accepted, Promised, Proposer, Refused, Voter, turn_of
+from lemonridge.rollout.policy_document import Policy, PolicyError, State
 
 SPAN_US, ERROR_US = 2_000_000, 50_000  # of a lease: what a dead broker holds a switch up, against messages
 CHECK_US = 800_000  # silent for so long at a check: it counts as down
@@ -146,8 +146,8 @@
         self.states: dict[bytes, bytes] = {}  # by name
         told = msgspec.msgpack.decode(kept, type=Kept) if kept is not None else None
         self.ident = told.ident if told is not None else ident
-        self.state = document.decode(told.state) if told is not None and told.state else genesis
-        self.name = self._store(document.encode(self.state))
+        self.state = policy_document.decode(told.state) if told is not None and told.state else genesis
+        self.name = self._store(policy_document.encode(self.state))
         self.fault = judge(self.state.policy)  # why this broker may not go by the policy that is in force
         self.before: State | None = None  # the one before, while its lease may be in use
         self.voter = Voter(self.ident, self.state.epoch + 1)
@@ -184,11 +184,11 @@
         if mode[0] == mode[1]:
             return self.state.policy
         before = self.before.policy if self.before is not None else self.state.floor
-        return document.stricter(before, self.state.policy)
+        return policy_document.stricter(before, self.state.policy)
 
     def wrong(self, policy: Policy) -> str:
         """Why this broker could not decide by a policy, or nothing."""
-        return document.contains(policy, self.state.floor) or self._judge(policy)
+        return policy_document.contains(policy, self.state.floor) or self._judge(policy)
 
     @property
     def votes(self) -> bool:
@@ -213,7 +213,7 @@
             return "nothing differs"
         if why := self.wrong(policy):
             return why
-        return self._begin(document.successor(self.state, policy, self.names[self.me], note), now_us)
+        return self._begin(policy_document.successor(self.state, policy, self.names[self.me], note), now_us)
 
     def admit(self, now_us: int) -> str:
         """Begin to let this broker vote; as `propose`."""
@@ -222,8 +222,8 @@
             return why
         if self.votes:
             return "it votes already"
-        made = document.admitted(self.state, own, self.ident, own)
-        return document.stepped(self.state, made, self.names) or self._begin(made, now_us)
+        made = policy_document.admitted(self.state, own, self.ident, own)
+        return policy_document.stepped(self.state, made, self.names) or self._begin(made, now_us)
 
     def retire(self, voter: str, now_us: int) -> str:
         """Begin to take a vote away; as `propose`."""
@@ -231,8 +231,8 @@
             return why
         if voter not in self.state.voters:
             return f"'{voter}' does not vote"
-        made = document.retired(self.state, voter, self.names[self.me])
-        return document.stepped(self.state, made, self.names) or self._begin(made, now_us)
+        made = policy_document.retired(self.state, voter, self.names[self.me])
+        return policy_document.stepped(self.state, made, self.names) or self._begin(made, now_us)
 
     def hindered(self, now_us: int) -> str:
         """Why nothing can be proposed here now, or nothing."""
@@ -270,7 +270,7 @@
             left[own] = self.ident
         epoch = (self.state.epoch // ERA + 1) * ERA + self.me
         try:
-            data = document.encode(document.forced(self.state, epoch, left, own, note))
+            data = policy_document.encode(policy_document.forced(self.state, epoch, left, own, note))
         except PolicyError as error:
             return str(error)
         self.counts["emergencies"] += 1
@@ -282,7 +282,7 @@
 
     def _begin(self, state: State, now_us: int, mine: bool = True) -> str:
         try:
-            data = document.encode(state)
+            data = policy_document.encode(state)
         except PolicyError as error:
             return str(error)
         self.change = Change(data, self._store(data), state.epoch, now_us, mine)
@@ -330,7 +330,7 @@
                 self._end(Result("nowhere", f"{self.names[who]}: {why}", willed=True))
                 return
         silent = [who for who in range(len(self.names)) if who not in change.opinions]
-        sets = (self.idents(self.state), self.idents(document.decode(change.data)))
+        sets = (self.idents(self.state), self.idents(policy_document.decode(change.data)))
         sure = all(sum(who in change.opinions for who in voters) > len(voters) // 2 for voters in sets)
         if not silent or (now_us - change.begun_us >= CHECK_US and sure):
             self._vote(change, now_us)
@@ -429,7 +429,7 @@
         if slot <= self.state.epoch:
             return
         before, self.before = self.state, None
-        self.state, self.name = document.decode(self.states[name]), name
+        self.state, self.name = policy_document.decode(self.states[name]), name
         if before.epoch == slot - 1:
             self.before = before
         self.voter.decided(slot)
@@ -469,7 +469,11 @@
 
     def _piece(self, item: Piece, now_us: int) -> None:
         found = self._fetches.get(item.name)
-        if found is None or not 0 < item.count <= document.VALUE_MAX // PIECE + 1 or item.piece >= item.count:
+        if (
+            found is None
+            or not 0 < item.count <= policy_document.VALUE_MAX // PIECE + 1
+            or item.piece >= item.count
+        ):
             return
         found.count, found.heard_us = item.count, now_us
         found.pieces[item.piece] = item.data[: item.size]
@@ -479,10 +483,10 @@
             return
         del self._fetches[item.name]
         data = b"".join(found.pieces[n] for n in range(found.count))
-        if document.name(data) != item.name:
+        if policy_document.name(data) != item.name:
             return  # spoilt, or two states in one: it is asked for anew when it is needed
         try:
-            document.decode(data)
+            policy_document.decode(data)
         except PolicyError:
             return  # whole, and no state to this program: a member of another version, or one that lies
         self._store(data)
@@ -501,7 +505,7 @@
 
     def _store(self, data: bytes) -> bytes:
         """Keep a state by its name; the oldest go, but for those that are in use."""
-        name = document.name(data)
+        name = policy_document.name(data)
         self.states.pop(name, None)
         self.states[name] = data
         if len(self.states) > STATES_MAX:
@@ -590,10 +594,10 @@
             self._fetches[item.name].check = item
             return
         try:
-            state = document.decode(data)
+            state = policy_document.decode(data)
             why = self.wrong(state.policy)
             if not why and state.prior == self.name.hex():
-                why = document.stepped(self.state, state, self.names)
+                why = policy_document.stepped(self.state, state, self.names)
             if state.voters.get(self.names[self.me], self.ident) != self.ident and state.kind == "voter":
                 why = why or "its store is lost, it has to be let in first"
         except PolicyError as error:
@@ -623,14 +627,19 @@
         elif self.change is None and not self.votes and self.mode(now_us) == alone:
             own = self.names[self.me]
             if own in self.state.voters:  # with a new store it votes again once the others say so
-                self._begin(document.admitted(self.state, own, self.ident, own), now_us, mine=False)
+                self._begin(policy_document.admitted(self.state, own, self.ident, own), now_us, mine=False)
         self._advance(now_us)
 
     def wake_us(self, now_us: int) -> int:
         """When to come again at the latest."""
         alone = (self.state.epoch, self.state.epoch)
-        busy = (self.change is not None or self._fetches or self.voter.took or self.holder.uses != alone
-                or not self.holder.valid(now_us))  # fmt: skip
+        busy = (
+            self.change is not None
+            or self._fetches
+            or self.voter.took
+            or self.holder.uses != alone
+            or not self.holder.valid(now_us)
+        )
         return now_us + (SWITCH_US // 2 if busy else self.span_us // 8)
 
     def _say(self, who: int, item: Item) -> None:
@@ -639,8 +648,9 @@
 
     def _keep(self) -> None:
         taken = self.states[self.voter.value] if self.voter.took else b""
-        data = msgspec.msgpack.encode(Kept(self.ident, self.states[self.name], self.voter.promised,
-                                           self.voter.took, taken))  # fmt: skip
+        data = msgspec.msgpack.encode(
+            Kept(self.ident, self.states[self.name], self.voter.promised, self.voter.took, taken)
+        )
         if data != self._kept:
             self._kept = data
             self.out.append(Keep(data))
@@ -650,24 +660,39 @@
         mode = self.mode(now_us)
         change = self.change
         return {
-            "name": self.names[self.me], "life": self.life,
-            "epoch": self.state.epoch, "state": self.name.hex(),
-            "goes_by": "floor" if mode == NOTHING else list(mode), "fault": self.fault,
+            "name": self.names[self.me],
+            "life": self.life,
+            "epoch": self.state.epoch,
+            "state": self.name.hex(),
+            "goes_by": "floor" if mode == NOTHING else list(mode),
+            "fault": self.fault,
             "lease_ms": max(0, self.holder.until_us() - now_us) // 1000,
-            "votes": self.votes, "voter": self.names[self.me] in self.state.voters,
+            "votes": self.votes,
+            "voter": self.names[self.me] in self.state.voters,
             "voters": sorted(self.state.voters),
-            "promised": self.voter.promised, "accepted": self.voter.took,
-            "under_way": None if change is None else {
-                "slot": change.slot, "mine": change.mine,
+            "promised": self.voter.promised,
+            "accepted": self.voter.took,
+            "under_way": None
+            if change is None
+            else {
+                "slot": change.slot,
+                "mine": change.mine,
                 "phase": "check" if change.proposer is None else "vote",
-                "answered": sorted(self.names[who] for who in change.opinions)},
-            "heard": {self.names[who]: {"epoch": epoch, "ms": (now_us - at_us) // 1000}
-                      for who, (epoch, at_us) in sorted(self._told.items())},
-            "leases_out": {self.names[who]: [[*one.interval, (one.end_us - now_us) // 1000] for one in grants]
-                           for who, grants in sorted(self.lessor.out(now_us).items())},
-            "results_ended": self.ended, "results": [[one.end, one.why, one.epoch] for one in self.results],
-            "history": list(self.state.history), "counts": self.counts,
-        }  # fmt: skip
+                "answered": sorted(self.names[who] for who in change.opinions),
+            },
+            "heard": {
+                self.names[who]: {"epoch": epoch, "ms": (now_us - at_us) // 1000}
+                for who, (epoch, at_us) in sorted(self._told.items())
+            },
+            "leases_out": {
+                self.names[who]: [[*one.interval, (one.end_us - now_us) // 1000] for one in grants]
+                for who, grants in sorted(self.lessor.out(now_us).items())
+            },
+            "results_ended": self.ended,
+            "results": [[one.end, one.why, one.epoch] for one in self.results],
+            "history": list(self.state.history),
+            "counts": self.counts,
+        }
 
 
 def _wire(interval: Interval) -> Interval:
--- a/lemonridge/policy/context.py
+++ b/lemonridge/scheduling/context.py
@@ -5,8 +5,9 @@
 import random
 from collections.abc import Hashable
 
-from lemonridge.api import Action, Settings
-from lemonridge.policy.timers import TimerKind, Timers
+from lemonridge.scheduling.actions import Action
+from lemonridge.scheduling.settings import Settings
+from lemonridge.scheduling.timers import TimerKind, Timers
 
 FEW = 8  # up to so many hosts, one request or try of each floods no node: load against late discovery
 WINDOW_START = 2.0  # a host's first guess for a node: few, since others send there too
@@ -35,7 +36,7 @@
         """Go by new settings."""
         self.settings = settings
         # All classes wait in one queue at a node, so the tightest aim bounds it for every class.
-        self.tightest_us = min(cls.aim_us for cls in settings.classes)
+        self.tightest_us = min(cls.latency_objective_us for cls in settings.classes)
         self.first_window = WINDOW_START if settings.hosts <= FEW else WINDOW_MIN
 
     def at(self, at_us: int, kind: TimerKind, what: Hashable) -> None:
--- a/lemonridge/policy/refusals.py
+++ b/lemonridge/scheduling/final_answers.py
@@ -2,18 +2,22 @@
 
 from __future__ import annotations
 
-from lemonridge.api import Fail, Group, Refuse, Semantics, Why
-from lemonridge.policy.context import DecisionContext
-from lemonridge.policy.node_health import PROBE_US
-from lemonridge.policy.requests import Request
+from lemonridge.scheduling.actions import Fail, Reject, RejectReason
+from lemonridge.scheduling.context import DecisionContext
+from lemonridge.scheduling.endpoint_health import PROBE_US
+from lemonridge.scheduling.requests import Request
+from lemonridge.scheduling.settings import DeduplicationScope, IdempotencyKind
 
 
-def final_answer(context: DecisionContext, request: Request, why: Why) -> Refuse | Fail:
+def final_answer(context: DecisionContext, request: Request, why: RejectReason) -> Reject | Fail:
     """A refusal where a repeat is harmless, else a failure (PROTOCOL: 429 and 503 promise that it is)."""
-    ran, effects = request.ran_node is not None or request.open is not None, request.cls.semantics
-    keyed_everywhere = effects is Semantics.KEYED and request.cls.group is Group.ALL
-    if not ran or effects is Semantics.SAFE or keyed_everywhere:
-        return Refuse(request.id, backoff_us(context, request), why)
+    ran, effects = request.ran_node is not None or request.open is not None, request.cls.idempotency
+    keyed_everywhere = (
+        effects is IdempotencyKind.WITH_IDEMPOTENCY_KEY
+        and request.cls.deduplication_scope is DeduplicationScope.ALL
+    )
+    if not ran or effects is IdempotencyKind.IDEMPOTENT or keyed_everywhere:
+        return Reject(request.id, backoff_us(context, request), why)
     return Fail(request.id, why)
 
 
--- a/lemonridge/policy/key_order.py
+++ b/lemonridge/scheduling/key_order.py
@@ -4,9 +4,9 @@
 
 from collections import deque
 
-from lemonridge.policy.context import DecisionContext
-from lemonridge.policy.requests import Request
-from lemonridge.policy.timers import TimerKind
+from lemonridge.scheduling.context import DecisionContext
+from lemonridge.scheduling.requests import Request
+from lemonridge.scheduling.timers import TimerKind
 
 
 class KeyOrder:
@@ -27,7 +27,7 @@
 
     def rest(self, key: int) -> None:
         """An attempt may run on: the next of this key waits until it must be over."""
-        self._rests[key] = self._context.now + self._context.settings.key_rest_us
+        self._rests[key] = self._context.now + self._context.settings.key_quarantine_us
         self._context.at(self._rests[key], TimerKind.KEY_REST, key)
 
     def rested(self, key: int) -> Request | None:
--- a/lemonridge/policy/requests.py
+++ b/lemonridge/scheduling/requests.py
@@ -4,8 +4,11 @@
 
 from collections import deque
 
-from lemonridge.api import Arrived, ClassInfo, Settings
-from lemonridge.stores import InRateDemand, Node, TokenBucket
+from lemonridge.scheduling.endpoint import TrackedEndpoint
+from lemonridge.scheduling.events import RequestArrived
+from lemonridge.scheduling.rate_estimators import InRateDemand
+from lemonridge.scheduling.settings import RequestClass, Settings
+from lemonridge.scheduling.token_bucket import TokenBucket
 
 CREDIT_S = 1.0  # credit and debt are capped at this many seconds of reservation
 TOLD_US = 2_000_000  # told use older than this is stale: reservation falls back to an even slice
@@ -15,15 +18,37 @@
     """A request from its arrival until its final answer and the end of its last attempt."""
 
     __slots__ = (
-        "id", "size", "shard", "volume", "deadline", "due", "half", "until", "key", "cls", "units", "sent",
-        "unbegun", "uncounted", "open", "ran_us", "ran_node", "drawn", "come", "unsure", "slow_start_id",
-        "done", "started", "queued", "repeat",
+        "id",
+        "size",
+        "shard",
+        "volume",
+        "deadline",
+        "due",
+        "half",
+        "until",
+        "key",
+        "cls",
+        "units",
+        "sent",
+        "unbegun",
+        "uncounted",
+        "open",
+        "ran_us",
+        "ran_node",
+        "drawn",
+        "come",
+        "unsure",
+        "slow_start_id",
+        "done",
+        "started",
+        "queued",
+        "repeat",
         "awaited",
-    )  # fmt: skip
+    )
 
-    def __init__(self, event: Arrived, cls: ClassInfo, volume: Volume, due: int, now: int) -> None:
+    def __init__(self, event: RequestArrived, cls: RequestClass, volume: Volume, due: int, now: int) -> None:
         self.id, self.shard, self.volume = event.request, event.shard, volume
-        self.size = max(1.0, event.units / (volume.settings.units_mean or event.units or 1.0))
+        self.size = max(1.0, event.units / (volume.settings.mean_request_units or event.units or 1.0))
         self.deadline, self.due, self.cls, self.units = event.deadline_us, due, cls, event.units
         self.key = event.key if cls.sequential else None
         self.repeat = event.repeat  # a client's, where clients mark them
@@ -31,10 +56,10 @@
         self.until = 0  # it may wait for a node up to then, though its aim is past
         self.sent = 0  # attempts made
         self.unbegun = self.uncounted = 0  # of these: no byte was sent; never left this host, which is none
-        self.open: Node | None = None  # the node of the attempt in flight; never two at once
+        self.open: TrackedEndpoint | None = None  # the node of the attempt in flight; never two at once
         self.awaited = False  # that attempt has time enough for its silence to tell of the node
         self.ran_us = 0  # when the first attempt that may have run was sent
-        self.ran_node: Node | None = None
+        self.ran_node: TrackedEndpoint | None = None
         self.drawn = self.come = self.unsure = self.done = self.started = self.queued = False
         self.slow_start_id: int | None = None  # the slow start in which its last attempt is counted
 
@@ -62,7 +87,7 @@
             TokenBucket(born_us, flow),
             0.0,
         )  # from the host's start, not the first request
-        self.seen_us, self.regular = now, InRateDemand(settings.units_top, now)
+        self.seen_us, self.regular = now, InRateDemand(settings.largest_request_units, now)
 
     def go_by(self, place: int, hosts: int, settings: Settings, now: int) -> None:
         """Go by a plan of these settings, for so many hosts."""
@@ -70,7 +95,7 @@
         self.store.size(now, plan.limit, plan.burst + plan.slack, hosts, hosts != self.hosts)
         self.place, self.plan, self.hosts, self.settings = place, plan, hosts, settings
 
-    def credit(self, now: int, units_top: float, waits: bool = True) -> None:
+    def credit(self, now: int, largest_request_units: float, waits: bool = True) -> None:
         """Add what the reservation earned since the last visit; told use was taken off already.
 
         Credit accrues only while the queue waits; idle time pays off a debt, in which a host with a
@@ -79,13 +104,13 @@
         plan = self.plan
         told = self.hosts == 1 or now - self.told_us <= TOLD_US
         rate = plan.reserve if told else plan.reserve / self.hosts
-        top = CREDIT_S * rate + units_top if waits else max(0.0, self.balance)
+        top = CREDIT_S * rate + largest_request_units if waits else max(0.0, self.balance)
         self.balance = min(top, self.balance + rate * (now - self.credited_us) / 1e6)
         self.credited_us = now
 
-    def debit(self, units: float, units_top: float) -> None:
+    def debit(self, units: float, largest_request_units: float) -> None:
         """Take off what was used, here or through other hosts."""
-        top = CREDIT_S * self.plan.reserve + units_top
+        top = CREDIT_S * self.plan.reserve + largest_request_units
         self.balance = max(-top, self.balance - units)
 
     def arrive(self, request: Request, came: bool, now: int) -> None:
--- a/lemonridge/policy/scheduler.py
+++ b/lemonridge/scheduling/scheduler.py
@@ -1,54 +1,55 @@
-"""The dispatch of events to the parts of the decisions. The interface is in `lemonridge/api.py`."""
+"""The dispatch of events to the parts of the decisions. The interface is in `events.py`,
+`actions.py` and `settings.py`."""
 
 from __future__ import annotations
 
 from collections.abc import Iterable, Mapping
 
-from lemonridge.api import (
-    Action,
-    Arrived,
-    Budget,
-    Cancel,
-    Configured,
-    Ended,
+from lemonridge.scheduling.actions import Action, Cancel, RejectReason, Send, SetTimer, Subscribe
+from lemonridge.scheduling.context import DecisionContext
+from lemonridge.scheduling.endpoint import TrackedEndpoint
+from lemonridge.scheduling.endpoint_health import CYCLE_US, NodeHealth
+from lemonridge.scheduling.endpoint_list import NodeList
+from lemonridge.scheduling.events import (
+    AttemptEnded,
+    AttemptResult,
+    ClientDisconnected,
+    DataMigrated,
+    EndpointListUpdate,
+    EndpointsChanged,
     Event,
-    Gone,
-    Group,
-    Judged,
     LimitLevel,
-    Listed,
-    ListKind,
-    Moved,
-    Result,
-    Semantics,
-    Send,
-    Served,
-    SetTimer,
-    Settings,
-    Sliced,
-    Started,
-    Subscribe,
-    Why,
+    PeerHealthReported,
+    PeerUsageReported,
+    QuotaChanged,
+    RequestArrived,
+    ResponseStarted,
+    SettingsChanged,
+    SharedBudget,
 )
-from lemonridge.policy.context import DecisionContext
-from lemonridge.policy.key_order import KeyOrder
-from lemonridge.policy.limits import VolumeLimits
-from lemonridge.policy.node_health import CYCLE_US, NodeHealth
-from lemonridge.policy.node_list import NodeList
-from lemonridge.policy.queues import VolumeQueues
-from lemonridge.policy.refusals import final_answer
-from lemonridge.policy.requests import CREDIT_S, Request, VolumeQueue
-from lemonridge.policy.retries import RetryRules
-from lemonridge.policy.slow_start import SlowStart
-from lemonridge.policy.timers import TimerKind
-from lemonridge.stores import Node
+from lemonridge.scheduling.final_answers import final_answer
+from lemonridge.scheduling.key_order import KeyOrder
+from lemonridge.scheduling.requests import CREDIT_S, Request, VolumeQueue
+from lemonridge.scheduling.retries import RetryRules
+from lemonridge.scheduling.settings import DeduplicationScope, IdempotencyKind, Settings
+from lemonridge.scheduling.slow_start import SlowStart
+from lemonridge.scheduling.timers import TimerKind
+from lemonridge.scheduling.volume_limits import VolumeLimits
+from lemonridge.scheduling.volume_queues import VolumeQueues
 
 ASK_US = 250_000  # first pause after a failed call for the list, doubled up to the limit below
 ASK_TOP_US = 8_000_000  # where the settings do not say how often to ask
 
 # These prove that an attempt never ran; after those it may be running still.
-UNRUN = frozenset((Result.FULL, Result.CONNECT_FAILED, Result.NOT_SENT, Result.MOVED))
-UNSURE = frozenset((Result.TIMEOUT, Result.RESET, Result.CANCELLED))
+UNRUN = frozenset(
+    (
+        AttemptResult.QUEUE_FULL,
+        AttemptResult.CONNECT_FAILED,
+        AttemptResult.NOT_SENT,
+        AttemptResult.DATA_MIGRATED,
+    )
+)
+UNSURE = frozenset((AttemptResult.TIMEOUT, AttemptResult.RESET, AttemptResult.CANCELLED))
 
 
 class Scheduler:
@@ -67,7 +68,9 @@
             context, self.health, self.slow_start, self.retries, self._send, self._give_up
         )
         self.requests: dict[str, Request] = {}
-        self.flights: dict[tuple[str, int], tuple[Request, Node, int]] = {}  # attempts that are out
+        self.flights: dict[
+            tuple[str, int], tuple[Request, TrackedEndpoint, int]
+        ] = {}  # attempts that are out
         self._lost: set[tuple[str, int]] = set()  # attempts written off, still without an outcome
         self._longest_us: list[int] = []  # the longest wait seen granted, by class
         self._wake_us: int | None = None
@@ -122,33 +125,33 @@
         """The first moment."""
         self.context.born = self.retries.further.filled_us = now_us
         self.limits.begin(now_us)
-        if self.context.settings.asks_list:
+        if self.context.settings.polls_endpoint_list:
             self.context.actions.append(Subscribe())
 
     def _take(self, event: Event) -> None:
         """One event."""
-        if isinstance(event, Ended):
+        if isinstance(event, AttemptEnded):
             self._ended(event)
-        elif isinstance(event, Arrived):
+        elif isinstance(event, RequestArrived):
             self._arrived(event)
-        elif isinstance(event, Listed):
+        elif isinstance(event, EndpointsChanged):
             self._listed(event)
-        elif isinstance(event, Gone) and event.request in self.requests:
+        elif isinstance(event, ClientDisconnected) and event.request in self.requests:
             self._finish(self.requests[event.request])
-        elif isinstance(event, Started) and event.request in self.requests:
+        elif isinstance(event, ResponseStarted) and event.request in self.requests:
             self.requests[event.request].started = True
-        elif isinstance(event, Moved):
+        elif isinstance(event, DataMigrated):
             self._moved(event)
-        elif isinstance(event, Configured):
+        elif isinstance(event, SettingsChanged):
             self._configure(event.settings, event.same)
-        elif isinstance(event, Sliced):
+        elif isinstance(event, QuotaChanged):
             self._sliced(event)
-        elif isinstance(event, Judged):
+        elif isinstance(event, PeerHealthReported):
             self.health.judged(event)
-        elif isinstance(event, Served) and event.volume in self.limits.volumes:
+        elif isinstance(event, PeerUsageReported) and event.volume in self.limits.volumes:
             volume = self.limits.volumes[event.volume]
             volume.told_us = self.context.now
-            volume.debit(event.units, self.context.settings.units_top)
+            volume.debit(event.units, self.context.settings.largest_request_units)
 
     def _configure(self, settings: Settings, same: bool = False) -> None:
         """Go by new settings. What is held keeps its class; a volume its plan until it asks, or `same`."""
@@ -159,27 +162,27 @@
         self._longest_us = [0] * len(settings.classes)
         self.retries.configure(settings, hosts_before)
 
-    def _sliced(self, event: Sliced) -> None:
+    def _sliced(self, event: QuotaChanged) -> None:
         """Another slice of what hosts share, since a moment ago: until then the one before counts."""
         part = (event.part, event.until_us, event.after)
-        if event.budget is Budget.LIMIT:
+        if event.budget is SharedBudget.LIMIT:
             if volume := self.limits.slice(event):
                 self.queues.resume_volume(volume)
-        elif event.budget is Budget.COLD and (node := self.node_list.nodes.get(str(event.name))):
+        elif event.budget is SharedBudget.SLOW_START and (node := self.node_list.nodes.get(str(event.name))):
             self.slow_start.in_slow_start(node)  # its bucket is brought up to date by the share before
             node.lent.tell(*part)
             self.context.touch(node.shard)
-        elif event.budget is Budget.FURTHER:
+        elif event.budget is SharedBudget.RETRIES:
             self.retries.further.tell(event.since_us, *part)
 
-    def _listed(self, event: Listed) -> None:
+    def _listed(self, event: EndpointsChanged) -> None:
         context = self.context
-        if event.kind is ListKind.BROKEN:
+        if event.kind is EndpointListUpdate.WATCH_FAILED:
             # Jitter and doubling: hosts that lost the list together must not return together.
-            if context.settings.asks_list:
+            if context.settings.polls_endpoint_list:
                 context.at(context.now + context.jitter(self._ask_pause_us), TimerKind.ASK, None)
                 # Half of what the settings allow without asking: later and it counts as told.
-                longest_us = context.settings.ask_within_us // 2 or ASK_TOP_US
+                longest_us = context.settings.poll_within_us // 2 or ASK_TOP_US
                 self._ask_pause_us = min(self._ask_pause_us * 2, longest_us)
             return
         self._ask_pause_us = ASK_US
@@ -188,30 +191,30 @@
 
     # A request
 
-    def _arrived(self, event: Arrived) -> None:
+    def _arrived(self, event: RequestArrived) -> None:
         context = self.context
         cls, now = context.settings.classes[event.cls], context.now
-        self.retries.ration.took(now, context.settings.look_back_us)
+        self.retries.ration.took(now, context.settings.retry_budget_window_us)
         volume = self.limits.volume_of(event)
         # A client's repeat shows in that less than the longest wait is left: its aim is its first try's. That
         # is an estimate, as any client may give less time: it says what goes first.
         left = event.deadline_us - now
         longest_us = min(cls.deadline_us, max(self._longest_us[event.cls], left))
         self._longest_us[event.cls] = longest_us
-        request = Request(event, cls, volume, event.deadline_us - longest_us + cls.aim_us, now)
+        request = Request(event, cls, volume, event.deadline_us - longest_us + cls.latency_objective_us, now)
         self.requests[request.id] = request
         context.at(request.deadline, TimerKind.DEADLINE, request)
         request.until = self.queues.patient_until(request)
         # Over the limit, so the client hears at once: else a surge fills the queues with what waits to die.
         wait = volume.store.wait_us(volume.undrawn + request.units, now) if volume.plan.limit else 0
         if wait > max(0, max(request.due, request.until) - now):
-            self._give_up(request, Why.LIMIT)
+            self._give_up(request, RejectReason.LIMIT_REACHED)
             return
         volume.undrawn += request.units
         if self.key_order.arrive(request):
             self.queues.enqueue(request)
 
-    def _send(self, request: Request, node: Node) -> None:
+    def _send(self, request: Request, node: TrackedEndpoint) -> None:
         """Send, and book it everywhere it counts."""
         context, volume = self.context, request.volume
         now = context.now
@@ -222,7 +225,7 @@
                 volume.store.draw(request.units, now)
                 volume.store.away += request.units if context.asked else 0.0
         self.retries.count(request)
-        volume.debit(request.units, context.settings.units_top)
+        volume.debit(request.units, context.settings.largest_request_units)
         request.slow_start_id = node.count(now, request.units)
         self.flights[request.id, request.sent] = (request, node, now)
         node.size = max(node.size, request.size) if node.open else request.size
@@ -235,7 +238,7 @@
             node.quiet_us = now if node.quiet_us is None else node.quiet_us
         context.actions.append(Send(request.id, node.id))
 
-    def _ended(self, event: Ended) -> None:
+    def _ended(self, event: AttemptEnded) -> None:
         key = (event.request, event.attempt)
         if (flight := self.flights.pop(key, None)) is None:
             return
@@ -256,34 +259,40 @@
             self._finish(request)
         elif request.done:
             self._free_key(request)
-        elif event.result is not Result.MOVED:  # it waits for `Moved`, or for its deadline
+        elif (
+            event.result is not AttemptResult.DATA_MIGRATED
+        ):  # it waits for `DataMigrated`, or for its deadline
             self._again(request, event.result)
         self.node_list.drop(node)
         self.context.touch(node.shard)
 
-    def _count_end(self, request: Request, event: Ended) -> None:
+    def _count_end(self, request: Request, event: AttemptEnded) -> None:
         """Note whether an attempt began, and what of the limit it has used."""
         request.unbegun += not event.begun
-        request.uncounted += event.result is Result.NOT_SENT and not event.begun
+        request.uncounted += event.result is AttemptResult.NOT_SENT and not event.begun
         if request.drawn and not request.come:
-            never = event.result is Result.NOT_SENT or not event.begun
+            never = event.result is AttemptResult.NOT_SENT or not event.begun
             request.unsure = request.unsure if never else event.result in UNSURE
             if not request.unsure or event.finished or request.done:
                 request.volume.arrive(request, request.unsure or not never, self.context.now)
 
-    def _again(self, request: Request, result: Result) -> None:
+    def _again(self, request: Request, result: AttemptResult) -> None:
         """One attempt ended without an answer: try again where that is allowed and useful."""
         now, ran = self.context.now, request.ran_node
         pause_us = self.retries.pause_us(request, result)
-        useful = result is not Result.TIMEOUT and now + pause_us < request.deadline
-        if ran and request.cls.semantics is Semantics.KEYED and request.cls.group is Group.CELL:
+        useful = result is not AttemptResult.TIMEOUT and now + pause_us < request.deadline
+        if (
+            ran
+            and request.cls.idempotency is IdempotencyKind.WITH_IDEMPOTENCY_KEY
+            and request.cls.deduplication_scope is DeduplicationScope.SHARD
+        ):
             request.shard = ran.shard  # only there is a repeat dropped: a new object goes back to its node
         if useful and self.retries.may_send(request, None):
             self.context.at(now + pause_us, TimerKind.RETRY, request)
         else:
-            self._give_up(request, Why.SPENT)
+            self._give_up(request, RejectReason.ATTEMPTS_EXHAUSTED)
 
-    def _moved(self, event: Moved) -> None:
+    def _moved(self, event: DataMigrated) -> None:
         """Go on where the data went, within the same attempts; give up where that is not known."""
         request = self.requests.get(event.request)
         if request is None or request.open is not None:
@@ -294,9 +303,9 @@
         if event.shard is not None and self.retries.may_send(request, None):
             self.queues.enqueue(request)
         else:
-            self._give_up(request, Why.LOST)
+            self._give_up(request, RejectReason.ROUTE_UNKNOWN)
 
-    def _give_up(self, request: Request, why: Why) -> None:
+    def _give_up(self, request: Request, why: RejectReason) -> None:
         """The final answer, by the decisions."""
         self.context.actions.append(final_answer(self.context, request, why))
         self._finish(request)
@@ -313,7 +322,7 @@
             elif not request.come and request.open is None:
                 volume.arrive(request, True, now)
             usual, rate = self.slow_start.usual[request.shard], volume.plan.base_rate
-            saved = volume.settings.units_top + CREDIT_S * rate
+            saved = volume.settings.largest_request_units + CREDIT_S * rate
             part = volume.regular.inside(request.units, now, rate, saved)
             if not usual.served:  # at its end: a request must not make room for itself at a cold node
                 usual.add(part, now)
@@ -344,7 +353,7 @@
             request.open, useful = None, in_time and context.settings.may_cancel
             if (
                 useful
-                and request.cls.semantics is not Semantics.ONCE
+                and request.cls.idempotency is not IdempotencyKind.NOT_IDEMPOTENT
                 and self.retries.may_send(request, node)
             ):
                 context.actions.append(Cancel(*attempt))
@@ -352,7 +361,7 @@
             context.touch(node.shard)
         else:  # an answer that does not come is late long before the client's deadline says so
             late_us = (context.now - sent_us) / request.size
-            self.health.adapt(node, sent_us, late_us, True, Result.TIMEOUT)
+            self.health.adapt(node, sent_us, late_us, True, AttemptResult.TIMEOUT)
             context.at(context.now + self.health.patience_us(node), TimerKind.OVERDUE, attempt)
 
     # Time
@@ -370,7 +379,7 @@
                 self.queues.resume(what)
             elif isinstance(what, Request) and not what.done:
                 if kind is TimerKind.DEADLINE and not what.started:
-                    self._give_up(what, Why.OVER)
+                    self._give_up(what, RejectReason.DEADLINE_EXCEEDED)
                 elif (
                     kind is TimerKind.RETRY and not what.queued and what.open is None
                 ):  # or it has moved since
--- a/lemonridge/policy/limits.py
+++ b/lemonridge/scheduling/volume_limits.py
@@ -4,9 +4,10 @@
 
 from collections.abc import Mapping
 
-from lemonridge.api import Arrived, LimitLevel, Settings, Sliced
-from lemonridge.policy.context import DecisionContext
-from lemonridge.policy.requests import Volume
+from lemonridge.scheduling.context import DecisionContext
+from lemonridge.scheduling.events import LimitLevel, QuotaChanged, RequestArrived
+from lemonridge.scheduling.requests import Volume
+from lemonridge.scheduling.settings import Settings
 
 IDLE_US = 30_000_000  # entries of idle volumes live this long
 
@@ -18,7 +19,7 @@
         self._context = context
         self.volumes: dict[int, Volume] = {}
         self.levels: dict[int, LimitLevel] = {}  # of limits, taken over for volumes that have not asked yet
-        self.slices: dict[int, Sliced] = {}  # as last told, also of volumes that have not asked
+        self.slices: dict[int, QuotaChanged] = {}  # as last told, also of volumes that have not asked
         self.flow = 1.0  # of limits: they fill, or ebb once they are handed over
         self._swept_us = 0
 
@@ -26,7 +27,7 @@
         """The host's first moment."""
         self._swept_us = now
 
-    def volume_of(self, event: Arrived) -> Volume:
+    def volume_of(self, event: RequestArrived) -> Volume:
         """The volume of a request that comes now."""
         now, settings = self._context.now, self._context.settings
         if (volume := self.volumes.get(event.volume)) is None:
@@ -46,7 +47,7 @@
             volume.go_by(volume.place, volume.hosts, settings, self._context.now)
         return list(self.volumes.values())
 
-    def slice(self, event: Sliced) -> Volume | None:
+    def slice(self, event: QuotaChanged) -> Volume | None:
         """Another slice of a limit; its volume, if it has asked."""
         self.slices[int(event.name)] = event
         if volume := self.volumes.get(int(event.name)):
