--- a/tests/test_simhost.py
+++ b/tests/test_simhost.py
@@ -11,8 +11,9 @@
 
 import pytest
 
-from lemonridge import api, simhost
-from lemonridge.settings import SettingsError, settings_from
+from lemonridge.cli import simulator
+from lemonridge.config.scheduler_settings import SettingsError, settings_from
+from lemonridge.scheduling.actions import Action, Cancel
 
 ROOT = Path(__file__).resolve().parent.parent
 FACTS = {
@@ -72,20 +73,20 @@
 
 
 def test_request_is_issued_and_answered() -> None:
-    host = simhost.Host()
+    host = simulator.Host()
     assert ["issue", 3, "id-1", "10.0.0.1:9000", 0] in orders(host.batch(line(*begin(), ASK)))
     ended = ["completed", 3, "id-1", 0, "10.0.0.1:9000", 255, 900, False, None, None, {"busy_reqs": 7}]
     assert orders(host.batch(line(ended, now=8001000)))
 
 
 def test_page_number_is_resolved_in_event_order() -> None:
-    host = simhost.Host()
+    host = simulator.Host()
     events = [*begin(), ["page", 0, [OTHER]], ["discovery", 3, "whole", 2, 0], ASK]
     assert ["issue", 3, "id-1", "10.0.0.2:9000", 0] in orders(host.batch(line(*events)))
 
 
 def test_kill_forgets_and_a_new_start_in_the_same_batch_works() -> None:
-    host = simhost.Host()
+    host = simulator.Host()
     host.batch(line(*begin(), ASK))
     events = [["kill", 3], *begin()]
     assert not [o for o in orders(host.batch(line(*events))) if o[0] == "issue"]
@@ -93,7 +94,7 @@
 
 
 def test_empty_batch() -> None:
-    assert simhost.Host().batch(line()) == '{"orders":[]}'
+    assert simulator.Host().batch(line()) == '{"orders":[]}'
 
 
 def test_refusal_carries_advice_only_where_it_is_allowed() -> None:
@@ -106,7 +107,7 @@
 
 def test_optional_rules_may_be_absent() -> None:
     settings = settings_from(FACTS)
-    assert settings.look_back_us == settings.key_rest_us == settings.ask_within_us == 0
+    assert settings.retry_budget_window_us == settings.key_quarantine_us == settings.poll_within_us == 0
 
 
 @pytest.mark.parametrize(
@@ -139,7 +140,7 @@
 )
 def test_malformed_line_ends_it_with_one_plain_line(bad: str) -> None:
     done = subprocess.run(
-        [sys.executable, "-m", "lemonridge.simhost"],
+        [sys.executable, "-m", "lemonridge.cli.simulator"],
         input=bad + "\n",
         cwd=ROOT,
         capture_output=True,
@@ -152,10 +153,10 @@
 
 
 def test_exception_in_the_policy_is_a_fault(monkeypatch: pytest.MonkeyPatch) -> None:
-    def broken(*_: object) -> list[api.Action]:
+    def broken(*_: object) -> list[Action]:
         raise ValueError("no such thing")
 
-    host = simhost.Host()
+    host = simulator.Host()
     host.batch(line(*begin()))
     monkeypatch.setattr(host.instances[3], "handle", broken)
     assert orders(host.batch(line(ASK))) == [["fault", 3, "ValueError: no such thing"]]
@@ -167,7 +168,7 @@
             ["inbound", who, f"{who}-{n}", 0, n, 1, 9500000, 5, n % 2, 0, 2, 1] for n in range(9)
         ]
 
-    together, alone = simhost.Host(), simhost.Host()
+    together, alone = simulator.Host(), simulator.Host()
     both = orders(together.batch(line(["page", 0, [ROW]], *events(1), *events(2))))
     one = orders(alone.batch(line(["page", 0, [ROW]], *events(2))))
     assert [o for o in both if o[1] == 2] == one and one
@@ -175,7 +176,7 @@
 
 def test_run_serves_until_the_end_of_input() -> None:
     sink = io.StringIO()
-    simhost.run(io.StringIO(line() + "\n" + line() + "\n"), sink)
+    simulator.run(io.StringIO(line() + "\n" + line() + "\n"), sink)
     assert sink.getvalue().count("\n") == 2
 
 
@@ -192,12 +193,12 @@
     ],
 )
 def test_load_report_is_passed_on_or_left_out_and_never_a_fault(report: object, held: float | None) -> None:
-    host = simhost.Host()
+    host = simulator.Host()
     host.batch(line(*begin(), ASK))
     ended = ["completed", 3, "id-1", 0, "10.0.0.1:9000", 0, 900, True, None, None, report]
-    assert simhost._ended(ended).held == held
+    assert simulator._ended(ended).held == held
     assert not [order for order in orders(host.batch(line(ended, now=8001000))) if order[0] == "fault"]
 
 
 def test_cancel_is_written_as_the_wire_wants_it() -> None:
-    assert simhost._order(3, api.Cancel("id-1", 2)) == ["undo-send", 3, "id-1", 2]
+    assert simulator._order(3, Cancel("id-1", 2)) == ["undo-send", 3, "id-1", 2]
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -1,8 +1,8 @@
 """NOTES: the budget of a server in slow start binds on every day, however few or many brokers run.
 
 Schedulers stand before disk nodes in virtual time, with more demand than the nodes bear. The judge counts
-what comes to each node, as the page does: N calls of mean work in any window of `fall_us`, N being what the
-settings allow a node that is as warm as it is at the window's end, with the page's slack.
+what comes to each node, as the page does: N calls of mean work in any window of `overload_window_us`, N being
+what the settings allow a node that is as warm as it is at the window's end, with the page's slack.
 """
 
 from __future__ import annotations
@@ -16,8 +16,20 @@
 import pytest
 from conftest import BIG, SETTINGS
 
-from lemonridge import Scheduler, api
-from lemonridge.policy.slow_start import SlowStart
+from lemonridge import Scheduler
+from lemonridge.scheduling.actions import Send, SetTimer
+from lemonridge.scheduling.events import (
+    AttemptEnded,
+    AttemptResult,
+    Endpoint,
+    EndpointListUpdate,
+    EndpointsChanged,
+    EndpointState,
+    Event,
+    RequestArrived,
+    TimerFired,
+)
+from lemonridge.scheduling.slow_start import SlowStart
 
 RAMP_US, FALL_US, TIP, COLD_SHARE, MEAN = 6_000_000, 1_000_000, 2.5, 0.2, 2.0
 CORES, UNIT_US, QUEUE = 2, 5_000, 2  # a node does 400 units a second when it is warm, and holds few
@@ -77,9 +89,18 @@
         self.begun = self.now
         bears = TIP * COLD_SHARE * CORES * FALL_US / UNIT_US
         self.settings = replace(
-            SETTINGS, hosts=brokers, plans=(BIG,), units_mean=MEAN, units_top=3.0, tip_multiple=TIP,
-            cold_share=COLD_SHARE, ramp_us=RAMP_US, fall_us=FALL_US, cold_units=0.6 * bears, max_attempts=4,
-        )  # fmt: skip
+            SETTINGS,
+            hosts=brokers,
+            plans=(BIG,),
+            mean_request_units=MEAN,
+            largest_request_units=3.0,
+            overload_multiple=TIP,
+            slow_start_initial_fraction=COLD_SHARE,
+            slow_start_ramp_us=RAMP_US,
+            overload_window_us=FALL_US,
+            slow_start_units=0.6 * bears,
+            max_attempts=4,
+        )
         self.nodes = {f"n{number}": DiskNode(f"n{number}") for number in range(nodes)}
         self.brokers: dict[int, Scheduler] = {}
         self.lives: dict[int, int] = {}
@@ -98,15 +119,15 @@
         """A broker begins, or begins anew with nothing but the list."""
         self.lives[number] = self.lives.get(number, 0) + 1
         self.brokers[number] = Scheduler(self.settings, number * 1000 + self.lives[number], asked=True)
-        self.tell(number, api.Listed(api.ListKind.STALE, self.rows()))
+        self.tell(number, EndpointsChanged(EndpointListUpdate.CACHED, self.rows()))
 
     def stop(self, number: int) -> None:
         self.lives[number] += 1
         del self.brokers[number]
 
-    def rows(self) -> tuple[api.Entry, ...]:
+    def rows(self) -> tuple[Endpoint, ...]:
         return tuple(
-            api.Entry(node.name, 0, 0, api.Condition.ACTIVE, node.started_us or 0)
+            Endpoint(node.name, 0, 0, EndpointState.ACTIVE, node.started_us or 0)
             for node in self.nodes.values()
         )
 
@@ -114,18 +135,18 @@
         """A node begins anew, and every broker is told at once."""
         self.nodes.setdefault(name, DiskNode(name)).restart(self.now)
         for number in list(self.brokers):
-            self.tell(number, api.Listed(api.ListKind.PATCH, self.rows()))
+            self.tell(number, EndpointsChanged(EndpointListUpdate.DELTA, self.rows()))
 
-    def tell(self, number: int, event: api.Event) -> None:
+    def tell(self, number: int, event: Event) -> None:
         for action in self.brokers[number].handle(self.now, [event]):
-            if isinstance(action, api.Send):
+            if isinstance(action, Send):
                 self.send(number, action)
-            elif isinstance(action, api.SetTimer):
+            elif isinstance(action, SetTimer):
                 self.at(action.at_us - self.now, lambda life=self.lives[number]: self.wake(number, life))
 
     def wake(self, number: int, life: int) -> None:
         if self.lives[number] == life:
-            self.tell(number, api.TimerFired())
+            self.tell(number, TimerFired())
 
     def arrive(self) -> None:
         """The next request, at any broker; the next one follows by chance."""
@@ -134,29 +155,41 @@
         name = f"r{self.count}"
         self.units[name] = units
         deadline = self.now + self.settings.classes[0].deadline_us
-        self.tell(number, api.Arrived(name, 0, number % 7, deadline, None, 0, 0, units, 1))
+        self.tell(number, RequestArrived(name, 0, number % 7, deadline, None, 0, 0, units, 1))
         self.at(self.random.expovariate(1 / self.gap_us), self.arrive)
 
-    def send(self, number: int, action: api.Send) -> None:
+    def send(self, number: int, action: Send) -> None:
         """An attempt begins half a millisecond after its decision, and its answer takes as long."""
         attempt = self.brokers[number].requests[action.request].sent - 1
         life = self.lives[number]
         self.at(500, lambda: self.begin(number, life, action, attempt))
 
-    def begin(self, number: int, life: int, action: api.Send, attempt: int) -> None:
+    def begin(self, number: int, life: int, action: Send, attempt: int) -> None:
         if self.lives[number] != life:
             return
         begun = self.brokers[number].begins(self.now, action.request, attempt)
         node, units = self.nodes[action.node], self.units[action.request]
         done_us = node.came(units, self.now) if begun else None
-        result = api.Result.OK if done_us else api.Result.FULL if begun else api.Result.NOT_SENT
+        result = (
+            AttemptResult.OK if done_us else AttemptResult.QUEUE_FULL if begun else AttemptResult.NOT_SENT
+        )
         lag = (done_us or self.now) - self.now + 1000
 
         def end() -> None:
             node.held -= done_us is not None
             if self.lives[number] == life:
-                ended = api.Ended(action.request, attempt, node.name, result, lag,
-                                  result is api.Result.OK, None, None, None, begun)  # fmt: skip
+                ended = AttemptEnded(
+                    action.request,
+                    attempt,
+                    node.name,
+                    result,
+                    lag,
+                    result is AttemptResult.OK,
+                    None,
+                    None,
+                    None,
+                    begun,
+                )
                 self.tell(number, ended)
 
         self.at(lag, end)
