--- /dev/null
+++ b/tests/test_format_handover.py
@@ -0,0 +1,218 @@
+"""What a process and its successor tell each other, byte for byte: an upgrade runs two versions at once.
+
+The names of the code stand in the builders below; what follows are literals. The word in `say` is derived
+from the message's class name in lower case when it is written (`Take`, `Given`, `No`, `Called`, `Done`,
+`Ids`) and is a literal when it is read: a rename of one of these classes needs a table of words. All other
+keys are literals in the code.
+"""
+
+from __future__ import annotations
+
+import asyncio
+from pathlib import Path
+
+import pytest
+
+from lemonridge import api
+from lemonridge.core.clock import Clock
+from lemonridge.core.open_ids import OpenIds
+from lemonridge.core.start_times import StartTime
+from lemonridge.counters import Counters
+from lemonridge.net.succession import ProcessHandover
+from lemonridge.operate import handover
+from lemonridge.operate.calls import Call, Order, Reply
+from lemonridge.operate.maintenance import Back
+
+
+def row(number: int, condition: api.Condition) -> handover.Row:
+    entry = api.Entry(node=f"s-{number}", shard=3, zone=1, condition=condition, started_us=9)
+    return handover.Row(entry=entry, address=f"127.0.0.1:{number}")
+
+
+STATE = handover.HandoverState(
+    out={"s-1": 5, "s-9": 6},
+    back={"s-2": Back(out_us=1, back_us=4)},
+    drained_us=7,
+    levels={
+        2**64 - 1: api.LimitLevel(saved=2.5, owed=3.25, owed_until_us=11),
+        4: api.LimitLevel(saved=1.0),
+    },
+    rows=(row(1, api.Condition.ACTIVE), row(2, api.Condition.LEAVING), row(3, api.Condition.LEFT)),
+    starts={"s-1": StartTime(told_us=9, own_us=8)},
+    open_ids=("a", "b"),
+    base_us=3,
+)
+EMPTY = handover.HandoverState()
+
+PAIRS = {
+    "take": (handover.Take(ids=True), b'{"v":1,"say":"take","ids":true}\n'),
+    "take, no ids": (handover.Take(), b'{"v":1,"say":"take","ids":false}\n'),
+    "given": (
+        handover.Given(estate=STATE),
+        b'{"v":1,"say":"given","out":{"s-1":5,"s-9":6},"back":{"s-2":[1,4]},"drained_us":7,'
+        b'"levels":[[18446744073709551615,2.5],[4,1.0]],'
+        b'"owed":[[18446744073709551615,3.25,11],[4,0.0,0]],'
+        b'"rows":[["s-1",3,1,"active",9,"127.0.0.1:1"],["s-2",3,1,"leaving",9,"127.0.0.1:2"],'
+        b'["s-3",3,1,"left",9,"127.0.0.1:3"]],'
+        b'"starts":{"s-1":[9,8]},"base_us":3,"ids":["a","b"]}\n',
+    ),
+    "given, empty": (
+        handover.Given(estate=EMPTY),
+        b'{"v":1,"say":"given","out":{},"back":{},"drained_us":null,"levels":[],"owed":[],"rows":[],'
+        b'"starts":{},"base_us":0}\n',
+    ),
+    "no": (handover.No(why="handed over already"), b'{"v":1,"say":"no","why":"handed over already"}\n'),
+    "called, a node": (
+        handover.Called(number=4, order=Order(call=Call.DISABLE, node="s-1")),
+        b'{"v":1,"say":"called","number":4,"call":"disable-server","node":"s-1"}\n',
+    ),
+    "called back, a node": (
+        handover.Called(number=6, order=Order(call=Call.ENABLE, node="s-1")),
+        b'{"v":1,"say":"called","number":6,"call":"enable-server","node":"s-1"}\n',
+    ),
+    "called, a drain": (
+        handover.Called(number=5, order=Order(call=Call.DRAIN)),
+        b'{"v":1,"say":"called","number":5,"call":"drain","node":""}\n',
+    ),
+    "called, its end": (
+        handover.Called(number=7, order=Order(call=Call.RESUME)),
+        b'{"v":1,"say":"called","number":7,"call":"resume","node":""}\n',
+    ),
+    "done": (handover.Done(number=3), b'{"v":1,"say":"done","number":3}\n'),
+    "ids": (
+        handover.Ids(opened=("a",), ended=("b", "c")),
+        b'{"v":1,"say":"ids","opened":["a"],"ended":["b","c"]}\n',
+    ),
+}
+
+
+@pytest.mark.parametrize("what", PAIRS)
+def test_a_message_is_written_and_read_byte_for_byte(what: str) -> None:
+    message, line = PAIRS[what]
+
+    written, read = handover.encode(message), handover.decode(line)
+
+    assert written == line
+    assert read == message
+
+
+def test_an_earlier_versions_estate_without_the_later_keys_is_read() -> None:
+    line = (
+        b'{"v":1,"say":"given","out":{"s-1":5},"back":{"s-2":[1,4]},"drained_us":null,'
+        b'"levels":[[4,1.5]],"rows":[]}\n'
+    )
+
+    read = handover.decode(line)
+
+    assert read == handover.Given(
+        handover.HandoverState(
+            out={"s-1": 5}, back={"s-2": Back(1, 4)}, levels={4: api.LimitLevel(saved=1.5)}
+        )
+    )
+    assert handover.decode(b'{"v":1,"say":"take"}\n') == handover.Take(ids=False)
+
+
+def test_the_bounds_of_messages() -> None:
+    assert (handover.VERSION, handover.LINE_MAX) == (1, 4_194_304)
+    assert (handover.ROWS_MAX, handover.IDS_MAX) == (65_536, 65_536)
+
+
+def test_the_words_of_nodes_and_of_calls() -> None:
+    assert [one.value for one in api.Condition] == ["active", "leaving", "left"]
+    assert [one.value for one in (Call.DISABLE, Call.ENABLE, Call.DRAIN, Call.RESUME)] == [
+        "disable-server", "enable-server", "drain", "resume"]  # fmt: skip
+
+
+class Host:
+    """A broker that hands over STATE and obeys whatever is passed on."""
+
+    def __init__(self) -> None:
+        self.obeyed: list[Order] = []
+
+    def export_state(self) -> handover.HandoverState:
+        return STATE
+
+    def take_back(self) -> None:
+        pass
+
+    def obey(self, order: Order) -> Reply:
+        self.obeyed.append(order)
+        return Reply(True)
+
+
+async def exchange(folder: Path) -> list[bytes]:
+    """What a process answers over its socket to literal lines of a successor, one connection each."""
+    open_ids, counters = OpenIds(), Counters()
+    open_ids.open("request-1")
+    clock = Clock(asyncio.get_running_loop())
+    one = ProcessHandover(str(folder), "n/1", Host(), clock, counters, open_ids)
+    await one.listen()
+    answers = []
+    path = str(folder / "n_1.handover")  # the socket's name is what both versions meet by
+    try:
+        reader, writer = await asyncio.open_unix_connection(path)
+        writer.write(b'{"v":1,"say":"done","number":1}\n')
+        answers.append(await reader.readline())
+        writer.close()
+        reader, writer = await asyncio.open_unix_connection(path)
+        writer.write(b'{"v":2,"say":"take"}\n')
+        answers.append(await reader.readline())
+        writer.close()
+        first, first_writer = await asyncio.open_unix_connection(path)
+        first_writer.write(b'{"v":1,"say":"take","ids":true}\n')
+        answers.append(await first.readline())
+        second, second_writer = await asyncio.open_unix_connection(path)
+        second_writer.write(b'{"v":1,"say":"take","ids":true}\n')
+        answers.append(await second.readline())
+        second_writer.close()
+        first_writer.write(b'{"v":1,"say":"called","number":9,"call":"drain","node":""}\n')
+        answers.append(await first.readline())
+        open_ids.open("request-2")
+        open_ids.end("request-1")
+        answers.append(await first.readline())
+        first_writer.close()
+    finally:
+        one.stop()
+    return answers
+
+
+def test_a_process_answers_its_successor_byte_for_byte(tmp_path: Path) -> None:
+    answers = asyncio.run(asyncio.wait_for(exchange(tmp_path), 10))
+
+    assert answers == [
+        b'{"v":1,"say":"no","why":"nothing was asked for"}\n',
+        b'{"v":1,"say":"no","why":"it is of another version"}\n',
+        b'{"v":1,"say":"given","out":{"s-1":5,"s-9":6},"back":{"s-2":[1,4]},"drained_us":7,'
+        b'"levels":[[18446744073709551615,2.5],[4,1.0]],'
+        b'"owed":[[18446744073709551615,3.25,11],[4,0.0,0]],'
+        b'"rows":[["s-1",3,1,"active",9,"127.0.0.1:1"],["s-2",3,1,"leaving",9,"127.0.0.1:2"],'
+        b'["s-3",3,1,"left",9,"127.0.0.1:3"]],'
+        b'"starts":{"s-1":[9,8]},"base_us":3,"ids":["request-1"]}\n',
+        b'{"v":1,"say":"no","why":"handed over already"}\n',
+        b'{"v":1,"say":"done","number":9}\n',
+        b'{"v":1,"say":"ids","opened":["request-2"],"ended":["request-1"]}\n',
+    ]
+
+
+async def ask(folder: Path) -> tuple[bytes, handover.HandoverState | None]:
+    """What a successor says first to a process that answers with literal bytes, and what it makes of them."""
+    heard = []
+
+    async def answer(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        heard.append(await reader.readline())
+        writer.write(PAIRS["given"][1])
+
+    server = await asyncio.start_unix_server(answer, str(folder / "n1.handover"))
+    clock = Clock(asyncio.get_running_loop())
+    one = ProcessHandover(str(folder), "n1", Host(), clock, Counters(), OpenIds())
+    estate = await one.take_over()
+    one.stop()
+    server.close()
+    return heard[0], estate
+
+
+def test_a_successor_asks_byte_for_byte(tmp_path: Path) -> None:
+    heard, estate = asyncio.run(asyncio.wait_for(ask(tmp_path), 10))
+
+    assert heard == b'{"v":1,"say":"take","ids":true}\n'
+    assert estate == STATE
