--- /dev/null
+++ b/tests/test_format_admin.py
@@ -0,0 +1,397 @@
+"""The operators' calls and their replies, byte for byte: a command line speaks to brokers of other versions.
+
+The names of the code stand in the builders below; what follows are literals. Derived from names of the code,
+so that a rename needs `rename=` or a table of words, are: the words of states, budgets and judgements of a
+fleet (the members of `State`, `Kind` and `ReportedCondition` in lower case), and every key of a policy (the
+fields of `document.Policy`, `Plan`, `Class`, `Rules`, and of `State`, the value that is voted on), of which
+only `class` has its word already. The keys of a vote on disk are the fields of `Kept`. All else are literals.
+"""
+
+from __future__ import annotations
+
+import asyncio
+import dataclasses
+from pathlib import Path
+from types import SimpleNamespace
+from typing import Any
+
+import msgspec
+import orjson
+import pytest
+from conftest import SETTINGS
+
+from lemonridge import api, cli, policies
+from lemonridge.config import Address, FleetPlan, RolloutPlan
+from lemonridge.counters import Counters
+from lemonridge.fleet import escrow, judgements, machine, wire
+from lemonridge.fleet.report import report, table, whole
+from lemonridge.fleet.roster import Roster, key_of
+from lemonridge.governance import MAGIC, PolicyCoordinator, Store
+from lemonridge.operate.calls import BadCallError, Call, Order, Reply, longest, parse
+from lemonridge.operate.lifecycle import Phase
+from lemonridge.rollout import document
+from lemonridge.rollout.machine import Kept
+
+NOW = 1_800_000_000_000_000
+
+
+# Calls and replies
+
+
+@pytest.mark.parametrize(
+    ("line", "order"),
+    [
+        (b"ready\n", Order(call=Call.READY)),
+        (b"disable-server s-5be2a07c\r\n", Order(call=Call.DISABLE, node="s-5be2a07c")),
+        (b"enable-server s-5be2a07c\n", Order(call=Call.ENABLE, node="s-5be2a07c")),
+        (b"drain\n", Order(call=Call.DRAIN)),
+        (b"resume\n", Order(call=Call.RESUME)),
+        (b"fleet\n", Order(call=Call.FLEET)),
+        (b"policy\n", Order(call=Call.POLICY)),
+        (b'policy-propose {"policy":{}}\n', Order(call=Call.PROPOSE, text='{"policy":{}}')),
+        (b"policy-abort\n", Order(call=Call.ABORT)),
+        (b"policy-admit\n", Order(call=Call.ADMIT)),
+        (b"policy-retire b2\n", Order(call=Call.RETIRE, node="b2")),
+        (b'policy-force {"lost":["b2"]}\n', Order(call=Call.FORCE, text='{"lost":["b2"]}')),
+    ],
+)
+def test_a_line_is_its_call(line: bytes, order: Order) -> None:
+    assert parse(line) == order
+
+
+def test_every_call_has_its_word() -> None:
+    assert [one.value for one in Call] == [
+        "ready", "disable-server", "enable-server", "drain", "resume", "fleet", "policy", "policy-propose",
+        "policy-abort", "policy-admit", "policy-retire", "policy-force"]  # fmt: skip
+    assert [one.value for one in Phase] == ["serving", "draining", "handed", "stopping"]
+
+
+@pytest.mark.parametrize(
+    ("line", "why"),
+    [
+        (b"", "the line is empty"),
+        (b"\xff", "the line is not plain text"),
+        (b"x" * 513, "the line is too long"),
+        (b"drain now", "drain takes no further word"),
+        (b"disable-server", "disable-server takes one node id"),
+        (b"policy-retire", "policy-retire takes one broker"),
+        (b"enable-server \x01", "the node id cannot be read"),
+        (
+            b"stop",
+            "unknown call; known are ready, disable-server, enable-server, drain, resume, fleet, policy, "
+            "policy-propose, policy-abort, policy-admit, policy-retire, policy-force",
+        ),
+    ],
+)
+def test_a_line_that_is_no_call_has_its_words(line: bytes, why: str) -> None:
+    with pytest.raises(BadCallError) as caught:
+        parse(line)
+
+    assert str(caught.value) == why
+
+
+def test_replies_and_lengths() -> None:
+    assert Reply(done=True).encode() == b"ACK\n"
+    assert Reply(done=True, why="out").encode() == b"ACK out\n"
+    assert Reply(done=False, why="zu fr\u00fch").encode() == b"NAK zu fr?h\n"
+    assert (longest(b"ready"), longest(b"policy-propose {"), longest(b"policy-force {")) == (512, 32768, 512)
+
+
+# The fleet
+
+
+def fleet() -> machine.Fleet:
+    """Broker b1 of three: b0 is up, b2 was never heard of; a loan each way; every flaw counted."""
+    made = machine.Fleet(Roster(("b0", "b1", "b2"), 1), 77, 1, NOW, machine.Tuning(further=5.0))
+    made.taken(9, 20.0, 3, 4.0, NOW)
+    made.ended(key_of("s-1"), judgements.Seen.CONNECT_FAILED, NOW)
+    head = wire.Head(0, wire.State.UP, 5, 1, 1, NOW // 1000)
+    said = wire.encode(head, [wire.Judge(key_of("s-9"), 3, 6, 250)], made.roster.mark)
+    made.handle(NOW + 1000, (machine.Received(0, said),))
+    pool = made.ledger.pools[escrow.Kind.LIMIT, 9]
+    pool.base, pool.need = 300_000, 400_000
+    pool.lent[2] = [escrow.Loan(3, 4, 50_000, NOW + 10**6)]
+    pool.borrowed[0] = escrow.Borrowed(5, 125_000, NOW + 10**6)
+    made.counts.clear()
+    made.counts["datagrams.taken"] = 8
+    for number, flaw in enumerate(wire.Flaw, 1):
+        made.flaws[flaw] = number
+    return made
+
+
+VIEW = (
+    b'{"name":"b1"'
+    b',"state":"joining"'
+    b',"life":77'
+    b',"round":0'
+    b',"health":0'
+    b',"accused":0'
+    b',"superseded":false'
+    b',"floors_only_ms":1545'
+    b',"members":[{"name":"b0","state":"up","life":5,"for_ms":4,"heard_ms":4,"lost":0.0,"clock_ms":1,'
+    b'"deaths":0,"wrongly":0},{"name":"b2","state":"absent","life":0,"for_ms":5,"heard_ms":null,'
+    b'"lost":null,"clock_ms":null,"deaths":0,"wrongly":0}]'
+    b',"budgets":[{"kind":"further","key":"0000000000000000","hosts":3,"uses":true,"own":0.333333,'
+    b'"left":0.016666,"has":0.016666,"needs":0.0,"lent":{},"borrowed":{}},{"kind":"limit",'
+    b'"key":"0000000000000009","hosts":3,"uses":true,"own":0.3,"left":0.015,"has":0.14,"needs":0.4,'
+    b'"lent":{"b2":0.05},"borrowed":{"b0":0.125}}]'
+    b',"judgements":[{"node":"s-1","what":"down","by":"b1","weight":1,"age_ms":5},'
+    b'{"node":"2b2f2e22c6782b87","what":"errors","by":"b0","weight":6,"age_ms":254}]'
+    b',"counters":{"datagrams.taken":8,"not_taken.short":1,"not_taken.version":2,'
+    b'"not_taken.checksum":3,"not_taken.forged":4,"not_taken.roster":5,"not_taken.address":6,'
+    b'"not_taken.malformed":7,"not_taken.old":8,"not_taken.replayed":9,"not_taken.overrun":10}'
+    b"}"
+)
+TABLE = (
+    "seen by             b0         b1         b2\n"
+    "b1                  up    joining     absent\n"
+    "  heard ms           4          -          -\n"
+    "  lost             0.0          -          -\n"
+    "\n"
+    "budget                        in all  who has what\n"
+    "further 0000000000000000        0.02  b1=0.02\n"
+    "limit 0000000000000009          0.14  b1=0.14\n"
+    "\n"
+    "node                judgement\n"
+    "s-1                 down by b1, 1 times, 5 ms ago"
+)
+
+
+def test_a_view_of_the_fleet_byte_for_byte() -> None:
+    told = report(fleet(), NOW + 5000, {key_of("s-1"): "s-1"})
+
+    assert orjson.dumps(told) == VIEW
+
+
+def test_every_number_between_brokers_has_its_word_in_a_view() -> None:
+    """The words are derived from the enumerations' member names; the numbers are those of the datagrams."""
+    made = fleet()
+    limit = made.ledger.pools[escrow.Kind.LIMIT, 9]
+    made.ledger.pools = {(kind, 9): limit for kind in (1, 2, 3)}
+    states = []
+
+    for number in range(7):
+        made.members.members[0].state = wire.State(number)
+        states.append(report(made, NOW + 5000, {})["members"][0]["state"])
+    for number in range(1, 5):
+        head = wire.Head(0, wire.State.UP, 5, 1, 1 + number, NOW // 1000)
+        said = wire.encode(head, [wire.Judge(100 + number, number, 6, 250)], made.roster.mark)
+        made.handle(NOW + 2000, (machine.Received(0, said),))
+    view = report(made, NOW + 5000, {101: "one", 102: "two", 103: "three", 104: "four"})
+    judged = [(row["node"], row["what"]) for row in view["judgements"] if row["by"] == "b0"]
+
+    assert states == ["absent", "joining", "up", "leaving", "suspect", "dead", "left"]
+    assert [row["kind"] for row in view["budgets"]] == ["limit", "cold", "further"]
+    assert set(judged) >= {("one", "down"), ("two", "silent"), ("three", "errors"), ("four", "cold")}
+
+
+def test_a_view_is_shown_as_text_and_judged() -> None:
+    view = orjson.loads(VIEW)
+
+    assert table([view]) == TABLE
+    assert whole([view]) is False
+    for member in view["members"]:
+        member["state"] = "joining"
+    assert whole([view]) is True
+
+
+def test_fleet_status_prints_all_views(
+    monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
+) -> None:
+    told = [{"name": "b0", "members": [{"name": "b1", "state": "up"}]}]
+
+    async def views(_: object) -> tuple[list[dict[str, Any]], list[str]]:
+        return told, []
+
+    monkeypatch.setattr("lemonridge.net.calling.views", views)
+
+    status = cli.main(["fleet", "status", "127.0.0.1:1", "--json"])
+
+    assert status == 0
+    assert capsys.readouterr().out == (
+        '{\n  "brokers": [\n    {\n      "name": "b0",\n      "members": [\n        {\n'
+        '          "name": "b1",\n          "state": "up"\n        }\n      ]\n    }\n  ],\n'
+        '  "silent": []\n}\n'
+    )
+
+
+# The policy
+
+
+def policy(limit: float = 24.0) -> document.Policy:
+    return document.Policy(
+        plan=(
+            document.Plan(
+                name="basic", base_rate=1.0, reserve=2.0, weight=3.0, limit=limit, burst=12.0, slack=4.0
+            ),
+        ),
+        classes=(document.Class(name="read", aim_ms=300.0, worth=5.0),),
+        rules=document.Rules(max_attempts=3, further_attempts=6.0),
+    )
+
+
+def state() -> document.State:
+    return document.State(
+        epoch=7,
+        prior="0123456789abcdef",
+        voters={"b0": 11, "b1": 12},
+        policy=policy(),
+        floor=policy(6.0),
+        by="b1",
+        note="half",
+        kind="voter",
+        history=("7 b1: half",),
+    )
+
+
+POLICY = (
+    b'{"class":[{"aim_ms":300.0,"name":"read","worth":5.0}],'
+    b'"plan":[{"base_rate":1.0,"burst":12.0,"limit":24.0,"name":"basic","reserve":2.0,"slack":4.0,'
+    b'"weight":3.0}],"rules":{"further_attempts":6.0,"max_attempts":3}}'
+)
+STATE = (
+    b'{"by":"b1","epoch":7,"floor":{"class":[{"aim_ms":300.0,"name":"read","worth":5.0}],'
+    b'"plan":[{"base_rate":1.0,"burst":12.0,"limit":6.0,"name":"basic","reserve":2.0,"slack":4.0,'
+    b'"weight":3.0}],"rules":{"further_attempts":6.0,"max_attempts":3}},"history":["7 b1: half"],'
+    b'"kind":"voter","note":"half","policy":' + POLICY + b',"prior":"0123456789abcdef",'
+    b'"voters":{"b0":11,"b1":12}}'
+)
+
+
+def test_the_state_that_is_voted_on_byte_for_byte() -> None:
+    """Brokers compare its hash, so one byte less is another state. The keys are the fields' names."""
+    assert document.encode(state()) == STATE
+    assert document.decode(STATE) == state()
+    assert document.name(STATE).hex() == "7aa62f6c9314e4b7"
+    assert document.policy_of(orjson.loads(POLICY)) == policy()
+
+
+def test_the_votes_on_disk_byte_for_byte(tmp_path: Path) -> None:
+    """The keys are the fields' names, and so is their order: msgspec writes a map."""
+    kept = Kept(ident=1, state=b"st", promised=2, took=3, taken=b"tk")
+    body = b"\x85\xa5ident\x01\xa5state\xc4\x02st\xa8promised\x02\xa4took\x03\xa5taken\xc4\x02tk"
+    store = Store(str(tmp_path / "votes"))
+
+    store.write(msgspec.msgpack.encode(kept))
+
+    assert MAGIC == b"lemonridge votes 1\n"
+    assert (tmp_path / "votes").read_bytes() == b"lemonridge votes 1\n" + bytes.fromhex(
+        "9d4a43722c000000"
+    ) + body
+    assert msgspec.msgpack.decode(body, type=Kept) == kept
+    assert store.read() == body
+
+
+OWN = dataclasses.replace(
+    SETTINGS,
+    classes=(api.ClassInfo(300_000, 1_500_000, api.Semantics.SAFE, api.Group.ALL, 0, False, 5.0),),
+    plans=(api.Plan(base_rate=1.0, reserve=2.0, weight=3.0, limit=24.0, burst=12.0, slack=4.0),),
+    max_attempts=3,
+    further_rate=6.0,
+)
+
+
+async def calls(path: Path, lines: list[bytes]) -> list[bytes]:
+    """What a broker that is alone answers to calls about its policy."""
+    store = Store(str(path))
+    store.begin()
+    loop = asyncio.get_running_loop()
+    clock = SimpleNamespace(now_us=lambda: 10**9, loop_time=lambda at_us: loop.time() + 60)
+    peers = SimpleNamespace(life=77, post=lambda items: None, configure=lambda settings: None)
+    decider = SimpleNamespace(look=lambda: None)
+    here = Address("127.0.0.1", 1)
+    plan = FleetPlan(
+        names=("b0", "b1"), me=0, listen=here, addresses=(here, here), rollout=RolloutPlan(str(path))
+    )
+    own = SimpleNamespace(settings=OWN, plans=("basic",), classes=("read",))
+    one = PolicyCoordinator(plan, own, 1, peers, decider, clock, Counters(), store, store.read())  # type: ignore
+    told = [one.act(parse(line)).encode() for line in lines]
+    one.stop()
+    return told
+
+
+PROPOSAL = POLICY.replace(b'"limit":24.0', b'"limit":12.0')
+
+
+def test_calls_about_the_policy_are_answered_byte_for_byte(tmp_path: Path) -> None:
+    lines = [
+        b"policy\n",
+        b"policy-abort\n",
+        b"policy-propose {}\n",
+        b'policy-propose {"policy":' + PROPOSAL + b',"note":"half","dry":true}\n',
+        b'policy-propose {"policy":' + POLICY + b',"note":"","dry":true}\n',
+        b"policy-admit\n",
+        b"policy-force {}\n",
+    ]
+
+    told = asyncio.run(calls(tmp_path / "votes", lines))
+
+    assert told == [
+        b'ACK {"name":"b0","life":77,"epoch":0,"state":"9175db71b7f2872a","goes_by":"floor",'
+        b'"fault":"","lease_ms":0,"votes":true,"voter":true,"voters":["b0","b1"],"promised":0,'
+        b'"accepted":0,"under_way":null,"heard":{},"leases_out":{},"results_ended":0,"results":[],'
+        b'"history":[],"counts":{"changes":0,"taken_over":0,"refused":0,"emergencies":0},'
+        b'"policy":{"plan":[{"name":"basic","base_rate":1.0,"reserve":2.0,"weight":3.0,"limit":24.0,'
+        b'"burst":12.0,"slack":4.0}],"class":[{"name":"read","aim_ms":300.0,"worth":5.0}],'
+        b'"rules":{"max_attempts":3,"further_attempts":6.0}},"floor":{"plan":[{"name":"basic",'
+        b'"base_rate":1.0,"reserve":0.0,"weight":3.0,"limit":6.0,"burst":12.0,"slack":4.0}],'
+        b'"class":[{"name":"read","aim_ms":300.0,"worth":5.0}],"rules":{"max_attempts":1,'
+        b'"further_attempts":1.5}}}\n',
+        b"NAK no change of this broker's can be called off now\n",
+        b"NAK not a proposal: 'policy'\n",
+        b"ACK plan basic: limit 24 -> 12\n",
+        b"ACK nothing differs\n",
+        b"NAK this broker holds no lease of the policy in force alone, so it may not know the newest\n",
+        b"NAK not an emergency call: 'lost'\n",
+    ]
+
+
+def test_the_command_line_says_literal_lines(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
+) -> None:
+    said = []
+    seen = b'{"name":"b0","epoch":7,"state":"0123456789abcdef","goes_by":[7,7],"fault":"","lease_ms":5,' \
+           b'"votes":true,"voter":true,"under_way":{"slot":8,"mine":true,"phase":"vote","answered":[]},' \
+           b'"results_ended":0,"results":[],"history":["7 b1: half"],"policy":' + POLICY + b"}"  # fmt: skip
+
+    async def call(_: Address, line: str) -> str:
+        said.append(line)
+        return seen.decode() if line == "policy" else "so"
+
+    monkeypatch.setattr(policies, "call", call)
+    file = tmp_path / "policy.toml"
+    file.write_text(
+        '[rules]\nmax_attempts = 3\nfurther_attempts = 6.0\n\n[[plan]]\nname = "basic"\nbase_rate = 1.0\n'
+        'reserve = 2.0\nweight = 3.0\nlimit = 24.0\nburst = 12.0\nslack = 4.0\n\n[[class]]\nname = "read"\n'
+        "aim_ms = 300.0\nworth = 5.0\n"
+    )
+    at = "127.0.0.1:1"
+
+    for arguments in (
+        ["propose", str(file), at, "--note", "half", "--dry-run"],
+        ["abort", at],
+        ["admit", at],
+        ["retire", "b2", at],
+        ["force", at, "--lost", "b2", "--note", "fire", "--accept-two-policies"],
+    ):
+        policies.run(policies.parser().parse_args(arguments))
+    capsys.readouterr()
+    policies.run(policies.parser().parse_args(["show", at]))
+    shown = capsys.readouterr().out
+    policies.run(policies.parser().parse_args(["status", at]))
+    status = capsys.readouterr().out
+
+    assert [line for line in said if line != "policy"] == [
+        'policy-propose {"policy":{"plan":[{"name":"basic","base_rate":1.0,"reserve":2.0,"weight":3.0,'
+        '"limit":24.0,"burst":12.0,"slack":4.0}],"class":[{"name":"read","aim_ms":300.0,"worth":5.0}],'
+        '"rules":{"max_attempts":3,"further_attempts":6.0}},"note":"half","dry":true}',
+        "policy-abort",
+        "policy-admit",
+        "policy-retire b2",
+        'policy-force {"lost":["b2"],"note":"fire"}',
+    ]
+    assert shown == file.read_text()
+    assert status == (
+        "broker  epoch  state     goes by  lease ms  votes  under way  fault\n"
+        "b0      7      01234567  7        5         yes    vote on 8\n"
+    )
