--- /dev/null
+++ b/tests/test_format_settings.py
@@ -0,0 +1,354 @@
+"""The settings and the platform's file, key by key: they come from other programs than this one.
+
+The names of the code stand in the builders and in the expected values below; the facts are literals. Derived
+from a name of the code are only the three keys of the file that a variable goes before: a running program
+compares `name`, `listen` and `discovery` with the fields of `Platform` that have the same names (`getattr`
+in `config.load`), and the variables are these keys in capitals. The words of `classes.group` and of a
+node's condition are values of `api.Group` and `api.Condition`, not names.
+"""
+
+from __future__ import annotations
+
+import copy
+import json
+from dataclasses import asdict
+from pathlib import Path
+from typing import Any
+
+import pytest
+
+from lemonridge import api, config, settings
+
+FACTS: dict[str, Any] = json.loads("""
+{"fleet-size": 3, "me": 1, "discovery": "ask", "tick-us": 2001, "azs": ["hall-a", "hall-b"],
+ "classes": [
+  {"name": "read", "aim-us": 300001, "deadline-us": 2500001, "semantics": "repeatable", "group": "zone",
+   "memory-span-us": 5000001, "gain": 2.5},
+  {"name": "write", "aim-us": 300002, "deadline-us": 2500002, "semantics": "by_key", "group": "all",
+   "memory-span-us": 5000002, "sequential": true, "gain": 3.5},
+  {"name": "zoned", "aim-us": 300003, "deadline-us": 2500003, "semantics": "by_key", "group": "zone",
+   "memory-span-us": 5000003, "gain": null},
+  {"name": "celled", "aim-us": 300004, "deadline-us": 2500004, "semantics": "by_key", "group": "cell",
+   "memory-span-us": 5000004},
+  {"name": "order", "aim-us": 300005, "deadline-us": 2500005, "semantics": "once", "gain": 4.5}],
+ "grades": [
+  {"name": "priority", "base-rate": 12.5, "guaranteed": 13.5, "weight": 1.5, "cap": 14.5, "burst": 15.5,
+   "limit-slack": 16.5, "worth-factor": 1.25},
+  {"name": "bare"}],
+ "family-info": {"units-top": 6.5, "unit-mean": 2.25, "cold-units": 8.5, "tells-elsewhere": true,
+  "meter-us": 500001, "class-writes": [false, true, true, true, false], "n-shards": 7},
+ "limits": {"max-attempts": 4, "cancelling": true, "max-retry-after-us": 500002, "retry-after": true,
+  "connect-timeout-us": 250001, "keepalive-us": 15000001, "peers": true},
+ "rules": {"tip-multiple": 2.75, "ask-within-us": 101, "cold-share": 0.2, "ramp-time-us": 17000001,
+  "fall-us": 1000001, "drain-grace-us": 500003, "look-back-us": 102, "free-resends": 1.75,
+  "extra-ratio": 0.125, "key-rest-us": 103},
+ "clients": {"marks-retry": true},
+ "load-info": {"source": "piggyback", "names": ["cpu", "inflight", "busy_reqs"]}}
+""")
+
+SAFE, KEYED, ONCE = api.Semantics.SAFE, api.Semantics.KEYED, api.Semantics.ONCE
+SETTINGS = api.Settings(
+    hosts=3,
+    classes=(
+        api.ClassInfo(
+            aim_us=300001,
+            deadline_us=2500001,
+            semantics=SAFE,
+            group=api.Group.ALL,
+            memory_us=0,
+            sequential=False,
+            worth=2.5,
+        ),
+        api.ClassInfo(
+            aim_us=300002,
+            deadline_us=2500002,
+            semantics=KEYED,
+            group=api.Group.ALL,
+            memory_us=5000002,
+            sequential=True,
+            worth=3.5,
+        ),
+        api.ClassInfo(300003, 2500003, KEYED, api.Group.ZONE, 5000003, False, 0.0),
+        api.ClassInfo(300004, 2500004, KEYED, api.Group.CELL, 5000004, False, 0.0),
+        api.ClassInfo(300005, 2500005, ONCE, api.Group.ALL, 0, False, 4.5),
+    ),
+    plans=(
+        api.Plan(base_rate=12.5, reserve=13.5, weight=1.5, limit=14.5, burst=15.5, slack=16.5),
+        api.Plan(base_rate=0.0, reserve=0.0, weight=0.0, limit=0.0, burst=0.0, slack=0.0),
+    ),
+    asks_list=True,
+    units_top=6.5,
+    units_mean=2.25,
+    cold_units=8.5,
+    tip_multiple=2.75,
+    tells_elsewhere=True,
+    meter_us=500001,
+    max_attempts=4,
+    may_cancel=True,
+    max_backoff_us=500002,
+    tick_us=2001,
+    ask_within_us=101,
+    cold_share=0.2,
+    ramp_us=17000001,
+    fall_us=1000001,
+    drain_grace_us=500003,
+    look_back_us=102,
+    free_resends=1.75,
+    extra_ratio=0.125,
+    key_rest_us=103,
+    further_rate=0.0,
+    marks_retry=True,
+)
+
+
+def test_every_key_comes_to_its_field() -> None:
+    assert asdict(settings.settings_from(FACTS)) == asdict(SETTINGS)
+
+
+def test_what_may_be_left_out_is_none() -> None:
+    facts = copy.deepcopy(FACTS)
+    for table, needed in (
+        ("family-info", ()),
+        ("limits", ("max-attempts",)),
+        ("rules", ("cold-share", "ramp-time-us", "fall-us", "drain-grace-us")),
+    ):
+        facts[table] = {key: facts[table][key] for key in needed}
+    facts["discovery"] = "push"
+    del facts["clients"]
+
+    read = settings.settings_from(facts)
+
+    assert (read.asks_list, read.tells_elsewhere, read.may_cancel, read.marks_retry) == (False,) * 4
+    assert (read.units_top, read.units_mean, read.cold_units, read.tip_multiple) == (0, 0, 0, 0)
+    assert (read.meter_us, read.max_backoff_us, read.ask_within_us, read.look_back_us) == (0, 0, 0, 0)
+    assert (read.free_resends, read.extra_ratio, read.key_rest_us) == (0, 0, 0)
+
+
+def test_advice_to_come_back_needs_its_leave() -> None:
+    facts = copy.deepcopy(FACTS)
+    facts["limits"]["retry-after"] = False
+
+    assert settings.settings_from(facts).max_backoff_us == 0
+
+
+@pytest.mark.parametrize(
+    ("table", "key", "words"),
+    [
+        (None, "fleet-size", "settings lack the number 'facts.fleet-size'"),
+        (None, "tick-us", "settings lack the number 'facts.tick-us'"),
+        (None, "classes", "settings lack the list 'classes'"),
+        (None, "grades", "settings lack the list 'grades'"),
+        (None, "rules", "settings lack the table 'rules'"),
+        (None, "limits", "settings lack the table 'limits'"),
+        (None, "family-info", "settings lack the table 'family-info'"),
+        ("limits", "max-attempts", "settings lack the number 'limits.max-attempts'"),
+        ("rules", "cold-share", "settings lack the number 'rules.cold-share'"),
+        ("rules", "ramp-time-us", "settings lack the number 'rules.ramp-time-us'"),
+        ("rules", "fall-us", "settings lack the number 'rules.fall-us'"),
+        ("rules", "drain-grace-us", "settings lack the number 'rules.drain-grace-us'"),
+    ],
+)
+def test_what_is_lacking_is_named(table: str | None, key: str, words: str) -> None:
+    facts = copy.deepcopy(FACTS)
+    del (facts[table] if table else facts)[key]
+
+    with pytest.raises(settings.SettingsError) as caught:
+        settings.settings_from(facts)
+
+    assert str(caught.value) == words
+
+
+@pytest.mark.parametrize(
+    ("key", "value", "words"),
+    [
+        ("aim-us", None, "settings lack the number 'classes.aim-us'"),
+        ("deadline-us", True, "settings lack the number 'classes.deadline-us'"),
+        ("memory-span-us", "1", "settings lack the number 'classes.memory-span-us'"),
+        ("semantics", "safe", "settings lack a known 'classes.semantics'"),
+        ("group", "row", "settings lack a known 'classes.group'"),
+    ],
+)
+def test_what_is_wrong_with_a_class_is_named(key: str, value: object, words: str) -> None:
+    facts = copy.deepcopy(FACTS)
+    facts["classes"][1][key] = value
+
+    with pytest.raises(settings.SettingsError) as caught:
+        settings.settings_from(facts)
+
+    assert str(caught.value) == words
+
+
+@pytest.mark.parametrize(
+    ("report", "field"),
+    [
+        ({"source": "piggyback", "names": ["cpu", "inflight", "busy_reqs"]}, "inflight"),
+        ({"source": "piggyback", "names": ["busy_reqs"]}, "busy_reqs"),
+        ({"source": "piggyback", "names": ["cpu"]}, ""),
+        ({"source": "poll", "names": ["inflight"]}, ""),
+        (None, ""),
+    ],
+)
+def test_the_field_that_says_what_a_node_holds(report: object, field: str) -> None:
+    assert settings.held_field({"load-info": report}) == field
+
+
+def test_names_of_rows() -> None:
+    assert settings.names(FACTS, "classes") == ("read", "write", "zoned", "celled", "order")
+    assert settings.names(FACTS, "grades") == ("priority", "bare")
+
+
+# The platform's file
+
+TOLD: dict[str, Any] = {
+    "name": "n1",
+    "listen": "127.0.0.1:8001",
+    "discovery": "[::1]:8002",
+    "seed": "8c1f30d27a5be964",
+    "known": {"nodes": []},
+    "settings": FACTS,
+    "limits": {"sockets": 77, "memory_mb": 3},
+    "admin_addr": "127.0.0.1:8003",
+    "peer_listen": "127.0.0.1:8004",
+    "peers": ["127.0.0.1:8005", "127.0.0.1:8004", "127.0.0.1:8006"],
+}
+
+
+def write(folder: Path, told: dict[str, Any]) -> str:
+    path = folder / "config.json"
+    path.write_text(json.dumps(told))
+    return str(path)
+
+
+def at(port: int, host: str = "127.0.0.1") -> config.Address:
+    return config.Address(host=host, port=port)
+
+
+def test_every_key_of_the_file_comes_to_its_field(tmp_path: Path) -> None:
+    path = write(tmp_path, TOLD)
+
+    read = config.load({"ROUTER_CONFIG": path})
+
+    assert read == config.Platform(
+        name="n1",
+        listen=at(8001),
+        discovery=at(8002, "::1"),
+        seed=0x8C1F30D27A5BE964,
+        settings=SETTINGS,
+        classes=("read", "write", "zoned", "celled", "order"),
+        writes=(False, True, True, True, False),
+        plans=("priority", "bare"),
+        zones=("hall-a", "hall-b"),
+        connect_us=250001,
+        keepalive_us=15000001,
+        sockets=77,
+        memory_bytes=3145728,
+        shards=7,
+        held_field="inflight",
+        known={"nodes": []},
+        filed={"name": "n1", "listen": "127.0.0.1:8001", "discovery": "[::1]:8002"},
+        admin=at(8003),
+        fleet=config.FleetPlan(
+            names=("0", "1", "2"),
+            me=1,
+            listen=at(8004),
+            addresses=(at(8005), at(8004), at(8006)),
+            bytes_s=8192.0,
+            error_us=50000,
+            secret=b"",
+            further_rate=0.0,
+            admin=None,
+            rollout=None,
+        ),
+        speaks=False,
+        passed=None,
+        text=Path(path).read_bytes(),
+    )
+
+
+def test_variables_go_before_the_file(tmp_path: Path) -> None:
+    environment = {
+        "ROUTER_CONFIG": write(tmp_path, TOLD),
+        "ROUTER_NAME": "n2",
+        "ROUTER_LISTEN": "127.0.0.2:9001",
+        "ROUTER_DISCOVERY": "127.0.0.2:9002",
+        "ROUTER_ADMIN_ADDR": "127.0.0.2:9003",
+        "ROUTER_PASSED_SOCKET": "5",
+    }
+
+    read = config.load(environment)
+
+    assert (read.name, read.listen) == ("n2", at(9001, "127.0.0.2"))
+    assert (read.discovery, read.admin) == (at(9002, "127.0.0.2"), at(9003, "127.0.0.2"))
+    assert read.passed == 5
+    assert read.filed == {"name": "n1", "listen": "127.0.0.1:8001", "discovery": "[::1]:8002"}
+    assert config.file_text(environment) == read.text
+
+
+def test_what_a_running_program_keeps_and_what_the_file_changes(tmp_path: Path) -> None:
+    """The keys are compared with the fields of the same names: a rename of a field needs its key."""
+    path = write(tmp_path, TOLD)
+    environment = {
+        "ROUTER_CONFIG": path,
+        "ROUTER_NAME": "n2",
+        "ROUTER_LISTEN": "127.0.0.2:9001",
+        "ROUTER_DISCOVERY": "127.0.0.2:9002",
+    }
+    before = config.load(environment)
+
+    same = config.load(environment, before)
+    write(tmp_path, {**TOLD, "discovery": "127.0.0.3:9002", "limits": {}})
+    changed = config.load(environment, before)
+
+    assert (same.name, same.listen, same.discovery) == ("n2", at(9001, "127.0.0.2"), at(9002, "127.0.0.2"))
+    assert (changed.name, changed.discovery) == ("n2", at(9002, "127.0.0.3"))
+    assert (changed.sockets, changed.memory_bytes) == (1024, 201326592)
+
+
+@pytest.mark.parametrize(
+    ("change", "words"),
+    [
+        ({"name": None}, "neither ROUTER_NAME nor 'name' is set"),
+        ({"listen": None}, "neither ROUTER_LISTEN nor 'listen' is set"),
+        ({"discovery": None}, "neither ROUTER_DISCOVERY nor 'discovery' is set"),
+        ({"listen": "nowhere"}, "'listen' must be HOST:PORT, not 'nowhere'"),
+        ({"seed": "xyz"}, "'seed' must be hex digits, not 'xyz'"),
+        ({"admin_addr": "x"}, "'admin_addr' must be HOST:PORT, not 'x'"),
+        ({"peer_listen": "x"}, "'peer_listen' must be HOST:PORT, not 'x'"),
+        ({"peers": ["a", "b", "c"]}, "'peers' must be HOST:PORT, not 'a'"),
+        ({"settings": {}}, "settings lack the table 'rules'"),
+    ],
+)
+def test_what_is_wrong_with_the_file_is_named(tmp_path: Path, change: dict[str, Any], words: str) -> None:
+    path = write(tmp_path, {**TOLD, **change})
+
+    with pytest.raises(config.ConfigError) as caught:
+        config.load({"ROUTER_CONFIG": path})
+
+    assert str(caught.value) == words
+
+
+@pytest.mark.parametrize(
+    ("table", "key", "words"),
+    [
+        ("limits", "connect-timeout-us", "settings lack the number 'limits.connect-timeout-us'"),
+        ("limits", "keepalive-us", "settings lack the number 'limits.keepalive-us'"),
+        ("family-info", "class-writes", "settings lack the list 'family-info.class-writes'"),
+    ],
+)
+def test_what_a_broker_needs_of_the_settings_is_named(
+    tmp_path: Path, table: str, key: str, words: str
+) -> None:
+    told = copy.deepcopy(TOLD)
+    del told["settings"][table][key]
+
+    with pytest.raises(config.ConfigError) as caught:
+        config.load({"ROUTER_CONFIG": write(tmp_path, told)})
+
+    assert str(caught.value) == words
+
+
+def test_peers_need_the_settings_leave(tmp_path: Path) -> None:
+    told = copy.deepcopy(TOLD)
+    told["settings"]["limits"]["peers"] = False
+
+    assert config.load({"ROUTER_CONFIG": write(tmp_path, told)}).fleet is None
