--- /dev/null
+++ b/tests/test_format_operator_file.py
@@ -0,0 +1,423 @@
+"""The operator's file: every key that it may hold, the printed schema, and what is said of a wrong key.
+
+Every key is derived from a field's name in `lemonridge/iscsi/schema.py`: a rename of a field needs `rename=`.
+The names under `$defs` and the titles are derived from the names of the structs, the descriptions from their
+docstrings: a rename of a struct needs its old name there, or it shows in the text that the command prints.
+"""
+
+from __future__ import annotations
+
+import contextlib
+import hashlib
+import io
+import json
+import tomllib
+import unittest
+from pathlib import Path
+from typing import Any
+
+import msgspec
+
+from lemonridge.cli import main
+from lemonridge.config import ConfigError
+from lemonridge.iscsi.schema import FleetFile, OperatorFile, SecretsFile, read
+
+ROOT = Path(__file__).resolve().parent.parent
+
+# Every key once, none of them at its default.
+ALL_KEYS = """\
+[iscsi]
+listen = "127.0.0.1:3260"
+target = "iqn.2026-12.org.lemonridge:store"
+initiators = ["iqn.2026-12.org.lemonridge:portal"]
+brokers = 2
+max_sessions = 63
+queue_depth = 31
+max_transfer_kib = 255
+buffer_mib = 47
+unit_kib = 63
+connections = 3
+max_connections = 255
+recovery_level = 1
+digests = ["None", "CRC32C"]
+initial_r2t = true
+max_r2t = 5
+max_burst_kib = 257
+first_burst_kib = 65
+time2wait_s = 3
+time2retain_s = 21
+statuses_kept = 129
+ping_s = 31.5
+login_failures = 11
+power_on_attention = true
+secrets = "/etc/lemonridge/secrets.toml"
+chap = ["portal"]
+reservations = "/var/lib/lemonridge/reservations.json"
+
+[[target]]
+name = "iqn.2026-12.org.lemonridge:other"
+initiators = ["iqn.2026-12.org.lemonridge:guest"]
+chap = ["portal"]
+
+[initiator]
+name = "iqn.2026-12.org.lemonridge:broker"
+connect_timeout_ms = 251.0
+idle_s = 61.0
+digests = ["CRC32C", "None"]
+chap = "portal"
+
+[classes.read]
+aim_ms = 301.0
+deadline_ms = 2501.0
+worth = 2.0
+
+[classes.write]
+aim_ms = 401.0
+deadline_ms = 2001.0
+worth = 3.0
+
+[rules]
+units_mean = 1.5
+cold_units = 8.5
+tip_multiple = 2.75
+max_attempts = 3
+cold_share = 0.25
+ramp_s = 17.5
+fall_ms = 1001.0
+
+[[plan]]
+name = "standard"
+rate = 60.0
+reserve = 48.0
+weight = 2.0
+limit = 120.0
+burst = 30.0
+
+[[lun]]
+lun = 0
+plan = "standard"
+shard = 1
+
+[[lun]]
+lun = 1
+plan = "standard"
+extents = "map"
+
+[[lun]]
+lun = 2
+plan = "standard"
+
+[[lun.extent]]
+first = 0
+blocks = 8
+shard = 3
+version = 2
+
+[[node]]
+name = "node-1"
+address = "127.0.0.1:13260"
+target = "iqn.2026-12.org.lemonridge:node-1"
+shard = 1
+health = "draining"
+started_ms = 1700000000123
+
+[etcd]
+endpoint = "127.0.0.1:2379"
+prefix = "/lemonridge/"
+
+[extents]
+block_bytes = 1024
+max_extents = 1000001
+max_pieces = 33
+max_redirects = 9
+max_refreshes = 7
+read_age_s = 61.0
+write_age_s = 16.0
+page = 2001
+file = "/etc/lemonridge/map.json"
+keep = "/var/lib/lemonridge/map"
+keep_mib = 257
+keep_age_s = 3601.0
+
+[fleet]
+name = "n1"
+listen = "127.0.0.1:7946"
+secret = "/etc/lemonridge/fleet.key"
+clock_error_ms = 51.0
+bytes_per_s = 8193.0
+further_attempts = 4.0
+admin = "127.0.0.1:15001"
+
+[[fleet.member]]
+name = "n1"
+address = "127.0.0.1:7946"
+
+[[fleet.member]]
+name = "n2"
+address = "127.0.0.1:7947"
+
+[fleet.policy]
+store = "/var/lib/lemonridge/votes"
+lease_ms = 2001.0
+floor = 0.5
+"""
+
+SECRETS = """\
+[[account]]
+name = "portal"
+secret = "twelve bytes or more"
+own_name = "store"
+own_secret = "twelve others or more"
+"""
+
+# All paths of the schema's keys, sorted; `[]` is an element of a list.
+PATHS = """\
+classes
+classes.read
+classes.read.aim_ms
+classes.read.deadline_ms
+classes.read.worth
+classes.write
+classes.write.aim_ms
+classes.write.deadline_ms
+classes.write.worth
+etcd
+etcd.endpoint
+etcd.prefix
+extents
+extents.block_bytes
+extents.file
+extents.keep
+extents.keep_age_s
+extents.keep_mib
+extents.max_extents
+extents.max_pieces
+extents.max_redirects
+extents.max_refreshes
+extents.page
+extents.read_age_s
+extents.write_age_s
+fleet
+fleet.admin
+fleet.bytes_per_s
+fleet.clock_error_ms
+fleet.further_attempts
+fleet.listen
+fleet.member
+fleet.member[].address
+fleet.member[].name
+fleet.name
+fleet.policy
+fleet.policy.floor
+fleet.policy.lease_ms
+fleet.policy.store
+fleet.secret
+initiator
+initiator.chap
+initiator.connect_timeout_ms
+initiator.digests
+initiator.idle_s
+initiator.name
+iscsi
+iscsi.brokers
+iscsi.buffer_mib
+iscsi.chap
+iscsi.connections
+iscsi.digests
+iscsi.first_burst_kib
+iscsi.initial_r2t
+iscsi.initiators
+iscsi.listen
+iscsi.login_failures
+iscsi.max_burst_kib
+iscsi.max_connections
+iscsi.max_r2t
+iscsi.max_sessions
+iscsi.max_transfer_kib
+iscsi.ping_s
+iscsi.power_on_attention
+iscsi.queue_depth
+iscsi.recovery_level
+iscsi.reservations
+iscsi.secrets
+iscsi.statuses_kept
+iscsi.target
+iscsi.time2retain_s
+iscsi.time2wait_s
+iscsi.unit_kib
+lun
+lun[].extent
+lun[].extent[].blocks
+lun[].extent[].first
+lun[].extent[].shard
+lun[].extent[].version
+lun[].extents
+lun[].lun
+lun[].plan
+lun[].shard
+node
+node[].address
+node[].health
+node[].name
+node[].shard
+node[].started_ms
+node[].target
+plan
+plan[].burst
+plan[].limit
+plan[].name
+plan[].rate
+plan[].reserve
+plan[].weight
+rules
+rules.cold_share
+rules.cold_units
+rules.fall_ms
+rules.max_attempts
+rules.ramp_s
+rules.tip_multiple
+rules.units_mean
+target
+target[].chap
+target[].initiators
+target[].name
+"""
+PARTS = [
+    "ClassTable",
+    "ClassesTable",
+    "EtcdTable",
+    "ExtentTable",
+    "ExtentsTable",
+    "FleetFile",
+    "FleetTable",
+    "FrontTable",
+    "InitiatorTable",
+    "LunTable",
+    "MemberTable",
+    "NodeTable",
+    "OperatorFile",
+    "PlanTable",
+    "PolicyTable",
+    "RulesTable",
+    "TargetTable",
+]
+SCHEMA_SHA256 = "0d02f9d8567ff55d9ca865606f81e817cf4b22b4a1dab4b73912133e71d130b6"
+
+
+def printed() -> str:
+    """What `lemonridge schema` prints."""
+    out = io.StringIO()
+    with contextlib.redirect_stdout(out):
+        main(["schema"])
+    return out.getvalue()
+
+
+def key_paths(node: dict[str, Any], parts: dict[str, Any], before: str = "") -> set[str]:
+    """The paths of the keys that a part of a JSON Schema names."""
+    if "$ref" in node:
+        return key_paths(parts[node["$ref"].removeprefix("#/$defs/")], parts, before)
+    found = set[str]()
+    for one in node.get("anyOf", ()):
+        found |= key_paths(one, parts, before)
+    if isinstance(node.get("items"), dict):
+        found |= key_paths(node["items"], parts, before + "[]")
+    for key, value in node.get("properties", {}).items():
+        path = f"{before}.{key}" if before else key
+        found |= {path} | key_paths(value, parts, path)
+    return found
+
+
+def paths_of(values: Any, before: str = "") -> set[str]:
+    """The paths of the keys of a parsed file."""
+    found = set[str]()
+    if isinstance(values, list):
+        return found.union(*(paths_of(one, before + "[]") for one in values))
+    if isinstance(values, dict):
+        for key, value in values.items():
+            path = f"{before}.{key}" if before else key
+            found |= {path} | paths_of(value, path)
+    return found
+
+
+def changed(path: str, value: Any) -> dict[str, Any]:
+    """The file of all keys with one more, or another value, at a path; a number is a place in a list."""
+    values: Any = tomllib.loads(ALL_KEYS)
+    at, (*tables, key) = values, path.split(".")
+    for name in tables:
+        at = at[int(name)] if name.isdigit() else at[name]
+    at[key] = value
+    return dict(values)
+
+
+class TheSchema(unittest.TestCase):
+    def test_the_printed_text_is_the_same(self) -> None:
+        self.assertEqual(hashlib.sha256(printed().encode()).hexdigest(), SCHEMA_SHA256)
+
+    def test_its_keys_are_the_same(self) -> None:
+        told = json.loads(printed())
+        self.assertEqual(sorted(key_paths(told, told["$defs"])), PATHS.split())
+
+    def test_its_parts_have_the_same_names(self) -> None:
+        told = json.loads(printed())
+        self.assertEqual(sorted(told["$defs"]), PARTS)
+        self.assertEqual([part["title"] for _, part in sorted(told["$defs"].items())], PARTS)
+        self.assertEqual(told["anyOf"], [{"$ref": "#/$defs/OperatorFile"}, {"$ref": "#/$defs/FleetFile"}])
+        self.assertEqual(told["$schema"], "https://json-schema.org/draft/2020-12/schema")
+
+
+class TheFile(unittest.TestCase):
+    def test_the_literal_file_has_every_key(self) -> None:
+        self.assertEqual(sorted(paths_of(tomllib.loads(ALL_KEYS))), PATHS.split())
+
+    def test_every_key_is_accepted_and_comes_back_alike(self) -> None:
+        values = tomllib.loads(ALL_KEYS)
+        again = json.loads(msgspec.json.encode(read(OperatorFile, values)))
+        for row in again["lun"]:  # what is not set there is none
+            for key in [key for key, value in row.items() if value in (None, [])]:
+                del row[key]
+        self.assertEqual(again, values)
+
+    def test_the_fleet_may_stand_alone(self) -> None:
+        values = {"fleet": tomllib.loads(ALL_KEYS)["fleet"]}
+        self.assertEqual(json.loads(msgspec.json.encode(read(FleetFile, values))), values)
+
+    def test_the_file_of_secrets_is_accepted(self) -> None:
+        values = tomllib.loads(SECRETS)
+        self.assertEqual(json.loads(msgspec.json.encode(read(SecretsFile, values))), values)
+
+    def test_a_wrong_key_or_value_is_named_by_its_path(self) -> None:
+        for path, value, words in (
+            ("odd", 1, "unknown key odd"),
+            ("iscsi.odd", 1, "unknown key iscsi.odd"),
+            ("target.0.odd", 1, "unknown key target[0].odd"),
+            ("classes.read.odd", 1, "unknown key classes.read.odd"),
+            ("plan.0.odd", 1, "unknown key plan[0].odd"),
+            ("lun.2.extent.0.odd", 1, "unknown key lun[2].extent[0].odd"),
+            ("extents.odd", 1, "unknown key extents.odd"),
+            ("fleet.member.1.odd", 1, "unknown key fleet.member[1].odd"),
+            ("fleet.policy.odd", 1, "unknown key fleet.policy.odd"),
+            ("fleet.policy", {}, "fleet.policy.store is missing"),
+            ("node.0.health", "ill", "node[0].health: invalid enum value 'ill'"),
+            ("node.0.shard", "1", "node[0].shard: expected int, got str"),
+        ):
+            with self.subTest(path=path), self.assertRaises(ConfigError) as caught:
+                read(OperatorFile, changed(path, value))
+            self.assertEqual(str(caught.exception), words)
+        with self.assertRaises(ConfigError) as caught:
+            read(SecretsFile, {"account": [{"name": "portal", "odd": 1}]}, "secrets")
+        self.assertEqual(str(caught.exception), "unknown key secrets.account[0].odd")
+
+
+class TheDeployedFiles(unittest.TestCase):
+    def test_each_is_read(self) -> None:
+        for name, kind in (("iscsi", OperatorFile), ("extents", OperatorFile), ("fleet", FleetFile)):
+            with self.subTest(name=name):
+                read(kind, tomllib.loads((ROOT / f"deploy/{name}.toml").read_text()))
+
+    def test_the_platforms_file_has_its_keys(self) -> None:
+        values = tomllib.loads((ROOT / "deploy/balancer.toml").read_text())
+        self.assertEqual(list(values), ["build", "run", "sim", "policy", "node", "packages"])
+
+    def test_no_file_is_left_out(self) -> None:
+        self.assertEqual(sorted(file.name for file in (ROOT / "deploy").glob("*.toml")),
+                         ["balancer.toml", "extents.toml", "fleet.toml", "iscsi.toml"])  # fmt: skip
