--- a/tests/scheduling/test_recorded_trace.py
+++ b/tests/scheduling/test_recorded_trace.py
@@ -27,117 +27,167 @@
 
 import pytest
 
-from lemonridge import Scheduler, api
+from lemonridge import Scheduler
+from lemonridge.scheduling.actions import (
+    Cancel,
+    Fail,
+    Reject,
+    RejectReason,
+    Send,
+    SetTimer,
+    SlowStartBegan,
+    Subscribe,
+)
+from lemonridge.scheduling.events import (
+    AttemptEnded,
+    AttemptResult,
+    ClientDisconnected,
+    DataMigrated,
+    Endpoint,
+    EndpointListUpdate,
+    EndpointsChanged,
+    EndpointState,
+    LimitLevel,
+    PeerHealthReported,
+    PeerUsageReported,
+    QuotaChanged,
+    RequestArrived,
+    ResponseStarted,
+    SettingsChanged,
+    SharedBudget,
+    TimerFired,
+)
+from lemonridge.scheduling.settings import (
+    DeduplicationScope,
+    IdempotencyKind,
+    RequestClass,
+    Settings,
+    VolumePlan,
+)
 
 # The names of the code: settings, events and the plain form of actions
 
 EVENTS: dict[str, Callable[..., Any]] = {
-    "arrived": api.Arrived,
-    "started": api.Started,
-    "ended": api.Ended,
-    "moved": api.Moved,
-    "gone": api.Gone,
-    "timer fired": api.TimerFired,
-    "entry": api.Entry,
-    "listed": api.Listed,
-    "configured": api.Configured,
-    "sliced": api.Sliced,
-    "served": api.Served,
-    "judged": api.Judged,
+    "arrived": RequestArrived,
+    "started": ResponseStarted,
+    "ended": AttemptEnded,
+    "moved": DataMigrated,
+    "gone": ClientDisconnected,
+    "timer fired": TimerFired,
+    "entry": Endpoint,
+    "listed": EndpointsChanged,
+    "configured": SettingsChanged,
+    "sliced": QuotaChanged,
+    "served": PeerUsageReported,
+    "judged": PeerHealthReported,
 }
 RESULTS = {
-    "ok": api.Result.OK,
-    "error": api.Result.ERROR,
-    "full": api.Result.FULL,
-    "timeout": api.Result.TIMEOUT,
-    "connect failed": api.Result.CONNECT_FAILED,
-    "reset": api.Result.RESET,
-    "cancelled": api.Result.CANCELLED,
-    "not sent": api.Result.NOT_SENT,
-    "moved": api.Result.MOVED,
+    "ok": AttemptResult.OK,
+    "error": AttemptResult.ERROR,
+    "full": AttemptResult.QUEUE_FULL,
+    "timeout": AttemptResult.TIMEOUT,
+    "connect failed": AttemptResult.CONNECT_FAILED,
+    "reset": AttemptResult.RESET,
+    "cancelled": AttemptResult.CANCELLED,
+    "not sent": AttemptResult.NOT_SENT,
+    "moved": AttemptResult.DATA_MIGRATED,
+}
+CONDITIONS = {
+    "active": EndpointState.ACTIVE,
+    "leaving": EndpointState.DRAINING,
+    "left": EndpointState.REMOVED,
 }
-CONDITIONS = {"active": api.Condition.ACTIVE, "leaving": api.Condition.LEAVING, "left": api.Condition.LEFT}
 LISTS = {
-    "patch": api.ListKind.PATCH,
-    "whole": api.ListKind.WHOLE,
-    "stale": api.ListKind.STALE,
-    "broken": api.ListKind.BROKEN,
+    "patch": EndpointListUpdate.DELTA,
+    "whole": EndpointListUpdate.SNAPSHOT,
+    "stale": EndpointListUpdate.CACHED,
+    "broken": EndpointListUpdate.WATCH_FAILED,
 }
-BUDGETS = {"limit": api.Budget.LIMIT, "cold": api.Budget.COLD, "further": api.Budget.FURTHER}
+BUDGETS = {"limit": SharedBudget.LIMIT, "cold": SharedBudget.SLOW_START, "further": SharedBudget.RETRIES}
 REASONS = {
-    api.Why.LIMIT: "limit",
-    api.Why.COLD: "cold",
-    api.Why.LATE: "late",
-    api.Why.SPENT: "spent",
-    api.Why.OVER: "over",
-    api.Why.LOST: "lost",
+    RejectReason.LIMIT_REACHED: "limit",
+    RejectReason.SLOW_START: "cold",
+    RejectReason.OBJECTIVE_MISSED: "late",
+    RejectReason.ATTEMPTS_EXHAUSTED: "spent",
+    RejectReason.DEADLINE_EXCEEDED: "over",
+    RejectReason.ROUTE_UNKNOWN: "lost",
 }
-SAFE, KEYED, ONCE = api.Semantics.SAFE, api.Semantics.KEYED, api.Semantics.ONCE
-ALL, ZONE, CELL = api.Group.ALL, api.Group.ZONE, api.Group.CELL
+SAFE, KEYED, ONCE = (
+    IdempotencyKind.IDEMPOTENT,
+    IdempotencyKind.WITH_IDEMPOTENCY_KEY,
+    IdempotencyKind.NOT_IDEMPOTENT,
+)
+ALL, ZONE, CELL = DeduplicationScope.ALL, DeduplicationScope.ZONE, DeduplicationScope.SHARD
 CLASSES = (
-    api.ClassInfo(300_000, 1_500_000, SAFE, ALL, 0, False, 3.0),
-    api.ClassInfo(500_000, 4_000_000, KEYED, CELL, 2_000_000, True, 2.0),
-    api.ClassInfo(500_000, 2_000_000, ONCE, ALL, 0, False, 3.0),
-    api.ClassInfo(400_000, 3_000_000, KEYED, ZONE, 1_000_000, False, 1.0),
-    api.ClassInfo(400_000, 3_000_000, KEYED, ALL, 2_500_000, True, 1.0),
-    api.ClassInfo(600_000, 2_500_000, SAFE, ALL, 0, True, 4.0),
+    RequestClass(300_000, 1_500_000, SAFE, ALL, 0, False, 3.0),
+    RequestClass(500_000, 4_000_000, KEYED, CELL, 2_000_000, True, 2.0),
+    RequestClass(500_000, 2_000_000, ONCE, ALL, 0, False, 3.0),
+    RequestClass(400_000, 3_000_000, KEYED, ZONE, 1_000_000, False, 1.0),
+    RequestClass(400_000, 3_000_000, KEYED, ALL, 2_500_000, True, 1.0),
+    RequestClass(600_000, 2_500_000, SAFE, ALL, 0, True, 4.0),
 )
 PLANS = (  # base rate, reserve, weight, limit, burst, slack
-    api.Plan(10.0, 10.0, 1.0, 0.0, 0.0, 0.0),
-    api.Plan(10.0, 5.0, 1.0, 60.0, 40.0, 4.0),
-    api.Plan(30.0, 30.0, 3.0, 0.0, 0.0, 0.0),
-    api.Plan(10.0, 0.0, 2.0, 200.0, 100.0, 0.0),
+    VolumePlan(10.0, 10.0, 1.0, 0.0, 0.0, 0.0),
+    VolumePlan(10.0, 5.0, 1.0, 60.0, 40.0, 4.0),
+    VolumePlan(30.0, 30.0, 3.0, 0.0, 0.0, 0.0),
+    VolumePlan(10.0, 0.0, 2.0, 200.0, 100.0, 0.0),
 )
-FEW_HOSTS = api.Settings(
+FEW_HOSTS = Settings(
     hosts=2,
     classes=CLASSES,
     plans=PLANS,
-    asks_list=False,
-    units_top=8.0,
-    units_mean=2.0,
-    cold_units=10.0,
-    tip_multiple=2.5,
-    tells_elsewhere=False,
-    meter_us=0,
+    polls_endpoint_list=False,
+    largest_request_units=8.0,
+    mean_request_units=2.0,
+    slow_start_units=10.0,
+    overload_multiple=2.5,
+    reports_peer_usage=False,
+    usage_meter_period_us=0,
     max_attempts=3,
     may_cancel=False,
     max_backoff_us=1_000_000,
     tick_us=2_000,
-    ask_within_us=0,
-    cold_share=0.2,
-    ramp_us=5_000_000,
-    fall_us=1_000_000,
+    poll_within_us=0,
+    slow_start_initial_fraction=0.2,
+    slow_start_ramp_us=5_000_000,
+    overload_window_us=1_000_000,
     drain_grace_us=250_000,
-    look_back_us=0,
-    free_resends=0.0,
-    extra_ratio=0.0,
-    key_rest_us=100_000,
-    further_rate=0.0,
+    retry_budget_window_us=0,
+    retry_budget_floor=0.0,
+    retry_budget_ratio=0.0,
+    key_quarantine_us=100_000,
+    retry_rate=0.0,
 )
 ASKING = replace(
     FEW_HOSTS,
     hosts=3,
-    asks_list=True,
-    ask_within_us=3_000_000,
-    tells_elsewhere=True,
+    polls_endpoint_list=True,
+    poll_within_us=3_000_000,
+    reports_peer_usage=True,
     max_attempts=5,
     may_cancel=True,
-    look_back_us=5_000_000,
-    free_resends=5.0,
-    extra_ratio=0.2,
-    further_rate=60.0,
-    marks_retry=True,
+    retry_budget_window_us=5_000_000,
+    retry_budget_floor=5.0,
+    retry_budget_ratio=0.2,
+    retry_rate=60.0,
+    clients_mark_retries=True,
 )
 MANY_HOSTS = replace(
-    ASKING, hosts=40, max_attempts=4, further_rate=400.0, key_rest_us=0, look_back_us=0, cold_units=40.0
+    ASKING,
+    hosts=40,
+    max_attempts=4,
+    retry_rate=400.0,
+    key_quarantine_us=0,
+    retry_budget_window_us=0,
+    slow_start_units=40.0,
 )
-MANY_NODES = replace(FEW_HOSTS, hosts=10, units_mean=0.0, may_cancel=True, tells_elsewhere=True)
+MANY_NODES = replace(FEW_HOSTS, hosts=10, mean_request_units=0.0, may_cancel=True, reports_peer_usage=True)
 
 
 def other_settings(settings: Any, pick: Random) -> Any:
     """Settings as an operator may change them: hosts, attempts, and the figures of a limit."""
     limit = pick.choice((20.0, 60.0, 200.0))
-    plans = (*PLANS[:1], api.Plan(10.0, 5.0, 1.0, limit, 40.0, 4.0), *PLANS[2:])
+    plans = (*PLANS[:1], VolumePlan(10.0, 5.0, 1.0, limit, 40.0, 4.0), *PLANS[2:])
     hosts = max(1, settings.hosts + pick.choice((-1, 0, 0, 1)))
     return replace(settings, plans=plans, hosts=hosts, max_attempts=pick.choice((2, 3, 5)))
 
@@ -154,24 +204,24 @@
 
 def made_levels(rows: list[tuple[int, float, float, int]]) -> Any:
     """The limits that are taken over."""
-    return {name: api.LimitLevel(saved, owed, until_us) for name, saved, owed, until_us in rows}
+    return {name: LimitLevel(saved, owed, until_us) for name, saved, owed, until_us in rows}
 
 
 def plain(action: Any) -> tuple[Any, ...]:
     """An action as a literal tag and its values."""
-    if isinstance(action, api.Send):
+    if isinstance(action, Send):
         return "send", action.request, action.node
-    if isinstance(action, api.Cancel):
+    if isinstance(action, Cancel):
         return "cancel", action.request, action.attempt
-    if isinstance(action, api.Refuse):
+    if isinstance(action, Reject):
         return "refuse", action.request, action.backoff_us, REASONS[action.why]
-    if isinstance(action, api.Fail):
+    if isinstance(action, Fail):
         return "fail", action.request, REASONS[action.why]
-    if isinstance(action, api.SetTimer):
+    if isinstance(action, SetTimer):
         return "timer", action.at_us
-    if isinstance(action, api.Subscribe):
+    if isinstance(action, Subscribe):
         return ("subscribe",)
-    assert isinstance(action, api.SlowStartBegan)
+    assert isinstance(action, SlowStartBegan)
     return "slow-start", action.node, action.shard, action.born_us, action.rate, action.until_us
 
 
--- a/tests/test_format_admin.py
+++ b/tests/test_format_admin.py
@@ -3,7 +3,7 @@
 The names of the code stand in the builders below; what follows are literals. Derived from names of the code,
 so that a rename needs `rename=` or a table of words, are: the words of states, budgets and judgements of a
 fleet (the members of `State`, `Kind` and `ReportedCondition` in lower case), and every key of a policy (the
-fields of `document.Policy`, `Plan`, `Class`, `Rules`, and of `State`, the value that is voted on), of which
+fields of `policy_document.Policy`, `Plan`, `Class`, `Rules`, and of `State`, the value of a vote), of which
 only `class` has its word already. The keys of a vote on disk are the fields of `Kept`. All else are literals.
 """
 
@@ -20,17 +20,18 @@
 import pytest
 from conftest import SETTINGS
 
-from lemonridge import api, cli, policies
-from lemonridge.config import Address, FleetPlan, RolloutPlan
-from lemonridge.counters import Counters
-from lemonridge.fleet import escrow, judgements, machine, wire
-from lemonridge.fleet.report import report, table, whole
-from lemonridge.fleet.roster import Roster, key_of
-from lemonridge.governance import MAGIC, PolicyCoordinator, Store
-from lemonridge.operate.calls import BadCallError, Call, Order, Reply, longest, parse
+from lemonridge.cli import main, policy_commands
+from lemonridge.config.platform import Address, FleetPlan, RolloutPlan
+from lemonridge.coordination.policy_coordinator import MAGIC, PolicyCoordinator, Store
+from lemonridge.core.counters import Counters
+from lemonridge.fleet import datagrams, fleet_member, health_gossip, quota_lending
+from lemonridge.fleet.member_list import Roster, key_of
+from lemonridge.fleet.status_report import report, table, whole
+from lemonridge.operate.admin_calls import BadCallError, Call, Order, Reply, longest, parse
 from lemonridge.operate.lifecycle import Phase
-from lemonridge.rollout import document
-from lemonridge.rollout.machine import Kept
+from lemonridge.rollout import policy_document
+from lemonridge.rollout.rollout_member import Kept
+from lemonridge.scheduling.settings import DeduplicationScope, IdempotencyKind, RequestClass, VolumePlan
 
 NOW = 1_800_000_000_000_000
 
@@ -61,8 +62,19 @@
 
 def test_every_call_has_its_word() -> None:
     assert [one.value for one in Call] == [
-        "ready", "disable-server", "enable-server", "drain", "resume", "fleet", "policy", "policy-propose",
-        "policy-abort", "policy-admit", "policy-retire", "policy-force"]  # fmt: skip
+        "ready",
+        "disable-server",
+        "enable-server",
+        "drain",
+        "resume",
+        "fleet",
+        "policy",
+        "policy-propose",
+        "policy-abort",
+        "policy-admit",
+        "policy-retire",
+        "policy-force",
+    ]
     assert [one.value for one in Phase] == ["serving", "draining", "handed", "stopping"]
 
 
@@ -100,21 +112,21 @@
 # The fleet
 
 
-def fleet() -> machine.Fleet:
+def fleet() -> fleet_member.Fleet:
     """Broker b1 of three: b0 is up, b2 was never heard of; a loan each way; every flaw counted."""
-    made = machine.Fleet(Roster(("b0", "b1", "b2"), 1), 77, 1, NOW, machine.Tuning(further=5.0))
+    made = fleet_member.Fleet(Roster(("b0", "b1", "b2"), 1), 77, 1, NOW, fleet_member.Tuning(further=5.0))
     made.taken(9, 20.0, 3, 4.0, NOW)
-    made.ended(key_of("s-1"), judgements.Seen.CONNECT_FAILED, NOW)
-    head = wire.Head(0, wire.State.UP, 5, 1, 1, NOW // 1000)
-    said = wire.encode(head, [wire.Judge(key_of("s-9"), 3, 6, 250)], made.roster.mark)
-    made.handle(NOW + 1000, (machine.Received(0, said),))
-    pool = made.ledger.pools[escrow.Kind.LIMIT, 9]
+    made.ended(key_of("s-1"), health_gossip.Seen.CONNECT_FAILED, NOW)
+    head = datagrams.Head(0, datagrams.State.UP, 5, 1, 1, NOW // 1000)
+    said = datagrams.encode(head, [datagrams.Judge(key_of("s-9"), 3, 6, 250)], made.roster.mark)
+    made.handle(NOW + 1000, (fleet_member.Received(0, said),))
+    pool = made.ledger.pools[quota_lending.Kind.LIMIT, 9]
     pool.base, pool.need = 300_000, 400_000
-    pool.lent[2] = [escrow.Loan(3, 4, 50_000, NOW + 10**6)]
-    pool.borrowed[0] = escrow.Borrowed(5, 125_000, NOW + 10**6)
+    pool.lent[2] = [quota_lending.Loan(3, 4, 50_000, NOW + 10**6)]
+    pool.borrowed[0] = quota_lending.Borrowed(5, 125_000, NOW + 10**6)
     made.counts.clear()
     made.counts["datagrams.taken"] = 8
-    for number, flaw in enumerate(wire.Flaw, 1):
+    for number, flaw in enumerate(datagrams.Flaw, 1):
         made.flaws[flaw] = number
     return made
 
@@ -166,17 +178,17 @@
 def test_every_number_between_brokers_has_its_word_in_a_view() -> None:
     """The words are derived from the enumerations' member names; the numbers are those of the datagrams."""
     made = fleet()
-    limit = made.ledger.pools[escrow.Kind.LIMIT, 9]
+    limit = made.ledger.pools[quota_lending.Kind.LIMIT, 9]
     made.ledger.pools = {(kind, 9): limit for kind in (1, 2, 3)}
     states = []
 
     for number in range(7):
-        made.members.members[0].state = wire.State(number)
+        made.members.members[0].state = datagrams.State(number)
         states.append(report(made, NOW + 5000, {})["members"][0]["state"])
     for number in range(1, 5):
-        head = wire.Head(0, wire.State.UP, 5, 1, 1 + number, NOW // 1000)
-        said = wire.encode(head, [wire.Judge(100 + number, number, 6, 250)], made.roster.mark)
-        made.handle(NOW + 2000, (machine.Received(0, said),))
+        head = datagrams.Head(0, datagrams.State.UP, 5, 1, 1 + number, NOW // 1000)
+        said = datagrams.encode(head, [datagrams.Judge(100 + number, number, 6, 250)], made.roster.mark)
+        made.handle(NOW + 2000, (fleet_member.Received(0, said),))
     view = report(made, NOW + 5000, {101: "one", 102: "two", 103: "three", 104: "four"})
     judged = [(row["node"], row["what"]) for row in view["judgements"] if row["by"] == "b0"]
 
@@ -203,9 +215,9 @@
     async def views(_: object) -> tuple[list[dict[str, Any]], list[str]]:
         return told, []
 
-    monkeypatch.setattr("lemonridge.net.calling.views", views)
+    monkeypatch.setattr("lemonridge.net.admin_client.views", views)
 
-    status = cli.main(["fleet", "status", "127.0.0.1:1", "--json"])
+    status = main.main(["fleet", "status", "127.0.0.1:1", "--json"])
 
     assert status == 0
     assert capsys.readouterr().out == (
@@ -218,20 +230,20 @@
 # The policy
 
 
-def policy(limit: float = 24.0) -> document.Policy:
-    return document.Policy(
+def policy(limit: float = 24.0) -> policy_document.Policy:
+    return policy_document.Policy(
         plan=(
-            document.Plan(
+            policy_document.Plan(
                 name="basic", base_rate=1.0, reserve=2.0, weight=3.0, limit=limit, burst=12.0, slack=4.0
             ),
         ),
-        classes=(document.Class(name="read", aim_ms=300.0, worth=5.0),),
-        rules=document.Rules(max_attempts=3, further_attempts=6.0),
+        classes=(policy_document.Class(name="read", aim_ms=300.0, priority_weight=5.0),),
+        rules=policy_document.Rules(max_attempts=3, further_attempts=6.0),
     )
 
 
-def state() -> document.State:
-    return document.State(
+def state() -> policy_document.State:
+    return policy_document.State(
         epoch=7,
         prior="0123456789abcdef",
         voters={"b0": 11, "b1": 12},
@@ -260,10 +272,10 @@
 
 def test_the_state_that_is_voted_on_byte_for_byte() -> None:
     """Brokers compare its hash, so one byte less is another state. The keys are the fields' names."""
-    assert document.encode(state()) == STATE
-    assert document.decode(STATE) == state()
-    assert document.name(STATE).hex() == "7aa62f6c9314e4b7"
-    assert document.policy_of(orjson.loads(POLICY)) == policy()
+    assert policy_document.encode(state()) == STATE
+    assert policy_document.decode(STATE) == state()
+    assert policy_document.name(STATE).hex() == "7aa62f6c9314e4b7"
+    assert policy_document.policy_of(orjson.loads(POLICY)) == policy()
 
 
 def test_the_votes_on_disk_byte_for_byte(tmp_path: Path) -> None:
@@ -284,10 +296,12 @@
 
 OWN = dataclasses.replace(
     SETTINGS,
-    classes=(api.ClassInfo(300_000, 1_500_000, api.Semantics.SAFE, api.Group.ALL, 0, False, 5.0),),
-    plans=(api.Plan(base_rate=1.0, reserve=2.0, weight=3.0, limit=24.0, burst=12.0, slack=4.0),),
+    classes=(
+        RequestClass(300_000, 1_500_000, IdempotencyKind.IDEMPOTENT, DeduplicationScope.ALL, 0, False, 5.0),
+    ),
+    plans=(VolumePlan(base_rate=1.0, reserve=2.0, weight=3.0, limit=24.0, burst=12.0, slack=4.0),),
     max_attempts=3,
-    further_rate=6.0,
+    retry_rate=6.0,
 )
 
 
@@ -350,15 +364,17 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
     said = []
-    seen = b'{"name":"b0","epoch":7,"state":"0123456789abcdef","goes_by":[7,7],"fault":"","lease_ms":5,' \
-           b'"votes":true,"voter":true,"under_way":{"slot":8,"mine":true,"phase":"vote","answered":[]},' \
-           b'"results_ended":0,"results":[],"history":["7 b1: half"],"policy":' + POLICY + b"}"  # fmt: skip
+    seen = (
+        b'{"name":"b0","epoch":7,"state":"0123456789abcdef","goes_by":[7,7],"fault":"","lease_ms":5,'
+        b'"votes":true,"voter":true,"under_way":{"slot":8,"mine":true,"phase":"vote","answered":[]},'
+        b'"results_ended":0,"results":[],"history":["7 b1: half"],"policy":' + POLICY + b"}"
+    )
 
     async def call(_: Address, line: str) -> str:
         said.append(line)
         return seen.decode() if line == "policy" else "so"
 
-    monkeypatch.setattr(policies, "call", call)
+    monkeypatch.setattr(policy_commands, "call", call)
     file = tmp_path / "policy.toml"
     file.write_text(
         '[rules]\nmax_attempts = 3\nfurther_attempts = 6.0\n\n[[plan]]\nname = "basic"\nbase_rate = 1.0\n'
@@ -374,11 +390,11 @@
         ["retire", "b2", at],
         ["force", at, "--lost", "b2", "--note", "fire", "--accept-two-policies"],
     ):
-        policies.run(policies.parser().parse_args(arguments))
+        policy_commands.run(policy_commands.parser().parse_args(arguments))
     capsys.readouterr()
-    policies.run(policies.parser().parse_args(["show", at]))
+    policy_commands.run(policy_commands.parser().parse_args(["show", at]))
     shown = capsys.readouterr().out
-    policies.run(policies.parser().parse_args(["status", at]))
+    policy_commands.run(policy_commands.parser().parse_args(["status", at]))
     status = capsys.readouterr().out
 
     assert [line for line in said if line != "policy"] == [
--- a/tests/test_format_datagrams.py
+++ b/tests/test_format_datagrams.py
@@ -9,30 +9,30 @@
 
 import pytest
 
-from lemonridge.fleet import counts, escrow, judgements, wire
-from lemonridge.fleet.roster import Roster, key_of
-from lemonridge.net.peers import Keyed
+from lemonridge.fleet import datagrams, health_gossip, quota_lending, usage_totals
+from lemonridge.fleet.member_list import Roster, key_of
+from lemonridge.net.peer_transport import Keyed
 
 MARK = 0xBEEF
 STATE_NAME = b"\x01\x23\x45\x67\x89\xab\xcd\xef"
 TAGGER = Keyed(b"a secret of the fleet, fixed")
 
-HEAD = wire.Head(
+HEAD = datagrams.Head(
     sender=2,
-    state=wire.State.LEAVING,
+    state=datagrams.State.LEAVING,
     life=0x0001020304050607,
     round=5,
     number=0x0A0B0C0D,
     sent_ms=0x10203040,
 )
-FACT = wire.Fact(who=6, life=0x0102030405060708, round=9, state=4)
-PING = wire.Ping(nonce=0x1122, who=3)
+FACT = datagrams.Fact(who=6, life=0x0102030405060708, round=9, state=4)
+PING = datagrams.Ping(nonce=0x1122, who=3)
 ITEMS = {
     "ping": PING,
-    "ack": wire.Ack(nonce=0x3344, who=4),
-    "ping request": wire.PingRequest(nonce=0x5566, who=5),
+    "ack": datagrams.Ack(nonce=0x3344, who=4),
+    "ping request": datagrams.PingRequest(nonce=0x5566, who=5),
     "fact": FACT,
-    "want": wire.Want(
+    "want": datagrams.Want(
         kind=2,
         key=0x1112131415161718,
         hosts=7,
@@ -41,25 +41,27 @@
         span_ms=1500,
         born_ms=0x31323334,
     ),
-    "grant": wire.Grant(kind=3, key=0x2122232425262728, ask=0x41424344, parts=250_000, holds=1, hint=8),
-    "release": wire.Release(kind=1, key=0x3132333435363738, ask=0x51525354),
-    "recall": wire.Recall(),
-    "cleared": wire.Cleared(life=0x4142434445464748),
-    "count": wire.Count(kind=2, key=0x5152535455565758, total=0x0000616263646566),
-    "judge": wire.Judge(node=0x7172737475767778, what=4, weight=9, age_ms=1234),
-    "presence": wire.Presence(),
-    "lease question": wire.LeaseAsk(ask=10, low=11, high=12, want=13, name=STATE_NAME),
-    "lease": wire.Lease(ask=14, low=15, high=16, epoch=17, name=STATE_NAME, ident=0x0A0B0C0D0E0F1011),
-    "prepare": wire.Prepare(slot=18, ballot=19),
-    "promise": wire.Promise(slot=20, ballot=21, took=22, name=STATE_NAME, ident=0x1213141516171819),
-    "accept": wire.Accept(slot=23, ballot=24, name=STATE_NAME),
-    "accepted": wire.AcceptReply(slot=25, ballot=26, ident=0x1A1B1C1D1E1F2021),
-    "ballot rejected": wire.BallotRejected(slot=27, ballot=28),
-    "check": wire.Check(slot=29, name=STATE_NAME),
-    "check result": wire.CheckResult(slot=30, name=STATE_NAME, good=1, why=b"zu fr\xc3\xbch" + bytes(92)),
-    "chunk question": wire.ChunkRequest(name=STATE_NAME, piece=31),
-    "piece": wire.Piece(name=STATE_NAME, piece=32, count=33, size=5, data=b"hello" + bytes(171)),
-    "chosen": wire.Chosen(slot=34, name=STATE_NAME),
+    "grant": datagrams.Grant(kind=3, key=0x2122232425262728, ask=0x41424344, parts=250_000, holds=1, hint=8),
+    "release": datagrams.Release(kind=1, key=0x3132333435363738, ask=0x51525354),
+    "recall": datagrams.Recall(),
+    "cleared": datagrams.Cleared(life=0x4142434445464748),
+    "count": datagrams.Count(kind=2, key=0x5152535455565758, total=0x0000616263646566),
+    "judge": datagrams.Judge(node=0x7172737475767778, what=4, weight=9, age_ms=1234),
+    "presence": datagrams.Presence(),
+    "lease question": datagrams.LeaseAsk(ask=10, low=11, high=12, want=13, name=STATE_NAME),
+    "lease": datagrams.Lease(ask=14, low=15, high=16, epoch=17, name=STATE_NAME, ident=0x0A0B0C0D0E0F1011),
+    "prepare": datagrams.Prepare(slot=18, ballot=19),
+    "promise": datagrams.Promise(slot=20, ballot=21, took=22, name=STATE_NAME, ident=0x1213141516171819),
+    "accept": datagrams.Accept(slot=23, ballot=24, name=STATE_NAME),
+    "accepted": datagrams.AcceptReply(slot=25, ballot=26, ident=0x1A1B1C1D1E1F2021),
+    "ballot rejected": datagrams.BallotRejected(slot=27, ballot=28),
+    "check": datagrams.Check(slot=29, name=STATE_NAME),
+    "check result": datagrams.CheckResult(
+        slot=30, name=STATE_NAME, good=1, why=b"zu fr\xc3\xbch" + bytes(92)
+    ),
+    "chunk question": datagrams.ChunkRequest(name=STATE_NAME, piece=31),
+    "piece": datagrams.Piece(name=STATE_NAME, piece=32, count=33, size=5, data=b"hello" + bytes(171)),
+    "chosen": datagrams.Chosen(slot=34, name=STATE_NAME),
 }
 
 # Version b2, state 03, the roster's mark, sender, life, round, number, time; little-endian throughout.
@@ -103,7 +105,7 @@
 
 
 def test_every_item_that_is_known_is_pinned() -> None:
-    assert [type(item) for item in ITEMS.values()] == list(wire.KINDS)
+    assert [type(item) for item in ITEMS.values()] == list(datagrams.KINDS)
     assert list(ITEMS) == list(WIRE)
 
 
@@ -112,16 +114,18 @@
     check, item = WIRE[what]
     data = bytes.fromhex(check + HEAD_HEX + item)
 
-    written = wire.encode(HEAD, [ITEMS[what]], MARK)
-    read = wire.decode(data, MARK)
+    written = datagrams.encode(HEAD, [ITEMS[what]], MARK)
+    read = datagrams.decode(data, MARK)
 
     assert written.hex() == data.hex()
     assert (read.head, read.items) == (HEAD, (ITEMS[what],))
 
 
 def test_a_head_alone_and_numbers_that_wrap() -> None:
-    alone = wire.encode(HEAD, [], MARK)
-    wrapped = wire.encode(wire.Head(2, wire.State.UP, 7, 1, (1 << 32) + 3, (1 << 32) + 4), [], 1)
+    alone = datagrams.encode(HEAD, [], MARK)
+    wrapped = datagrams.encode(
+        datagrams.Head(2, datagrams.State.UP, 7, 1, (1 << 32) + 3, (1 << 32) + 4), [], 1
+    )
 
     assert alone.hex() == "ab405155b203efbe02000706050403020100050d0c0b0a40302010"
     assert wrapped.hex() == "3227d143b202010002000700000000000000010300000004000000"
@@ -130,20 +134,21 @@
 @pytest.mark.parametrize(
     ("items", "told"),
     [
-        ([], "ab405155b203efbe02000706050403020100050d0c0b0a40302010" "c2e550b7604b2fb3"),
+        ([], "ab405155b203efbe02000706050403020100050d0c0b0a40302010c2e550b7604b2fb3"),
         (
             [FACT, PING],
             "ef41c6deb203efbe02000706050403020100050d0c0b0a40302010"
             "0406000807060504030201090401221103000000000000000000000000"
-            "0000" "8435e76c19d16cac",
+            "0000"
+            "8435e76c19d16cac",
         ),
     ],
-)  # fmt: skip
-def test_the_keyed_tag_goes_behind_all_items(items: list[wire.Item], told: str) -> None:
+)
+def test_the_keyed_tag_goes_behind_all_items(items: list[datagrams.Item], told: str) -> None:
     data = bytes.fromhex(told)
 
-    written = wire.encode(HEAD, items, MARK, TAGGER)
-    read = wire.decode(data, MARK, TAGGER)
+    written = datagrams.encode(HEAD, items, MARK, TAGGER)
+    read = datagrams.decode(data, MARK, TAGGER)
 
     assert written.hex() == told
     assert (read.head, read.items) == (HEAD, tuple(items))
@@ -157,13 +162,29 @@
 def test_the_numbers_that_stand_for_words() -> None:
     """The numbers go between brokers; the names in lower case go to operators (`fleet status`), derived from
     the members' names: a rename of a member needs a table of words there."""
-    assert {one.name: one.value for one in wire.State} == {
-        "ABSENT": 0, "JOINING": 1, "UP": 2, "LEAVING": 3, "SUSPECT": 4, "DEAD": 5, "LEFT": 6}  # fmt: skip
-    assert {one.name: one.value for one in escrow.Kind} == {"LIMIT": 1, "COLD": 2, "FURTHER": 3}
-    assert {one.name: one.value for one in judgements.ReportedCondition} == {
-        "DOWN": 1, "SILENT": 2, "ERRORS": 3, "COLD": 4}  # fmt: skip
-    assert [one.value for one in counts.Counted] == [1, 2]
+    assert {one.name: one.value for one in datagrams.State} == {
+        "ABSENT": 0,
+        "JOINING": 1,
+        "UP": 2,
+        "LEAVING": 3,
+        "SUSPECT": 4,
+        "DEAD": 5,
+        "LEFT": 6,
+    }
+    assert {one.name: one.value for one in quota_lending.Kind} == {"LIMIT": 1, "COLD": 2, "FURTHER": 3}
+    assert {one.name: one.value for one in health_gossip.ReportedCondition} == {
+        "DOWN": 1,
+        "SILENT": 2,
+        "ERRORS": 3,
+        "COLD": 4,
+    }
+    assert [one.value for one in usage_totals.Counted] == [1, 2]
 
 
 def test_limits_of_a_datagram() -> None:
-    assert (wire.DATAGRAM_MAX, wire.VERSION, wire.TAG, wire.HEAD_BYTES) == (256, 0xB2, 8, 27)
+    assert (datagrams.DATAGRAM_MAX, datagrams.VERSION, datagrams.TAG, datagrams.HEAD_BYTES) == (
+        256,
+        0xB2,
+        8,
+        27,
+    )
--- a/tests/test_format_etcd.py
+++ b/tests/test_format_etcd.py
@@ -14,13 +14,14 @@
 from aiohttp import web
 from aiohttp.test_utils import TestServer
 
-from lemonridge import api
-from lemonridge.config import Address, ConfigError
-from lemonridge.core.directory import Listing
-from lemonridge.counters import Counters
-from lemonridge.etcd import CompactedError, EtcdClient, Event, NodesFeed, PlansFeed
-from lemonridge.iscsi.config import Etcd
-from lemonridge.iscsi.schema import NodeTable, PlanTable, read
+from lemonridge.config.operator_file import Etcd
+from lemonridge.config.operator_schema import NodeTable, PlanTable, read
+from lemonridge.config.platform import Address, ConfigError
+from lemonridge.coordination.etcd import CompactedError, EtcdClient, Event, NodesFeed, PlansFeed
+from lemonridge.core.counters import Counters
+from lemonridge.core.endpoint_registry import Listing
+from lemonridge.scheduling.events import EndpointListUpdate, EndpointState
+from lemonridge.scheduling.settings import VolumePlan
 
 # Keys and values are base64: L2xyL25vZGVzLw== is /lr/nodes/, L2xyL25vZGVzMA== is /lr/nodes0 (behind all that
 # begin with /lr/nodes/), L2xyL25vZGVzL24x is /lr/nodes/n1; eyJzaGFyZCI6MX0= is {"shard":1}.
@@ -69,10 +70,8 @@
         self.assertEqual(revision, 41)
         self.assertEqual(
             told,
-            rows(
-                ("nodes/n1", b'{"shard":1}', 5), ("nodes/n2", b'{"shard":2}', 6), ("nodes/n3", b"", 7)
-            ),
-        )  # fmt: skip
+            rows(("nodes/n1", b'{"shard":1}', 5), ("nodes/n2", b'{"shard":2}', 6), ("nodes/n3", b"", 7)),
+        )
         self.assertEqual(
             gateway.seen,
             [
@@ -180,7 +179,7 @@
     """The values of the keys. All their keys are derived from the fields' names (`NodeTable`, `PlanTable`):
     a rename of a field needs `rename=`."""
 
-    def nodes(self, *events: Event) -> list[tuple[api.ListKind, list[Listing]]]:
+    def nodes(self, *events: Event) -> list[tuple[EndpointListUpdate, list[Listing]]]:
         """What the node list is told of a range of keys."""
         directory = mock.Mock()
         feed = NodesFeed(directory, Counters())
@@ -189,7 +188,7 @@
         feed.finish()
         return [call.args for call in directory.take.call_args_list]
 
-    def plans(self, *events: Event) -> dict[str, api.Plan]:
+    def plans(self, *events: Event) -> dict[str, VolumePlan]:
         feed = PlansFeed(Counters())
         feed.begin()
         feed.page(events)
@@ -200,19 +199,21 @@
         self.assertEqual((NodesFeed.KIND, PlansFeed.KIND), ("nodes/", "plans/"))
 
     def test_a_node_is_read(self) -> None:
-        full = (b'{"address":"127.0.0.1:3260","target":"iqn.2026-12.org.lemonridge:n1","shard":3,'
-                b'"health":"draining","started_ms":1700000000123}')  # fmt: skip
+        full = (
+            b'{"address":"127.0.0.1:3260","target":"iqn.2026-12.org.lemonridge:n1","shard":3,'
+            b'"health":"draining","started_ms":1700000000123}'
+        )
         least = b'{"address":"127.0.0.1:3261","target":"iqn.2026-12.org.lemonridge:n2","shard":0}'
 
         ((kind, (one, other)),) = self.nodes(Event("nodes/n1", full, 5), Event("nodes/n2", least, 6))
 
-        self.assertIs(kind, api.ListKind.WHOLE)
+        self.assertIs(kind, EndpointListUpdate.SNAPSHOT)
         self.assertEqual((one.entry.node, one.entry.shard), ("n1", 3))
-        self.assertIs(one.entry.condition, api.Condition.LEAVING)
+        self.assertIs(one.entry.condition, EndpointState.DRAINING)
         self.assertEqual(one.entry.started_us, 1_700_000_000_123_000)
         self.assertEqual(one.address, "127.0.0.1:3260/iqn.2026-12.org.lemonridge:n1")
         self.assertEqual((other.entry.node, other.entry.shard, other.entry.started_us), ("n2", 0, 0))
-        self.assertIs(other.entry.condition, api.Condition.ACTIVE)
+        self.assertIs(other.entry.condition, EndpointState.ACTIVE)
 
     def test_a_plan_is_read(self) -> None:
         told = self.plans(
@@ -221,8 +222,10 @@
             Event("plans/limit", b'{"name":"limit","limit":120}', 7),
         )
 
-        figures = {name: (plan.base_rate, plan.reserve, plan.weight, plan.limit, plan.burst, plan.slack)
-                   for name, plan in told.items()}  # fmt: skip
+        figures = {
+            name: (plan.base_rate, plan.reserve, plan.weight, plan.limit, plan.burst, plan.slack)
+            for name, plan in told.items()
+        }
         self.assertEqual(
             figures,
             {"full": (60, 48, 2, 120, 30, 0), "least": (0, 0, 1, 0, 0, 0), "limit": (0, 0, 1, 120, 120, 0)},
@@ -237,5 +240,7 @@
                 read(kind, value, key)
             self.assertEqual(str(caught.exception), words)
         with self.assertLogs(level="WARNING"):
-            self.assertEqual(self.nodes(Event("nodes/n1", b'{"odd":1}', 5)), [(api.ListKind.WHOLE, [])])
+            self.assertEqual(
+                self.nodes(Event("nodes/n1", b'{"odd":1}', 5)), [(EndpointListUpdate.SNAPSHOT, [])]
+            )
             self.assertEqual(self.plans(Event("plans/p", b'{"odd":1}', 5)), {})
--- a/tests/test_format_extent_map.py
+++ b/tests/test_format_extent_map.py
@@ -15,11 +15,11 @@
 import lmdb
 import msgspec
 
-from lemonridge.extents import etcd
-from lemonridge.extents import keep as kept_map
-from lemonridge.extents.file import MapFile
-from lemonridge.extents.keep import KeepError, MapKeeper
-from lemonridge.extents.map import Change, Extent, ExtentMap
+from lemonridge.extents import etcd_source
+from lemonridge.extents import map_cache as kept_map
+from lemonridge.extents.extent_map import Change, Extent, ExtentMap
+from lemonridge.extents.file_source import MapFile
+from lemonridge.extents.map_cache import KeepError, MapKeeper
 
 WRITTEN_NS = 1_700_000_000_123_456_000
 BOOT, SINCE_BOOT_US = bytes(range(16)), 777
@@ -57,24 +57,32 @@
 # Key: volume (4 bytes), first block (8). Value: blocks (8), shard (4), version (8). All big-endian.
 # Under ff "meta": version (8), written in us (8), count (8), checksum (8), us since the boot (8), boot (16).
 RECORDS_42 = [
-    ("00000001" "0000000000000000", "0000000000000008" "00000003" "0000000000000002"),
-    ("00000001" "0000000000000008", "0000000200000000" "00000004" "0000010000000000"),
-    ("00000102" "0000000000000000", "0000000000000010" "00000000" "0000000000000001"),
+    ("000000010000000000000000", "0000000000000008000000030000000000000002"),
+    ("000000010000000000000008", "0000000200000000000000040000010000000000"),
+    ("000001020000000000000000", "0000000000000010000000000000000000000001"),
     (
         "ff6d657461",
-        "000000000000002a" "00060a2418202240" "0000000000000003" "46f65ba96506da49"
-        "0000000000000309" "000102030405060708090a0b0c0d0e0f",
+        "000000000000002a"
+        "00060a2418202240"
+        "0000000000000003"
+        "46f65ba96506da49"
+        "0000000000000309"
+        "000102030405060708090a0b0c0d0e0f",
     ),
-]  # fmt: skip
+]
 RECORDS_43 = [
-    ("00000001" "0000000000000000", "0000000000000008" "00000005" "0000000000000003"),
-    ("00000001" "0000000000000008", "0000000200000000" "00000004" "0000010000000000"),
+    ("000000010000000000000000", "0000000000000008000000050000000000000003"),
+    ("000000010000000000000008", "0000000200000000000000040000010000000000"),
     (
         "ff6d657461",
-        "000000000000002b" "00060a2418202240" "0000000000000002" "8a8accc92a0c96d9"
-        "0000000000000309" "000102030405060708090a0b0c0d0e0f",
+        "000000000000002b"
+        "00060a2418202240"
+        "0000000000000002"
+        "8a8accc92a0c96d9"
+        "0000000000000309"
+        "000102030405060708090a0b0c0d0e0f",
     ),
-]  # fmt: skip
+]
 
 
 class OnDisk(unittest.TestCase):
@@ -118,8 +126,9 @@
         self.put(RECORDS_42)
         with at(BOOT, SINCE_BOOT_US, WRITTEN_NS):
             told = self.load()
-        self.assertEqual(told, (42, [(1, 0, 8, 3, 2), (1, 8, 8589934592, 4, 1099511627776),
-                                     (258, 0, 16, 0, 1)]))  # fmt: skip
+        self.assertEqual(
+            told, (42, [(1, 0, 8, 3, 2), (1, 8, 8589934592, 4, 1099511627776), (258, 0, 16, 0, 1)])
+        )
 
     def test_a_change_goes_on_from_records_of_before(self) -> None:
         self.put(RECORDS_42)
@@ -148,37 +157,42 @@
     """The keys below the prefix, and their values."""
 
     def test_the_keys_are_written_so(self) -> None:
-        self.assertEqual(etcd.key_of(7, 4096), "map/extents/7/00000000000000004096")
-        self.assertEqual((etcd.HEAD, etcd.KIND, etcd.MapFeed.KIND), ("map/version", "map/extents/", "map/"))
+        self.assertEqual(etcd_source.key_of(7, 4096), "map/extents/7/00000000000000004096")
+        self.assertEqual(
+            (etcd_source.HEAD, etcd_source.KIND, etcd_source.MapFeed.KIND),
+            ("map/version", "map/extents/", "map/"),
+        )
 
     def test_an_extent_is_read(self) -> None:
         # The keys of the value are derived from the fields' names (`Row`): a rename needs `rename=`.
-        extent = etcd.extent_of("map/extents/7/00000000000000004096", b'{"blocks":8,"shard":3,"version":2}')
+        extent = etcd_source.extent_of(
+            "map/extents/7/00000000000000004096", b'{"blocks":8,"shard":3,"version":2}'
+        )
         self.assertEqual(figures(extent), (7, 4096, 8, 3, 2))
 
     def test_the_version_is_read(self) -> None:
         # The key is derived from the field's name (`Head`): a rename needs `rename=`. Further keys may stand.
-        self.assertEqual(etcd.head_of(b'{"version":42}'), 42)
-        self.assertEqual(etcd.head_of(b'{"version":42,"by":"a tool"}'), 42)
+        self.assertEqual(etcd_source.head_of(b'{"version":42}'), 42)
+        self.assertEqual(etcd_source.head_of(b'{"version":42,"by":"a tool"}'), 42)
 
     def test_what_cannot_be_read_is_named(self) -> None:
         key = "map/extents/7/00000000000000004096"
         for call, words in (
             (
-                lambda: etcd.extent_of(key, b'{"blocks":8,"shard":3,"version":2,"odd":1}'),
+                lambda: etcd_source.extent_of(key, b'{"blocks":8,"shard":3,"version":2,"odd":1}'),
                 f"{key}: Object contains unknown field `odd`",
             ),
             (
-                lambda: etcd.extent_of(key, b'{"blocks":8,"shard":3}'),
+                lambda: etcd_source.extent_of(key, b'{"blocks":8,"shard":3}'),
                 f"{key}: Object missing required field `version`",
             ),
             (
-                lambda: etcd.extent_of("map/extents/7/4096", b"{}"),
+                lambda: etcd_source.extent_of("map/extents/7/4096", b"{}"),
                 "map/extents/7/4096: not map/extents/LUN/FIRST with 20 digits",
             ),
-            (lambda: etcd.head_of(b"{}"), "map/version: Object missing required field `version`"),
+            (lambda: etcd_source.head_of(b"{}"), "map/version: Object missing required field `version`"),
         ):
-            with self.subTest(words=words), self.assertRaises(etcd.RowError) as caught:
+            with self.subTest(words=words), self.assertRaises(etcd_source.RowError) as caught:
                 call()
             self.assertEqual(str(caught.exception), words)
 
@@ -192,8 +206,9 @@
         # Both keys are derived from the fields' names (`MapFile`): a rename needs `rename=`.
         told = msgspec.json.decode(self.TEXT, type=MapFile)
         self.assertEqual(told.version, 42)
-        self.assertEqual([figures(Extent(*row)) for row in told.extents],
-                         [(7, 0, 4096, 1, 9), (7, 4096, 8, 3, 2)])  # fmt: skip
+        self.assertEqual(
+            [figures(Extent(*row)) for row in told.extents], [(7, 0, 4096, 1, 9), (7, 4096, 8, 3, 2)]
+        )
 
     def test_an_unknown_key_is_refused(self) -> None:
         with self.assertRaisesRegex(msgspec.ValidationError, "unknown field `odd`"):
--- a/tests/test_format_handover.py
+++ b/tests/test_format_handover.py
@@ -13,19 +13,19 @@
 
 import pytest
 
-from lemonridge import api
 from lemonridge.core.clock import Clock
+from lemonridge.core.counters import Counters
 from lemonridge.core.open_ids import OpenIds
 from lemonridge.core.start_times import StartTime
-from lemonridge.counters import Counters
-from lemonridge.net.succession import ProcessHandover
+from lemonridge.net.process_handover import ProcessHandover
 from lemonridge.operate import handover
-from lemonridge.operate.calls import Call, Order, Reply
+from lemonridge.operate.admin_calls import Call, Order, Reply
 from lemonridge.operate.maintenance import Back
+from lemonridge.scheduling.events import Endpoint, EndpointState, LimitLevel
 
 
-def row(number: int, condition: api.Condition) -> handover.Row:
-    entry = api.Entry(node=f"s-{number}", shard=3, zone=1, condition=condition, started_us=9)
+def row(number: int, condition: EndpointState) -> handover.Row:
+    entry = Endpoint(node=f"s-{number}", shard=3, zone=1, condition=condition, started_us=9)
     return handover.Row(entry=entry, address=f"127.0.0.1:{number}")
 
 
@@ -34,10 +34,10 @@
     back={"s-2": Back(out_us=1, back_us=4)},
     drained_us=7,
     levels={
-        2**64 - 1: api.LimitLevel(saved=2.5, owed=3.25, owed_until_us=11),
-        4: api.LimitLevel(saved=1.0),
+        2**64 - 1: LimitLevel(saved=2.5, owed=3.25, owed_until_us=11),
+        4: LimitLevel(saved=1.0),
     },
-    rows=(row(1, api.Condition.ACTIVE), row(2, api.Condition.LEAVING), row(3, api.Condition.LEFT)),
+    rows=(row(1, EndpointState.ACTIVE), row(2, EndpointState.DRAINING), row(3, EndpointState.REMOVED)),
     starts={"s-1": StartTime(told_us=9, own_us=8)},
     open_ids=("a", "b"),
     base_us=3,
@@ -105,9 +105,7 @@
     read = handover.decode(line)
 
     assert read == handover.Given(
-        handover.HandoverState(
-            out={"s-1": 5}, back={"s-2": Back(1, 4)}, levels={4: api.LimitLevel(saved=1.5)}
-        )
+        handover.HandoverState(out={"s-1": 5}, back={"s-2": Back(1, 4)}, levels={4: LimitLevel(saved=1.5)})
     )
     assert handover.decode(b'{"v":1,"say":"take"}\n') == handover.Take(ids=False)
 
@@ -118,9 +116,13 @@
 
 
 def test_the_words_of_nodes_and_of_calls() -> None:
-    assert [one.value for one in api.Condition] == ["active", "leaving", "left"]
+    assert [handover.WORD_OF_STATE[one] for one in EndpointState] == ["active", "leaving", "left"]
     assert [one.value for one in (Call.DISABLE, Call.ENABLE, Call.DRAIN, Call.RESUME)] == [
-        "disable-server", "enable-server", "drain", "resume"]  # fmt: skip
+        "disable-server",
+        "enable-server",
+        "drain",
+        "resume",
+    ]
 
 
 class Host:
--- a/tests/test_format_operator_file.py
+++ b/tests/test_format_operator_file.py
@@ -1,6 +1,6 @@
 """The operator's file: every key that it may hold, the printed schema, and what is said of a wrong key.
 
-Every key is derived from a field's name in `lemonridge/iscsi/schema.py`: a rename of a field needs `rename=`.
+Every key is derived from a field in `lemonridge/config/operator_schema.py`: a rename of one needs `rename=`.
 The names under `$defs` and the titles are derived from the names of the structs, the descriptions from their
 docstrings: a rename of a struct needs its old name there, or it shows in the text that the command prints.
 """
@@ -18,9 +18,9 @@
 
 import msgspec
 
-from lemonridge.cli import main
-from lemonridge.config import ConfigError
-from lemonridge.iscsi.schema import FleetFile, OperatorFile, SecretsFile, read
+from lemonridge.cli.main import main
+from lemonridge.config.operator_schema import FleetFile, OperatorFile, SecretsFile, read
+from lemonridge.config.platform import ConfigError
 
 ROOT = Path(__file__).resolve().parent.parent
 
@@ -419,5 +419,7 @@
         self.assertEqual(list(values), ["build", "run", "sim", "policy", "node", "packages"])
 
     def test_no_file_is_left_out(self) -> None:
-        self.assertEqual(sorted(file.name for file in (ROOT / "deploy").glob("*.toml")),
-                         ["balancer.toml", "extents.toml", "fleet.toml", "iscsi.toml"])  # fmt: skip
+        self.assertEqual(
+            sorted(file.name for file in (ROOT / "deploy").glob("*.toml")),
+            ["balancer.toml", "extents.toml", "fleet.toml", "iscsi.toml"],
+        )
--- a/tests/test_format_reservations.py
+++ b/tests/test_format_reservations.py
@@ -16,8 +16,9 @@
 
 def shared() -> Reservations:
     """Two registrations, one of which holds the reservation for the registrants."""
-    return Reservations(generation=4, keys=dict(KEYS), holder=SECOND, type=Type.WRITE_REGISTRANTS,
-                        lasting=True)  # fmt: skip
+    return Reservations(
+        generation=4, keys=dict(KEYS), holder=SECOND, type=Type.WRITE_REGISTRANTS, lasting=True
+    )
 
 
 def registered() -> Reservations:
--- a/tests/test_format_settings.py
+++ b/tests/test_format_settings.py
@@ -3,8 +3,8 @@
 The names of the code stand in the builders and in the expected values below; the facts are literals. Derived
 from a name of the code are only the three keys of the file that a variable goes before: a running program
 compares `name`, `listen` and `discovery` with the fields of `Platform` that have the same names (`getattr`
-in `config.load`), and the variables are these keys in capitals. The words of `classes.group` and of a
-node's condition are values of `api.Group` and `api.Condition`, not names.
+in `platform.load`), and the variables are these keys in capitals. The words of `classes.group` and of a
+node's condition are values of `DeduplicationScope` and `EndpointState`, not names.
 """
 
 from __future__ import annotations
@@ -17,7 +17,14 @@
 
 import pytest
 
-from lemonridge import api, config, settings
+from lemonridge.config import platform, scheduler_settings
+from lemonridge.scheduling.settings import (
+    DeduplicationScope,
+    IdempotencyKind,
+    RequestClass,
+    Settings,
+    VolumePlan,
+)
 
 FACTS: dict[str, Any] = json.loads("""
 {"fleet-size": 3, "me": 1, "discovery": "ask", "tick-us": 2001, "azs": ["hall-a", "hall-b"],
@@ -46,63 +53,67 @@
  "load-info": {"source": "piggyback", "names": ["cpu", "inflight", "busy_reqs"]}}
 """)
 
-SAFE, KEYED, ONCE = api.Semantics.SAFE, api.Semantics.KEYED, api.Semantics.ONCE
-SETTINGS = api.Settings(
+SAFE, KEYED, ONCE = (
+    IdempotencyKind.IDEMPOTENT,
+    IdempotencyKind.WITH_IDEMPOTENCY_KEY,
+    IdempotencyKind.NOT_IDEMPOTENT,
+)
+SETTINGS = Settings(
     hosts=3,
     classes=(
-        api.ClassInfo(
-            aim_us=300001,
+        RequestClass(
+            latency_objective_us=300001,
             deadline_us=2500001,
-            semantics=SAFE,
-            group=api.Group.ALL,
-            memory_us=0,
+            idempotency=SAFE,
+            deduplication_scope=DeduplicationScope.ALL,
+            deduplication_window_us=0,
             sequential=False,
-            worth=2.5,
+            priority_weight=2.5,
         ),
-        api.ClassInfo(
-            aim_us=300002,
+        RequestClass(
+            latency_objective_us=300002,
             deadline_us=2500002,
-            semantics=KEYED,
-            group=api.Group.ALL,
-            memory_us=5000002,
+            idempotency=KEYED,
+            deduplication_scope=DeduplicationScope.ALL,
+            deduplication_window_us=5000002,
             sequential=True,
-            worth=3.5,
+            priority_weight=3.5,
         ),
-        api.ClassInfo(300003, 2500003, KEYED, api.Group.ZONE, 5000003, False, 0.0),
-        api.ClassInfo(300004, 2500004, KEYED, api.Group.CELL, 5000004, False, 0.0),
-        api.ClassInfo(300005, 2500005, ONCE, api.Group.ALL, 0, False, 4.5),
+        RequestClass(300003, 2500003, KEYED, DeduplicationScope.ZONE, 5000003, False, 0.0),
+        RequestClass(300004, 2500004, KEYED, DeduplicationScope.SHARD, 5000004, False, 0.0),
+        RequestClass(300005, 2500005, ONCE, DeduplicationScope.ALL, 0, False, 4.5),
     ),
     plans=(
-        api.Plan(base_rate=12.5, reserve=13.5, weight=1.5, limit=14.5, burst=15.5, slack=16.5),
-        api.Plan(base_rate=0.0, reserve=0.0, weight=0.0, limit=0.0, burst=0.0, slack=0.0),
+        VolumePlan(base_rate=12.5, reserve=13.5, weight=1.5, limit=14.5, burst=15.5, slack=16.5),
+        VolumePlan(base_rate=0.0, reserve=0.0, weight=0.0, limit=0.0, burst=0.0, slack=0.0),
     ),
-    asks_list=True,
-    units_top=6.5,
-    units_mean=2.25,
-    cold_units=8.5,
-    tip_multiple=2.75,
-    tells_elsewhere=True,
-    meter_us=500001,
+    polls_endpoint_list=True,
+    largest_request_units=6.5,
+    mean_request_units=2.25,
+    slow_start_units=8.5,
+    overload_multiple=2.75,
+    reports_peer_usage=True,
+    usage_meter_period_us=500001,
     max_attempts=4,
     may_cancel=True,
     max_backoff_us=500002,
     tick_us=2001,
-    ask_within_us=101,
-    cold_share=0.2,
-    ramp_us=17000001,
-    fall_us=1000001,
+    poll_within_us=101,
+    slow_start_initial_fraction=0.2,
+    slow_start_ramp_us=17000001,
+    overload_window_us=1000001,
     drain_grace_us=500003,
-    look_back_us=102,
-    free_resends=1.75,
-    extra_ratio=0.125,
-    key_rest_us=103,
-    further_rate=0.0,
-    marks_retry=True,
+    retry_budget_window_us=102,
+    retry_budget_floor=1.75,
+    retry_budget_ratio=0.125,
+    key_quarantine_us=103,
+    retry_rate=0.0,
+    clients_mark_retries=True,
 )
 
 
 def test_every_key_comes_to_its_field() -> None:
-    assert asdict(settings.settings_from(FACTS)) == asdict(SETTINGS)
+    assert asdict(scheduler_settings.settings_from(FACTS)) == asdict(SETTINGS)
 
 
 def test_what_may_be_left_out_is_none() -> None:
@@ -116,19 +127,34 @@
     facts["discovery"] = "push"
     del facts["clients"]
 
-    read = settings.settings_from(facts)
-
-    assert (read.asks_list, read.tells_elsewhere, read.may_cancel, read.marks_retry) == (False,) * 4
-    assert (read.units_top, read.units_mean, read.cold_units, read.tip_multiple) == (0, 0, 0, 0)
-    assert (read.meter_us, read.max_backoff_us, read.ask_within_us, read.look_back_us) == (0, 0, 0, 0)
-    assert (read.free_resends, read.extra_ratio, read.key_rest_us) == (0, 0, 0)
+    read = scheduler_settings.settings_from(facts)
+
+    assert (
+        read.polls_endpoint_list,
+        read.reports_peer_usage,
+        read.may_cancel,
+        read.clients_mark_retries,
+    ) == (False,) * 4
+    assert (
+        read.largest_request_units,
+        read.mean_request_units,
+        read.slow_start_units,
+        read.overload_multiple,
+    ) == (0, 0, 0, 0)
+    assert (
+        read.usage_meter_period_us,
+        read.max_backoff_us,
+        read.poll_within_us,
+        read.retry_budget_window_us,
+    ) == (0, 0, 0, 0)
+    assert (read.retry_budget_floor, read.retry_budget_ratio, read.key_quarantine_us) == (0, 0, 0)
 
 
 def test_advice_to_come_back_needs_its_leave() -> None:
     facts = copy.deepcopy(FACTS)
     facts["limits"]["retry-after"] = False
 
-    assert settings.settings_from(facts).max_backoff_us == 0
+    assert scheduler_settings.settings_from(facts).max_backoff_us == 0
 
 
 @pytest.mark.parametrize(
@@ -152,8 +178,8 @@
     facts = copy.deepcopy(FACTS)
     del (facts[table] if table else facts)[key]
 
-    with pytest.raises(settings.SettingsError) as caught:
-        settings.settings_from(facts)
+    with pytest.raises(scheduler_settings.SettingsError) as caught:
+        scheduler_settings.settings_from(facts)
 
     assert str(caught.value) == words
 
@@ -172,8 +198,8 @@
     facts = copy.deepcopy(FACTS)
     facts["classes"][1][key] = value
 
-    with pytest.raises(settings.SettingsError) as caught:
-        settings.settings_from(facts)
+    with pytest.raises(scheduler_settings.SettingsError) as caught:
+        scheduler_settings.settings_from(facts)
 
     assert str(caught.value) == words
 
@@ -189,12 +215,12 @@
     ],
 )
 def test_the_field_that_says_what_a_node_holds(report: object, field: str) -> None:
-    assert settings.held_field({"load-info": report}) == field
+    assert scheduler_settings.held_field({"load-info": report}) == field
 
 
 def test_names_of_rows() -> None:
-    assert settings.names(FACTS, "classes") == ("read", "write", "zoned", "celled", "order")
-    assert settings.names(FACTS, "grades") == ("priority", "bare")
+    assert scheduler_settings.names(FACTS, "classes") == ("read", "write", "zoned", "celled", "order")
+    assert scheduler_settings.names(FACTS, "grades") == ("priority", "bare")
 
 
 # The platform's file
@@ -219,16 +245,16 @@
     return str(path)
 
 
-def at(port: int, host: str = "127.0.0.1") -> config.Address:
-    return config.Address(host=host, port=port)
+def at(port: int, host: str = "127.0.0.1") -> platform.Address:
+    return platform.Address(host=host, port=port)
 
 
 def test_every_key_of_the_file_comes_to_its_field(tmp_path: Path) -> None:
     path = write(tmp_path, TOLD)
 
-    read = config.load({"ROUTER_CONFIG": path})
+    read = platform.load({"ROUTER_CONFIG": path})
 
-    assert read == config.Platform(
+    assert read == platform.Platform(
         name="n1",
         listen=at(8001),
         discovery=at(8002, "::1"),
@@ -247,7 +273,7 @@
         known={"nodes": []},
         filed={"name": "n1", "listen": "127.0.0.1:8001", "discovery": "[::1]:8002"},
         admin=at(8003),
-        fleet=config.FleetPlan(
+        fleet=platform.FleetPlan(
             names=("0", "1", "2"),
             me=1,
             listen=at(8004),
@@ -255,7 +281,7 @@
             bytes_s=8192.0,
             error_us=50000,
             secret=b"",
-            further_rate=0.0,
+            retry_rate=0.0,
             admin=None,
             rollout=None,
         ),
@@ -275,13 +301,13 @@
         "ROUTER_PASSED_SOCKET": "5",
     }
 
-    read = config.load(environment)
+    read = platform.load(environment)
 
     assert (read.name, read.listen) == ("n2", at(9001, "127.0.0.2"))
     assert (read.discovery, read.admin) == (at(9002, "127.0.0.2"), at(9003, "127.0.0.2"))
     assert read.passed == 5
     assert read.filed == {"name": "n1", "listen": "127.0.0.1:8001", "discovery": "[::1]:8002"}
-    assert config.file_text(environment) == read.text
+    assert platform.file_text(environment) == read.text
 
 
 def test_what_a_running_program_keeps_and_what_the_file_changes(tmp_path: Path) -> None:
@@ -293,11 +319,11 @@
         "ROUTER_LISTEN": "127.0.0.2:9001",
         "ROUTER_DISCOVERY": "127.0.0.2:9002",
     }
-    before = config.load(environment)
+    before = platform.load(environment)
 
-    same = config.load(environment, before)
+    same = platform.load(environment, before)
     write(tmp_path, {**TOLD, "discovery": "127.0.0.3:9002", "limits": {}})
-    changed = config.load(environment, before)
+    changed = platform.load(environment, before)
 
     assert (same.name, same.listen, same.discovery) == ("n2", at(9001, "127.0.0.2"), at(9002, "127.0.0.2"))
     assert (changed.name, changed.discovery) == ("n2", at(9002, "127.0.0.3"))
@@ -321,8 +347,8 @@
 def test_what_is_wrong_with_the_file_is_named(tmp_path: Path, change: dict[str, Any], words: str) -> None:
     path = write(tmp_path, {**TOLD, **change})
 
-    with pytest.raises(config.ConfigError) as caught:
-        config.load({"ROUTER_CONFIG": path})
+    with pytest.raises(platform.ConfigError) as caught:
+        platform.load({"ROUTER_CONFIG": path})
 
     assert str(caught.value) == words
 
@@ -341,8 +367,8 @@
     told = copy.deepcopy(TOLD)
     del told["settings"][table][key]
 
-    with pytest.raises(config.ConfigError) as caught:
-        config.load({"ROUTER_CONFIG": write(tmp_path, told)})
+    with pytest.raises(platform.ConfigError) as caught:
+        platform.load({"ROUTER_CONFIG": write(tmp_path, told)})
 
     assert str(caught.value) == words
 
@@ -351,4 +377,4 @@
     told = copy.deepcopy(TOLD)
     told["settings"]["limits"]["peers"] = False
 
-    assert config.load({"ROUTER_CONFIG": write(tmp_path, told)}).fleet is None
+    assert platform.load({"ROUTER_CONFIG": write(tmp_path, told)}).fleet is None
--- a/tests/test_format_votes.py
+++ b/tests/test_format_votes.py
@@ -12,12 +12,12 @@
 
 import msgspec
 
-from lemonridge.fleet.wire import Prepare
-from lemonridge.governance import Store, StoreError
-from lemonridge.policies import written
-from lemonridge.rollout import document
-from lemonridge.rollout.document import Class, Plan, Policy, PolicyError, Rules, State
-from lemonridge.rollout.machine import Keep, Kept, Rollout
+from lemonridge.cli.policy_commands import written
+from lemonridge.coordination.policy_coordinator import Store, StoreError
+from lemonridge.fleet.datagrams import Prepare
+from lemonridge.rollout import policy_document
+from lemonridge.rollout.policy_document import Class, Plan, Policy, PolicyError, Rules, State
+from lemonridge.rollout.rollout_member import Keep, Kept, Rollout
 
 
 def policy() -> Policy:
@@ -29,7 +29,7 @@
             ),
             Plan(name="basic"),
         ),
-        classes=(Class(name="read", aim_ms=300.0, worth=2.0), Class(name="write", aim_ms=400.5)),
+        classes=(Class(name="read", aim_ms=300.0, priority_weight=2.0), Class(name="write", aim_ms=400.5)),
         rules=Rules(max_attempts=3, further_attempts=4.0),
     )
 
@@ -41,8 +41,17 @@
 
 def full_state() -> State:
     """A state with every field set."""
-    return State(epoch=7, prior="0011223344556677", voters={"b": 5, "a": 9}, policy=policy(), floor=least(),
-                 by="a", note="half", kind="voter", history=("6 a: x", "7 a: half"))  # fmt: skip
+    return State(
+        epoch=7,
+        prior="0011223344556677",
+        voters={"b": 5, "a": 9},
+        policy=policy(),
+        floor=least(),
+        by="a",
+        note="half",
+        kind="voter",
+        history=("6 a: x", "7 a: half"),
+    )
 
 
 def small_state() -> State:
@@ -170,31 +179,33 @@
 
 class TheDocument(unittest.TestCase):
     def test_a_state_is_written_so(self) -> None:
-        self.assertEqual(document.encode(full_state()), FULL_STATE)
-        self.assertEqual(document.encode(small_state()), SMALL_STATE)
+        self.assertEqual(policy_document.encode(full_state()), FULL_STATE)
+        self.assertEqual(policy_document.encode(small_state()), SMALL_STATE)
 
     def test_a_state_of_before_is_read(self) -> None:
-        self.assertEqual(document.decode(FULL_STATE), full_state())
-        self.assertEqual(document.decode(SMALL_STATE), small_state())
+        self.assertEqual(policy_document.decode(FULL_STATE), full_state())
+        self.assertEqual(policy_document.decode(SMALL_STATE), small_state())
 
     def test_a_state_is_called_by_eight_bytes(self) -> None:
-        self.assertEqual(document.name(SMALL_STATE).hex(), SMALL_NAME)
-        self.assertEqual(document.successor(small_state(), policy(), "a", "n").prior, SMALL_NAME)
+        self.assertEqual(policy_document.name(SMALL_STATE).hex(), SMALL_NAME)
+        self.assertEqual(policy_document.successor(small_state(), policy(), "a", "n").prior, SMALL_NAME)
 
     def test_every_kind_of_a_state_is_read(self) -> None:
         for kind in ("policy", "voter", "emergency"):
             data = SMALL_STATE.replace(b'"kind":"policy"', f'"kind":"{kind}"'.encode())
-            self.assertEqual(document.decode(data).kind, kind)
+            self.assertEqual(policy_document.decode(data).kind, kind)
 
     def test_the_lines_of_the_history_and_the_kinds_are_written_so(self) -> None:
-        changed = document.successor(small_state(), policy(), "a", "half")
-        let_in = document.admitted(changed, "b", 5, "b")
-        again = document.admitted(let_in, "b", 6, "b")
-        left = document.retired(again, "b", "a")
-        alone = document.forced(left, 65536, {"a": 0}, "a", "fire")
-
-        self.assertEqual([one.kind for one in (changed, let_in, again, left, alone)],
-                         ["policy", "voter", "voter", "voter", "emergency"])  # fmt: skip
+        changed = policy_document.successor(small_state(), policy(), "a", "half")
+        let_in = policy_document.admitted(changed, "b", 5, "b")
+        again = policy_document.admitted(let_in, "b", 6, "b")
+        left = policy_document.retired(again, "b", "a")
+        alone = policy_document.forced(left, 65536, {"a": 0}, "a", "fire")
+
+        self.assertEqual(
+            [one.kind for one in (changed, let_in, again, left, alone)],
+            ["policy", "voter", "voter", "voter", "emergency"],
+        )
         self.assertEqual(
             alone.history,
             (
@@ -208,18 +219,18 @@
 
     def test_an_unknown_key_is_refused_by_its_name(self) -> None:
         with self.assertRaises(PolicyError) as caught:
-            document.decode(SMALL_STATE.replace(b'"by":""', b'"by":"","odd":1'))
+            policy_document.decode(SMALL_STATE.replace(b'"by":""', b'"by":"","odd":1'))
         self.assertEqual(str(caught.exception), "Object contains unknown field `odd`")
 
     def test_the_operators_policy_is_written_and_read_so(self) -> None:
         self.assertEqual(written(policy()), POLICY_TOML)
-        self.assertEqual(document.policy_of(POLICY_VALUES), policy())
+        self.assertEqual(policy_document.policy_of(POLICY_VALUES), policy())
         self.assertEqual(msgspec.json.decode(msgspec.json.encode(policy())), POLICY_VALUES)
 
     def test_differences_name_the_keys(self) -> None:
         before = Policy(plan=(Plan(name="standard"),), classes=policy().classes)
         self.assertEqual(
-            document.difference(before, policy()),
+            policy_document.difference(before, policy()),
             [
                 "plan basic: new",
                 "plan standard: base_rate 0 -> 60",
@@ -242,8 +253,9 @@
     def test_a_record_of_before_is_read(self) -> None:
         self.assertEqual(msgspec.msgpack.decode(VOTE, type=Kept), vote())
         self.assertEqual(msgspec.msgpack.decode(FIRST, type=Kept), first_record())
-        self.assertEqual(msgspec.msgpack.decode(b"\x82\xa5ident\x00\xa5state\xc4\x00", type=Kept),
-                         first_record())  # fmt: skip
+        self.assertEqual(
+            msgspec.msgpack.decode(b"\x82\xa5ident\x00\xa5state\xc4\x00", type=Kept), first_record()
+        )
 
     def test_a_new_store_keeps_its_identity_and_the_state(self) -> None:
         told = broker(None).out
@@ -252,11 +264,12 @@
             told,
             [
                 Keep(
-                    b"\x85\xa5ident\xcf\x01\x02\x03\x04\x05\x06\x07\x08\xa5state\xc5\x01\xf9" + SMALL_STATE
+                    b"\x85\xa5ident\xcf\x01\x02\x03\x04\x05\x06\x07\x08\xa5state\xc5\x01\xf9"
+                    + SMALL_STATE
                     + b"\xa8promised\x00\xa4took\x00\xa5taken\xc4\x00"
                 )
             ],
-        )  # fmt: skip
+        )
 
     def test_a_promise_is_kept_so(self) -> None:
         one = broker(FIRST)
@@ -264,17 +277,21 @@
         self.assertEqual(
             one.out[0],
             Keep(
-                b"\x85\xa5ident\x00\xa5state\xc5\x01\xf9" + SMALL_STATE
+                b"\x85\xa5ident\x00\xa5state\xc5\x01\xf9"
+                + SMALL_STATE
                 + b"\xa8promised\xcd\x03\x01\xa4took\x00\xa5taken\xc4\x00"
             ),
-        )  # fmt: skip
+        )
 
     def test_a_broker_goes_on_from_a_vote_of_before(self) -> None:
         size = len(FULL_STATE).to_bytes(2, "big")
         kept = (
-            b"\x85\xa5ident\x09\xa5state\xc5\x01\xf9" + SMALL_STATE
-            + b"\xa8promised\xcd\x03\x01\xa4took\xcd\x02\x01\xa5taken\xc5" + size + FULL_STATE
-        )  # fmt: skip
+            b"\x85\xa5ident\x09\xa5state\xc5\x01\xf9"
+            + SMALL_STATE
+            + b"\xa8promised\xcd\x03\x01\xa4took\xcd\x02\x01\xa5taken\xc5"
+            + size
+            + FULL_STATE
+        )
 
         one = broker(kept)
 
--- a/tests/test_repo.py
+++ b/tests/test_repo.py
@@ -180,7 +180,9 @@
     told = set(re.findall(r"`(\w+\.\w+)`", (ROOT / "docs" / "replication.md").read_text()))
     kept = set()
     for path in sorted((ROOT / "lemonridge").rglob("*.py")):
-        if "lab" in path.parts or path.name == "operator_schema.py":  # that is the operator's file as it was read
+        if (
+            "lab" in path.parts or path.name == "operator_schema.py"
+        ):  # that is the operator's file as it was read
             continue
         for made in ast.walk(ast.parse(path.read_text())):
             if isinstance(made, ast.ClassDef):
@@ -191,7 +193,10 @@
 
 TIME_OUT = re.compile(r"time_?out|ttl$|expires_in|max_wait", re.I)
 RELATIVE = {"wait_for", "timeout"}  # of asyncio: both take a span, where `timeout_at` takes a moment
-THEIRS = {("http_endpoints.py", "connect"), ("http_endpoints.py", "_create_connection")}  # aiohttp's own signatures
+THEIRS = {
+    ("http_endpoints.py", "connect"),
+    ("http_endpoints.py", "_create_connection"),
+}  # aiohttp's own signatures
 
 
 def test_no_function_takes_a_time_out() -> None:
