--- a/lemonridge/cli/main.py
+++ b/lemonridge/cli/main.py
@@ -20,7 +20,9 @@
 
 def _load(
     options: argparse.Namespace,
-) -> tuple[platform_config.Platform | None, iscsi.Iscsi | None, platform_config.FleetPlan | None]:
+) -> tuple[
+    platform_config.PlatformConfig | None, iscsi.IscsiConfig | None, platform_config.FleetConfig | None
+]:
     """The platform's configuration, unless there is only an operator's file; what that file says of the iSCSI
     front; and of the fleet, where there is no platform that it is laid over."""
     operators = table = plan = None
@@ -86,7 +88,7 @@
     if operators:
         print(
             f"ok: {operators.target} listens on {operators.listen}, {len(operators.luns)} LUNs, "
-            f"{len(operators.nodes)} nodes, {len(operators.plans)} plans"
+            f"{len(operators.endpoints)} nodes, {len(operators.plans)} plans"
         )
         if operators.mapped:
             extents, etcd = operators.extents, operators.etcd
--- a/lemonridge/cli/policy_commands.py
+++ b/lemonridge/cli/policy_commands.py
@@ -18,7 +18,7 @@
 import orjson
 
 from lemonridge.config.platform import Address, ConfigError
-from lemonridge.coordination.policy_coordinator import Store, StoreError
+from lemonridge.coordination.policy_coordinator import VoteStore, VoteStoreError
 from lemonridge.net.admin_client import CallError, call
 from lemonridge.rollout import policy_document
 from lemonridge.rollout.policy_document import Policy, PolicyError
@@ -76,7 +76,7 @@
     """One of the parts; ConfigError where a file or an address is of no use."""
     try:
         return _run(options)
-    except (PolicyError, StoreError) as error:
+    except (PolicyError, VoteStoreError) as error:
         raise ConfigError(f"{options.file}: {error}") from None
     except CallError as error:
         print(f"lemonridge: {error}", file=sys.stderr)
@@ -85,7 +85,7 @@
 
 def _run(options: argparse.Namespace) -> int:
     if options.part == "init":
-        Store(options.file).begin()
+        VoteStore(options.file).begin()
         print(f"ok: {options.file}")
         return 0
     if options.part == "check":
--- a/lemonridge/cli/simulator.py
+++ b/lemonridge/cli/simulator.py
@@ -11,9 +11,9 @@
 from typing import Any, TextIO
 
 from lemonridge.config.scheduler_settings import SettingsError, settings_from
-from lemonridge.fleet.fleet_member import Tell
-from lemonridge.fleet.member_list import MEMBERS_MAX, Roster
-from lemonridge.fleet.scheduler_bridge import Companion, decide
+from lemonridge.fleet.fleet_member import SendDatagram
+from lemonridge.fleet.member_list import MEMBERS_MAX, MemberList
+from lemonridge.fleet.scheduler_bridge import SchedulerBridge, decide
 from lemonridge.scheduling import Scheduler
 from lemonridge.scheduling.actions import Action, Cancel, Fail, Reject, Send, SetTimer, SlowStartBegan
 from lemonridge.scheduling.events import (
@@ -63,7 +63,7 @@
 
 def _entry(row: list[Any]) -> Endpoint:
     return Endpoint(
-        node=row[5],
+        endpoint_id=row[5],
         shard=row[4],
         zone=row[6],
         condition=ENDPOINT_STATES[row[1]],
@@ -90,7 +90,7 @@
     return AttemptEnded(
         request=item[2],
         attempt=item[3],
-        node=item[4],
+        endpoint_id=item[4],
         result=RESULTS[item[5]],
         lag_us=item[6],
         finished=bool(item[7]),
@@ -108,7 +108,7 @@
 
 def _order(who: int, action: Action) -> list[Any]:
     if isinstance(action, Send):
-        return ["issue", who, action.request, action.node, 0]
+        return ["issue", who, action.request, action.endpoint_id, 0]
     if isinstance(action, Cancel):
         return ["undo-send", who, action.request, action.attempt]
     if isinstance(action, Reject):
@@ -126,14 +126,14 @@
     def __init__(self, facts: Any, seed: int, now: int, peers: bool) -> None:
         settings = settings_from(facts)
         self.scheduler = Scheduler(settings, seed)
-        self.companion: Companion | None = None
+        self.companion: SchedulerBridge | None = None
         if peers and facts["limits"].get("peers") and 2 <= settings.hosts <= MEMBERS_MAX:
-            roster = Roster(tuple(map(str, range(settings.hosts))), int(facts["me"]))
-            self.companion = Companion(roster, now // 1000, seed, now, settings)
+            roster = MemberList(tuple(map(str, range(settings.hosts))), int(facts["me"]))
+            self.companion = SchedulerBridge(roster, now // 1000, seed, now, settings)
 
     def handle(
         self, now: int, events: list[Event], heard: list[tuple[int, bytes]]
-    ) -> tuple[list[Action], list[Tell]]:
+    ) -> tuple[list[Action], list[SendDatagram]]:
         """Decide: the decisions go by what the fleet's machine has before they are told anything else."""
         companion = self.companion
         if companion is None:
--- a/lemonridge/config/operator_file.py
+++ b/lemonridge/config/operator_file.py
@@ -27,8 +27,8 @@
     SecretsFile,
     read,
 )
-from lemonridge.config.platform import Address, ConfigError, FleetPlan, RolloutPlan
-from lemonridge.core.endpoint_registry import Listing
+from lemonridge.config.platform import Address, ConfigError, FleetConfig, RolloutConfig
+from lemonridge.core.endpoint_registry import EndpointAddress
 from lemonridge.extents.extent_map import Extent, ExtentMap, MapError
 from lemonridge.extents.routing import Limits
 from lemonridge.iscsi.chap import Account
@@ -60,7 +60,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Etcd:
+class EtcdConfig:
     """Where the node list, the contracts and the map come from, if not from the file."""
 
     endpoint: Address
@@ -83,7 +83,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Iscsi:
+class IscsiConfig:
     """What the operator's file says."""
 
     listen: Address
@@ -100,8 +100,8 @@
     settings: Settings
     plans: tuple[str, ...]
     luns: dict[int, Lun]
-    nodes: tuple[Listing, ...]
-    etcd: Etcd | None
+    endpoints: tuple[EndpointAddress, ...]
+    etcd: EtcdConfig | None
     extents: Extents
     targets: dict[str, TargetRule]
     wishes: Wishes
@@ -111,8 +111,8 @@
     login_failures: int
     power_on_attention: bool
     reservations: str | None
-    node_wishes: Wishes
-    node_account: Account | None
+    endpoint_wishes: Wishes
+    endpoint_account: Account | None
 
     def units(self, length: int) -> float:
         """The size of a transfer, in units of the contracts."""
@@ -129,7 +129,7 @@
         return frozenset(lun.lun for lun in self.luns.values() if lun.mapped)
 
 
-def load(path: str) -> tuple[Iscsi | None, FleetTable | None]:
+def load(path: str) -> tuple[IscsiConfig | None, FleetTable | None]:
     """Read the operator's file: the iSCSI front, which a file that only sets up the fleet has not, and the
     fleet."""
     try:
@@ -143,7 +143,7 @@
     return parse(values), read(OperatorFile, values).fleet
 
 
-def fleet_plan(table: FleetTable, name: str | None, hosts: int) -> FleetPlan:
+def fleet_plan(table: FleetTable, name: str | None, hosts: int) -> FleetConfig:
     """This broker's place in the fleet; `name` is what the platform calls it, `hosts` how many brokers its
     settings know of."""
     names = tuple(row.name for row in table.member)
@@ -164,7 +164,7 @@
             raise ConfigError(f"fleet.secret: cannot read {table.secret}: {error.strerror}") from None
         if len(secret) < 16:
             raise ConfigError("fleet.secret must hold 16 bytes or more")
-    return FleetPlan(
+    return FleetConfig(
         names,
         names.index(own),
         Address.parse(table.listen, "fleet.listen"),
@@ -181,11 +181,11 @@
     )
 
 
-def _rollout(table: PolicyTable | None) -> RolloutPlan | None:
-    return None if table is None else RolloutPlan(table.store, int(table.lease_ms * 1000), table.floor)
+def _rollout(table: PolicyTable | None) -> RolloutConfig | None:
+    return None if table is None else RolloutConfig(table.store, int(table.lease_ms * 1000), table.floor)
 
 
-def parse(values: Mapping[str, Any]) -> Iscsi:
+def parse(values: Mapping[str, Any]) -> IscsiConfig:
     """The tables of the file, each by the schema, then against each other."""
     told = read(OperatorFile, values)
     front, rules, extents = told.iscsi, told.rules, told.extents
@@ -197,11 +197,11 @@
     luns, fixed = _luns(told.lun, names)
     etcd = None
     if told.etcd is not None:
-        etcd = Etcd(Address.parse(told.etcd.endpoint, "etcd.endpoint"), told.etcd.prefix)
+        etcd = EtcdConfig(Address.parse(told.etcd.endpoint, "etcd.endpoint"), told.etcd.prefix)
     if not told.node and etcd is None:
         raise ConfigError("neither node nor etcd says where the nodes are")
-    for number, node in enumerate(told.node):
-        if not node.name:
+    for number, endpoint in enumerate(told.node):
+        if not endpoint.name:
             raise ConfigError(f"node[{number}].name is missing")
     mapped = any(lun.mapped for lun in luns.values())
     if mapped and not fixed and etcd is None and extents.file is None:
@@ -222,7 +222,7 @@
     if len(targets) != 1 + len(told.target):
         raise ConfigError("two targets have one name")
     max_transfer, unit_bytes = front.max_transfer_kib * 1024, front.unit_kib * 1024
-    return Iscsi(
+    return IscsiConfig(
         listen=Address.parse(front.listen, "iscsi.listen"),
         target=front.target,
         initiator=told.initiator.name,
@@ -265,7 +265,7 @@
         ),
         plans=names,
         luns=luns,
-        nodes=tuple(listing(row, f"node[{number}]") for number, row in enumerate(told.node)),
+        endpoints=tuple(listing(row, f"node[{number}]") for number, row in enumerate(told.node)),
         etcd=etcd,
         extents=_extents(extents, fixed),
         targets=targets,
@@ -286,8 +286,8 @@
         login_failures=front.login_failures,
         power_on_attention=front.power_on_attention,
         reservations=front.reservations,
-        node_wishes=Wishes(digests=told.initiator.digests, initial_r2t=True),
-        node_account=(
+        endpoint_wishes=Wishes(digests=told.initiator.digests, initial_r2t=True),
+        endpoint_account=(
             _account(accounts, told.initiator.chap, "initiator.chap") if told.initiator.chap else None
         ),
     )
@@ -396,11 +396,15 @@
     )
 
 
-def listing(row: NodeTable, path: str) -> Listing:
+def listing(row: NodeTable, path: str) -> EndpointAddress:
     """A node of the file or of etcd: ADDRESS and TARGET, together its address here."""
     address = Address.parse(row.address, f"{path}.address")
     states = {"up": EndpointState.ACTIVE, "draining": EndpointState.DRAINING}
     entry = Endpoint(
-        node=row.name, shard=row.shard, zone=0, condition=states[row.health], started_us=row.started_ms * 1000
+        endpoint_id=row.name,
+        shard=row.shard,
+        zone=0,
+        condition=states[row.health],
+        started_us=row.started_ms * 1000,
     )
-    return Listing(entry, f"{address}/{row.target}")
+    return EndpointAddress(entry, f"{address}/{row.target}")
--- a/lemonridge/config/platform.py
+++ b/lemonridge/config/platform.py
@@ -41,7 +41,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class RolloutPlan:
+class RolloutConfig:
     """How this broker takes part in changes of policy."""
 
     store: str  # the file of its votes
@@ -50,7 +50,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class FleetPlan:
+class FleetConfig:
     """This broker among its peers: the roster with what each one's address is from here."""
 
     names: tuple[str, ...]
@@ -62,11 +62,11 @@
     secret: bytes = b""
     retry_rate: float = 0.0
     admin: Address | None = None  # where operators call, where there is no platform to say so
-    rollout: RolloutPlan | None = None  # None: each broker goes by its own file
+    rollout: RolloutConfig | None = None  # None: each broker goes by its own file
 
 
 @dataclass(frozen=True, slots=True)
-class Platform:
+class PlatformConfig:
     """One broker of the platform."""
 
     name: str
@@ -87,7 +87,9 @@
     known: Mapping[str, Any]
     filed: Mapping[str, Any]  # the keys that have a variable, as the file itself has them
     admin: Address | None = None  # where operators call; None: nowhere
-    fleet: FleetPlan | None = None  # its peers: those that it names where messages are allowed, or the file's
+    fleet: FleetConfig | None = (
+        None  # its peers: those that it names where messages are allowed, or the file's
+    )
     speaks: bool = False  # whether it speaks to them
     passed: int | None = None  # the descriptor of the clients' listening socket, where it is handed down
     text: bytes = b""  # of the file, as it was read
@@ -116,7 +118,7 @@
         return b""
 
 
-def load(environment: Mapping[str, str] = os.environ, before: Platform | None = None) -> Platform:
+def load(environment: Mapping[str, str] = os.environ, before: PlatformConfig | None = None) -> PlatformConfig:
     """The platform's configuration; a variable goes before the same key of the file.
 
     `before` is what a running program goes by. Its variables are as old as its start, so a key that the
@@ -163,7 +165,7 @@
     )
 
 
-def _running(platform: Platform, before: Platform) -> Platform:
+def _running(platform: PlatformConfig, before: PlatformConfig) -> PlatformConfig:
     """The new configuration of a program that runs: where it listens stays as it is."""
     if (platform.name, platform.listen) != (before.name, before.listen):
         raise ConfigError("'name' and 'listen' change at a start only")
@@ -177,7 +179,7 @@
     )
 
 
-def _platform(told: dict[str, Any], seed: int, filed: Mapping[str, Any]) -> Platform:
+def _platform(told: dict[str, Any], seed: int, filed: Mapping[str, Any]) -> PlatformConfig:
     facts = told.get("settings")
     settings = settings_from(facts)
     assert isinstance(facts, dict)  # settings_from saw to it
@@ -187,7 +189,7 @@
         raise SettingsError("settings lack the list 'family-info.class-writes'")
     limits, known = told.get("limits"), told.get("known")
     limits = limits if isinstance(limits, dict) else {}
-    return Platform(
+    return PlatformConfig(
         name=str(told["name"]),
         listen=Address.parse(told["listen"], "'listen'"),
         discovery=Address.parse(told["discovery"], "'discovery'"),
@@ -209,7 +211,7 @@
     )
 
 
-def _fleet(told: dict[str, Any], facts: dict[str, Any], hosts: int) -> FleetPlan | None:
+def _fleet(told: dict[str, Any], facts: dict[str, Any], hosts: int) -> FleetConfig | None:
     """The peers of the platform (DEPLOY, "What a broker is told"), where the settings allow messages to them:
     one address for each broker of the tier, in the order of their numbers."""
     peers, me = told.get("peers"), facts.get("me")
@@ -220,6 +222,6 @@
     if not 2 <= len(peers) <= PEERS_MAX:
         return None
     addresses = tuple(Address.parse(one, "'peers'") for one in peers)
-    return FleetPlan(
+    return FleetConfig(
         tuple(map(str, range(len(peers)))), me, Address.parse(told["peer_listen"], "'peer_listen'"), addresses
     )
--- a/lemonridge/coordination/etcd.py
+++ b/lemonridge/coordination/etcd.py
@@ -19,11 +19,11 @@
 import aiohttp
 import orjson
 
-from lemonridge.config.operator_file import Etcd, Iscsi, listing, plan_from
+from lemonridge.config.operator_file import EtcdConfig, IscsiConfig, listing, plan_from
 from lemonridge.config.operator_schema import NodeTable, PlanTable, read
 from lemonridge.config.platform import ConfigError
 from lemonridge.core.counters import Counters
-from lemonridge.core.endpoint_registry import Directory, Listing
+from lemonridge.core.endpoint_registry import EndpointAddress, EndpointRegistry
 from lemonridge.net.watch_stream import Backoff, client
 from lemonridge.scheduling.events import EndpointListUpdate, EndpointState
 from lemonridge.scheduling.settings import VolumePlan
@@ -82,7 +82,7 @@
 class EtcdClient:
     """Calls of one endpoint, for keys below one prefix."""
 
-    def __init__(self, etcd: Etcd, counters: Counters, page: int) -> None:
+    def __init__(self, etcd: EtcdConfig, counters: Counters, page: int) -> None:
         self._url, self._prefix = f"http://{etcd.endpoint}/v3", etcd.prefix
         self._counters, self._page = counters, page
 
@@ -231,24 +231,24 @@
                     self._revision = max(self._revision, *(event.revision for event in events))
 
 
-class NodesFeed:
+class EndpointsFeed:
     """The node list: `nodes/NAME`."""
 
     KIND = "nodes/"
 
-    def __init__(self, directory: Directory, counters: Counters) -> None:
+    def __init__(self, directory: EndpointRegistry, counters: Counters) -> None:
         self._directory, self._counters = directory, counters
-        self._nodes: dict[str, Listing] = {}
+        self._endpoints: dict[str, EndpointAddress] = {}
 
     def begin(self) -> None:
-        self._nodes = {}
+        self._endpoints = {}
 
     def page(self, rows: Sequence[Event]) -> None:
         for row in rows:
             self._put(row)
 
     def finish(self) -> None:
-        self._directory.take(EndpointListUpdate.SNAPSHOT, list(self._nodes.values()))
+        self._directory.take(EndpointListUpdate.SNAPSHOT, list(self._endpoints.values()))
 
     def changes(self, events: Sequence[Event]) -> None:
         changed = [line for event in events if (line := self._put(event)) is not None]
@@ -258,11 +258,11 @@
     async def beside(self, etcd: EtcdClient, http: aiohttp.ClientSession) -> None:
         await asyncio.Event().wait()
 
-    def _put(self, event: Event) -> Listing | None:
+    def _put(self, event: Event) -> EndpointAddress | None:
         """Take in one key. What cannot be read changes nothing: the last good value stands."""
         name = event.key.removeprefix(self.KIND)
         if event.value is None:
-            line = self._nodes.pop(name, None)
+            line = self._endpoints.pop(name, None)
             return line and replace(line, entry=replace(line.entry, condition=EndpointState.REMOVED))
         try:
             told = orjson.loads(event.value)
@@ -272,7 +272,7 @@
         except (ConfigError, ValueError) as error:
             _ignored(event, error, self._counters)
             return None
-        self._nodes[name] = line
+        self._endpoints[name] = line
         return line
 
 
@@ -326,13 +326,13 @@
 class EtcdSource:
     """Everything that is followed at one endpoint."""
 
-    def __init__(self, etcd: Etcd, random: Random, counters: Counters, page: int) -> None:
+    def __init__(self, etcd: EtcdConfig, random: Random, counters: Counters, page: int) -> None:
         self.client = EtcdClient(etcd, counters, page)
         self._random, self._counters = random, counters
         self._plans, self._plans_revision = PlansFeed(counters), 0
         self._backoff = Backoff("etcd", log, PAUSE_S, PAUSE_TOP_S, random, counters)
 
-    async def contracts(self, config: Iscsi) -> Iscsi:
+    async def contracts(self, config: IscsiConfig) -> IscsiConfig:
         """The configuration with the contracts that etcd holds at the start; waits until it answers."""
         async with client() as http:
             while True:
--- a/lemonridge/coordination/policy_coordinator.py
+++ b/lemonridge/coordination/policy_coordinator.py
@@ -22,18 +22,24 @@
 import msgspec
 import orjson
 
-from lemonridge.config.platform import ConfigError, FleetPlan
+from lemonridge.config.platform import ConfigError, FleetConfig
 from lemonridge.core.clock import Clock
 from lemonridge.core.counters import Counters
-from lemonridge.core.decision_host import Decider
+from lemonridge.core.decision_host import DecisionHost
 from lemonridge.fleet.datagrams import Item
-from lemonridge.net.peer_transport import Peers
-from lemonridge.operate.admin_calls import Call, Order, Reply
+from lemonridge.net.peer_transport import PeerTransport
+from lemonridge.operate.admin_calls import AdminCall, AdminReply, AdminRequest
 from lemonridge.rollout import policy_document
 from lemonridge.rollout.leases import NOTHING, Interval
 from lemonridge.rollout.policy_document import Policy, PolicyError
 from lemonridge.rollout.proposals import SourceProposal
-from lemonridge.rollout.rollout_member import Action, Keep, Kept, Rollout, Say
+from lemonridge.rollout.rollout_member import (
+    PersistVote,
+    RolloutAction,
+    RolloutMember,
+    SendMessage,
+    StoredVote,
+)
 from lemonridge.scheduling.settings import Settings, VolumePlan
 from lemonridge.service.service import LocalPolicy
 
@@ -45,11 +51,11 @@
 AGAIN_S = 0.1  # between two tries to keep or to read a vote
 
 
-class StoreError(Exception):
+class VoteStoreError(Exception):
     """A store that cannot be believed; the text is fit to print."""
 
 
-class Store:
+class VoteStore:
     """The votes of one broker: one small file, written anew beside itself, brought to disk and put in its
     place (POSIX rename), so that at any moment the whole of one version is there. A damaged file is worth
     what no file is: its broker has forgotten, and must not vote as if it remembered."""
@@ -65,7 +71,7 @@
             self._held = open(self.path.with_name(self.path.name + ".lock"), "w")  # noqa: SIM115
             fcntl.flock(self._held, fcntl.LOCK_EX | fcntl.LOCK_NB)
         except OSError as error:
-            raise StoreError(f"{self.path} cannot be held: {error.strerror}") from None
+            raise VoteStoreError(f"{self.path} cannot be held: {error.strerror}") from None
 
     def read(self) -> bytes | None:
         """What was written last; None where there is no file. StoreError where it is damaged, OSError where
@@ -76,9 +82,9 @@
             return None
         body = told[len(MAGIC) + _FRAME.size :]
         if not told.startswith(MAGIC) or len(told) < len(MAGIC) + _FRAME.size:
-            raise StoreError(f"{self.path} is no store of votes")
+            raise VoteStoreError(f"{self.path} is no store of votes")
         if _FRAME.unpack_from(told, len(MAGIC)) != (crc32c.crc32c(body), len(body)):
-            raise StoreError(f"{self.path} is damaged")
+            raise VoteStoreError(f"{self.path} is damaged")
         return body
 
     def write(self, data: bytes) -> None:
@@ -99,26 +105,26 @@
         """Make the first one of a new fleet: it may vote at once. Once in the life of a broker: one that lost
         its store starts without, and is let in again by the others."""
         if self.path.exists():
-            raise StoreError(f"{self.path} is there already")
-        self.write(msgspec.msgpack.encode(Kept(0, b"")))
+            raise VoteStoreError(f"{self.path} is there already")
+        self.write(msgspec.msgpack.encode(StoredVote(0, b"")))
 
 
-async def held_store(path: str) -> tuple[Store, bytes | None]:
+async def held_store(path: str) -> tuple[VoteStore, bytes | None]:
     """The store of this broker's votes, held by this process, and what it keeps; None where it has no vote.
 
     A read that fails is tried again until it does not: the votes may be whole, and a broker that forgot them
     would vote as if it remembered. ConfigError where another process holds the store."""
-    store = Store(path)
+    store = VoteStore(path)
     try:
         store.hold()
-    except StoreError as error:
+    except VoteStoreError as error:
         raise ConfigError(str(error)) from None
     failed = False
     while True:
         try:
             kept = store.read()
             break
-        except StoreError as error:
+        except VoteStoreError as error:
             kept = None
             log.error("votes are lost", extra={"error": str(error)})
             break
@@ -137,14 +143,14 @@
 
     def __init__(
         self,
-        plan: FleetPlan,
+        plan: FleetConfig,
         own: LocalPolicy,
         seed: int,
-        peers: Peers,
-        decider: Decider,
+        peers: PeerTransport,
+        decider: DecisionHost,
         clock: Clock,
         counters: Counters,
-        store: Store,
+        store: VoteStore,
         kept: bytes | None,
     ) -> None:
         """`own` is what this broker's file says, `kept` what `store` keeps; ConfigError where that cannot be
@@ -157,10 +163,10 @@
         filed = policy_document.policy_from(own.settings, own.plans, own.classes)
         least = policy_document.floor(filed, plan.rollout.floor)
         voters = dict.fromkeys(plan.names[: policy_document.VOTERS_MAX], 0)
-        genesis = policy_document.State(epoch=0, prior="", voters=voters, policy=filed, floor=least)
+        genesis = policy_document.PolicyState(epoch=0, prior="", voters=voters, policy=filed, floor=least)
         ident = 1 + secrets.randbelow(1 << 62)
         try:
-            self.rollout = Rollout(
+            self.rollout = RolloutMember(
                 plan.me,
                 plan.names,
                 peers.life,
@@ -180,7 +186,9 @@
         self._had = False  # a lease, since this start
         self._shown = 0
         self._source_proposal = SourceProposal(plan.me)
-        self._queue: deque[Action] = deque()  # in their order; behind a vote that is being kept all wait
+        self._queue: deque[RolloutAction] = (
+            deque()
+        )  # in their order; behind a vote that is being kept all wait
         self._keeping: asyncio.Future[None] | None = None
         self._stuck = False  # the disk takes nothing
         self._timer: asyncio.TimerHandle | None = None
@@ -206,11 +214,11 @@
         """Do what the machine wants, in its order."""
         out, self.rollout.out = self.rollout.out, []
         for action in out:
-            if isinstance(action, Keep) and self._queue and isinstance(self._queue[-1], Keep):
+            if isinstance(action, PersistVote) and self._queue and isinstance(self._queue[-1], PersistVote):
                 self._queue.pop()  # nothing was to be said between the two
             self._queue.append(action)
         while len(self._queue) > QUEUE_MAX:  # the disk is slow: what was to be said is lost, as on a link
-            self._queue.remove(next(one for one in self._queue if isinstance(one, Say)))
+            self._queue.remove(next(one for one in self._queue if isinstance(one, SendMessage)))
         self._pump()
         if self._mode != self._now():
             self._decider.look()
@@ -227,7 +235,7 @@
         said: list[tuple[int, Item]] = []
         while self._queue and self._keeping is None:
             action = self._queue.popleft()
-            if isinstance(action, Say):
+            if isinstance(action, SendMessage):
                 said.append((action.to, action.item))
                 continue
             if said:
@@ -239,7 +247,7 @@
         if said:
             self._peers.post(said)
 
-    def _kept(self, action: Keep, done: asyncio.Future[None]) -> None:
+    def _kept(self, action: PersistVote, done: asyncio.Future[None]) -> None:
         self._keeping = None
         error = None if done.cancelled() else done.exception()
         if error is None:
@@ -250,7 +258,7 @@
         if not self._stuck:
             log.error("votes cannot be kept, nothing is said", extra={"error": str(error)})
         self._stuck = True
-        if not (self._queue and isinstance(self._queue[0], Keep)):
+        if not (self._queue and isinstance(self._queue[0], PersistVote)):
             self._queue.appendleft(action)
         self._loop.call_later(AGAIN_S, self._pump)
 
@@ -344,36 +352,38 @@
 
     # Operators
 
-    def act(self, order: Order) -> Reply:
+    def act(self, order: AdminRequest) -> AdminReply:
         """A call about policies."""
         now_us = self._clock.now_us()
-        if order.call is Call.POLICY:
+        if order.call is AdminCall.POLICY:
             told = self.rollout.report(now_us)
             told["policy"] = msgspec.to_builtins(self.rollout.state.policy)
             told["floor"] = msgspec.to_builtins(self.rollout.state.floor)
-            return Reply(True, orjson.dumps(told).decode())
-        if order.call is Call.ABORT:
+            return AdminReply(True, orjson.dumps(told).decode())
+        if order.call is AdminCall.ABORT:
             done = self.rollout.abort()
             self._flush()
-            return Reply(done, "called off" if done else "no change of this broker's can be called off now")
-        if order.call in (Call.ADMIT, Call.RETIRE):
+            return AdminReply(
+                done, "called off" if done else "no change of this broker's can be called off now"
+            )
+        if order.call in (AdminCall.ADMIT, AdminCall.RETIRE):
             return self._proposed(
                 self.rollout.admit(now_us)
-                if order.call is Call.ADMIT
-                else self.rollout.retire(order.node, now_us)
+                if order.call is AdminCall.ADMIT
+                else self.rollout.retire(order.endpoint_id, now_us)
             )
-        if order.call is Call.FORCE:
+        if order.call is AdminCall.FORCE:
             return self._force(order.text, now_us)
         try:
             told = orjson.loads(order.text)
             policy, note = policy_document.policy_of(told["policy"]), str(told.get("note", ""))
         except (orjson.JSONDecodeError, PolicyError, KeyError, TypeError) as error:
-            return Reply(False, f"not a proposal: {error}")
+            return AdminReply(False, f"not a proposal: {error}")
         if why := self._source_proposal.against(policy):
-            return Reply(False, why)
+            return AdminReply(False, why)
         if told.get("dry"):
             why = self.rollout.wrong(policy)
-            return Reply(
+            return AdminReply(
                 not why,
                 why
                 or "; ".join(policy_document.difference(self.rollout.state.policy, policy))
@@ -381,17 +391,17 @@
             )
         return self._proposed(self.rollout.propose(policy, note, now_us))
 
-    def _proposed(self, why: str) -> Reply:
+    def _proposed(self, why: str) -> AdminReply:
         self._flush()
-        return Reply(not why, why or f"epoch {self.rollout.state.epoch + 1} is proposed")
+        return AdminReply(not why, why or f"epoch {self.rollout.state.epoch + 1} is proposed")
 
-    def _force(self, text: str, now_us: int) -> Reply:
+    def _force(self, text: str, now_us: int) -> AdminReply:
         """The emergency call: to go on without a majority."""
         try:
             told = orjson.loads(text)
             lost, note = tuple(map(str, told["lost"])), str(told.get("note", ""))
         except (orjson.JSONDecodeError, KeyError, TypeError) as error:
-            return Reply(False, f"not an emergency call: {error}")
+            return AdminReply(False, f"not an emergency call: {error}")
         before = self.rollout.state.epoch
         why = self.rollout.force(lost, note, now_us)
         if why:
@@ -409,6 +419,6 @@
                 },
             )
         self._flush()
-        return Reply(
+        return AdminReply(
             not why, why or f"epoch {self.rollout.state.epoch}, {len(self.rollout.state.voters)} vote"
         )
--- a/lemonridge/core/broker.py
+++ b/lemonridge/core/broker.py
@@ -7,16 +7,16 @@
 from collections.abc import Callable
 
 from lemonridge.core.counters import Counters
-from lemonridge.core.decision_host import Decider, Mailbox
+from lemonridge.core.decision_host import DecisionHost, RequestMailbox
 from lemonridge.core.model import (
     Answer,
+    AnswerKind,
     Attempt,
     AttemptSuppressedError,
     ConnectFailedError,
-    Flow,
-    Kind,
-    Nodes,
+    Endpoints,
     Outcome,
+    ReplyStream,
     Request,
     Routes,
 )
@@ -33,9 +33,9 @@
     """Carries requests: the decider says what to do, the nodes' side does it."""
 
     def __init__(
-        self, decider: Decider, nodes: Nodes, counters: Counters, routes: Routes | None = None
+        self, decider: DecisionHost, endpoints: Endpoints, counters: Counters, routes: Routes | None = None
     ) -> None:
-        self._decider, self._nodes, self._counters, self._routes = decider, nodes, counters, routes
+        self._decider, self._endpoints, self._counters, self._routes = decider, endpoints, counters, routes
         self._lives: set[asyncio.Task[None]] = set()
         self.open_ids = OpenIds()
 
@@ -53,16 +53,16 @@
         try:
             answer = await asyncio.shield(mailbox.answer)
         except asyncio.CancelledError:
-            if mailbox.settle(Answer(Kind.GONE)):
+            if mailbox.settle(Answer(AnswerKind.GONE)):
                 self._decider.deliver(ClientDisconnected(mailbox.name))
                 self._counters["answers.gone"] += 1
-            elif isinstance(reply := mailbox.answer.result().reply, Flow):
+            elif isinstance(reply := mailbox.answer.result().reply, ReplyStream):
                 reply.close()
             raise
         self._counters[f"answers.{answer.kind.value}"] += 1
         return answer
 
-    async def carry(self, mailbox: Mailbox) -> None:
+    async def carry(self, mailbox: RequestMailbox) -> None:
         """One request's life: send where the module says, report each end, until it is over."""
         number, request = 0, mailbox.request
         routes = self._routes if request.route is not None else None
@@ -74,19 +74,23 @@
                 sent_us = self._decider.clock.now_us()
                 relied = request.route.shard if request.route is not None else request.shard
                 attempt = Attempt(
-                    request, number, order.node, self._judge(mailbox, number), decided_s=mailbox.decided_s
+                    request,
+                    number,
+                    order.endpoint_id,
+                    self._judge(mailbox, number),
+                    decided_s=mailbox.decided_s,
                 )
                 outcome = await self._attempt(mailbox, attempt)
                 lag_us = self._decider.clock.now_us() - sent_us
                 if outcome.result is AttemptResult.OK:
-                    served = mailbox.settle(Answer(Kind.SERVED, outcome.reply))
-                    if not served and isinstance(outcome.reply, Flow):
+                    served = mailbox.settle(Answer(AnswerKind.SERVED, outcome.reply))
+                    if not served and isinstance(outcome.reply, ReplyStream):
                         outcome.reply.close()
                 self._decider.deliver(
                     AttemptEnded(
                         mailbox.name,
                         number,
-                        order.node,
+                        order.endpoint_id,
                         outcome.result,
                         lag_us,
                         mailbox.answer.done(),
@@ -105,14 +109,14 @@
             log.exception("request failed")
             self._counters["requests.broken"] += 1
         finally:
-            if mailbox.settle(Answer(Kind.FAILED)):
+            if mailbox.settle(Answer(AnswerKind.FAILED)):
                 self._decider.deliver(ClientDisconnected(mailbox.name))
             if routes is not None:
                 routes.close(request)
             self._decider.close(mailbox)
             self.open_ids.end(request.ident)
 
-    async def _route(self, mailbox: Mailbox, routes: Routes, outcome: Outcome) -> int | None:
+    async def _route(self, mailbox: RequestMailbox, routes: Routes, outcome: Outcome) -> int | None:
         """Where the request goes on, if it does: asked after each attempt, since the map may have moved on
         meanwhile. The wait for news of a move ends with the request's deadline."""
         if outcome.result is not AttemptResult.DATA_MIGRATED:
@@ -123,10 +127,10 @@
         except TimeoutError:
             return None
 
-    def _judge(self, mailbox: Mailbox, number: int) -> Callable[[], bool]:
+    def _judge(self, mailbox: RequestMailbox, number: int) -> Callable[[], bool]:
         return lambda: self._decider.begins(mailbox, number)
 
-    async def _attempt(self, mailbox: Mailbox, attempt: Attempt) -> Outcome:
+    async def _attempt(self, mailbox: RequestMailbox, attempt: Attempt) -> Outcome:
         """One attempt, until the request's deadline or until it is called off.
 
         What never came to the node cannot have run; what did may have, whatever cut it short. None begins for
@@ -141,7 +145,7 @@
                 route.flying = True
             at = self._decider.clock.loop_time(mailbox.request.deadline_us)
             async with asyncio.timeout_at(at) as mailbox.scope:
-                outcome = await self._nodes.attempt(attempt)
+                outcome = await self._endpoints.attempt(attempt)
         except TimeoutError:
             if not attempt.begun:  # its time ran out here: only a connect that fails tells of the node
                 outcome = Outcome(AttemptResult.NOT_SENT)
--- a/lemonridge/core/decision_host.py
+++ b/lemonridge/core/decision_host.py
@@ -11,7 +11,7 @@
 
 from lemonridge.core.clock import Clock
 from lemonridge.core.counters import Counters
-from lemonridge.core.model import Answer, Attempt, Kind, Request
+from lemonridge.core.model import Answer, AnswerKind, Attempt, Request
 from lemonridge.scheduling import Scheduler
 from lemonridge.scheduling.actions import (
     Action,
@@ -39,7 +39,7 @@
 log = logging.getLogger(__name__)
 
 
-class Mailbox:
+class RequestMailbox:
     """What was decided for one request, and its one final answer."""
 
     def __init__(self, name: str, request: Request) -> None:
@@ -69,9 +69,9 @@
             self.decided_s = asyncio.get_running_loop().time()
             self._wake()
         elif isinstance(action, Reject):
-            self.settle(Answer(Kind.REFUSED, backoff_us=action.backoff_us))
+            self.settle(Answer(AnswerKind.REFUSED, backoff_us=action.backoff_us))
         elif isinstance(action, Fail):
-            self.settle(Answer(Kind.FAILED))
+            self.settle(Answer(AnswerKind.FAILED))
         elif self.attempt is not None and action.attempt == self.attempt.number:
             self._call_off()
 
@@ -107,7 +107,7 @@
 
     def listed(self, entries: Iterable[Endpoint]) -> None: ...
 
-    def sent(self, node: str, request: Request) -> None: ...
+    def sent(self, endpoint: str, request: Request) -> None: ...
 
     def ended(self, event: AttemptEnded, request: Request | None) -> None: ...
 
@@ -126,7 +126,7 @@
         """By which epochs an attempt begins that was decided at a time; None where it may not any more."""
 
 
-class Decider:
+class DecisionHost:
     """Owns the scheduler. The events of one turn of the event loop go to it together."""
 
     def __init__(self, settings: Settings, seed: int, clock: Clock, counters: Counters) -> None:
@@ -134,7 +134,7 @@
         self.clock, self._counters = clock, counters
         self._loop = asyncio.get_running_loop()
         self._scheduler = Scheduler(settings, seed, asked=True)
-        self._mailboxes: dict[str, Mailbox] = {}
+        self._mailboxes: dict[str, RequestMailbox] = {}
         self._events: list[Event] = []
         self._due = False
         self._timer: asyncio.TimerHandle | None = None
@@ -150,10 +150,10 @@
         """How many requests have a life that is not over."""
         return len(self._mailboxes)
 
-    def open(self, request: Request) -> Mailbox:
+    def open(self, request: Request) -> RequestMailbox:
         """A request begins. The name is the core's own: a client may send an id twice."""
         self._taken += 1
-        mailbox = Mailbox(f"r{self._taken}", request)
+        mailbox = RequestMailbox(f"r{self._taken}", request)
         self._mailboxes[mailbox.name] = mailbox
         arrived = RequestArrived(
             mailbox.name,
@@ -185,7 +185,7 @@
         """Be the process whose limits fill, from these levels on."""
         self._scheduler.import_limits(self.clock.now_us(), levels)
 
-    def begins(self, mailbox: Mailbox, number: int) -> bool:
+    def begins(self, mailbox: RequestMailbox, number: int) -> bool:
         """Whether an attempt may still begin: its client has not left and has no answer, and the decisions
         stand by it. Asked at its first byte, for which it may have waited. The system is asked whether the
         client has ended, as the event loop may not have read that yet (STANDING: 0.1 s after the close)."""
@@ -196,7 +196,7 @@
             return False
         return self._scheduler.begins(self.clock.now_us(), mailbox.name, number)
 
-    def close(self, mailbox: Mailbox) -> None:
+    def close(self, mailbox: RequestMailbox) -> None:
         """The life of a request is over."""
         self._mailboxes.pop(mailbox.name, None)
 
@@ -260,7 +260,7 @@
                 mailbox = self._mailboxes.get(action.request)
                 if mailbox is not None:
                     if self.observer is not None and isinstance(action, Send):
-                        self.observer.sent(action.node, mailbox.request)
+                        self.observer.sent(action.endpoint_id, mailbox.request)
                     mailbox.deliver(action)
 
     def _trace(self, events: list[Event], actions: list[Action]) -> None:
@@ -288,7 +288,7 @@
         log.exception("decisions failed", extra={"held": len(self._mailboxes)})
         self._counters["decisions.failed"] += 1
         for mailbox in list(self._mailboxes.values()):
-            mailbox.settle(Answer(Kind.FAILED))
+            mailbox.settle(Answer(AnswerKind.FAILED))
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
--- a/lemonridge/core/endpoint_registry.py
+++ b/lemonridge/core/endpoint_registry.py
@@ -9,7 +9,7 @@
 from typing import Protocol
 
 from lemonridge.core.start_times import NEWS_LATE_US, StartTime, StartTimes
-from lemonridge.operate.maintenance import Back, Maintenance
+from lemonridge.operate.maintenance import Maintenance, ReturnedToService
 from lemonridge.scheduling.events import Endpoint, EndpointListUpdate, EndpointsChanged, EndpointState, Event
 
 log = logging.getLogger(__name__)
@@ -18,7 +18,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Listing:
+class EndpointAddress:
     """One line of the list with the address to dial."""
 
     entry: Endpoint
@@ -31,7 +31,7 @@
     def deliver(self, event: Event) -> None: ...
 
 
-class Directory:
+class EndpointRegistry:
     """The map from node to address, kept in step with what the decisions are told.
 
     Here alone discovery's news and the operators' bans come together: everyone behind it sees one condition.
@@ -43,8 +43,8 @@
         self._starts = StartTimes()
         self._heard_us: int | None = None  # when the source last answered, if it says so
         self._late_us = NEWS_LATE_US  # how late what it tells now may be
-        self._told: dict[str, Listing] = {}  # as discovery says
-        self._nodes: dict[str, Listing] = {}  # with the bans laid over it
+        self._told: dict[str, EndpointAddress] = {}  # as discovery says
+        self._endpoints: dict[str, EndpointAddress] = {}  # with the bans laid over it
         self._maintenance = Maintenance()
         self.listed = False
         self.fresh = asyncio.Event()  # once discovery itself has told
@@ -56,23 +56,23 @@
         silent_us = 0 if self._heard_us is None else now_us - self._heard_us
         self._heard_us, self._late_us = now_us, NEWS_LATE_US + silent_us
 
-    def take(self, kind: EndpointListUpdate, listings: list[Listing]) -> None:
+    def take(self, kind: EndpointListUpdate, listings: list[EndpointAddress]) -> None:
         """Apply a change, or a whole list: a node that it does not name is gone."""
         before = self._told
         if kind is not EndpointListUpdate.DELTA:
-            self._told, self._nodes = {}, {}
-        news = [one for one in listings if before.get(one.entry.node) != one]
+            self._told, self._endpoints = {}, {}
+        news = [one for one in listings if before.get(one.entry.endpoint_id) != one]
         for listing in listings:
             if listing.entry.condition is EndpointState.REMOVED:
-                self._told.pop(listing.entry.node, None)
+                self._told.pop(listing.entry.endpoint_id, None)
             else:
-                self._told[listing.entry.node] = listing
+                self._told[listing.entry.endpoint_id] = listing
         for listing in news[:LOGGED_MAX]:
             entry = listing.entry
             log.info(
                 "listed",
                 extra={
-                    "node": entry.node,
+                    "node": entry.endpoint_id,
                     "condition": entry.condition.value,
                     "shard": entry.shard,
                     "started_us": entry.started_us,
@@ -92,51 +92,51 @@
         )  # also an empty one is news
         self._tell(kind, listings)
 
-    def _placed(self, listing: Listing, late_us: int | None) -> Listing:
+    def _placed(self, listing: EndpointAddress, late_us: int | None) -> EndpointAddress:
         """A line with its start on the broker's own clock; see `StartTimes.place`."""
         entry = listing.entry
         started_us = self._starts.place(
-            entry.node, entry.started_us, self._now_us(), self._wall_us(), late_us
+            entry.endpoint_id, entry.started_us, self._now_us(), self._wall_us(), late_us
         )
-        return Listing(replace(entry, started_us=started_us), listing.address)
+        return EndpointAddress(replace(entry, started_us=started_us), listing.address)
 
-    def _tell(self, kind: EndpointListUpdate, listings: list[Listing]) -> None:
+    def _tell(self, kind: EndpointListUpdate, listings: list[EndpointAddress]) -> None:
         """Lay the bans over these lines, and pass them on."""
-        lines = [Listing(self._maintenance.over(one.entry), one.address) for one in listings]
+        lines = [EndpointAddress(self._maintenance.over(one.entry), one.address) for one in listings]
         for line in lines:
             if line.entry.condition is EndpointState.REMOVED:
-                self._nodes.pop(line.entry.node, None)
+                self._endpoints.pop(line.entry.endpoint_id, None)
             else:
-                self._nodes[line.entry.node] = line
+                self._endpoints[line.entry.endpoint_id] = line
         self._sink.deliver(EndpointsChanged(kind, tuple(line.entry for line in lines)))
 
-    def _retell(self, node: str) -> None:
+    def _retell(self, endpoint: str) -> None:
         """A ban on a node began or ended. One that discovery does not list has nothing to be told of."""
-        if (told := self._told.get(node)) is not None:
+        if (told := self._told.get(endpoint)) is not None:
             self._tell(EndpointListUpdate.DELTA, [self._placed(told, None)])
 
-    def disable(self, node: str) -> bool:
+    def disable(self, endpoint: str) -> bool:
         """Nothing more to this node, whatever discovery says; False where it is not known, or too many are
         out already."""
-        if node not in self._told and node not in self._maintenance:
+        if endpoint not in self._told and endpoint not in self._maintenance:
             return False
-        if not self._maintenance.disable(node, self._now_us()):
+        if not self._maintenance.disable(endpoint, self._now_us()):
             return False
-        self._retell(node)
+        self._retell(endpoint)
         return True
 
-    def enable(self, node: str) -> bool:
+    def enable(self, endpoint: str) -> bool:
         """End the ban on a node; False where it is not known."""
-        if self._maintenance.enable(node, self._now_us()):
-            self._retell(node)
+        if self._maintenance.enable(endpoint, self._now_us()):
+            self._retell(endpoint)
             return True
-        return node in self._told
+        return endpoint in self._told
 
-    def told(self) -> tuple[Listing, ...]:
+    def told(self) -> tuple[EndpointAddress, ...]:
         """The list as discovery has told it, without the bans."""
         return tuple(self._told.values())
 
-    def bans(self) -> tuple[Mapping[str, int], Mapping[str, Back]]:
+    def bans(self) -> tuple[Mapping[str, int], Mapping[str, ReturnedToService]]:
         """What operators have taken out and called back, for a process that takes over."""
         return self._maintenance.out(), self._maintenance.back()
 
@@ -150,37 +150,37 @@
         if self._told:
             self._tell(EndpointListUpdate.DELTA, [self._placed(one, None) for one in self._told.values()])
 
-    def inherit(self, out: Mapping[str, int], back: Mapping[str, Back]) -> None:
+    def inherit(self, out: Mapping[str, int], back: Mapping[str, ReturnedToService]) -> None:
         """Go by the bans of the process before this one."""
         self._maintenance.inherit(out, back)
-        for node in (*out, *back):
-            self._retell(node)
+        for endpoint in (*out, *back):
+            self._retell(endpoint)
 
     def entries(self) -> tuple[Endpoint, ...]:
-        return tuple(listing.entry for listing in self._nodes.values())
+        return tuple(listing.entry for listing in self._endpoints.values())
 
-    def shard(self, node: str) -> int | None:
+    def shard(self, endpoint: str) -> int | None:
         """The shard of a node that is listed."""
-        listing = self._nodes.get(node)
+        listing = self._endpoints.get(endpoint)
         return None if listing is None else listing.entry.shard
 
     def shards(self) -> frozenset[int]:
         """The shards that have a node which may get new work."""
         return frozenset(
-            one.entry.shard for one in self._nodes.values() if one.entry.condition is EndpointState.ACTIVE
+            one.entry.shard for one in self._endpoints.values() if one.entry.condition is EndpointState.ACTIVE
         )
 
     def serves(self, shard: int) -> EndpointState:
         """The best condition of a shard's nodes."""
-        found = {one.entry.condition for one in self._nodes.values() if one.entry.shard == shard}
+        found = {one.entry.condition for one in self._endpoints.values() if one.entry.shard == shard}
         return next(
             (one for one in (EndpointState.ACTIVE, EndpointState.DRAINING) if one in found),
             EndpointState.REMOVED,
         )
 
-    def address(self, node: str) -> str | None:
+    def address(self, endpoint: str) -> str | None:
         """Where to send new work for `node`; None where the list forbids it."""
-        listing = self._nodes.get(node)
+        listing = self._endpoints.get(endpoint)
         if listing is None or listing.entry.condition is not EndpointState.ACTIVE:
             return None
         return listing.address
--- a/lemonridge/core/model.py
+++ b/lemonridge/core/model.py
@@ -45,7 +45,7 @@
 
     request: Request
     number: int
-    node: str
+    endpoint_id: str
     judge: Callable[[], bool] = lambda: True  # whether it may still begin
     begun: bool = False
     decided_s: float = 0.0  # on the loop's clock
@@ -59,7 +59,7 @@
 
 
 @runtime_checkable
-class Flow(Protocol):
+class ReplyStream(Protocol):
     """A reply that is still coming. Whoever does not pass it on closes it."""
 
     def close(self) -> None: ...
@@ -77,7 +77,7 @@
     held: float | None = None
 
 
-class Kind(Enum):
+class AnswerKind(Enum):
     """The three final answers, and the end of a request whose client has left."""
 
     SERVED = "served"
@@ -90,7 +90,7 @@
 class Answer:
     """The one final answer to a request."""
 
-    kind: Kind
+    kind: AnswerKind
     reply: object = None
     backoff_us: int = 0
 
@@ -112,7 +112,7 @@
     nothing of the node, and nothing was sent."""
 
 
-class Nodes(Protocol):
+class Endpoints(Protocol):
     """The side towards the nodes. Makes one attempt; whoever calls it watches the deadline."""
 
     async def attempt(self, attempt: Attempt) -> Outcome: ...
--- a/lemonridge/core/start_times.py
+++ b/lemonridge/core/start_times.py
@@ -31,29 +31,29 @@
     def __init__(self) -> None:
         self._held: dict[str, StartTime] = {}
 
-    def place(self, node: str, told_us: int, now_us: int, wall_us: int, late_us: int | None) -> int:
+    def place(self, endpoint: str, told_us: int, now_us: int, wall_us: int, late_us: int | None) -> int:
         """The start of a node on the broker's clock, `now_us`, while the wall clock says `wall_us`; 0 is long
         ago. `late_us` is how late news may be; None: a first list tells what may be of any age."""
         if not told_us:
-            self._held.pop(node, None)
+            self._held.pop(endpoint, None)
             return 0
-        held = self._held.get(node)
+        held = self._held.get(endpoint)
         if held is not None and held.told_us == told_us:
             return held.own_us
         age_us = wall_us - told_us
         believed = age_us >= 0 and (late_us is None or age_us <= late_us)
         own_us = now_us - age_us if believed else now_us
-        self._held[node] = StartTime(told_us, max(1, own_us))
+        self._held[endpoint] = StartTime(told_us, max(1, own_us))
         return max(1, own_us)
 
     def prune(self, listed: Container[str]) -> None:
         """Keep the bound: forget nodes that are not listed, the longest held first."""
         if len(self._held) <= KEPT_MAX:
             return
-        for node in [one for one in self._held if one not in listed]:
+        for endpoint in [one for one in self._held if one not in listed]:
             if len(self._held) <= KEPT_MAX:
                 return
-            del self._held[node]
+            del self._held[endpoint]
 
     def held(self) -> Mapping[str, StartTime]:
         """All of them, for a process that takes over."""
--- a/lemonridge/extents/carrier.py
+++ b/lemonridge/extents/carrier.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable
 
 from lemonridge.core.broker import Broker
-from lemonridge.core.model import Answer, Kind, Request
+from lemonridge.core.model import Answer, AnswerKind, Request
 from lemonridge.extents.joining import End, Joined, goes_on, join
 
 
@@ -56,6 +56,6 @@
     def _end(self, answer: Answer | None) -> End:
         if answer is None:
             return End.UNSENT
-        if answer.kind is Kind.SERVED:
+        if answer.kind is AnswerKind.SERVED:
             return End.GOOD if self._good(answer.reply) else End.BAD
-        return End.REFUSED if answer.kind is Kind.REFUSED else End.FAILED
+        return End.REFUSED if answer.kind is AnswerKind.REFUSED else End.FAILED
--- a/lemonridge/extents/joining.py
+++ b/lemonridge/extents/joining.py
@@ -22,7 +22,7 @@
     UNSENT = "unsent"  # was not begun, since an earlier one ended the command
 
 
-class Whole(Enum):
+class JoinResult(Enum):
     """How the command ends."""
 
     SERVED = "served"
@@ -33,7 +33,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Joined:
-    whole: Whole
+    whole: JoinResult
     piece: int = -1  # whose report is the answer
     backoff_us: int = 0
 
@@ -50,16 +50,16 @@
         raise ValueError("a command has at least one piece")
     backoff = max(backoffs_us, default=0)
     if all(end is End.GOOD for end in ends):
-        return Joined(Whole.SERVED)
+        return Joined(JoinResult.SERVED)
     if not writes:
         if End.BAD in ends:
-            return Joined(Whole.REPORTED, ends.index(End.BAD))
-        return Joined(Whole.FAILED if End.FAILED in ends else Whole.REFUSED, backoff_us=backoff)
+            return Joined(JoinResult.REPORTED, ends.index(End.BAD))
+        return Joined(JoinResult.FAILED if End.FAILED in ends else JoinResult.REFUSED, backoff_us=backoff)
     if End.FAILED in ends:
-        return Joined(Whole.FAILED)
+        return Joined(JoinResult.FAILED)
     ran = End.GOOD in ends or End.BAD in ends
     if not ran:
-        return Joined(Whole.REFUSED, backoff_us=backoff)
+        return Joined(JoinResult.REFUSED, backoff_us=backoff)
     if End.REFUSED in ends:
-        return Joined(Whole.FAILED)
-    return Joined(Whole.REPORTED, ends.index(End.BAD)) if End.BAD in ends else Joined(Whole.FAILED)
+        return Joined(JoinResult.FAILED)
+    return Joined(JoinResult.REPORTED, ends.index(End.BAD)) if End.BAD in ends else Joined(JoinResult.FAILED)
--- a/lemonridge/extents/map_cache.py
+++ b/lemonridge/extents/map_cache.py
@@ -56,7 +56,7 @@
     return int(xxhash.xxh64_intdigest(key + value))
 
 
-class MapKeeper:
+class MapCache:
     """Writes the map behind the program, and reads it at the start."""
 
     def __init__(self, path: str, size: int) -> None:
@@ -162,7 +162,7 @@
 class Background:
     """A keeper behind a thread of its own: the disk's time is not the event loop's."""
 
-    def __init__(self, keeper: MapKeeper) -> None:
+    def __init__(self, keeper: MapCache) -> None:
         self._keeper, self._pending, self._lost = keeper, 0, False
         self._thread = ThreadPoolExecutor(1, thread_name_prefix="keep")
 
--- a/lemonridge/extents/router.py
+++ b/lemonridge/extents/router.py
@@ -10,12 +10,12 @@
 
 from lemonridge.core.clock import Clock
 from lemonridge.core.counters import Counters
-from lemonridge.core.endpoint_registry import Directory
+from lemonridge.core.endpoint_registry import EndpointRegistry
 from lemonridge.core.model import Request
 from lemonridge.extents import routing
 from lemonridge.extents.extent_map import Builder, Change, ChangeResult, Extent, ExtentMap, MapError
 from lemonridge.extents.refresh import Batch, Refreshes, Spot
-from lemonridge.extents.routing import Decision, Limits, Route, Standing, Told, Verdict
+from lemonridge.extents.routing import Decision, Limits, Redirect, Route, Standing, Verdict
 
 log = logging.getLogger(__name__)
 
@@ -39,7 +39,7 @@
     """Holds the map, and answers where data lies; it is the `Routes` of the core."""
 
     def __init__(
-        self, limits: Limits, extents_max: int, clock: Clock, directory: Directory, counters: Counters
+        self, limits: Limits, extents_max: int, clock: Clock, directory: EndpointRegistry, counters: Counters
     ) -> None:
         self.limits, self.counters = limits, counters
         self.map, self.standing = ExtentMap(extents_max), Standing()
@@ -156,7 +156,7 @@
 
     async def reroute(self, request: Request, reply: object) -> int | None:
         route = _route(request)
-        told = reply if isinstance(reply, Told) else Told()
+        told = reply if isinstance(reply, Redirect) else Redirect()
         self.counters["redirects"] += 1
         decision = routing.redirected(self.map, self.limits, route, told, self._directory.shards())
         while decision.verdict is Verdict.WAIT:
--- a/lemonridge/extents/routing.py
+++ b/lemonridge/extents/routing.py
@@ -34,7 +34,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Told:
+class Redirect:
     """What a node said when it refused an attempt unrun: which version it knows of the extent, and where that
     one lies; -1 where it knows nothing."""
 
@@ -160,7 +160,9 @@
     return True
 
 
-def redirected(held: ExtentMap, limits: Limits, route: Route, told: Told, known: frozenset[int]) -> Decision:
+def redirected(
+    held: ExtentMap, limits: Limits, route: Route, told: Redirect, known: frozenset[int]
+) -> Decision:
     """A node refused the route's piece unrun. `known` are the shards that have a node.
 
     The map goes first where it knows a newer version than the one that failed. Then comes the node's word, if
--- a/lemonridge/fleet/datagrams.py
+++ b/lemonridge/fleet/datagrams.py
@@ -26,7 +26,7 @@
 WRAP = 1 << 32  # of numbers and of times in milliseconds
 
 
-class State(IntEnum):
+class MemberState(IntEnum):
     """What a member is held to be. Of one incarnation and round, the higher one overrules."""
 
     ABSENT = 0  # never heard of
@@ -82,7 +82,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Fact:
+class MembershipUpdate:
     """What the sender holds member `who` to be, of one incarnation."""
 
     LAYOUT: ClassVar[Struct] = Struct("<HQBB")
@@ -93,7 +93,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Want:
+class LoanRequest:
     """Lend me `parts` of budget `kind`/`key` for `span_ms` from when I sent this; `hosts` is how many share
     it, `ask` this question's number, which is never used again by this incarnation. `born_ms` is when the
     node's cold spell began by the sender's knowledge, in wrapping milliseconds; 0 for other budgets."""
@@ -109,7 +109,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Grant:
+class LoanGrant:
     """Lent for question `ask`: `parts`, perhaps 0. `holds` says whether the giver uses the budget itself, and
     `hint`, less 1, is another that told it so; 0 is none."""
 
@@ -163,7 +163,7 @@
     """What the sender has seen itself of a node, `age_ms` ago, on `weight` observations."""
 
     LAYOUT: ClassVar[Struct] = Struct("<QBBH")
-    node: int
+    endpoint_id: int
     what: int
     weight: int
     age_ms: int
@@ -310,9 +310,9 @@
     Ping
     | Ack
     | PingRequest
-    | Fact
-    | Want
-    | Grant
+    | MembershipUpdate
+    | LoanRequest
+    | LoanGrant
     | Release
     | Recall
     | Cleared
@@ -336,9 +336,9 @@
     Ping,
     Ack,
     PingRequest,
-    Fact,
-    Want,
-    Grant,
+    MembershipUpdate,
+    LoanRequest,
+    LoanGrant,
     Release,
     Recall,
     Cleared,
@@ -373,7 +373,7 @@
     """Who says it, and when, in milliseconds of its own clock."""
 
     sender: int
-    state: State
+    state: MemberState
     life: int
     round: int
     number: int
@@ -396,7 +396,7 @@
         self.flaw = flaw
 
 
-class Tagger(Protocol):
+class DatagramSigner(Protocol):
     """The keyed tag of some bytes, and whether a tag is that; both need a library that only an operator's
     file loads."""
 
@@ -405,7 +405,7 @@
     def holds(self, data: bytes, tag: bytes) -> bool: ...
 
 
-def encode(head: Head, items: Iterable[Item], mark: int, tagger: Tagger | None = None) -> bytes:
+def encode(head: Head, items: Iterable[Item], mark: int, tagger: DatagramSigner | None = None) -> bytes:
     """The bytes; ValueError past DATAGRAM_MAX."""
     parts = [
         _HEAD.pack(
@@ -432,7 +432,7 @@
     return data
 
 
-def decode(data: bytes, mark: int, tagger: Tagger | None = None) -> Datagram:
+def decode(data: bytes, mark: int, tagger: DatagramSigner | None = None) -> Datagram:
     """The datagram of some bytes; FlawError says what is wrong with them. The checksum comes first: of bytes
     that were spoilt on the way nothing else can be said."""
     tag = TAG if tagger is not None else 0
@@ -457,7 +457,7 @@
                 raise FlawError(Flaw.MALFORMED)
             items.append(kind(*kind.LAYOUT.unpack_from(body, at + 1)))
             at += 1 + kind.LAYOUT.size
-        head = Head(sender, State(state), life, turn, number, sent)
+        head = Head(sender, MemberState(state), life, turn, number, sent)
     except (IndexError, ValueError, StructError):
         raise FlawError(Flaw.MALFORMED) from None
     return Datagram(head, tuple(items))
--- a/lemonridge/fleet/fleet_member.py
+++ b/lemonridge/fleet/fleet_member.py
@@ -24,30 +24,30 @@
     Cleared,
     Count,
     Datagram,
-    Fact,
+    DatagramSigner,
     Flaw,
     FlawError,
-    Grant,
     Head,
     Item,
     Judge,
+    LoanGrant,
+    LoanRequest,
+    MembershipUpdate,
+    MemberState,
     Ping,
     PingRequest,
     Presence,
     Recall,
     Release,
-    State,
-    Tagger,
-    Want,
     decode,
     encode,
     size,
 )
 from lemonridge.fleet.demand import AHEAD, COLD_US, Rates
-from lemonridge.fleet.health_gossip import Evidence, PeerHealthReports, Seen, Verdict
-from lemonridge.fleet.member_list import Roster
-from lemonridge.fleet.membership import ALIVE, Members
-from lemonridge.fleet.quota_lending import WHOLE, Key, Kind, Ledger, Slice
+from lemonridge.fleet.health_gossip import Evidence, HealthVerdict, ObservedOutcome, PeerHealthReports
+from lemonridge.fleet.member_list import MemberList
+from lemonridge.fleet.membership import ALIVE, Membership
+from lemonridge.fleet.quota_lending import WHOLE, BudgetKind, Key, QuotaLedger, QuotaSlice
 from lemonridge.fleet.usage_totals import Counted, Counts
 
 BYTES_S, ERROR_US = 8192.0, 50_000  # where nothing else is said
@@ -70,9 +70,9 @@
 _RANKS: tuple[tuple[type[Item], ...], ...] = (
     (Ack,),
     (Ping, PingRequest),
-    (Release, Recall, Cleared, Grant),
-    (Want,),
-    (Fact,),
+    (Release, Recall, Cleared, LoanGrant),
+    (LoanRequest,),
+    (MembershipUpdate,),
     (Judge,),
     (Count,),
     (Presence,),
@@ -131,7 +131,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Tell:
+class SendDatagram:
     """Send a datagram to a member."""
 
     to: int
@@ -142,9 +142,9 @@
 class Sliced:
     """What this broker may use of a budget, from this moment on."""
 
-    kind: Kind
+    kind: BudgetKind
     key: int
-    slice: Slice
+    slice: QuotaSlice
     base: int
 
 
@@ -167,7 +167,7 @@
 class Judged:
     """What others say of a node is another thing now."""
 
-    verdict: Verdict
+    verdict: HealthVerdict
 
 
 @dataclass(frozen=True, slots=True)
@@ -179,7 +179,7 @@
     item: Item
 
 
-Action = Tell | Sliced | Served | Judged | Passed | SetTimer
+FleetAction = SendDatagram | Sliced | Served | Judged | Passed | SetTimer
 
 
 @dataclass(slots=True)
@@ -204,23 +204,23 @@
     until_us: int
 
 
-class Fleet:
+class FleetMember:
     """One broker."""
 
     def __init__(
         self,
-        roster: Roster,
+        roster: MemberList,
         life: int,
         seed: int,
         now_us: int,
         tuning: Tuning | None = None,
-        tagger: Tagger | None = None,
+        tagger: DatagramSigner | None = None,
     ) -> None:
         """`life` is this start's time in Unix milliseconds: a later start of a name has a higher one."""
         self.roster, self.tuning, self._tagger = roster, tuning or Tuning(), tagger
         self._random = Random(f"{seed}/fleet")
-        self.members = Members(roster, life, seed, now_us)
-        self.ledger = Ledger(
+        self.members = Membership(roster, life, seed, now_us)
+        self.ledger = QuotaLedger(
             roster.me, life, self._random.randrange(1, 1 << 30), self.tuning.error_us, now_us
         ).among(roster.others)
         self.rates, self.cold_rates = Rates(), Rates(COLD_US)
@@ -233,7 +233,7 @@
         self._fresh: list[Key] = []  # limits whose use was not told yet
         self._due: dict[Key, int] = {}  # when to tell again that a limit is used, the earliest first
         self._places: dict[Key, tuple[int, ...]] = {}
-        self._told: dict[Key, Slice] = {}
+        self._told: dict[Key, QuotaSlice] = {}
         self._senders = [_Sender() for _ in roster.names]
         self._numbers = [0] * roster.size  # of the datagrams to each: gaps tell the other what was lost
         self._room, self._room_us = self.tuning.bytes_s * BURST_S, now_us
@@ -243,7 +243,7 @@
         self._out: dict[int, list[Item]] = {}
         self._wake_us: int | None = None
         if self.tuning.further and roster.size > 1:
-            self.ledger.own((Kind.FURTHER, 0), WHOLE // roster.size, roster.size, True, now_us)
+            self.ledger.own((BudgetKind.FURTHER, 0), WHOLE // roster.size, roster.size, True, now_us)
 
     # What this broker sees itself
 
@@ -252,7 +252,7 @@
         where it was not before: it may be lent already, and must be known before the request."""
         if hosts < 2 or self.roster.size < 2:
             return None
-        key = (int(Kind.LIMIT), volume)
+        key = (int(BudgetKind.LIMIT), volume)
         before = self._limits.get(volume)
         self._limits[volume] = (limit, now_us)
         self.rates.add(key, units, now_us, limit)
@@ -263,7 +263,7 @@
         if pool is None or (key in self._told and before is not None and now_us - before[1] < IDLE_US // 2):
             return None
         self._told[key] = now = self.ledger.slice(key, now_us)
-        return Sliced(Kind.LIMIT, volume, now, pool.base)
+        return Sliced(BudgetKind.LIMIT, volume, now, pool.base)
 
     def links(self) -> Sequence[_Sender]:
         """What came from each member, by number."""
@@ -272,7 +272,7 @@
     def told(self) -> list[Sliced]:
         """Every slice as it was told last."""
         return [
-            Sliced(Kind(key[0]), key[1], one, self.ledger.pools[key].base)
+            Sliced(BudgetKind(key[0]), key[1], one, self.ledger.pools[key].base)
             for key, one in self._told.items()
             if key in self.ledger.pools
         ]
@@ -284,18 +284,18 @@
 
     def tried(self, now_us: int) -> None:
         """A further attempt was wanted, made or not."""
-        self.rates.add((int(Kind.FURTHER), 0), 1.0, now_us, self.tuning.further)
+        self.rates.add((int(BudgetKind.FURTHER), 0), 1.0, now_us, self.tuning.further)
 
-    def ended(self, node: int, seen: Seen, now_us: int) -> bool:
+    def ended(self, endpoint: int, seen: ObservedOutcome, now_us: int) -> bool:
         """An attempt at a node (by its key) ended; whether this is to be told at once, by `handle`."""
-        if self.evidence.ended(node, seen, now_us):
+        if self.evidence.ended(endpoint, seen, now_us):
             self._told_us = self._tick_us = now_us - TELL_US
             return True
         return False
 
-    def sent(self, node: int, units: float) -> None:
+    def sent(self, endpoint: int, units: float) -> None:
         """A node was sent some units."""
-        self.shared.add(Counted.SENT, node, units)
+        self.shared.add(Counted.SENT, endpoint, units)
 
     def served(self, volume: int, units: float) -> None:
         """A volume was served some units."""
@@ -303,9 +303,9 @@
 
     # Events
 
-    def handle(self, now_us: int, events: Iterable[Event]) -> list[Action]:
+    def handle(self, now_us: int, events: Iterable[Event]) -> list[FleetAction]:
         """Take the events of one moment."""
-        actions: list[Action] = []
+        actions: list[FleetAction] = []
         self._out = {}
         if self._wake_us is not None and now_us - self._wake_us > STALL_US:
             self.counts["stalls"] += 1
@@ -334,7 +334,7 @@
 
     def _busy(self) -> bool:
         return bool(
-            self.members.state is State.JOINING
+            self.members.state is MemberState.JOINING
             or self.ledger.active
             or self._limits
             or self._cold
@@ -343,7 +343,7 @@
         )
 
     def _slow_start_began(self, event: SlowStartBegan, now_us: int) -> None:
-        key = (int(Kind.COLD), event.key)
+        key = (int(BudgetKind.COLD), event.key)
         base = int(event.rate * 1e6)
         if self.roster.size > 1 and 0 <= base < 1 << 31:
             before = self._cold.get(event.shard)
@@ -357,7 +357,7 @@
 
     def _leave(self, now_us: int) -> None:
         """What is lent to this broker goes back, and all hear that it leaves."""
-        self.members.announce(State.LEAVING)
+        self.members.announce(MemberState.LEAVING)
         for key in list(self.ledger.pools):
             self._queue(self.ledger.give_back(key))
         for who in self.members.there()[:FAN]:
@@ -365,7 +365,7 @@
 
     # Datagrams that came
 
-    def _received(self, event: Received, now_us: int, actions: list[Action]) -> None:
+    def _received(self, event: Received, now_us: int, actions: list[FleetAction]) -> None:
         try:
             told = self._read(event, now_us)
         except FlawError as error:
@@ -421,25 +421,25 @@
             sender.behind_ms = ago_ms
         return told
 
-    def _item(self, head: Head, item: Item, now_us: int, actions: list[Action]) -> None:
+    def _item(self, head: Head, item: Item, now_us: int, actions: list[FleetAction]) -> None:
         who = head.sender
         if isinstance(item, (Ping, PingRequest)):
             self._queue(self.members.asked(who, item, now_us))
         elif isinstance(item, Ack):
             self._queue(self.members.answered(who, item))
-        elif isinstance(item, Fact):
+        elif isinstance(item, MembershipUpdate):
             self._queue(self.members.fact(who, item, now_us))
-        elif isinstance(item, Want):
-            over = item.kind == Kind.COLD and all(one.key[1] != item.key for one in self._cold.values())
+        elif isinstance(item, LoanRequest):
+            over = item.kind == BudgetKind.COLD and all(one.key[1] != item.key for one in self._cold.values())
             # Of a spell that is over, or not known of, nothing is lent: this broker uses its own unbounded.
             grant = (
-                Grant(item.kind, item.key, item.ask, 0, 0)
+                LoanGrant(item.kind, item.key, item.ask, 0, 0)
                 if over
                 else self.ledger.asked(who, head.life, item, now_us)
             )
             self.counts["loans.given" if grant.parts else "loans.refused"] += 1
             self._queue([(who, grant)])
-        elif isinstance(item, Grant):
+        elif isinstance(item, LoanGrant):
             if self.ledger.lent_to_me(who, head.life, item, now_us) and item.parts:
                 self.counts["loans.taken"] += 1
         elif isinstance(item, Release):
@@ -450,7 +450,7 @@
             self.counts["floors.over"] += self.ledger.cleared(who, item, now_us)
         elif isinstance(item, Judge):
             seen_us = now_us - item.age_ms * 1000
-            told = self.peer_reports.told(who, item.node, item.what, item.weight, seen_us, now_us)
+            told = self.peer_reports.told(who, item.endpoint_id, item.what, item.weight, seen_us, now_us)
             if told is not None:
                 self.counts["judgements.agreed" if told.agreed else "judgements.lone"] += 1
                 actions.append(Judged(told))
@@ -475,9 +475,9 @@
         if now_us < self.ledger.whole_us and self.roster.size <= FAN + 1 and now_us >= self._recall_us:
             self._recall_us = now_us + RECALL_US
             self._queue([(who, Recall()) for who in self.ledger.unclear()])
-        if now_us >= self.ledger.whole_us and self.members.state is State.JOINING:
-            self.members.announce(State.UP)
-        wanted: dict[int, list[Want]] = {}
+        if now_us >= self.ledger.whole_us and self.members.state is MemberState.JOINING:
+            self.members.announce(MemberState.UP)
+        wanted: dict[int, list[LoanRequest]] = {}
         wanted_of = [*self.rates.known(), *self.cold_rates.known()]
         for key in wanted_of:
             self._need(key, now_us)
@@ -501,7 +501,7 @@
             for key in self.ledger.sweep(now_us, IDLE_US):
                 self._told.pop(key, None)
                 self.rates.forget(key)
-                if key[0] == Kind.LIMIT:
+                if key[0] == BudgetKind.LIMIT:
                     self._limits.pop(key[1], None)
 
     def _say(self, now_us: int) -> None:
@@ -510,7 +510,7 @@
         if len(some) > FAN:
             some = self._random.sample(some, FAN)
         judges = [
-            Judge(one.node, int(one.what), one.weight, min(65535, (now_us - one.at_us) // 1000))
+            Judge(one.endpoint_id, int(one.what), one.weight, min(65535, (now_us - one.at_us) // 1000))
             for one in self.evidence.observations(now_us)[:JUDGES]
         ]
         counts = [Count(*row) for row in self.shared.news(COUNTS)] if self.tuning.counts else []
@@ -524,12 +524,12 @@
         pool = self.ledger.pools.get(key)
         if pool is None:
             return
-        rates = self.cold_rates if key[0] == Kind.COLD else self.rates
+        rates = self.cold_rates if key[0] == BudgetKind.COLD else self.rates
         rate = rates.rate(key, now_us) * AHEAD
-        if key[0] == Kind.LIMIT:
+        if key[0] == BudgetKind.LIMIT:
             limit = self._limits.get(key[1], (0.0, 0))[0]
             pool.need = min(WHOLE, int(rate / limit * WHOLE)) if limit else 0
-        elif key[0] == Kind.COLD:
+        elif key[0] == BudgetKind.COLD:
             pool.need = min((1 << 31) - 1, int(rate * 1e6 * COLD_TIMES))
         else:
             pool.need = min(WHOLE, int(rate / self.tuning.further * WHOLE))
@@ -538,16 +538,16 @@
 
     def _whom(self, key: Key) -> list[int]:
         """Whom to ask: those that use the budget, and others at random, up to FAN; all of a small fleet."""
-        others = [n for n in self.roster.others if self.members.members[n].state is not State.LEFT]
+        others = [n for n in self.roster.others if self.members.members[n].state is not MemberState.LEFT]
         if len(others) <= FAN:
             return others
         pool = self.ledger.pools[key]
         known = sorted(pool.users)[:FAN]
-        if key[0] == Kind.LIMIT and len(known) >= pool.hosts - 1:
+        if key[0] == BudgetKind.LIMIT and len(known) >= pool.hosts - 1:
             return known
-        if key[0] == Kind.LIMIT:
+        if key[0] == BudgetKind.LIMIT:
             known = list(dict.fromkeys([*known, *sorted(pool.hints), *self.places(key)]))[:FAN]
-        if key[0] != Kind.LIMIT:  # whoever lent once lends again, or the slices would wander
+        if key[0] != BudgetKind.LIMIT:  # whoever lent once lends again, or the slices would wander
             known = [n for n in pool.borrowed if n in others][:FAN]
         rest = [n for n in others if n not in known]
         return known + self._random.sample(rest, min(len(rest), FAN - len(known)))
@@ -585,7 +585,7 @@
             want = self.ledger.ask(key, now_us, 0)
             self._queue([(who, want) for who in self.places(key)])
 
-    def _settle(self, now_us: int, actions: list[Action]) -> None:
+    def _settle(self, now_us: int, actions: list[FleetAction]) -> None:
         """Tell of each slice that is another one now."""
         for key in self.ledger.settle(now_us):
             pool = self.ledger.pools.get(key)
@@ -594,7 +594,7 @@
             now = self.ledger.slice(key, now_us)
             if self._told.get(key) != now:
                 self._told[key] = now
-                actions.append(Sliced(Kind(key[0]), key[1], now, pool.base))
+                actions.append(Sliced(BudgetKind(key[0]), key[1], now, pool.base))
 
     # Datagrams that leave
 
@@ -602,13 +602,13 @@
         for who, item in items:
             self._out.setdefault(who, []).append(item)
 
-    def _flush(self, now_us: int, actions: list[Action]) -> None:
+    def _flush(self, now_us: int, actions: list[FleetAction]) -> None:
         for who, items in self._out.items():
             self._send(who, items, now_us, actions, None)
         self._out = {}
 
     def _send(
-        self, who: int, items: list[Item], now_us: int, actions: list[Action], most: int | None
+        self, who: int, items: list[Item], now_us: int, actions: list[FleetAction], most: int | None
     ) -> None:
         """Pack items for one member, the most useful first; what finds no room in the budget is left out."""
         frame = HEAD_BYTES + (TAG if self._tagger is not None else 0)
@@ -635,7 +635,7 @@
                     self.counts["items.left_out"] += len(items)
                 return
 
-    def _tell(self, who: int, items: list[Item], now_us: int, actions: list[Action]) -> None:
+    def _tell(self, who: int, items: list[Item], now_us: int, actions: list[FleetAction]) -> None:
         self._numbers[who] += 1
         head = Head(
             self.roster.me,
@@ -648,9 +648,9 @@
         data = encode(head, items, self.roster.mark, self._tagger)
         self.counts["datagrams.sent"] += 1
         self.counts["bytes.sent"] += len(data)
-        actions.append(Tell(who, data))
+        actions.append(SendDatagram(who, data))
 
-    def _post(self, who: int, item: Item, now_us: int, actions: list[Action]) -> None:
+    def _post(self, who: int, item: Item, now_us: int, actions: list[FleetAction]) -> None:
         """One datagram for one item, under a budget of its own: a change of policy is rare and must not wait
         for what budgets have to say. What finds no room is lost, as on any link, and is said again."""
         self._posts = min(POST_S, self._posts + POST_S * (now_us - self._posts_us) / 1e6)
@@ -673,4 +673,4 @@
 
 COLD_TOP = 1000.0  # units a second: more is not asked for at a cold node
 COLD_TIMES = 4  # a cold node is sent a quarter of a right at least: so much more of it is of use
-_FACT = Fact(0, 0, 0, 0)
+_FACT = MembershipUpdate(0, 0, 0, 0)
--- a/lemonridge/fleet/health_gossip.py
+++ b/lemonridge/fleet/health_gossip.py
@@ -34,7 +34,7 @@
     COLD = 4  # it was down and came back
 
 
-class Seen(IntEnum):
+class ObservedOutcome(IntEnum):
     """How an attempt ended, as far as it says something of the node."""
 
     GOOD = 0
@@ -59,7 +59,7 @@
 class HealthObservation:
     """One judgement of this broker's own, with the number of observations behind it."""
 
-    node: int
+    endpoint_id: int
     what: ReportedCondition
     weight: int
     at_us: int
@@ -71,24 +71,24 @@
     def __init__(self) -> None:
         self._own: dict[int, _Own] = {}
 
-    def ended(self, node: int, seen: Seen, now_us: int) -> bool:
+    def ended(self, endpoint: int, seen: ObservedOutcome, now_us: int) -> bool:
         """An attempt at a node ended. Whether others should hear of it at once: it is a first failure."""
-        own = self._own.pop(node, None) or _Own()
-        self._own[node] = own  # the latest stands last
+        own = self._own.pop(endpoint, None) or _Own()
+        self._own[endpoint] = own  # the latest stands last
         if len(self._own) > NODES_MAX:
             del self._own[next(iter(self._own))]
         own.last_us = now_us
-        if seen is Seen.CONNECT_FAILED:
+        if seen is ObservedOutcome.CONNECT_FAILED:
             own.missed += 1
             own.down_us = own.down_us or now_us
             return own.missed == DOWN_AFTER
-        if seen is Seen.SILENT:
+        if seen is ObservedOutcome.SILENT:
             own.silent += 1
             return own.silent == SILENT_AFTER
         if own.missed and now_us - own.down_us >= COLD_AFTER_US:
             own.cold_us = now_us
         own.missed = own.down_us = own.silent = 0
-        own.ends.append((now_us, seen is Seen.ERROR))
+        own.ends.append((now_us, seen is ObservedOutcome.ERROR))
         while own.ends[0][0] < now_us - WINDOW_US:
             own.ends.popleft()
         return False
@@ -96,23 +96,25 @@
     def observations(self, now_us: int) -> list[HealthObservation]:
         """What may be told, the worst first; old observations say nothing any more."""
         told = []
-        for node, own in self._own.items():
+        for endpoint, own in self._own.items():
             if now_us - own.last_us > FRESH_US:
                 continue
             errors = sum(bad for when, bad in own.ends if when >= now_us - WINDOW_US)
             if own.missed >= DOWN_AFTER:
                 told.append(
-                    HealthObservation(node, ReportedCondition.DOWN, min(255, own.missed), own.last_us)
+                    HealthObservation(endpoint, ReportedCondition.DOWN, min(255, own.missed), own.last_us)
                 )
             elif own.silent >= SILENT_AFTER:
                 told.append(
-                    HealthObservation(node, ReportedCondition.SILENT, min(255, own.silent), own.last_us)
+                    HealthObservation(endpoint, ReportedCondition.SILENT, min(255, own.silent), own.last_us)
                 )
             elif errors >= ERRORS_AFTER and errors >= ERRORS_SHARE * len(own.ends):
-                told.append(HealthObservation(node, ReportedCondition.ERRORS, min(255, errors), own.last_us))
+                told.append(
+                    HealthObservation(endpoint, ReportedCondition.ERRORS, min(255, errors), own.last_us)
+                )
             elif own.cold_us and now_us - own.cold_us <= FRESH_US:
-                told.append(HealthObservation(node, ReportedCondition.COLD, 1, own.cold_us))
-        return sorted(told, key=lambda one: (one.what, -one.weight, one.node))
+                told.append(HealthObservation(endpoint, ReportedCondition.COLD, 1, own.cold_us))
+        return sorted(told, key=lambda one: (one.what, -one.weight, one.endpoint_id))
 
 
 @dataclass(frozen=True, slots=True)
@@ -125,10 +127,10 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Verdict:
+class HealthVerdict:
     """What the voices on a node come to. `at_us` is the oldest of those that agree."""
 
-    node: int
+    endpoint_id: int
     what: ReportedCondition
     sources: int
     at_us: int
@@ -144,12 +146,14 @@
     def __init__(self) -> None:
         self._voices: dict[int, dict[int, PeerHealthReport]] = {}
 
-    def told(self, source: int, node: int, what: int, weight: int, at_us: int, now_us: int) -> Verdict | None:
+    def told(
+        self, source: int, endpoint: int, what: int, weight: int, at_us: int, now_us: int
+    ) -> HealthVerdict | None:
         """A voice came; the verdict as it is now, or None where it changes nothing."""
         if what not in ReportedCondition._value2member_map_ or not weight or now_us - at_us > FRESH_US:
             return None
-        voices = self._voices.pop(node, {})
-        self._voices[node] = voices
+        voices = self._voices.pop(endpoint, {})
+        self._voices[endpoint] = voices
         if len(self._voices) > NODES_MAX:
             del self._voices[next(iter(self._voices))]
         before = voices.get(source)
@@ -158,12 +162,12 @@
         voices[source] = PeerHealthReport(ReportedCondition(what), weight, at_us)
         while len(voices) > VOICES_MAX:
             del voices[min(voices, key=lambda who: voices[who].at_us)]
-        return self.verdict(node, now_us)
+        return self.verdict(endpoint, now_us)
 
-    def verdict(self, node: int, now_us: int) -> Verdict | None:
+    def verdict(self, endpoint: int, now_us: int) -> HealthVerdict | None:
         """What most of the fresh voices say of a node. That it is down and that it is silent agree: nothing
         comes from it."""
-        fresh = [one for one in self._voices.get(node, {}).values() if now_us - one.at_us <= FRESH_US]
+        fresh = [one for one in self._voices.get(endpoint, {}).values() if now_us - one.at_us <= FRESH_US]
         if not fresh:
             return None
         gone = [one for one in fresh if one.what in (ReportedCondition.DOWN, ReportedCondition.SILENT)]
@@ -172,12 +176,14 @@
             for what in (ReportedCondition.ERRORS, ReportedCondition.COLD)
         ]
         most = max(groups, key=len)
-        return Verdict(node, min(one.what for one in most), len(most), min(one.at_us for one in most))
+        return HealthVerdict(
+            endpoint, min(one.what for one in most), len(most), min(one.at_us for one in most)
+        )
 
     def voices(self, now_us: int) -> dict[int, dict[int, PeerHealthReport]]:
         """All that is fresh, by node and source, to be shown."""
         return {
-            node: kept
-            for node, voices in self._voices.items()
+            endpoint: kept
+            for endpoint, voices in self._voices.items()
             if (kept := {who: one for who, one in voices.items() if now_us - one.at_us <= FRESH_US})
         }
--- a/lemonridge/fleet/member_list.py
+++ b/lemonridge/fleet/member_list.py
@@ -10,7 +10,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Roster:
+class MemberList:
     """The brokers of one tier in the order of their numbers; `me` is this one's."""
 
     names: tuple[str, ...]
--- a/lemonridge/fleet/membership.py
+++ b/lemonridge/fleet/membership.py
@@ -18,8 +18,8 @@
 from math import log
 from random import Random
 
-from lemonridge.fleet.datagrams import Ack, Fact, Item, Ping, PingRequest, State
-from lemonridge.fleet.member_list import Roster
+from lemonridge.fleet.datagrams import Ack, Item, MembershipUpdate, MemberState, Ping, PingRequest
+from lemonridge.fleet.member_list import MemberList
 
 PERIOD_US = 500_000  # between two questions: time to detect against bytes
 AGAIN = 0.2  # part of a period after which a question without an answer is put again (ours): of links that
@@ -36,15 +36,15 @@
 LATE = 2.0  # a tick that comes so many periods late says that this process did not run
 ROUND_TOP = 255
 KNOWN = 1 << 30  # told often enough
-WATCHED = (State.JOINING, State.UP, State.LEAVING, State.SUSPECT)
-ALIVE = (State.JOINING, State.UP, State.LEAVING)
+WATCHED = (MemberState.JOINING, MemberState.UP, MemberState.LEAVING, MemberState.SUSPECT)
+ALIVE = (MemberState.JOINING, MemberState.UP, MemberState.LEAVING)
 
 
 @dataclass(slots=True)
 class Member:
     """What this broker holds of one other."""
 
-    state: State = State.ABSENT
+    state: MemberState = MemberState.ABSENT
     life: int = 0
     round: int = 0
     since_us: int = 0
@@ -69,11 +69,11 @@
     end_us: int
 
 
-class Members:
+class Membership:
     """One broker's view of all. `handle` methods return the items to send, by member."""
 
-    def __init__(self, roster: Roster, life: int, seed: int, now_us: int) -> None:
-        self.roster, self.life, self.round, self.state = roster, life, 0, State.JOINING
+    def __init__(self, roster: MemberList, life: int, seed: int, now_us: int) -> None:
+        self.roster, self.life, self.round, self.state = roster, life, 0, MemberState.JOINING
         self.members = [Member(since_us=now_us) for _ in roster.names]
         self.health = 0
         self.accused = self.stalls = 0
@@ -91,59 +91,69 @@
 
     def there(self) -> tuple[int, ...]:
         """Those that are not held dead: suspected ones too, and those that were not heard of yet."""
-        return tuple(n for n in self.roster.others if self.members[n].state not in (State.DEAD, State.LEFT))
+        return tuple(
+            n for n in self.roster.others if self.members[n].state not in (MemberState.DEAD, MemberState.LEFT)
+        )
 
-    def announce(self, state: State) -> None:
+    def announce(self, state: MemberState) -> None:
         """This broker changes its own state."""
         if state is not self.state:
             self.state = state
             self._renew()
 
-    def heard(self, who: int, life: int, turn: int, state: State, now_us: int) -> list[tuple[int, Item]]:
+    def heard(
+        self, who: int, life: int, turn: int, state: MemberState, now_us: int
+    ) -> list[tuple[int, Item]]:
         """A datagram came from `who` itself: it overrules what others say of this incarnation."""
         member = self.members[who]
         member.heard_us = now_us
-        if (life, turn) < (member.life, member.round) and member.state is not State.ABSENT:
+        if (life, turn) < (member.life, member.round) and member.state is not MemberState.ABSENT:
             return []
-        wrong = member.life == life and member.state in (State.SUSPECT, State.DEAD)
+        wrong = member.life == life and member.state in (MemberState.SUSPECT, MemberState.DEAD)
         out: list[tuple[int, Item]] = []
         if wrong and turn <= member.round:  # it has not heard of it: others hold it so too
-            out.append((who, Fact(who, life, member.round, member.state)))
+            out.append((who, MembershipUpdate(who, life, member.round, member.state)))
         if wrong:
             member.cleared += 1
         if (member.life, member.round, member.state) != (life, turn, state):
             self._set(who, state, life, turn, now_us)
         return out
 
-    def fact(self, teller: int, told: Fact, now_us: int) -> list[tuple[int, Item]]:
+    def fact(self, teller: int, told: MembershipUpdate, now_us: int) -> list[tuple[int, Item]]:
         """What another says of a member, this one perhaps."""
         if not 0 <= told.who < self.roster.size:
             return []
-        state = State(told.state) if told.state in State._value2member_map_ else State.ABSENT
+        state = (
+            MemberState(told.state) if told.state in MemberState._value2member_map_ else MemberState.ABSENT
+        )
         if told.who == self.roster.me:
             self._of_me(told, state)
             return []
         member = self.members[told.who]
-        if state is State.ABSENT or (told.life, told.round) < (member.life, member.round):
+        if state is MemberState.ABSENT or (told.life, told.round) < (member.life, member.round):
             return []
         newer = (told.life, told.round) > (member.life, member.round)
-        if state is State.SUSPECT and not newer and member.state is State.SUSPECT:
+        if state is MemberState.SUSPECT and not newer and member.state is MemberState.SUSPECT:
             self._accuse(member, teller)
             return []
         if not newer and state <= member.state:
             return []
-        if state is State.SUSPECT:
+        if state is MemberState.SUSPECT:
             if now_us - member.heard_us < PERIOD_US and member.heard_us and told.life == member.life:
-                return [(teller, Fact(told.who, member.life, member.round, member.state))]
+                return [(teller, MembershipUpdate(told.who, member.life, member.round, member.state))]
             self._suspect(told.who, told.life, told.round, teller, now_us)
         else:
             self._set(told.who, state, told.life, told.round, now_us)
         return []
 
-    def _of_me(self, told: Fact, state: State) -> None:
+    def _of_me(self, told: MembershipUpdate, state: MemberState) -> None:
         if told.life > self.life:
             self.superseded = True
-        elif told.life == self.life and told.round >= self.round and state in (State.SUSPECT, State.DEAD):
+        elif (
+            told.life == self.life
+            and told.round >= self.round
+            and state in (MemberState.SUSPECT, MemberState.DEAD)
+        ):
             self.accused += 1
             self.health = min(HEALTH_MAX, self.health + 1)
             self.round = max(self.round, told.round)
@@ -156,19 +166,19 @@
             self.life, self.round = self.life + 1, 0
         self.members[self.roster.me].told = 0
 
-    def _set(self, who: int, state: State, life: int, turn: int, now_us: int) -> None:
+    def _set(self, who: int, state: MemberState, life: int, turn: int, now_us: int) -> None:
         member = self.members[who]
-        member.deaths += state is State.DEAD
+        member.deaths += state is MemberState.DEAD
         if state is not member.state:
             member.since_us = now_us
         # That one is up which the roster names is no news: a tier that starts together tells nothing on.
-        member.told = KNOWN if member.state is State.ABSENT and state in ALIVE else 0
+        member.told = KNOWN if member.state is MemberState.ABSENT and state in ALIVE else 0
         member.state, member.life, member.round = state, life, turn
         member.accusers.clear()
 
     def _suspect(self, who: int, life: int, turn: int, by: int, now_us: int) -> None:
         member = self.members[who]
-        self._set(who, State.SUSPECT, life, turn, now_us)
+        self._set(who, MemberState.SUSPECT, life, turn, now_us)
         member.began_us = now_us
         self._accuse(member, by)
 
@@ -215,8 +225,8 @@
             self.stalled(now_us)
         for who in self.roster.others:
             member = self.members[who]
-            if member.state is State.SUSPECT and now_us >= member.suspect_us:
-                self._set(who, State.DEAD, member.life, member.round, now_us)
+            if member.state is MemberState.SUSPECT and now_us >= member.suspect_us:
+                self._set(who, MemberState.DEAD, member.life, member.round, now_us)
         probe = self._probe
         if probe is not None and now_us >= probe.end_us:
             self._missed(probe, now_us)
@@ -239,7 +249,7 @@
         at = self.next_us
         if self._probe is not None:
             at = min(at, self._probe.end_us, self._probe.again_us, self._probe.indirect_us)
-        ends = [m.suspect_us for m in self.members if m.state is State.SUSPECT]
+        ends = [m.suspect_us for m in self.members if m.state is MemberState.SUSPECT]
         return min([at, *ends])
 
     def stalled(self, now_us: int) -> None:
@@ -248,7 +258,7 @@
         self._probe = None
         self.health = min(HEALTH_MAX, self.health + 1)
         for member in self.members:
-            if member.state is State.SUSPECT:
+            if member.state is MemberState.SUSPECT:
                 member.suspect_us = max(member.suspect_us, now_us + 2 * PERIOD_US)
 
     def _question(self, now_us: int) -> list[tuple[int, Item]]:
@@ -294,7 +304,7 @@
             # What came from it since the question says that it is there, whatever became of the answer.
             if member.heard_us < probe.began_us:
                 self._suspect(probe.who, member.life, member.round, self.roster.me, now_us)
-        elif member.state is State.SUSPECT:
+        elif member.state is MemberState.SUSPECT:
             self._accuse(member, self.roster.me)
 
     def _next_nonce(self) -> int:
@@ -303,22 +313,22 @@
 
     # What rides on other datagrams
 
-    def facts(self, to: int, most: int) -> list[Fact]:
+    def facts(self, to: int, most: int) -> list[MembershipUpdate]:
         """The least told facts of members that changed; each is told some times and then no more. How `to`
         itself is held comes first if it is held wrongly: it alone can refute that (Lifeguard, IV-C)."""
         out = []
         held = self.members[to]
-        if held.state in (State.SUSPECT, State.DEAD) and most > 0:
-            out.append(Fact(to, held.life, held.round, held.state))
+        if held.state in (MemberState.SUSPECT, MemberState.DEAD) and most > 0:
+            out.append(MembershipUpdate(to, held.life, held.round, held.state))
         times = TELLS * max(1.0, log(self.roster.size + 1, 2))
         fresh = [
             n
             for n in self.roster.others
-            if n != to and self.members[n].state is not State.ABSENT and self.members[n].told < times
+            if n != to and self.members[n].state is not MemberState.ABSENT and self.members[n].told < times
         ]
         fresh.sort(key=lambda n: (self.members[n].told, n))
         for who in fresh[: min(most, FACTS) - len(out)]:
             member = self.members[who]
             member.told += 1
-            out.append(Fact(who, member.life, member.round, member.state))
+            out.append(MembershipUpdate(who, member.life, member.round, member.state))
         return out
--- a/lemonridge/fleet/quota_lending.py
+++ b/lemonridge/fleet/quota_lending.py
@@ -19,7 +19,7 @@
 from dataclasses import dataclass, field
 from enum import IntEnum
 
-from lemonridge.fleet.datagrams import WRAP, Cleared, Grant, Item, Release, Want
+from lemonridge.fleet.datagrams import WRAP, Cleared, Item, LoanGrant, LoanRequest, Release
 
 WHOLE = 1_000_000  # parts of a volume's limit, or of the further attempts
 SPAN_US = 1_500_000  # of a loan: what a dead borrower keeps from others, against questions a second
@@ -34,7 +34,7 @@
 LOANS_MAX = 8  # loans of one borrower that have not ended; past it they count as one, the largest and longest
 
 
-class Kind(IntEnum):
+class BudgetKind(IntEnum):
     """What a budget is of; `key` names it within its kind."""
 
     LIMIT = 1  # a volume's limit: parts of its rate
@@ -110,7 +110,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Slice:
+class QuotaSlice:
     """What this broker may use of a budget: `parts` until `until_us`, `after` from then on."""
 
     parts: int
@@ -118,7 +118,7 @@
     after: int
 
 
-class Ledger:
+class QuotaLedger:
     """All budgets of one broker."""
 
     def __init__(self, me: int, life: int, first_ask: int, error_us: int, now_us: int) -> None:
@@ -143,7 +143,7 @@
             if len(self.pools) >= POOLS_MAX:
                 self.refused += 1
                 return None
-            floors = COLD_FLOOR if key[0] == Kind.COLD else FLOOR
+            floors = COLD_FLOOR if key[0] == BudgetKind.COLD else FLOOR
             pool = self.pools[key] = Pool(base, hosts, floors=floors)
         elif hosts > pool.hosts:
             pool.base, pool.hosts = min(pool.base, base), hosts
@@ -174,7 +174,7 @@
         Of a limit only those who use it have a part, and who uses it may not be known: then each that is not
         known counts as a non-user as far as `hosts` allows, the largest loans first."""
         held = {peer: one.parts for peer, one in pool.borrowed.items() if one.end_us > now_us}
-        if key[0] != Kind.LIMIT:
+        if key[0] != BudgetKind.LIMIT:
             return sum(held.values())
         others = pool.hosts - 1
         if len(pool.users) >= others:
@@ -185,17 +185,17 @@
 
     _others: tuple[int, ...] = ()
 
-    def among(self, others: Iterable[int]) -> Ledger:
+    def among(self, others: Iterable[int]) -> QuotaLedger:
         """Who else there is: the roster but for this broker."""
         self._others = tuple(others)
         return self
 
-    def slice(self, key: Key, now_us: int) -> Slice:
+    def slice(self, key: Key, now_us: int) -> QuotaSlice:
         """What may be used of a budget that is kept."""
         pool = self.pools[key]
         mine = self.mine(pool, now_us)
         ends = [one.end_us for one in pool.borrowed.values() if one.end_us > now_us]
-        return Slice(mine + self.extra(key, pool, now_us), min(ends, default=0), mine)
+        return QuotaSlice(mine + self.extra(key, pool, now_us), min(ends, default=0), mine)
 
     # Borrowing
 
@@ -210,7 +210,7 @@
             and now_us - pool.asked_us >= ASK_US
         ]
 
-    def ask(self, key: Key, now_us: int, parts: int | None = None) -> Want:
+    def ask(self, key: Key, now_us: int, parts: int | None = None) -> LoanRequest:
         """A question for what is missing, or for `parts`; it is to leave at once. One for nothing says that
         this broker uses the budget, and hears of others."""
         pool = self.pools[key]
@@ -220,15 +220,17 @@
         pool.asks[self._ask] = now_us
         while len(pool.asks) > ASKS_MAX:
             del pool.asks[next(iter(pool.asks))]
-        return Want(key[0], key[1], min(255, pool.hosts), self._ask, parts, SPAN_US // 1000, pool.born_ms)
+        return LoanRequest(
+            key[0], key[1], min(255, pool.hosts), self._ask, parts, SPAN_US // 1000, pool.born_ms
+        )
 
-    def lent_to_me(self, peer: int, life: int, told: Grant, now_us: int) -> bool:
+    def lent_to_me(self, peer: int, life: int, told: LoanGrant, now_us: int) -> bool:
         """An answer of one of the lender's incarnations. It counts from when its question was sent, replaces
         what the same lender gave for an earlier one, and means nothing if it answers none that is open."""
         pool = self.pools.get((told.kind, told.key))
         if pool is None or life < self._recalled.get(peer, 0):
             return False
-        if told.kind == Kind.LIMIT:
+        if told.kind == BudgetKind.LIMIT:
             if told.holds:
                 pool.users.add(peer)
             if told.hint and told.hint - 1 in self._others and len(pool.hints) < HINTS_MAX:
@@ -283,37 +285,43 @@
 
     # Lending
 
-    def asked(self, peer: int, life: int, told: Want, now_us: int) -> Grant:
+    def asked(self, peer: int, life: int, told: LoanRequest, now_us: int) -> LoanGrant:
         """Lend what is above the floor and not needed here; 0 says that nothing is."""
         key = (told.kind, told.key)
-        none = Grant(told.kind, told.key, told.ask, 0, 0)
-        if told.kind not in (Kind.LIMIT, Kind.COLD, Kind.FURTHER) or told.span_ms * 1000 > SPAN_US:
+        none = LoanGrant(told.kind, told.key, told.ask, 0, 0)
+        if (
+            told.kind not in (BudgetKind.LIMIT, BudgetKind.COLD, BudgetKind.FURTHER)
+            or told.span_ms * 1000 > SPAN_US
+        ):
             return none
         pool = self.pools.get(key)
-        if told.kind == Kind.LIMIT and told.hosts > 1 and (pool is None or not pool.holds):
+        if told.kind == BudgetKind.LIMIT and told.hosts > 1 and (pool is None or not pool.holds):
             # Not used here so far: one that may use it tomorrow can promise not to.
             pool = self.own(key, WHOLE // told.hosts, told.hosts, False, now_us)
         if pool is None or pool.hosts != told.hosts:
             return none
-        if told.kind == Kind.COLD and (told.born_ms - pool.born_ms + WRAP // 2) % WRAP < WRAP // 2 - BORN_MS:
+        if (
+            told.kind == BudgetKind.COLD
+            and (told.born_ms - pool.born_ms + WRAP // 2) % WRAP < WRAP // 2 - BORN_MS
+        ):
             return none  # it holds the node warmer than this broker does: perhaps it missed a restart
         hint = 0
-        if told.kind == Kind.LIMIT:
+        if told.kind == BudgetKind.LIMIT:
             others = sorted(pool.users - {peer})
             pool.users.add(peer)
             pool.turn += 1
             hint = 1 + others[pool.turn % len(others)] if others else 0
         pool.prune(now_us)
         if now_us < self.whole_us:
-            return Grant(told.kind, told.key, told.ask, 0, pool.holds, hint)
+            return LoanGrant(told.kind, told.key, told.ask, 0, pool.holds, hint)
         keep = max(pool.floor, min(pool.base, pool.need) if pool.holds else 0)
         parts = min(told.parts, pool.base - keep - pool.out(now_us, peer))
         if parts < min(LEAST, max(1, pool.base // 100)):
-            return Grant(told.kind, told.key, told.ask, 0, pool.holds, hint)
+            return LoanGrant(told.kind, told.key, told.ask, 0, pool.holds, hint)
         self.active.add(key)
         loans = pool.lent.setdefault(peer, [])
         loans.append(Loan(life, told.ask, parts, now_us + told.span_ms * 1000 + self.error_us))
-        return Grant(told.kind, told.key, told.ask, parts, pool.holds, hint)
+        return LoanGrant(told.kind, told.key, told.ask, parts, pool.holds, hint)
 
     def returned(self, peer: int, life: int, told: Release) -> bool:
         """A borrower uses nothing of its questions up to `ask` any more."""
--- a/lemonridge/fleet/scheduler_bridge.py
+++ b/lemonridge/fleet/scheduler_bridge.py
@@ -9,26 +9,26 @@
 from collections.abc import Callable, Iterable, Sequence
 
 from lemonridge.fleet import fleet_member
-from lemonridge.fleet.datagrams import Item, Tagger
+from lemonridge.fleet.datagrams import DatagramSigner, Item
 from lemonridge.fleet.fleet_member import (
     BYTES_S,
     ERROR_US,
-    Fleet,
+    FleetMember,
     Judged,
     Leaving,
     Passed,
     Post,
     Received,
+    SendDatagram,
     Served,
     SetTimer,
     Sliced,
-    Tell,
     TimerFired,
     Tuning,
 )
-from lemonridge.fleet.health_gossip import ReportedCondition, Seen, Verdict
-from lemonridge.fleet.member_list import Roster, key_of
-from lemonridge.fleet.quota_lending import WHOLE, Kind
+from lemonridge.fleet.health_gossip import HealthVerdict, ObservedOutcome, ReportedCondition
+from lemonridge.fleet.member_list import MemberList, key_of
+from lemonridge.fleet.quota_lending import WHOLE, BudgetKind
 from lemonridge.scheduling.actions import Action, SlowStartBegan
 from lemonridge.scheduling.events import (
     AttemptEnded,
@@ -47,52 +47,52 @@
 NODES_MAX = 65536  # names that are kept for what comes by key
 MICRO = 1e12  # micro-units a second in a unit a microsecond
 BUDGETS = {
-    Kind.LIMIT: SharedBudget.LIMIT,
-    Kind.COLD: SharedBudget.SLOW_START,
-    Kind.FURTHER: SharedBudget.RETRIES,
+    BudgetKind.LIMIT: SharedBudget.LIMIT,
+    BudgetKind.COLD: SharedBudget.SLOW_START,
+    BudgetKind.FURTHER: SharedBudget.RETRIES,
 }
 SEEN = {
-    AttemptResult.OK: Seen.GOOD,
-    AttemptResult.QUEUE_FULL: Seen.GOOD,
-    AttemptResult.ERROR: Seen.ERROR,
-    AttemptResult.CONNECT_FAILED: Seen.CONNECT_FAILED,
-    AttemptResult.TIMEOUT: Seen.SILENT,
+    AttemptResult.OK: ObservedOutcome.GOOD,
+    AttemptResult.QUEUE_FULL: ObservedOutcome.GOOD,
+    AttemptResult.ERROR: ObservedOutcome.ERROR,
+    AttemptResult.CONNECT_FAILED: ObservedOutcome.CONNECT_FAILED,
+    AttemptResult.TIMEOUT: ObservedOutcome.SILENT,
 }
 
 
 Decide = Callable[[int, Iterable[Event]], list[Action]]  # a scheduler's `handle`
 
 
-class Companion:
+class SchedulerBridge:
     """`events` and `tells` grow with each call, in the order in which they must go; the host takes them. The
     events come before whatever else the decisions are told from then on."""
 
     def __init__(
         self,
-        roster: Roster,
+        roster: MemberList,
         life: int,
         seed: int,
         now_us: int,
         settings: Settings,
         bytes_s: float = BYTES_S,
         error_us: int = ERROR_US,
-        tagger: Tagger | None = None,
+        tagger: DatagramSigner | None = None,
     ) -> None:
         self.settings = settings
         tuning = Tuning(bytes_s, error_us, not settings.reports_peer_usage, settings.retry_rate)
-        self.fleet = Fleet(roster, life, seed, now_us, tuning, tagger)
+        self.fleet = FleetMember(roster, life, seed, now_us, tuning, tagger)
         self.events: list[Event] = []
-        self.tells: list[Tell] = []
+        self.tells: list[SendDatagram] = []
         self.passed: list[Passed] = []  # for the machine that changes policies
         self.wake_us = now_us
-        self.nodes: dict[int, str] = {}  # names by key
+        self.endpoints: dict[int, str] = {}  # names by key
         self._handle(now_us)
 
     def _handle(self, now_us: int, *events: fleet_member.Event) -> None:
         for action in self.fleet.handle(now_us, events):
             if isinstance(action, Sliced):
                 self._sliced(action, now_us)
-            elif isinstance(action, Tell):
+            elif isinstance(action, SendDatagram):
                 self.tells.append(action)
             elif isinstance(action, Judged):
                 self._judged(action.verdict)
@@ -134,13 +134,13 @@
     def listed(self, entries: Iterable[Endpoint]) -> None:
         """The node list, or a part of it."""
         for entry in entries:
-            if len(self.nodes) < NODES_MAX:
-                self.nodes.setdefault(key_of(entry.node), entry.node)
+            if len(self.endpoints) < NODES_MAX:
+                self.endpoints.setdefault(key_of(entry.endpoint_id), entry.endpoint_id)
 
     def ended(self, event: AttemptEnded, now_us: int, volume: int = 0, units: float = 0.0) -> None:
         """An attempt ended, of a request of that volume and size."""
         seen = SEEN.get(event.result)
-        if seen is not None and self.fleet.ended(key_of(event.node), seen, now_us):
+        if seen is not None and self.fleet.ended(key_of(event.endpoint_id), seen, now_us):
             self._handle(now_us, TimerFired())
         if event.result is AttemptResult.OK and units:
             self.fleet.served(volume, units)
@@ -149,15 +149,20 @@
 
     # What they decide
 
-    def sent(self, node: str, units: float) -> None:
+    def sent(self, endpoint: str, units: float) -> None:
         """An attempt was decided on."""
-        self.fleet.sent(key_of(node), units)
+        self.fleet.sent(key_of(endpoint), units)
 
     def slow_start_began(self, action: SlowStartBegan, now_us: int) -> None:
         """A cold spell began. Brokers may hold one start for two times (by the list, by their own eyes), so
         its budget goes by the node's name, and the time goes with each question."""
         began = fleet_member.SlowStartBegan(
-            action.node, key_of(action.node), action.shard, action.rate, action.born_us, action.until_us
+            action.endpoint_id,
+            key_of(action.endpoint_id),
+            action.shard,
+            action.rate,
+            action.born_us,
+            action.until_us,
         )
         self._handle(now_us, began)
 
@@ -171,10 +176,10 @@
     def _sliced(self, told: Sliced, now_us: int) -> None:
         name: int | str = told.key
         own, whole = 0, float(WHOLE)
-        if told.kind is Kind.COLD:
-            if told.key not in self.nodes:
+        if told.kind is BudgetKind.COLD:
+            if told.key not in self.endpoints:
                 return
-            name, own, whole = self.nodes[told.key], told.base, MICRO
+            name, own, whole = self.endpoints[told.key], told.base, MICRO
         part = told.slice
         self.events.append(
             QuotaChanged(
@@ -187,21 +192,21 @@
             )
         )
 
-    def _judged(self, verdict: Verdict) -> None:
+    def _judged(self, verdict: HealthVerdict) -> None:
         """What others say of a node, if this broker knows it. That one came back cold is shown alone: an
         answer, or the list, tells."""
-        node = self.nodes.get(verdict.node)
-        if node is not None and verdict.what is not ReportedCondition.COLD:
-            self.events.append(PeerHealthReported(node, verdict.sources, verdict.agreed, verdict.at_us))
+        endpoint = self.endpoints.get(verdict.endpoint_id)
+        if endpoint is not None and verdict.what is not ReportedCondition.COLD:
+            self.events.append(PeerHealthReported(endpoint, verdict.sources, verdict.agreed, verdict.at_us))
 
 
 def decide(
     handle: Decide,
-    companion: Companion,
+    companion: SchedulerBridge,
     now_us: int,
     events: Sequence[Event],
     heard: Iterable[tuple[int, bytes]],
-) -> tuple[list[Action], list[Tell]]:
+) -> tuple[list[Action], list[SendDatagram]]:
     """One moment of a scheduler and its companion, for hosts whose events come in batches: the decisions, the
     datagrams to send, and in `companion.wake_us` when to come again at the latest. The decisions are told of
     a slice before anything that came with or after it."""
--- a/lemonridge/fleet/status_report.py
+++ b/lemonridge/fleet/status_report.py
@@ -5,14 +5,14 @@
 from collections.abc import Iterable, Mapping
 from typing import Any
 
-from lemonridge.fleet.datagrams import State
-from lemonridge.fleet.fleet_member import Fleet
-from lemonridge.fleet.quota_lending import WHOLE, Kind
+from lemonridge.fleet.datagrams import MemberState
+from lemonridge.fleet.fleet_member import FleetMember
+from lemonridge.fleet.quota_lending import WHOLE, BudgetKind
 
 BUDGETS_MAX, JUDGEMENTS_MAX = 64, 64  # shown at a time: the most active
 
 
-def report(fleet: Fleet, now_us: int, nodes: Mapping[int, str]) -> dict[str, Any]:
+def report(fleet: FleetMember, now_us: int, endpoints: Mapping[int, str]) -> dict[str, Any]:
     """Members with their links, budgets, judgements and counters; ages in milliseconds, parts of the whole.
 
     `nodes` are the names of nodes by their keys."""
@@ -26,13 +26,13 @@
         "superseded": fleet.members.superseded,
         "floors_only_ms": max(0, fleet.ledger.whole_us - now_us) // 1000,
         "members": [_member(fleet, who, now_us) for who in fleet.roster.others],
-        "budgets": _budgets(fleet, now_us, nodes),
-        "judgements": _judgements(fleet, now_us, nodes),
+        "budgets": _budgets(fleet, now_us, endpoints),
+        "judgements": _judgements(fleet, now_us, endpoints),
         "counters": {**fleet.counts, **{f"not_taken.{flaw.value}": n for flaw, n in fleet.flaws.items()}},
     }
 
 
-def _member(fleet: Fleet, who: int, now_us: int) -> dict[str, Any]:
+def _member(fleet: FleetMember, who: int, now_us: int) -> dict[str, Any]:
     member, link = fleet.members.members[who], fleet.links()[who]
     sent = link.top - link.first + 1
     return {
@@ -48,15 +48,15 @@
     }
 
 
-def _budgets(fleet: Fleet, now_us: int, nodes: Mapping[int, str]) -> list[dict[str, Any]]:
+def _budgets(fleet: FleetMember, now_us: int, endpoints: Mapping[int, str]) -> list[dict[str, Any]]:
     rows = []
     active = sorted(fleet.ledger.pools.items(), key=lambda one: -one[1].used_us)
     for key, pool in active[:BUDGETS_MAX]:
         told = fleet.ledger.slice(key, now_us)
-        whole = WHOLE if key[0] != Kind.COLD else max(1, pool.base)
+        whole = WHOLE if key[0] != BudgetKind.COLD else max(1, pool.base)
         rows.append(
             {
-                "kind": Kind(key[0]).name.lower(),
+                "kind": BudgetKind(key[0]).name.lower(),
                 "key": f"{key[1]:016x}",
                 "hosts": pool.hosts,
                 "uses": pool.holds,
@@ -78,13 +78,13 @@
     return rows
 
 
-def _judgements(fleet: Fleet, now_us: int, nodes: Mapping[int, str]) -> list[dict[str, Any]]:
-    def name(node: int) -> str:
-        return nodes.get(node, f"{node:016x}")
+def _judgements(fleet: FleetMember, now_us: int, endpoints: Mapping[int, str]) -> list[dict[str, Any]]:
+    def name(endpoint: int) -> str:
+        return endpoints.get(endpoint, f"{endpoint:016x}")
 
     rows = [
         {
-            "node": name(one.node),
+            "node": name(one.endpoint_id),
             "what": one.what.name.lower(),
             "by": fleet.roster.names[fleet.roster.me],
             "weight": one.weight,
@@ -92,10 +92,10 @@
         }
         for one in fleet.evidence.observations(now_us)
     ]
-    for node, voices in fleet.peer_reports.voices(now_us).items():
+    for endpoint, voices in fleet.peer_reports.voices(now_us).items():
         rows += [
             {
-                "node": name(node),
+                "node": name(endpoint),
                 "what": one.what.name.lower(),
                 "by": fleet.roster.names[who],
                 "weight": one.weight,
@@ -147,5 +147,5 @@
 
 def whole(views: Iterable[dict[str, Any]]) -> bool:
     """Whether every broker that was asked holds every other one up."""
-    up = {State.UP.name.lower(), State.JOINING.name.lower()}
+    up = {MemberState.UP.name.lower(), MemberState.JOINING.name.lower()}
     return all(member["state"] in up for view in views for member in view["members"])
--- a/lemonridge/iscsi/device.py
+++ b/lemonridge/iscsi/device.py
@@ -15,7 +15,7 @@
 from dataclasses import dataclass, field
 from functools import partial
 
-from lemonridge.config.operator_file import Iscsi
+from lemonridge.config.operator_file import IscsiConfig
 from lemonridge.iscsi import scsi
 from lemonridge.iscsi.pdu import pack_lun
 from lemonridge.iscsi.reservation_file import NotKeptError, ReservationFile
@@ -115,7 +115,7 @@
 
     def __init__(
         self,
-        config: Iscsi,
+        config: IscsiConfig,
         state: Callable[[int], int],
         abort: Callable[[str, int], None],
         keeper: ReservationFile | None = None,
--- a/lemonridge/iscsi/initiator.py
+++ b/lemonridge/iscsi/initiator.py
@@ -8,10 +8,10 @@
 import secrets
 from dataclasses import dataclass, field
 
-from lemonridge.config.operator_file import Iscsi
+from lemonridge.config.operator_file import IscsiConfig
 from lemonridge.config.platform import Address
 from lemonridge.core.counters import Counters
-from lemonridge.core.endpoint_registry import Directory
+from lemonridge.core.endpoint_registry import EndpointRegistry
 from lemonridge.core.model import (
     Attempt,
     AttemptSuppressedError,
@@ -72,22 +72,24 @@
     data: bytearray = field(default_factory=bytearray)
 
 
-class IscsiNodes:
+class IscsiEndpoints:
     """Makes attempts at the nodes' targets, over one session to each."""
 
-    def __init__(self, config: Iscsi, directory: Directory, counters: Counters) -> None:
+    def __init__(self, config: IscsiConfig, directory: EndpointRegistry, counters: Counters) -> None:
         self._config, self._directory, self._counters = config, directory, counters
-        self._sessions: dict[str, asyncio.Task[NodeSession]] = {}
+        self._sessions: dict[str, asyncio.Task[EndpointSession]] = {}
 
     async def attempt(self, attempt: Attempt) -> Outcome:
         """Send the command once and wait for its status."""
         command = attempt.request.payload
         assert isinstance(command, scsi.Command)
-        address, route = self._directory.address(attempt.node), attempt.request.route
-        if address is None or (route is not None and self._directory.shard(attempt.node) != route.shard):
+        address, route = self._directory.address(attempt.endpoint_id), attempt.request.route
+        if address is None or (
+            route is not None and self._directory.shard(attempt.endpoint_id) != route.shard
+        ):
             raise AttemptSuppressedError  # or the data has moved since the module chose
         session = await self._session(address)
-        if self._directory.address(attempt.node) != address:  # the list changed during the login
+        if self._directory.address(attempt.endpoint_id) != address:  # the list changed during the login
             raise AttemptSuppressedError
         if session.ended:  # what is written to it now would go nowhere, and count as what may have run
             raise ConnectFailedError
@@ -96,7 +98,7 @@
         ahs = b""
         if isinstance(route, Route):
             if not session.versioned:
-                log.error("node does not check versions", extra={"node": attempt.node})
+                log.error("node does not check versions", extra={"node": attempt.endpoint_id})
                 raise ConnectFailedError
             ahs = versions.pack_ahs(route.piece.extent, route.piece.version)
         attempt.begin()  # from here on it may have run: no await stands between this and the write
@@ -120,7 +122,7 @@
             opening.cancel()
         self._sessions.clear()
 
-    async def _session(self, address: str) -> NodeSession:
+    async def _session(self, address: str) -> EndpointSession:
         """The session with a node; commands that come while it is being made wait for the same one."""
         opening = self._sessions.get(address)
         if opening is not None and opening.done() and not _usable(opening, self._config.keepalive_us):
@@ -138,14 +140,14 @@
         except (EOFError, PduError):
             raise ConnectFailedError from None
 
-    async def _open(self, address: str) -> NodeSession:
+    async def _open(self, address: str) -> EndpointSession:
         portal, _, target = address.partition("/")
         at = Address.parse(portal, "a node's address")
         loop = asyncio.get_running_loop()
         async with asyncio.timeout_at(loop.time() + self._config.connect_us / 1e6):
             reader, writer = await asyncio.open_connection(at.host, at.port)
             keep_alive(writer)
-            session = NodeSession(reader, writer, self._counters)
+            session = EndpointSession(reader, writer, self._counters)
             try:
                 await session.login(self._config, target)
             except BaseException:
@@ -154,7 +156,7 @@
         return session
 
 
-def _usable(opening: asyncio.Task[NodeSession], keepalive_us: int) -> bool:
+def _usable(opening: asyncio.Task[EndpointSession], keepalive_us: int) -> bool:
     if opening.cancelled() or opening.exception() is not None:
         return False
     session = opening.result()
@@ -163,7 +165,7 @@
     return not session.over
 
 
-class NodeSession:
+class EndpointSession:
     """One session with a node's target."""
 
     def __init__(
@@ -194,14 +196,14 @@
     def idle_s(self) -> float:
         return 0.0 if self._flights else self._loop.time() - self._used
 
-    async def login(self, config: Iscsi, target: str) -> None:
+    async def login(self, config: IscsiConfig, target: str) -> None:
         """Authentication where there is an account, then operational negotiation (RFC 7143, chapter 6)."""
         names = [("InitiatorName", config.initiator), ("TargetName", target), ("SessionType", "Normal")]
         isid = b"\x80" + next(_isid).to_bytes(5, "big")
-        if config.node_account is not None:
-            await self._authenticate(isid, names, config.node_account)
+        if config.endpoint_account is not None:
+            await self._authenticate(isid, names, config.endpoint_account)
             names = []
-        wishes = config.node_wishes
+        wishes = config.endpoint_wishes
         offers = proposal(wishes, OFFERED)
         offers.append(("MaxRecvDataSegmentLength", str(PORTAL_MAX)))
         if config.mapped:
--- a/lemonridge/iscsi/mapped.py
+++ b/lemonridge/iscsi/mapped.py
@@ -5,12 +5,12 @@
 
 from collections.abc import Callable
 
-from lemonridge.config.operator_file import READ, WRITE, Iscsi, Lun
+from lemonridge.config.operator_file import READ, WRITE, IscsiConfig, Lun
 from lemonridge.core.broker import Broker
 from lemonridge.core.counters import Counters
-from lemonridge.core.model import Answer, Kind, Request
+from lemonridge.core.model import Answer, AnswerKind, Request
 from lemonridge.extents.carrier import Carrier
-from lemonridge.extents.joining import Whole
+from lemonridge.extents.joining import JoinResult
 from lemonridge.extents.router import Router
 from lemonridge.extents.routing import Cause, RouteError
 from lemonridge.iscsi import scsi
@@ -23,14 +23,14 @@
 
 def reply_of(answer: Answer) -> scsi.Reply:
     """Served: the node's own status. Refused: BUSY. Failed: CHECK CONDITION, its effect unknown."""
-    if answer.kind is Kind.SERVED:
+    if answer.kind is AnswerKind.SERVED:
         assert isinstance(answer.reply, scsi.Reply)
         return answer.reply
-    return scsi.Reply(scsi.Status.BUSY) if answer.kind is Kind.REFUSED else scsi.unreachable()
+    return scsi.Reply(scsi.Status.BUSY) if answer.kind is AnswerKind.REFUSED else scsi.unreachable()
 
 
 def request_of(
-    config: Iscsi,
+    config: IscsiConfig,
     command: scsi.Command,
     lun: Lun,
     shard: int,
@@ -64,7 +64,7 @@
 class MappedLuns:
     """Routes commands by the map."""
 
-    def __init__(self, config: Iscsi, broker: Broker, router: Router, counters: Counters) -> None:
+    def __init__(self, config: IscsiConfig, broker: Broker, router: Router, counters: Counters) -> None:
         self._config, self._router, self._broker, self._counters = config, router, broker, counters
         self._carrier = Carrier(broker, _good)
         self._block = config.extents.block_bytes
@@ -141,14 +141,16 @@
             return reply_of(await self._broker.serve(requests[0]))
         joined, answers = await self._carrier.serve(requests, writes)
         self._counters[f"joined.{joined.whole.value}"] += 1
-        if joined.whole is Whole.SERVED:
+        if joined.whole is JoinResult.SERVED:
             parts = [reply_of(answer).data for answer in answers if answer is not None]
             wanted = [_length(piece) if command.reads else 0 for piece in requests]
             if [len(part) for part in parts] != wanted:  # joined, they would shift what follows
                 return scsi.unreachable()
             return scsi.Reply(scsi.Status.GOOD, b"".join(parts))
-        if joined.whole is Whole.REPORTED:
+        if joined.whole is JoinResult.REPORTED:
             answer = answers[joined.piece]
             assert answer is not None
             return reply_of(answer)
-        return reply_of(Answer(Kind.REFUSED if joined.whole is Whole.REFUSED else Kind.FAILED))
+        return reply_of(
+            Answer(AnswerKind.REFUSED if joined.whole is JoinResult.REFUSED else AnswerKind.FAILED)
+        )
--- a/lemonridge/iscsi/portal.py
+++ b/lemonridge/iscsi/portal.py
@@ -6,12 +6,12 @@
 import logging
 import secrets
 
-from lemonridge.config.operator_file import Iscsi
+from lemonridge.config.operator_file import IscsiConfig
 from lemonridge.config.platform import Address
 from lemonridge.core.broker import Broker
 from lemonridge.core.clock import Clock
 from lemonridge.core.counters import Counters
-from lemonridge.core.endpoint_registry import Directory
+from lemonridge.core.endpoint_registry import EndpointRegistry
 from lemonridge.iscsi import scsi
 from lemonridge.iscsi.connection import Connection
 from lemonridge.iscsi.device import Device
@@ -35,10 +35,10 @@
 
     def __init__(
         self,
-        config: Iscsi,
+        config: IscsiConfig,
         broker: Broker,
         clock: Clock,
-        directory: Directory,
+        directory: EndpointRegistry,
         counters: Counters,
         mapped: MappedLuns | None = None,
         keeper: ReservationFile | None = None,
--- a/lemonridge/iscsi/versions.py
+++ b/lemonridge/iscsi/versions.py
@@ -13,7 +13,7 @@
 
 import struct
 
-from lemonridge.extents.routing import Told
+from lemonridge.extents.routing import Redirect
 
 KEY, AGREED = "X-org.lemonridge.ExtentVersion", "1"
 _AHS = struct.Struct(">HBBQQ")
@@ -45,20 +45,20 @@
     return None
 
 
-def pack_moved(told: Told) -> bytes:
+def pack_moved(told: Redirect) -> bytes:
     """The sense of a refusal."""
     shard = told.shard if told.shard >= 0 else _NO_SHARD
     version = told.version if told.version >= 0 else _NO_VERSION
     return _SENSE.pack(*_HEAD, _WORD.size) + _WORD.pack(0x80, _WORD.size - 2, shard, version)
 
 
-def unpack_moved(sense: bytes) -> Told | None:
+def unpack_moved(sense: bytes) -> Redirect | None:
     """What a refusal says; None for any other sense."""
     if len(sense) < _SENSE.size or _SENSE.unpack_from(sense)[:4] != _HEAD:
         return None
     if len(sense) < _SENSE.size + _WORD.size:
-        return Told()
+        return Redirect()
     kind, _, shard, version = _WORD.unpack_from(sense, _SENSE.size)
     if kind != 0x80:
-        return Told()
-    return Told(-1 if version == _NO_VERSION else version, -1 if shard == _NO_SHARD else shard)
+        return Redirect()
+    return Redirect(-1 if version == _NO_VERSION else version, -1 if shard == _NO_SHARD else shard)
--- a/lemonridge/lab/checkers/escrow.py
+++ b/lemonridge/lab/checkers/escrow.py
@@ -1,8 +1,8 @@
 """The fleet's budgets, held against their invariant in every state of a small fleet.
 
-Three brokers run the real `Ledger` on two budgets: one that all three use, and one that two use and the third
-may lend of without using it. Moves: a broker asks another; gives back; a message comes, comes twice, or is
-lost; time passes by a third of a loan's span; a clock loses as much as the stated error; a broker dies and
+Three brokers run the real `QuotaLedger` on two budgets: one that all three use, and one that two use and the
+third may lend of without using it. Moves: a broker asks another; gives back; a message comes, comes twice, or
+is lost; time passes by a third of a loan's span; a clock loses as much as the stated error; a broker dies and
 starts again knowing nothing. A stop (SIGSTOP) is a broker that makes no move while time passes: that is in.
 Times in a key are relative to now, so that the search ends by itself.
 """
@@ -12,18 +12,18 @@
 from collections.abc import Callable, Hashable, Iterable
 from dataclasses import dataclass, replace
 
-from lemonridge.fleet.datagrams import Cleared, Grant, Item, Recall, Release, Want
-from lemonridge.fleet.quota_lending import SPAN_US, WHOLE, Borrowed, Key, Kind, Ledger, Loan, Pool
+from lemonridge.fleet.datagrams import Cleared, Item, LoanGrant, LoanRequest, Recall, Release
+from lemonridge.fleet.quota_lending import SPAN_US, WHOLE, Borrowed, BudgetKind, Key, Loan, Pool, QuotaLedger
 from lemonridge.lab.checkers.exhaust import Found, explore
 
 STEP_US = SPAN_US // 3
 START_US = 1_000 * STEP_US
 BROKERS = 3
-ALL_USE, TWO_USE = (int(Kind.LIMIT), 1), (int(Kind.LIMIT), 2)
+ALL_USE, TWO_USE = (int(BudgetKind.LIMIT), 1), (int(BudgetKind.LIMIT), 2)
 HOSTS = {ALL_USE: 3, TWO_USE: 2}
 USERS = {ALL_USE: (0, 1, 2), TWO_USE: (0, 1)}
 
-Make = Callable[[int, int, int], Ledger]  # number, life, now: a ledger, perhaps one with a planted fault
+Make = Callable[[int, int, int], QuotaLedger]  # number, life, now: a ledger, perhaps one with a planted fault
 
 
 @dataclass(frozen=True)
@@ -62,7 +62,7 @@
     """Everything; `left` counts down the bounds."""
 
     now_us: int
-    ledgers: tuple[Ledger, ...]
+    ledgers: tuple[QuotaLedger, ...]
     lags: tuple[int, ...]
     flights: tuple[Message, ...]
     asks: int
@@ -72,9 +72,11 @@
     recalls: int
 
 
-def ledger(number: int, life: int, now_us: int) -> Ledger:
+def ledger(number: int, life: int, now_us: int) -> QuotaLedger:
     """The real one; a clock may lose as much as a step."""
-    return Ledger(number, life, life * 100, STEP_US, now_us).among(n for n in range(BROKERS) if n != number)
+    return QuotaLedger(number, life, life * 100, STEP_US, now_us).among(
+        n for n in range(BROKERS) if n != number
+    )
 
 
 def search(bounds: Bounds, make: Make = ledger, states_max: int = 5_000_000) -> Found[State]:
@@ -96,7 +98,7 @@
     return explore(start, _key, lambda state: _moves(state, bounds, make), _wrong, states_max)
 
 
-def _begun(made: Ledger, now_us: int, bounds: Bounds) -> Ledger:
+def _begun(made: QuotaLedger, now_us: int, bounds: Bounds) -> QuotaLedger:
     """Each user has had a request."""
     for key in bounds.budgets:
         if made.me in USERS[key]:
@@ -200,12 +202,12 @@
 
 def _deliver(state: State, message: Message, rest: tuple[Message, ...], bounds: Bounds) -> State | None:
     made, now_us = clone(state.ledgers[message.to]), _clock(state, message.to)
-    if isinstance(message.item, Want):
+    if isinstance(message.item, LoanRequest):
         grant = made.asked(message.source, message.life, message.item, now_us)
         if len(rest) >= bounds.flights:
             return None
         rest = _sorted((*rest, Message(message.to, message.source, made.life, grant)))
-    elif isinstance(message.item, Grant):
+    elif isinstance(message.item, LoanGrant):
         made.lent_to_me(message.source, message.life, message.item, now_us)
     elif isinstance(message.item, Recall):
         said = made.recalled(message.source, message.life)
@@ -219,7 +221,7 @@
     return replace(state, ledgers=_with(state, message.to, made), flights=rest)
 
 
-def _with(state: State, number: int, made: Ledger) -> tuple[Ledger, ...]:
+def _with(state: State, number: int, made: QuotaLedger) -> tuple[QuotaLedger, ...]:
     return state.ledgers[:number] + (made,) + state.ledgers[number + 1 :]
 
 
@@ -227,7 +229,7 @@
     return tuple(sorted(flights, key=lambda one: (one.source, one.to, repr(one.item))))
 
 
-def clone(made: Ledger) -> Ledger:
+def clone(made: QuotaLedger) -> QuotaLedger:
     """A copy that shares nothing that changes; of the same class, faults included."""
     other = object.__new__(type(made))
     other.__dict__.update(made.__dict__)
@@ -264,7 +266,7 @@
     )
 
 
-def _seen(made: Ledger, now_us: int) -> Hashable:
+def _seen(made: QuotaLedger, now_us: int) -> Hashable:
     fresh = max(0, made.whole_us - now_us)
     return (
         made.life,
@@ -305,17 +307,17 @@
     return row.life, row.ask, row.parts, row.end_us - now_us
 
 
-class GrantNotDeductedMutant(Ledger):
+class GrantNotDeductedMutant(QuotaLedger):
     """Planted: what is lent stays in the lender's own slice."""
 
     def mine(self, pool: Pool, now_us: int) -> int:
         return pool.base
 
 
-class GrantNeverExpiresMutant(Ledger):
+class GrantNeverExpiresMutant(QuotaLedger):
     """Planted: a loan's end is not kept by the borrower."""
 
-    def lent_to_me(self, peer: int, life: int, told: Grant, now_us: int) -> bool:
+    def lent_to_me(self, peer: int, life: int, told: LoanGrant, now_us: int) -> bool:
         done = super().lent_to_me(peer, life, told, now_us)
         for pool in self.pools.values():
             pool.borrowed = {
@@ -325,25 +327,25 @@
         return done
 
 
-class NoClockErrorMarginMutant(Ledger):
+class NoClockErrorMarginMutant(QuotaLedger):
     """Planted: the lender counts on equal clocks."""
 
-    def asked(self, peer: int, life: int, told: Want, now_us: int) -> Grant:
+    def asked(self, peer: int, life: int, told: LoanRequest, now_us: int) -> LoanGrant:
         self.error_us = 0
         return super().asked(peer, life, told, now_us)
 
 
-class ExpiryFromReceiptMutant(Ledger):
+class ExpiryFromReceiptMutant(QuotaLedger):
     """Planted: the borrower counts a loan from when the answer came."""
 
-    def lent_to_me(self, peer: int, life: int, told: Grant, now_us: int) -> bool:
+    def lent_to_me(self, peer: int, life: int, told: LoanGrant, now_us: int) -> bool:
         pool = self.pools.get((told.kind, told.key))
         if pool is not None and told.ask in pool.asks:
             pool.asks[told.ask] = now_us
         return super().lent_to_me(peer, life, told, now_us)
 
 
-class RestartForgetsGrantsMutant(Ledger):
+class RestartForgetsGrantsMutant(QuotaLedger):
     """Planted: a fresh start believes that it has lent nothing."""
 
     def __init__(self, me: int, life: int, first_ask: int, error_us: int, now_us: int) -> None:
@@ -351,7 +353,7 @@
         self.whole_us = now_us
 
 
-class GrantAfterReleaseMutant(Ledger):
+class GrantAfterReleaseMutant(QuotaLedger):
     """Planted: an answer to a question is taken though its loan was given back."""
 
     def give_back(self, key: Key) -> list[tuple[int, Item]]:
@@ -361,14 +363,14 @@
         return sent
 
 
-class PreviousIncarnationMutant(Ledger):
+class PreviousIncarnationMutant(QuotaLedger):
     """Planted: a grant of a lender's incarnation before counts after its recall was answered."""
 
-    def lent_to_me(self, peer: int, life: int, told: Grant, now_us: int) -> bool:
+    def lent_to_me(self, peer: int, life: int, told: LoanGrant, now_us: int) -> bool:
         return super().lent_to_me(peer, 1 << 62, told, now_us)
 
 
-class SingleClearanceMutant(Ledger):
+class SingleClearanceMutant(QuotaLedger):
     """Planted: a fresh start has all of its own once one other has answered."""
 
     def cleared(self, peer: int, told: Cleared, now_us: int) -> bool:
@@ -376,14 +378,14 @@
         return super().cleared(peer, told, now_us)
 
 
-class UnusedGrantsCountedMutant(Ledger):
+class UnusedGrantsCountedMutant(QuotaLedger):
     """Planted: loans of brokers that do not use the budget count like those of users."""
 
     def extra(self, key: Key, pool: Pool, now_us: int) -> int:
         return sum(one.parts for one in pool.borrowed.values() if one.end_us > now_us)
 
 
-MUTANTS: tuple[type[Ledger], ...] = (
+MUTANTS: tuple[type[QuotaLedger], ...] = (
     GrantNotDeductedMutant,
     GrantNeverExpiresMutant,
     NoClockErrorMarginMutant,
@@ -396,7 +398,7 @@
 )
 
 
-def with_mutant(kind: type[Ledger]) -> Make:
+def with_mutant(kind: type[QuotaLedger]) -> Make:
     """Ledgers with a fault, for `search`."""
     return lambda number, life, now_us: kind(number, life, life * 100, STEP_US, now_us).among(
         n for n in range(BROKERS) if n != number
--- a/lemonridge/lab/fleet_mutants.py
+++ b/lemonridge/lab/fleet_mutants.py
@@ -21,42 +21,42 @@
 
 
 def _lends_unlowered() -> None:
-    from lemonridge.fleet.quota_lending import Ledger, Pool
+    from lemonridge.fleet.quota_lending import Pool, QuotaLedger
 
-    def mine(self: Ledger, pool: Pool, now_us: int) -> int:
+    def mine(self: QuotaLedger, pool: Pool, now_us: int) -> int:
         return pool.base
 
-    Ledger.mine = mine  # type: ignore[method-assign]
+    QuotaLedger.mine = mine  # type: ignore[method-assign]
 
 
 def _keeps_for_ever() -> None:
     from lemonridge.fleet import quota_lending
-    from lemonridge.fleet.datagrams import Grant
+    from lemonridge.fleet.datagrams import LoanGrant
 
-    real = quota_lending.Ledger.lent_to_me
+    real = quota_lending.QuotaLedger.lent_to_me
 
-    def lent(self: quota_lending.Ledger, peer: int, life: int, told: Grant, now_us: int) -> bool:
+    def lent(self: quota_lending.QuotaLedger, peer: int, life: int, told: LoanGrant, now_us: int) -> bool:
         done = real(self, peer, life, told, now_us)
         for pool in self.pools.values():
             for one in pool.borrowed.values():
                 one.end_us = now_us + 3_600_000_000
         return done
 
-    quota_lending.Ledger.lent_to_me = lent  # type: ignore[method-assign]
+    quota_lending.QuotaLedger.lent_to_me = lent  # type: ignore[method-assign]
 
 
 def _forgets_its_loans() -> None:
     from lemonridge.fleet import quota_lending
 
-    real = quota_lending.Ledger.__init__
+    real = quota_lending.QuotaLedger.__init__
 
     def begin(
-        self: quota_lending.Ledger, me: int, life: int, first_ask: int, error_us: int, now_us: int
+        self: quota_lending.QuotaLedger, me: int, life: int, first_ask: int, error_us: int, now_us: int
     ) -> None:
         real(self, me, life, first_ask, error_us, now_us)
         self.whole_us = now_us
 
-    quota_lending.Ledger.__init__ = begin  # type: ignore[method-assign]
+    quota_lending.QuotaLedger.__init__ = begin  # type: ignore[method-assign]
 
 
 def _spends_further() -> None:
@@ -78,17 +78,19 @@
 
 
 def _liar() -> None:
-    """Says of every node that it cannot be reached, all the time."""
+    """Says of every endpoint that it cannot be reached, all the time."""
     from lemonridge.fleet import fleet_member, health_gossip
 
-    real = fleet_member.Fleet.ended
+    real = fleet_member.FleetMember.ended
 
-    def ended(self: fleet_member.Fleet, node: int, seen: health_gossip.Seen, now_us: int) -> bool:
-        real(self, node, health_gossip.Seen.CONNECT_FAILED, now_us)
+    def ended(
+        self: fleet_member.FleetMember, endpoint: int, seen: health_gossip.ObservedOutcome, now_us: int
+    ) -> bool:
+        real(self, endpoint, health_gossip.ObservedOutcome.CONNECT_FAILED, now_us)
         self._told_us = now_us - fleet_member.TELL_US
         return False
 
-    fleet_member.Fleet.ended = ended  # type: ignore[method-assign]
+    fleet_member.FleetMember.ended = ended  # type: ignore[method-assign]
 
 
 def _believes_one() -> None:
--- a/lemonridge/lab/measure/decisions.py
+++ b/lemonridge/lab/measure/decisions.py
@@ -102,7 +102,7 @@
                 tries[action.request] = number + 1
                 lag = random.randrange(20_000, 60_000)
                 ended = AttemptEnded(
-                    action.request, number, action.node, AttemptResult.OK, lag, True, None, None, None
+                    action.request, number, action.endpoint_id, AttemptResult.OK, lag, True, None, None, None
                 )
                 heapq.heappush(due, (now + lag, len(tries) * 8 + number, ended))
             elif isinstance(action, SetTimer):
--- a/lemonridge/lab/measure/membership.py
+++ b/lemonridge/lab/measure/membership.py
@@ -1,7 +1,7 @@
 """Membership weighed: how soon a death is known, who is accused wrongly, and what it costs, by size and loss.
 
-The real `Fleet` runs in virtual time on a network with delay and loss; beside it stands the plain thing: each
-broker sends a heartbeat to all others, and holds dead whom it has not heard for some periods.
+The real `FleetMember` runs in virtual time on a network with delay and loss; beside it stands the plain
+thing: each broker sends a heartbeat to all others, and holds dead whom it has not heard for some periods.
 """
 
 from __future__ import annotations
@@ -13,9 +13,17 @@
 from statistics import median
 from typing import Protocol, TypeAlias
 
-from lemonridge.fleet.datagrams import HEAD_BYTES, State
-from lemonridge.fleet.fleet_member import Action, Fleet, Received, SetTimer, Tell, TimerFired, Tuning
-from lemonridge.fleet.member_list import Roster
+from lemonridge.fleet.datagrams import HEAD_BYTES, MemberState
+from lemonridge.fleet.fleet_member import (
+    FleetAction,
+    FleetMember,
+    Received,
+    SendDatagram,
+    SetTimer,
+    TimerFired,
+    Tuning,
+)
+from lemonridge.fleet.member_list import MemberList
 from lemonridge.fleet.membership import PERIOD_US
 
 START_US = 1_800_000_000_000_000
@@ -26,11 +34,11 @@
 class Speaker(Protocol):
     """One broker, whatever scheme it runs."""
 
-    def start(self, now_us: int) -> list[Action]: ...
+    def start(self, now_us: int) -> list[FleetAction]: ...
 
-    def take(self, now_us: int, source: int, data: bytes) -> list[Action]: ...
+    def take(self, now_us: int, source: int, data: bytes) -> list[FleetAction]: ...
 
-    def wake(self, now_us: int) -> list[Action]: ...
+    def wake(self, now_us: int) -> list[FleetAction]: ...
 
     def dead(self) -> set[int]: ...
 
@@ -39,21 +47,21 @@
     """The fleet's own."""
 
     def __init__(self, number: int, count: int, seed: int, life: int) -> None:
-        self._roster, self._seed, self._life = Roster(tuple(map(str, range(count))), number), seed, life
+        self._roster, self._seed, self._life = MemberList(tuple(map(str, range(count))), number), seed, life
 
-    def start(self, now_us: int) -> list[Action]:
+    def start(self, now_us: int) -> list[FleetAction]:
         seed = self._seed * 1009 + self._roster.me
-        self.fleet = Fleet(self._roster, now_us // 1000 + self._life, seed, now_us, Tuning(bytes_s=1e6))
+        self.fleet = FleetMember(self._roster, now_us // 1000 + self._life, seed, now_us, Tuning(bytes_s=1e6))
         return self.fleet.handle(now_us, ())
 
-    def take(self, now_us: int, source: int, data: bytes) -> list[Action]:
+    def take(self, now_us: int, source: int, data: bytes) -> list[FleetAction]:
         return self.fleet.handle(now_us, (Received(source, data),))
 
-    def wake(self, now_us: int) -> list[Action]:
+    def wake(self, now_us: int) -> list[FleetAction]:
         return self.fleet.handle(now_us, (TimerFired(),))
 
     def dead(self) -> set[int]:
-        return {n for n in self._roster.others if self.fleet.members.members[n].state is State.DEAD}
+        return {n for n in self._roster.others if self.fleet.members.members[n].state is MemberState.DEAD}
 
 
 class Plain:
@@ -66,18 +74,18 @@
         self._heard: dict[int, int] = {}
         self._now = 0
 
-    def start(self, now_us: int) -> list[Action]:
+    def start(self, now_us: int) -> list[FleetAction]:
         self._now = now_us
         return [SetTimer(now_us + int(self._random.random() * PERIOD_US))]
 
-    def take(self, now_us: int, source: int, data: bytes) -> list[Action]:
+    def take(self, now_us: int, source: int, data: bytes) -> list[FleetAction]:
         self._heard[source], self._now = now_us, now_us
         return []
 
-    def wake(self, now_us: int) -> list[Action]:
+    def wake(self, now_us: int) -> list[FleetAction]:
         self._now = now_us
         return [
-            *(Tell(n, bytes(HEAD_BYTES)) for n in range(self._count) if n != self._me),
+            *(SendDatagram(n, bytes(HEAD_BYTES)) for n in range(self._count) if n != self._me),
             SetTimer(now_us + PERIOD_US),
         ]
 
@@ -117,12 +125,12 @@
         self._order += 1
         heapq.heappush(self._heap, (at_us, self._order, to, source, data))
 
-    def _act(self, who: int, actions: Iterable[Action]) -> None:
+    def _act(self, who: int, actions: Iterable[FleetAction]) -> None:
         for action in actions:
             if isinstance(action, SetTimer):
                 self._wakes[who] = action.at_us
                 self._push(action.at_us, who, -1, None)
-            elif isinstance(action, Tell):
+            elif isinstance(action, SendDatagram):
                 self.told_bytes += len(action.data)
                 if self._random.random() >= self.loss:
                     delay_us = int(self._random.uniform(*DELAY_MS) * 1000)
--- a/lemonridge/lab/measure/rollout.py
+++ b/lemonridge/lab/measure/rollout.py
@@ -16,7 +16,7 @@
 from lemonridge.rollout import leases, policy_document, rollout_member
 from lemonridge.rollout.leases import NOTHING, common
 from lemonridge.rollout.policy_document import Class, Plan, Policy, Rules
-from lemonridge.rollout.rollout_member import Keep, Rollout, Say
+from lemonridge.rollout.rollout_member import PersistVote, RolloutMember, SendMessage
 
 STEP_US = 10_000
 DELAY_US = (500, 25_000)
@@ -49,17 +49,17 @@
         self.extra, self.slow, self.error_us = [0] * size, [1.0] * size, error_us
         self.now, self.size, self.random = 10**9, size, Random(seed)
         self.names = tuple(f"b{n}" for n in range(size))
-        self.genesis = policy_document.State(
+        self.genesis = policy_document.PolicyState(
             epoch=0,
             prior="",
             voters=dict.fromkeys(self.names[:5], 0),
             policy=policy(),
             floor=policy_document.floor(policy(), 0.25),
         )
-        kept = rollout_member.Kept(0, policy_document.encode(self.genesis))
+        kept = rollout_member.StoredVote(0, policy_document.encode(self.genesis))
         self.disks: list[bytes | None] = [msgspec.msgpack.encode(kept)] * size
         self.lives = [0] * size
-        self.brokers: list[Rollout | None] = [None] * size
+        self.brokers: list[RolloutMember | None] = [None] * size
         self.stopped: set[int] = set()
         self.cut: set[tuple[int, int]] = set()
         self.loss = self.copies = 0.0
@@ -72,7 +72,7 @@
     def start(self, n: int) -> None:
         self.lives[n] += 1
         ident = self.random.randrange(1, 1 << 60)
-        self.brokers[n] = Rollout(
+        self.brokers[n] = RolloutMember(
             n,
             self.names,
             self.lives[n],
@@ -99,7 +99,8 @@
     def spares(self, n: int) -> bool:
         """Whether a store may be lost: a majority of the voters would have theirs, nothing is voted on."""
         kept = [
-            msgspec.msgpack.decode(disk, type=rollout_member.Kept) if disk else None for disk in self.disks
+            msgspec.msgpack.decode(disk, type=rollout_member.StoredVote) if disk else None
+            for disk in self.disks
         ]
         states = [policy_document.decode(one.state) for one in kept if one and one.state]
         newest = max(states, key=lambda one: one.epoch)
@@ -109,7 +110,7 @@
         )
         return left > len(newest.voters) // 2 and not any(one and one.took for one in kept)
 
-    def broker(self, n: int) -> Rollout:
+    def broker(self, n: int) -> RolloutMember:
         made = self.brokers[n]
         assert made is not None
         return made
@@ -119,11 +120,11 @@
         made = self.broker(n)
         out, made.out = made.out, []
         for action in out[:most]:
-            if isinstance(action, Keep):
+            if isinstance(action, PersistVote):
                 self.disks[n] = action.data
                 continue
             self.bytes += HEAD_BYTES + size(action.item)
-            if isinstance(action, Say) and (n, action.to) not in self.cut:
+            if isinstance(action, SendMessage) and (n, action.to) not in self.cut:
                 for _ in range(1 + (self.random.random() < self.copies)):
                     if self.random.random() >= self.loss:
                         at = self.now + self.random.randrange(*DELAY_US) + self.extra[action.to]
--- a/lemonridge/lab/model/baselines.py
+++ b/lemonridge/lab/model/baselines.py
@@ -71,11 +71,11 @@
         if event.kind is not EndpointListUpdate.DELTA:
             self._nodes = {}
         for entry in event.entries:
-            self._nodes[entry.node] = entry
+            self._nodes[entry.endpoint_id] = entry
         usable = [one for one in self._nodes.values() if one.condition is EndpointState.ACTIVE]
-        self._all, self._shards = [one.node for one in usable], {}
+        self._all, self._shards = [one.endpoint_id for one in usable], {}
         for one in usable:
-            self._shards.setdefault(one.shard, []).append(one.node)
+            self._shards.setdefault(one.shard, []).append(one.endpoint_id)
 
     def _pick(self, shard: int) -> str | None:
         nodes = self._all if shard < 0 else self._shards.get(shard, [])
@@ -103,7 +103,7 @@
         actions.append(Send(request, node))
 
     def _ended(self, event: AttemptEnded, now_us: int, actions: list[Action]) -> None:
-        self._out[event.node] = self._out.get(event.node, 1) - 1
+        self._out[event.endpoint_id] = self._out.get(event.endpoint_id, 1) - 1
         held = self._open.get(event.request)
         if held is None:
             return
--- a/lemonridge/lab/model/world.py
+++ b/lemonridge/lab/model/world.py
@@ -16,9 +16,9 @@
 
 import simpy
 
-from lemonridge.fleet.fleet_member import Tell
-from lemonridge.fleet.member_list import Roster
-from lemonridge.fleet.scheduler_bridge import Companion, decide
+from lemonridge.fleet.fleet_member import SendDatagram
+from lemonridge.fleet.member_list import MemberList
+from lemonridge.fleet.scheduler_bridge import SchedulerBridge, decide
 from lemonridge.lab.model.baselines import make
 from lemonridge.lab.model.node import Node, Work
 from lemonridge.lab.model.outcome import Outcome
@@ -73,16 +73,18 @@
         self.cpu_s, self.decided, self.life = 0.0, 0, 0
         self._due = False
         self.heard: list[tuple[int, bytes]] = []  # datagrams of other brokers, until the next decision
-        self.companion: Companion | None = None
+        self.companion: SchedulerBridge | None = None
 
     def begin(self) -> None:
         """Speak to the other brokers, where the scenario says so."""
         if not self.world.scenario.peers or self.world.scenario.brokers < 2:
             return
         now_us = self.world.clock_us()
-        roster = Roster(tuple(map(str, range(self.world.scenario.brokers))), self.number)
+        roster = MemberList(tuple(map(str, range(self.world.scenario.brokers))), self.number)
         seed = self.world.seed * 31 + self.number
-        self.companion = Companion(roster, now_us // 1000 + self.life, seed, now_us, self.world.settings)
+        self.companion = SchedulerBridge(
+            roster, now_us // 1000 + self.life, seed, now_us, self.world.settings
+        )
         self._later()
 
     def hear(self, source: int, data: bytes) -> None:
@@ -114,7 +116,7 @@
         self._due = False
         events, self.events = self.events, []
         began = time.perf_counter()
-        now_us, tells = self.world.clock_us(), list[Tell]()
+        now_us, tells = self.world.clock_us(), list[SendDatagram]()
         if self.companion is None:
             actions = self.scheduler.handle(now_us, events)
         else:
@@ -127,7 +129,7 @@
         self.decided += len(events)
         for action in actions:
             if isinstance(action, Send):
-                self.world.send(self, self.open.get(action.request), action.node)
+                self.world.send(self, self.open.get(action.request), action.endpoint_id)
             elif isinstance(action, Reject):
                 self.world.answer(self.open.get(action.request), "refused", action.backoff_us)
             elif isinstance(action, Fail):
--- a/lemonridge/lab/soak_mutants.py
+++ b/lemonridge/lab/soak_mutants.py
@@ -32,24 +32,24 @@
 def _repeats_anything() -> None:
     from lemonridge.scheduling.retries import RetryRules
 
-    RetryRules.repeatable = lambda self, request, node: True  # type: ignore[method-assign]
+    RetryRules.repeatable = lambda self, request, endpoint: True  # type: ignore[method-assign]
 
 
 def _sends_to_draining() -> None:
-    from lemonridge.core.endpoint_registry import Directory, Listing
+    from lemonridge.core.endpoint_registry import EndpointAddress, EndpointRegistry
 
-    real = Directory._tell
+    real = EndpointRegistry._tell
 
-    def tell(self: Directory, kind: EndpointListUpdate, listings: list[Listing]) -> None:
+    def tell(self: EndpointRegistry, kind: EndpointListUpdate, listings: list[EndpointAddress]) -> None:
         real(self, kind, [one for one in listings if one.entry.condition is EndpointState.ACTIVE])
 
-    Directory._tell = tell  # type: ignore[method-assign]
+    EndpointRegistry._tell = tell  # type: ignore[method-assign]
 
 
 def _floods_cold_nodes() -> None:
     from lemonridge.scheduling.slow_start import SlowStart
 
-    SlowStart.in_slow_start = lambda self, node: False  # type: ignore[method-assign]
+    SlowStart.in_slow_start = lambda self, endpoint: False  # type: ignore[method-assign]
 
 
 def _knows_no_limit() -> None:
@@ -60,7 +60,7 @@
 
 def _sends_for_the_gone() -> None:
     from lemonridge.core.broker import Broker
-    from lemonridge.core.decision_host import Decider
+    from lemonridge.core.decision_host import DecisionHost
     from lemonridge.core.model import Answer, Request
 
     async def serve(self: Broker, request: Request) -> Answer:
@@ -70,7 +70,7 @@
         return await asyncio.shield(mailbox.answer)
 
     Broker.serve = serve  # type: ignore[method-assign]
-    Decider.begins = lambda self, mailbox, number: True  # type: ignore[method-assign]
+    DecisionHost.begins = lambda self, mailbox, number: True  # type: ignore[method-assign]
 
 
 def _tells_the_whole_deadline() -> None:
--- a/lemonridge/lab/standins/mover.py
+++ b/lemonridge/lab/standins/mover.py
@@ -12,7 +12,7 @@
 from typing import Any
 
 from lemonridge.extents.etcd_source import HEAD, key_of
-from lemonridge.extents.routing import Told
+from lemonridge.extents.routing import Redirect
 from lemonridge.lab.standins.etcd import Etcd
 from lemonridge.lab.standins.node import ExtentNode, Hold, Key
 from lemonridge.lab.ticks import Ticks
@@ -73,7 +73,7 @@
         to.take(key, Hold(hold.length, version), source.content(key))
         self.ledger[key].append(Owned(self.ticks(), to.name, version))
         await asyncio.sleep(copy_s / 4)  # here both claim it, and the old one is fenced
-        source.release(key, Told(version, to.shard))
+        source.release(key, Redirect(version, to.shard))
         self.owner[key] = to
         self.moves += 1
         if publish:
--- a/lemonridge/lab/standins/node.py
+++ b/lemonridge/lab/standins/node.py
@@ -15,7 +15,7 @@
 from random import Random
 from typing import Any
 
-from lemonridge.extents.routing import Told
+from lemonridge.extents.routing import Redirect
 from lemonridge.iscsi import scsi, versions
 from lemonridge.iscsi.pdu import FINAL, NONE, Op, Pdu, pack_text, read_pdu, unpack_lun, unpack_text
 from lemonridge.lab.ticks import Ticks
@@ -75,7 +75,7 @@
         self.alive = self.silent = False
         self.blocks: dict[tuple[int, int], bytes] = {}
         self.holds: dict[Key, Hold] = {}
-        self.gave: dict[Key, Told] = {}
+        self.gave: dict[Key, Redirect] = {}
         self.log: list[Ran] = []
         self.begun: list[float] = []  # when each command began that was new to this node
         self.refused = 0
@@ -135,7 +135,7 @@
         self.gave.pop(key, None)
         self.blocks.update({(key[0], block): data for block, data in blocks.items()})
 
-    def release(self, key: Key, told: Told) -> None:
+    def release(self, key: Key, told: Redirect) -> None:
         del self.holds[key]
         self.gave[key] = told
 
@@ -156,17 +156,17 @@
 
     # What an attempt meets
 
-    def refusal(self, work: _Work) -> Told | None:
+    def refusal(self, work: _Work) -> Redirect | None:
         """What is told to an attempt that must not run here; None if it may."""
         key = (work.lun, work.named[0])
         hold = self.holds.get(key)
         if not self.checked:
             return None
         if hold is None:
-            return self.gave.get(key, Told())
+            return self.gave.get(key, Redirect())
         inside = key[1] <= work.first and work.first + work.blocks <= key[1] + hold.length
         if hold.fenced or hold.version != work.named[1] or not inside:
-            return Told(hold.version, self.shard)
+            return Redirect(hold.version, self.shard)
         return None
 
 
@@ -285,7 +285,7 @@
         )
         self._status(pdu)
 
-    def _refuse(self, pdu: Pdu, told: Told) -> None:
+    def _refuse(self, pdu: Pdu, told: Redirect) -> None:
         self.node.refused += 1
         self._status(pdu, scsi.Reply(scsi.Status.CHECK_CONDITION, sense=versions.pack_moved(told)))
 
--- a/lemonridge/net/admin_server.py
+++ b/lemonridge/net/admin_server.py
@@ -9,7 +9,7 @@
 from lemonridge.config.platform import Address
 from lemonridge.core.counters import Counters
 from lemonridge.net.listener import Listener, listening_socket
-from lemonridge.operate.admin_calls import BadCallError, Order, Reply, longest, parse
+from lemonridge.operate.admin_calls import AdminReply, AdminRequest, BadCallError, longest, parse
 
 log = logging.getLogger(__name__)
 
@@ -17,13 +17,13 @@
 OPEN_S = 6.0  # and each of them ends after that, whatever it brings
 LATE_S = 0.05  # how often it is looked how late the event loop is: a caller waits for no more than 1 s
 
-Act = Callable[[Order], Awaitable[Reply]]
+Act = Callable[[AdminRequest], Awaitable[AdminReply]]
 
 
 class _Caller(asyncio.Protocol):
     """One caller's connection."""
 
-    def __init__(self, operators: Operators) -> None:
+    def __init__(self, operators: AdminServer) -> None:
         self._operators = operators
         self._data = bytearray()
         self._task: asyncio.Task[None] | None = None
@@ -57,7 +57,7 @@
             self.transport.close()
 
 
-class Operators:
+class AdminServer:
     """The listener at `admin_addr`; `act` does what a call asks, and its answer is the call's."""
 
     def __init__(self, act: Act, counters: Counters) -> None:
@@ -97,19 +97,19 @@
         if timer is not None:
             timer.cancel()
 
-    async def answer(self, line: bytes) -> Reply:
+    async def answer(self, line: bytes) -> AdminReply:
         """Do what a line asks. Whatever fails, its caller is told."""
         try:
             order = parse(line)
         except BadCallError as error:
-            reply, named = Reply(False, str(error)), "unreadable"
+            reply, named = AdminReply(False, str(error)), "unreadable"
         else:
-            named = f"{order.call.value} {order.node}".strip()
+            named = f"{order.call.value} {order.endpoint_id}".strip()
             try:
                 reply = await self._act(order)
             except Exception:
                 log.exception("call failed", extra={"call": named})
-                reply = Reply(False, "it failed, see the log")
+                reply = AdminReply(False, "it failed, see the log")
         self._counters["calls.done" if reply.done else "calls.declined"] += 1
         log.info("call", extra={"call": named, "done": reply.done, "why": reply.why})
         return reply
--- a/lemonridge/net/discovery.py
+++ b/lemonridge/net/discovery.py
@@ -12,7 +12,7 @@
 
 from lemonridge.config.platform import Address, ConfigError
 from lemonridge.core.counters import Counters
-from lemonridge.core.endpoint_registry import Directory, Listing
+from lemonridge.core.endpoint_registry import EndpointAddress, EndpointRegistry
 from lemonridge.net.watch_stream import Backoff, client
 from lemonridge.scheduling import ASK_TOP_US
 from lemonridge.scheduling.events import Endpoint, EndpointListUpdate, EndpointState
@@ -45,7 +45,7 @@
     """Discovery answered with something else than 200."""
 
 
-def listings(told: Any, zones: tuple[str, ...]) -> list[Listing]:
+def listings(told: Any, zones: tuple[str, ...]) -> list[EndpointAddress]:
     """The lines of a list in discovery's form; `MalformedError` where one of them is spoilt, as the others
     would then be a list that nobody told."""
     try:
@@ -56,20 +56,25 @@
         raise MalformedError(f"{type(error).__name__}: {error}") from None
 
 
-def _listing(row: Any, zones: tuple[str, ...]) -> Listing:
-    node, shard, born_ms = row["host"], row["block"], row["born_ms"] or 0
-    if not isinstance(node, str) or not node or type(shard) is not int or type(born_ms) not in (int, float):
+def _listing(row: Any, zones: tuple[str, ...]) -> EndpointAddress:
+    endpoint, shard, born_ms = row["host"], row["block"], row["born_ms"] or 0
+    if (
+        not isinstance(endpoint, str)
+        or not endpoint
+        or type(shard) is not int
+        or type(born_ms) not in (int, float)
+    ):
         raise MalformedError("'host' must be a name, 'block' a whole number, 'born_ms' a number")
     entry = Endpoint(
-        node=node,
+        endpoint_id=endpoint,
         shard=shard,
         zone=_zone(row["site"], zones),
         condition=CONDITIONS[row["health"]],
         started_us=int(born_ms) * 1000,
     )
     if entry.condition is EndpointState.REMOVED:
-        return Listing(entry, "")  # nobody dials it
-    return Listing(entry, str(Address.parse(row["dial"], "'dial'")))
+        return EndpointAddress(entry, "")  # nobody dials it
+    return EndpointAddress(entry, str(Address.parse(row["dial"], "'dial'")))
 
 
 def _zone(site: Any, zones: tuple[str, ...]) -> int:
@@ -126,7 +131,7 @@
         self,
         address: str,
         zones: tuple[str, ...],
-        directory: Directory,
+        directory: EndpointRegistry,
         random: Random,
         counters: Counters,
         settings: Settings,
--- a/lemonridge/net/http_endpoints.py
+++ b/lemonridge/net/http_endpoints.py
@@ -15,10 +15,10 @@
 from aiohttp.tracing import Trace
 from yarl import URL
 
-from lemonridge.config.platform import Platform
+from lemonridge.config.platform import PlatformConfig
 from lemonridge.core.clock import Clock
 from lemonridge.core.counters import Counters
-from lemonridge.core.endpoint_registry import Directory
+from lemonridge.core.endpoint_registry import EndpointRegistry
 from lemonridge.core.model import (
     Attempt,
     AttemptSuppressedError,
@@ -120,10 +120,12 @@
             idle.rotate(1)
 
 
-class HttpNodes:
+class HttpEndpoints:
     """Makes attempts at the platform's nodes."""
 
-    def __init__(self, directory: Directory, clock: Clock, platform: Platform, counters: Counters) -> None:
+    def __init__(
+        self, directory: EndpointRegistry, clock: Clock, platform: PlatformConfig, counters: Counters
+    ) -> None:
         self._directory, self._clock, self._held_field = directory, clock, platform.held_field
         self._loop = asyncio.get_running_loop()
         self.epoch: Callable[[float], str | None] | None = None  # of what was decided then; None: it is over
@@ -136,7 +138,7 @@
         self._connector = _Connector(platform.connect_us, platform.keepalive_us, counters)
         self._session = session(self._connector, trace_configs=[trace], read_bufsize=BUFFER)
 
-    def configure(self, platform: Platform) -> None:
+    def configure(self, platform: PlatformConfig) -> None:
         """New settings, for the connects, the reuses and the answers to come."""
         self._connector.configure(platform.connect_us, platform.keepalive_us)
         self._held_field = platform.held_field
@@ -145,7 +147,7 @@
         """Send the request once and read the answer."""
         payload = attempt.request.payload
         assert isinstance(payload, Payload)
-        address = self._directory.address(attempt.node)
+        address = self._directory.address(attempt.endpoint_id)
         if address is None:
             raise AttemptSuppressedError
         headers = dict(payload.headers)
@@ -214,7 +216,7 @@
     def _check(self, attempt: Attempt, address: str) -> None:
         """Raise `AttemptSuppressedError` where a change of the list during the connect, or a stop of the
         process, has overtaken the decision."""
-        if self._directory.address(attempt.node) != address:  # it drains, is gone, or is elsewhere
+        if self._directory.address(attempt.endpoint_id) != address:  # it drains, is gone, or is elsewhere
             raise AttemptSuppressedError
         if (
             self.expires_decisions
--- a/lemonridge/net/http_front.py
+++ b/lemonridge/net/http_front.py
@@ -13,12 +13,12 @@
 from aiohttp.streams import StreamReader
 from multidict import CIMultiDictProxy
 
-from lemonridge.config.platform import Address, Platform
+from lemonridge.config.platform import Address, PlatformConfig
 from lemonridge.core.broker import Broker
 from lemonridge.core.clock import Clock
 from lemonridge.core.counters import Counters
-from lemonridge.core.endpoint_registry import Directory
-from lemonridge.core.model import Answer, DuplicateError, Kind, Request
+from lemonridge.core.endpoint_registry import EndpointRegistry
+from lemonridge.core.model import Answer, AnswerKind, DuplicateError, Request
 from lemonridge.net.http_connection import Connection, ConnectionTable
 from lemonridge.net.http_headers import BadMessageError
 from lemonridge.net.http_response import LongAnswer
@@ -43,9 +43,9 @@
 
     def __init__(
         self,
-        platform: Platform,
+        platform: PlatformConfig,
         broker: Broker,
-        directory: Directory,
+        directory: EndpointRegistry,
         clock: Clock,
         counters: Counters,
         lifecycle: Lifecycle,
@@ -71,7 +71,7 @@
         lambda: True
     )  # whether it is known by which policy to decide
 
-    def configure(self, platform: Platform) -> None:
+    def configure(self, platform: PlatformConfig) -> None:
         """Go by this configuration from here on."""
         self._platform = platform
         self._lifecycle.configure(max(cls.deadline_us for cls in platform.settings.classes))
@@ -186,7 +186,7 @@
                 finally:
                     del self._scopes[scope]
         except TimeoutError:
-            return Answer(Kind.FAILED if request.forwarded else Kind.REFUSED)
+            return Answer(AnswerKind.FAILED if request.forwarded else AnswerKind.REFUSED)
 
     def _ready(self, http: web.BaseRequest) -> web.Response:
         if http.method != "GET" or http.path != "/-/ready":
@@ -276,10 +276,10 @@
     """The answer on the wire; a refusal says when to come back, in seconds with decimals."""
     if isinstance(answer.reply, LongAnswer):
         return answer.reply
-    if answer.kind is Kind.SERVED:
+    if answer.kind is AnswerKind.SERVED:
         assert isinstance(answer.reply, bytes)
         return web.Response(body=answer.reply)
-    if answer.kind is Kind.REFUSED:
+    if answer.kind is AnswerKind.REFUSED:
         advice = {"Retry-After": f"{answer.backoff_us / 1e6:.3f}"} if answer.backoff_us else None
         return web.Response(status=503, headers=advice)
     return web.Response(status=502)
--- a/lemonridge/net/peer_transport.py
+++ b/lemonridge/net/peer_transport.py
@@ -14,14 +14,14 @@
 from collections.abc import Iterable
 from typing import Any, Protocol
 
-from lemonridge.config.platform import FleetPlan
+from lemonridge.config.platform import FleetConfig
 from lemonridge.core.clock import Clock
 from lemonridge.core.counters import Counters
-from lemonridge.core.decision_host import Decider
+from lemonridge.core.decision_host import DecisionHost
 from lemonridge.core.model import Request
-from lemonridge.fleet.datagrams import Item, Tagger
-from lemonridge.fleet.member_list import Roster
-from lemonridge.fleet.scheduler_bridge import Companion
+from lemonridge.fleet.datagrams import DatagramSigner, Item
+from lemonridge.fleet.member_list import MemberList
+from lemonridge.fleet.scheduler_bridge import SchedulerBridge
 from lemonridge.fleet.status_report import report
 from lemonridge.scheduling.actions import Action, SlowStartBegan
 from lemonridge.scheduling.events import AttemptEnded, Endpoint, RequestArrived
@@ -55,13 +55,13 @@
     def heard(self, who: int, life: int, item: Item) -> None: ...
 
 
-class Peers(asyncio.DatagramProtocol):
+class PeerTransport(asyncio.DatagramProtocol):
     """This broker among its peers."""
 
     def __init__(
         self,
-        plan: FleetPlan,
-        decider: Decider,
+        plan: FleetConfig,
+        decider: DecisionHost,
         clock: Clock,
         counters: Counters,
         seed: int,
@@ -72,10 +72,10 @@
         self._transport: asyncio.DatagramTransport | None = None
         self._sources = {(one.host, one.port): number for number, one in enumerate(plan.addresses)}
         self._timer: asyncio.TimerHandle | None = None
-        tagger: Tagger | None = Keyed(plan.secret) if plan.secret else None
+        tagger: DatagramSigner | None = Keyed(plan.secret) if plan.secret else None
         # Wall time, which goes on over restarts: a later start of a name has a higher one.
-        self._companion = Companion(
-            Roster(plan.names, plan.me),
+        self._companion = SchedulerBridge(
+            MemberList(plan.names, plan.me),
             time.time_ns() // 1_000_000,
             seed,
             clock.now_us(),
@@ -185,9 +185,9 @@
         if self._companion.events or self._companion.tells:
             self._flush()
 
-    def sent(self, node: str, request: Request) -> None:
+    def sent(self, endpoint: str, request: Request) -> None:
         """An attempt was decided on."""
-        self._companion.sent(node, request.units)
+        self._companion.sent(endpoint, request.units)
 
     def acted(self, action: Action) -> None:
         """Something else was decided."""
@@ -208,7 +208,7 @@
 
     def report(self) -> dict[str, Any]:
         """What operators are shown: see `fleet/report.py`."""
-        return report(self._companion.fleet, self._clock.now_us(), self._companion.nodes)
+        return report(self._companion.fleet, self._clock.now_us(), self._companion.endpoints)
 
     def count(self) -> None:
         """Bring the counters up to date."""
--- a/lemonridge/net/process_handover.py
+++ b/lemonridge/net/process_handover.py
@@ -15,20 +15,20 @@
 from lemonridge.core.clock import Clock
 from lemonridge.core.counters import Counters
 from lemonridge.core.open_ids import OpenIds
-from lemonridge.operate.admin_calls import Order, Reply
+from lemonridge.operate.admin_calls import AdminReply, AdminRequest
 from lemonridge.operate.handover import (
     CALL_US,
     GIVE_US,
     LINE_MAX,
     BadMessageError,
-    Called,
-    Done,
-    Given,
+    CallAcknowledged,
+    CallForwarded,
+    HandoverGranted,
+    HandoverRefused,
+    HandoverRequested,
     HandoverState,
-    Ids,
     Message,
-    No,
-    Take,
+    OpenIdsChanged,
     decode,
     encode,
 )
@@ -51,7 +51,7 @@
         """The successor is gone: go on as before."""
         ...
 
-    def obey(self, order: Order) -> Reply:
+    def obey(self, order: AdminRequest) -> AdminReply:
         """Do what an operator asked of the other process."""
         ...
 
@@ -88,14 +88,14 @@
         try:
             while True:
                 message = await self.read()
-                if isinstance(message, Called):
+                if isinstance(message, CallForwarded):
                     self._host.obey(message.order)
-                    self.write(Done(message.number))
-                elif isinstance(message, Done):
+                    self.write(CallAcknowledged(message.number))
+                elif isinstance(message, CallAcknowledged):
                     waiter = self._waiting.pop(message.number, None)
                     if waiter is not None and not waiter.done():
                         waiter.set_result(None)
-                elif isinstance(message, Ids):
+                elif isinstance(message, OpenIdsChanged):
                     self._open_ids.told(self, message.opened, message.ended)
         except (EOFError, OSError, BadMessageError, ValueError) as error:
             log.info("other process gone", extra={"error": f"{type(error).__name__}: {error}"})
@@ -103,13 +103,13 @@
             self._open_ids.gone(self)
             self.close()
 
-    async def share(self, order: Order) -> bool:
+    async def share(self, order: AdminRequest) -> bool:
         """Pass a call on; whether it is in force there too, also by there being nobody any more."""
         if len(self._waiting) >= CALLS_MAX:
             return False
         self._count += 1
         waiter = self._waiting[self._count] = asyncio.get_running_loop().create_future()
-        self.write(Called(self._count, order))
+        self.write(CallForwarded(self._count, order))
         try:
             async with asyncio.timeout_at(self._clock.loop_time(self._clock.now_us() + CALL_US)):
                 await waiter
@@ -149,15 +149,15 @@
             async with asyncio.timeout_at(self._clock.loop_time(self._clock.now_us() + GIVE_US)):
                 while True:
                     connection = await self._connect()
-                    connection.write(Take(ids=True))
+                    connection.write(HandoverRequested(ids=True))
                     message = await connection.read()
-                    if isinstance(message, Given):
+                    if isinstance(message, HandoverGranted):
                         connection.tells_ids = message.estate.open_ids is not None
                         self._open_ids.told(connection, message.estate.open_ids or (), ())
                         self._keep(connection)
                         return message.estate
                     connection.close()
-                    if not isinstance(message, No):
+                    if not isinstance(message, HandoverRefused):
                         raise BadMessageError("not what was asked for")
                     await asyncio.sleep(AGAIN_S)  # the one that took over from it will be there
         except (OSError, EOFError, ValueError, BadMessageError, TimeoutError) as error:
@@ -189,7 +189,7 @@
             made.close()
             log.error("no handover from here", extra={"error": str(error)})
 
-    async def share(self, order: Order) -> bool:
+    async def share(self, order: AdminRequest) -> bool:
         """Pass an operator's call on to the other process; whether it is in force wherever one lives."""
         return all(await asyncio.gather(*(connection.share(order) for connection in self._connections)))
 
@@ -205,7 +205,7 @@
 
     def _tell_ids(self) -> None:
         news, self._id_news = self._id_news, {}
-        message = Ids(
+        message = OpenIdsChanged(
             tuple(ident for ident, opened in news.items() if opened),
             tuple(ident for ident, opened in news.items() if not opened),
         )
@@ -256,21 +256,23 @@
         try:
             async with asyncio.timeout_at(self._clock.loop_time(self._clock.now_us() + GIVE_US)):
                 message = await connection.read()
-            if not isinstance(message, Take) or self._given:
-                connection.write(No("handed over already" if self._given else "nothing was asked for"))
+            if not isinstance(message, HandoverRequested) or self._given:
+                connection.write(
+                    HandoverRefused("handed over already" if self._given else "nothing was asked for")
+                )
                 connection.close()
                 return
         except (EOFError, OSError, ValueError, BadMessageError, TimeoutError) as error:
             log.warning("handover not asked for as it should", extra={"error": str(error)})
             with contextlib.suppress(OSError):
-                connection.write(No(str(error)))
+                connection.write(HandoverRefused(str(error)))
             connection.close()
             return
         self._given = True
         self._counters["handover.given"] += 1
         connection.tells_ids = message.ids
         open_ids = self._open_ids.own() if message.ids else None
-        connection.write(Given(replace(self._host.export_state(), open_ids=open_ids)))
+        connection.write(HandoverGranted(replace(self._host.export_state(), open_ids=open_ids)))
         self._connections.add(connection)
         self._connections_changed()
         await connection.serve()
--- a/lemonridge/operate/handover.py
+++ b/lemonridge/operate/handover.py
@@ -16,8 +16,8 @@
 import orjson
 
 from lemonridge.core.start_times import StartTime
-from lemonridge.operate.admin_calls import Call, Order
-from lemonridge.operate.maintenance import OUT_MAX, Back
+from lemonridge.operate.admin_calls import AdminCall, AdminRequest
+from lemonridge.operate.maintenance import OUT_MAX, ReturnedToService
 from lemonridge.scheduling.events import Endpoint, EndpointState, LimitLevel
 
 VERSION = 1
@@ -35,7 +35,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Row:
+class HandedOverEndpoint:
     """A node as discovery told it, with its address."""
 
     entry: Endpoint
@@ -47,10 +47,10 @@
     """What the successor goes on from: the bans, the drain in force, what the limits have saved, the list."""
 
     out: Mapping[str, int] = field(default_factory=dict)
-    back: Mapping[str, Back] = field(default_factory=dict)
+    back: Mapping[str, ReturnedToService] = field(default_factory=dict)
     drained_us: int | None = None
     levels: Mapping[int, LimitLevel] = field(default_factory=dict)  # by volume
-    rows: tuple[Row, ...] = ()
+    rows: tuple[HandedOverEndpoint, ...] = ()
     starts: Mapping[str, StartTime] = field(default_factory=dict)
     open_ids: tuple[str, ...] | None = None  # of the requests that the sender holds; None: it tells none
     base_us: int = 0  # of the clock that the times are of (`Clock.base_us`); 0: it was not told
@@ -61,56 +61,61 @@
         shift = base_us - self.base_us if self.base_us else 0
         return replace(
             self,
-            out={node: since + shift for node, since in self.out.items()},
-            back={node: Back(one.out_us + shift, one.back_us + shift) for node, one in self.back.items()},
+            out={endpoint: since + shift for endpoint, since in self.out.items()},
+            back={
+                endpoint: ReturnedToService(one.out_us + shift, one.back_us + shift)
+                for endpoint, one in self.back.items()
+            },
             drained_us=None if self.drained_us is None else self.drained_us + shift,
             levels={
                 volume: replace(level, owed_until_us=level.owed_until_us + shift)
                 for volume, level in self.levels.items()
             },
-            starts={node: StartTime(one.told_us, one.own_us + shift) for node, one in self.starts.items()},
+            starts={
+                endpoint: StartTime(one.told_us, one.own_us + shift) for endpoint, one in self.starts.items()
+            },
             base_us=base_us,
         )
 
 
 @dataclass(frozen=True, slots=True)
-class Take:
+class HandoverRequested:
     """The successor takes over; whether it wants to be told of ids."""
 
     ids: bool = False
 
 
 @dataclass(frozen=True, slots=True)
-class Given:
+class HandoverGranted:
     """The estate; the sender takes nothing new any more."""
 
     estate: HandoverState
 
 
 @dataclass(frozen=True, slots=True)
-class No:
+class HandoverRefused:
     """Nothing is given."""
 
     why: str
 
 
 @dataclass(frozen=True, slots=True)
-class Called:
+class CallForwarded:
     """An operator's call that the other process has taken."""
 
     number: int
-    order: Order
+    order: AdminRequest
 
 
 @dataclass(frozen=True, slots=True)
-class Done:
+class CallAcknowledged:
     """That call is in force here too."""
 
     number: int
 
 
 @dataclass(frozen=True, slots=True)
-class Ids:
+class OpenIdsChanged:
     """The ids of requests that the sender has opened, and of those that are over."""
 
     opened: tuple[str, ...]
@@ -125,22 +130,34 @@
 }
 WORD_OF_STATE = {state: word for word, state in STATE_OF_WORD.items()}
 
-Message = Take | Given | No | Called | Done | Ids
+Message = (
+    HandoverRequested | HandoverGranted | HandoverRefused | CallForwarded | CallAcknowledged | OpenIdsChanged
+)
+
+# The name of each message on the wire between the two processes.
+WORD_OF_MESSAGE: dict[type[Message], str] = {
+    HandoverRequested: "take",
+    HandoverGranted: "given",
+    HandoverRefused: "no",
+    CallForwarded: "called",
+    CallAcknowledged: "done",
+    OpenIdsChanged: "ids",
+}
 
 
 def encode(message: Message) -> bytes:
     """One line, its end included."""
-    told: dict[str, Any] = {"v": VERSION, "say": type(message).__name__.lower()}
-    if isinstance(message, Given):
+    told: dict[str, Any] = {"v": VERSION, "say": WORD_OF_MESSAGE[type(message)]}
+    if isinstance(message, HandoverGranted):
         estate = message.estate
         told["out"] = dict(estate.out)
-        told["back"] = {node: [one.out_us, one.back_us] for node, one in estate.back.items()}
+        told["back"] = {endpoint: [one.out_us, one.back_us] for endpoint, one in estate.back.items()}
         told["drained_us"] = estate.drained_us
         told["levels"] = [[volume, level.saved] for volume, level in estate.levels.items()]
         told["owed"] = [[volume, level.owed, level.owed_until_us] for volume, level in estate.levels.items()]
         told["rows"] = [
             [
-                row.entry.node,
+                row.entry.endpoint_id,
                 row.entry.shard,
                 row.entry.zone,
                 WORD_OF_STATE[row.entry.condition],
@@ -149,19 +166,23 @@
             ]
             for row in estate.rows
         ]
-        told["starts"] = {node: [one.told_us, one.own_us] for node, one in estate.starts.items()}
+        told["starts"] = {endpoint: [one.told_us, one.own_us] for endpoint, one in estate.starts.items()}
         told["base_us"] = estate.base_us
         if estate.open_ids is not None:
             told["ids"] = estate.open_ids
-    elif isinstance(message, Take):
+    elif isinstance(message, HandoverRequested):
         told["ids"] = message.ids
-    elif isinstance(message, Ids):
+    elif isinstance(message, OpenIdsChanged):
         told |= {"opened": message.opened, "ended": message.ended}
-    elif isinstance(message, No):
+    elif isinstance(message, HandoverRefused):
         told["why"] = message.why
-    elif isinstance(message, Called):
-        told |= {"number": message.number, "call": message.order.call.value, "node": message.order.node}
-    elif isinstance(message, Done):
+    elif isinstance(message, CallForwarded):
+        told |= {
+            "number": message.number,
+            "call": message.order.call.value,
+            "node": message.order.endpoint_id,
+        }
+    elif isinstance(message, CallAcknowledged):
         told["number"] = message.number
     return orjson.dumps(told) + b"\n"
 
@@ -182,15 +203,17 @@
 def _message(told: dict[str, Any]) -> Message:
     say = told["say"]
     if say == "take":
-        return Take(told.get("ids") is True)
+        return HandoverRequested(told.get("ids") is True)
     if say == "ids":
-        return Ids(_ids(told["opened"]), _ids(told["ended"]))
+        return OpenIdsChanged(_ids(told["opened"]), _ids(told["ended"]))
     if say == "no":
-        return No(str(told["why"])[:200])
+        return HandoverRefused(str(told["why"])[:200])
     if say == "done":
-        return Done(_whole(told["number"]))
+        return CallAcknowledged(_whole(told["number"]))
     if say == "called":
-        return Called(_whole(told["number"]), Order(Call(told["call"]), _text(told["node"])))
+        return CallForwarded(
+            _whole(told["number"]), AdminRequest(AdminCall(told["call"]), _text(told["node"]))
+        )
     if say != "given":
         raise BadMessageError("it says nothing that is known")
     if len(told["out"]) > OUT_MAX or len(told["back"]) > OUT_MAX:
@@ -205,23 +228,31 @@
         raise BadMessageError("it holds too many rows")
     ways = {_whole(volume, 1 << 64): (_units(units), _whole(until)) for volume, units, until in owed}
     drained = told["drained_us"]
-    return Given(
+    return HandoverGranted(
         HandoverState(
-            out={_text(node): _whole(since) for node, since in told["out"].items()},
-            back={_text(node): Back(_whole(out), _whole(back)) for node, (out, back) in told["back"].items()},
+            out={_text(endpoint): _whole(since) for endpoint, since in told["out"].items()},
+            back={
+                _text(endpoint): ReturnedToService(_whole(out), _whole(back))
+                for endpoint, (out, back) in told["back"].items()
+            },
             drained_us=None if drained is None else _whole(drained),
             levels={
                 _whole(volume, 1 << 64): LimitLevel(_units(saved), *ways.get(volume, ()))
                 for volume, saved in told["levels"]
             },
             rows=tuple(
-                Row(
-                    Endpoint(_text(node), int(shard), int(zone), STATE_OF_WORD[condition], _whole(started)),
+                HandedOverEndpoint(
+                    Endpoint(
+                        _text(endpoint), int(shard), int(zone), STATE_OF_WORD[condition], _whole(started)
+                    ),
                     _text(address),
                 )
-                for node, shard, zone, condition, started, address in told["rows"]
+                for endpoint, shard, zone, condition, started, address in told["rows"]
             ),
-            starts={_text(node): StartTime(_whole(one), _whole(own)) for node, (one, own) in starts.items()},
+            starts={
+                _text(endpoint): StartTime(_whole(one), _whole(own))
+                for endpoint, (one, own) in starts.items()
+            },
             open_ids=None if told.get("ids") is None else _ids(told["ids"]),
             base_us=_whole(told.get("base_us", 0)),
         )
--- a/lemonridge/rollout/policy_document.py
+++ b/lemonridge/rollout/policy_document.py
@@ -75,7 +75,7 @@
                 raise ValueError(f"two of '{what}' have one name")
 
 
-class State(Struct, forbid_unknown_fields=True, frozen=True, kw_only=True):
+class PolicyState(Struct, forbid_unknown_fields=True, frozen=True, kw_only=True):
     """What is decided at an epoch, all of it: so the newest alone has to be kept and learnt.
 
     `prior` names the state before it; `voters` are the identities of those who vote on the next."""
@@ -95,10 +95,10 @@
     """A policy or a state that cannot be used; the text is fit to print."""
 
 
-def encode(state: State) -> bytes:
+def encode(state: PolicyState) -> bytes:
     """The bytes that are voted on; PolicyError where they are too many, or break the schema."""
     try:  # read back once: a whole number where a figure stands is another form of the same
-        again = msgspec.json.decode(msgspec.json.encode(state), type=State)
+        again = msgspec.json.decode(msgspec.json.encode(state), type=PolicyState)
         data = msgspec.json.encode(again, order="sorted")
     except (msgspec.DecodeError, ValueError) as error:
         raise PolicyError(str(error)) from None
@@ -107,12 +107,12 @@
     return data
 
 
-def decode(data: bytes) -> State:
+def decode(data: bytes) -> PolicyState:
     """The state of some bytes, which must be in the one form."""
     if len(data) > VALUE_MAX:
         raise PolicyError("too long")
     try:
-        state = msgspec.json.decode(data, type=State)
+        state = msgspec.json.decode(data, type=PolicyState)
     except (msgspec.DecodeError, ValueError) as error:
         raise PolicyError(str(error)) from None
     if encode(state) != data:
@@ -133,10 +133,10 @@
         raise PolicyError(str(error)) from None
 
 
-def successor(before: State, policy: Policy, by: str, note: str) -> State:
+def successor(before: PolicyState, policy: Policy, by: str, note: str) -> PolicyState:
     """The state after a change of policy."""
     line = f"{before.epoch + 1} {by}: {note}"[: NOTE_MAX + 60]
-    return State(
+    return PolicyState(
         epoch=before.epoch + 1,
         prior=name(encode(before)).hex(),
         voters=before.voters,
@@ -148,7 +148,7 @@
     )
 
 
-def admitted(before: State, voter: str, ident: int, by: str) -> State:
+def admitted(before: PolicyState, voter: str, ident: int, by: str) -> PolicyState:
     """The state after a member was let in, for the first time or with a new store: it votes from the next
     change on."""
     how = "with a new store" if voter in before.voters else "from now on"
@@ -156,14 +156,14 @@
     return msgspec.structs.replace(made, voters={**before.voters, voter: ident}, kind="voter")
 
 
-def retired(before: State, voter: str, by: str) -> State:
+def retired(before: PolicyState, voter: str, by: str) -> PolicyState:
     """The state after a voter votes no longer."""
     made = successor(before, before.policy, by, f"{voter} votes no longer")
     voters = {told: ident for told, ident in before.voters.items() if told != voter}
     return msgspec.structs.replace(made, voters=voters, kind="voter")
 
 
-def forced(before: State, epoch: int, voters: dict[str, int], by: str, note: str) -> State:
+def forced(before: PolicyState, epoch: int, voters: dict[str, int], by: str, note: str) -> PolicyState:
     """The state of an emergency call: the policy as it was, with other voters, which no majority decided."""
     made = successor(before, before.policy, by, note)
     line = f"{epoch} {by}: EMERGENCY, only {', '.join(voters)}: {note}"[: NOTE_MAX + 60]
@@ -172,7 +172,7 @@
     )
 
 
-def stepped(before: State, after: State, members: Iterable[str]) -> str:
+def stepped(before: PolicyState, after: PolicyState, members: Iterable[str]) -> str:
     """Why who votes may not change so, or nothing: by one voter at a time, who is a member, and never to
     none."""
     pairs = set(before.voters.items()) ^ set(after.voters.items())
--- a/lemonridge/rollout/rollout_member.py
+++ b/lemonridge/rollout/rollout_member.py
@@ -36,7 +36,7 @@
 from lemonridge.rollout import policy_document
 from lemonridge.rollout.leases import NOTHING, Holder, Interval, LeaseGrantor
 from lemonridge.rollout.paxos import NONE, Accepted, Promised, Proposer, Refused, Voter, turn_of
-from lemonridge.rollout.policy_document import Policy, PolicyError, State
+from lemonridge.rollout.policy_document import Policy, PolicyError, PolicyState
 
 SPAN_US, ERROR_US = 2_000_000, 50_000  # of a lease: what a dead broker holds a switch up, against messages
 CHECK_US = 800_000  # silent for so long at a check: it counts as down
@@ -53,24 +53,24 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Keep:
+class PersistVote:
     """Write this down, whole, before anything that follows is done."""
 
     data: bytes
 
 
 @dataclass(frozen=True, slots=True)
-class Say:
+class SendMessage:
     """Send an item to a member."""
 
     to: int
     item: Item
 
 
-Action = Keep | Say
+RolloutAction = PersistVote | SendMessage
 
 
-class Kept(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+class StoredVote(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """What is on disk: the identity of the store, the newest state (empty: what the files say), and the vote
     in the slot after it."""
 
@@ -120,7 +120,7 @@
     check: Check | None = None  # to be answered then
 
 
-class Rollout:
+class RolloutMember:
     """One broker."""
 
     def __init__(
@@ -128,7 +128,7 @@
         me: int,
         names: tuple[str, ...],
         life: int,
-        genesis: State,
+        genesis: PolicyState,
         kept: bytes | None,
         ident: int,
         judge: Callable[[Policy], str],
@@ -141,15 +141,15 @@
         none, and then `ident` is a new one's; `judge` says why this broker could not decide by a policy, or
         nothing."""
         self.me, self.names, self.life, self._judge = me, names, life, judge
-        self.out: list[Action] = []
+        self.out: list[RolloutAction] = []
         self._random = Random(f"{seed}/rollout")
         self.states: dict[bytes, bytes] = {}  # by name
-        told = msgspec.msgpack.decode(kept, type=Kept) if kept is not None else None
+        told = msgspec.msgpack.decode(kept, type=StoredVote) if kept is not None else None
         self.ident = told.ident if told is not None else ident
         self.state = policy_document.decode(told.state) if told is not None and told.state else genesis
         self.name = self._store(policy_document.encode(self.state))
         self.fault = judge(self.state.policy)  # why this broker may not go by the policy that is in force
-        self.before: State | None = None  # the one before, while its lease may be in use
+        self.before: PolicyState | None = None  # the one before, while its lease may be in use
         self.voter = Voter(self.ident, self.state.epoch + 1)
         if told is not None and told.took:
             self.voter.took, self.voter.value = told.took, self._store(told.taken)
@@ -195,7 +195,7 @@
         """Whether this broker's votes count."""
         return self.state.voters.get(self.names[self.me]) == self.ident
 
-    def idents(self, state: State) -> dict[int, int]:
+    def idents(self, state: PolicyState) -> dict[int, int]:
         """The stores that vote after a state, by member; one that is no member here has a number past them,
         counts, and is never heard."""
         numbers = {name: number for number, name in enumerate(self.names)}
@@ -280,7 +280,7 @@
         self._decided(epoch, made, now_us)
         return ""
 
-    def _begin(self, state: State, now_us: int, mine: bool = True) -> str:
+    def _begin(self, state: PolicyState, now_us: int, mine: bool = True) -> str:
         try:
             data = policy_document.encode(state)
         except PolicyError as error:
@@ -644,16 +644,16 @@
 
     def _say(self, who: int, item: Item) -> None:
         if who != self.me and who < len(self.names):
-            self.out.append(Say(who, item))
+            self.out.append(SendMessage(who, item))
 
     def _keep(self) -> None:
         taken = self.states[self.voter.value] if self.voter.took else b""
         data = msgspec.msgpack.encode(
-            Kept(self.ident, self.states[self.name], self.voter.promised, self.voter.took, taken)
+            StoredVote(self.ident, self.states[self.name], self.voter.promised, self.voter.took, taken)
         )
         if data != self._kept:
             self._kept = data
-            self.out.append(Keep(data))
+            self.out.append(PersistVote(data))
 
     def report(self, now_us: int) -> dict[str, object]:
         """What operators are shown."""
--- a/lemonridge/scheduling/actions.py
+++ b/lemonridge/scheduling/actions.py
@@ -25,7 +25,7 @@
     """Make an attempt, until the client gives up."""
 
     request: str
-    node: str
+    endpoint_id: str
 
 
 @dataclass(frozen=True, slots=True)
@@ -69,7 +69,7 @@
 class SlowStartBegan:
     """A node's cold spell began for this host; what is its own there, in units a second, until it is over."""
 
-    node: str
+    endpoint_id: str
     shard: int
     born_us: int
     rate: float
--- a/lemonridge/scheduling/endpoint.py
+++ b/lemonridge/scheduling/endpoint.py
@@ -11,7 +11,7 @@
     """What this host knows of one node."""
 
     def __init__(self, entry: Endpoint, window: float) -> None:
-        self.id, self.shard, self.zone = entry.node, entry.shard, entry.zone
+        self.id, self.shard, self.zone = entry.endpoint_id, entry.shard, entry.zone
         self.condition = entry.condition
         self.listed = False  # in the rotation of its shard and in the order of all
         self.born_us: int | None = None  # start of a cold spell
