--- a/lemonridge/cli/simulator.py
+++ b/lemonridge/cli/simulator.py
@@ -92,11 +92,11 @@
         attempt=item[3],
         endpoint_id=item[4],
         result=RESULTS[item[5]],
-        lag_us=item[6],
+        latency_us=item[6],
         finished=bool(item[7]),
-        used=item[8] if len(item) > 8 else None,
-        elsewhere=item[9] if len(item) > 9 else None,
-        held=_held(item[10]) if len(item) > 10 else None,
+        volume_units=item[8] if len(item) > 8 else None,
+        peer_units=item[9] if len(item) > 9 else None,
+        endpoint_outstanding=_held(item[10]) if len(item) > 10 else None,
     )
 
 
--- a/lemonridge/core/decision_host.py
+++ b/lemonridge/core/decision_host.py
@@ -133,7 +133,7 @@
         self._settings, self._seed = settings, seed
         self.clock, self._counters = clock, counters
         self._loop = asyncio.get_running_loop()
-        self._scheduler = Scheduler(settings, seed, asked=True)
+        self._scheduler = Scheduler(settings, seed, host_confirms_start=True)
         self._mailboxes: dict[str, RequestMailbox] = {}
         self._events: list[Event] = []
         self._due = False
@@ -252,7 +252,7 @@
             self._trace(events, actions)
         for action in actions:
             if isinstance(action, (Reject, Fail)):
-                self._counters[f"given_up.{action.why.value}"] += 1
+                self._counters[f"given_up.{action.reason.value}"] += 1
             if isinstance(action, SetTimer):
                 self._wake_at(action.at_us)
             elif isinstance(action, SlowStartBegan):
@@ -295,7 +295,7 @@
             self._timer.cancel()
             self._timer = None
         self._seed += 1
-        self._scheduler = Scheduler(self._settings, self._seed, asked=True)
+        self._scheduler = Scheduler(self._settings, self._seed, host_confirms_start=True)
         if self.observer is not None:
             self.observer.renewed()
         self.deliver(EndpointsChanged(EndpointListUpdate.CACHED, self.relist()))
--- a/lemonridge/fleet/scheduler_bridge.py
+++ b/lemonridge/fleet/scheduler_bridge.py
@@ -163,7 +163,7 @@
             key_of(action.endpoint_id),
             action.shard,
             action.rate,
-            action.born_us,
+            action.began_us,
             action.until_us,
         )
         self._handle(now_us, began)
--- a/lemonridge/lab/fleet_mutants.py
+++ b/lemonridge/lab/fleet_mutants.py
@@ -64,15 +64,17 @@
     from lemonridge.scheduling.token_bucket import TokenBucket
 
     class Bottomless(TokenBucket):
-        def fill(self, now: int) -> float:
-            super().fill(now)
+        def refill(self, now_us: int) -> float:
+            super().refill(now_us)
             return 1e9
 
     real = scheduling.Scheduler.__init__
 
-    def begin(self: scheduling.Scheduler, settings: Settings, seed: int, asked: bool = False) -> None:
-        real(self, settings, seed, asked)
-        self.retries.further = Bottomless(0)
+    def begin(
+        self: scheduling.Scheduler, settings: Settings, seed: int, host_confirms_start: bool = False
+    ) -> None:
+        real(self, settings, seed, host_confirms_start)
+        self.retries.fleet_retries = Bottomless(0)
 
     scheduling.Scheduler.__init__ = begin  # type: ignore[method-assign]
 
--- a/lemonridge/lab/soak_mutants.py
+++ b/lemonridge/lab/soak_mutants.py
@@ -55,7 +55,7 @@
 def _knows_no_limit() -> None:
     from lemonridge.scheduling.token_bucket import TokenBucket
 
-    TokenBucket.wait_us = lambda self, units, now: 0  # type: ignore[method-assign]
+    TokenBucket.wait_us = lambda self, units, now_us: 0  # type: ignore[method-assign]
 
 
 def _sends_for_the_gone() -> None:
--- a/lemonridge/net/discovery.py
+++ b/lemonridge/net/discovery.py
@@ -14,7 +14,7 @@
 from lemonridge.core.counters import Counters
 from lemonridge.core.endpoint_registry import EndpointAddress, EndpointRegistry
 from lemonridge.net.watch_stream import Backoff, client
-from lemonridge.scheduling import ASK_TOP_US
+from lemonridge.scheduling import MAX_POLL_BACKOFF_US
 from lemonridge.scheduling.events import Endpoint, EndpointListUpdate, EndpointState
 from lemonridge.scheduling.settings import Settings
 
@@ -121,7 +121,7 @@
     if not settings.polls_endpoint_list:
         top_s = settings.drain_grace_us / 4e6 or PAUSE_S
         return min(PAUSE_S, top_s), top_s
-    within_s = (settings.poll_within_us or ASK_TOP_US) / 1e6
+    within_s = (settings.poll_within_us or MAX_POLL_BACKOFF_US) / 1e6
     first_s = max(PAUSE_S, min(EACH_S * settings.hosts, within_s / 2))
     return first_s, max(first_s, within_s)
 
--- a/lemonridge/scheduling/__init__.py
+++ b/lemonridge/scheduling/__init__.py
@@ -7,6 +7,6 @@
 from __future__ import annotations
 
 from lemonridge.scheduling.requests import Request
-from lemonridge.scheduling.scheduler import ASK_TOP_US, Scheduler
+from lemonridge.scheduling.scheduler import MAX_POLL_BACKOFF_US, Scheduler
 
-__all__ = ["ASK_TOP_US", "Request", "Scheduler"]
+__all__ = ["MAX_POLL_BACKOFF_US", "Request", "Scheduler"]
--- a/lemonridge/scheduling/actions.py
+++ b/lemonridge/scheduling/actions.py
@@ -42,7 +42,7 @@
 
     request: str
     backoff_us: int
-    why: RejectReason
+    reason: RejectReason
 
 
 @dataclass(frozen=True, slots=True)
@@ -50,7 +50,7 @@
     """Final answer: failed, nothing promised."""
 
     request: str
-    why: RejectReason
+    reason: RejectReason
 
 
 @dataclass(frozen=True, slots=True)
@@ -71,7 +71,7 @@
 
     endpoint_id: str
     shard: int
-    born_us: int
+    began_us: int
     rate: float
     until_us: int
 
--- a/lemonridge/scheduling/events.py
+++ b/lemonridge/scheduling/events.py
@@ -96,11 +96,11 @@
     attempt: int
     endpoint_id: str
     result: AttemptResult
-    lag_us: int
+    latency_us: int
     finished: bool
-    used: int | None
-    elsewhere: float | None
-    held: float | None
+    volume_units: int | None
+    peer_units: float | None
+    endpoint_outstanding: float | None
     begun: bool = True
 
 
@@ -152,7 +152,7 @@
     """
 
     settings: Settings
-    same: bool
+    indices_unchanged: bool
 
 
 @dataclass(frozen=True, slots=True)
--- a/lemonridge/scheduling/timers.py
+++ b/lemonridge/scheduling/timers.py
@@ -29,9 +29,9 @@
         self._count += 1
         heappush(self._heap, (at_us, self._count, kind, what))
 
-    def due(self, now: int) -> Iterator[tuple[TimerKind, object]]:
+    def pop_due(self, now_us: int) -> Iterator[tuple[TimerKind, object]]:
         """Take out what is due, also what is added meanwhile."""
-        while self._heap and self._heap[0][0] <= now:
+        while self._heap and self._heap[0][0] <= now_us:
             _, _, kind, what = heappop(self._heap)
             yield kind, what
 
--- a/lemonridge/scheduling/token_bucket.py
+++ b/lemonridge/scheduling/token_bucket.py
@@ -3,10 +3,10 @@
 from __future__ import annotations
 
 NEVER_US = 1 << 62  # a time that does not come
-EPSILON = 1e-6  # keeps sums of fractions below a limit that must not be passed
+ROUNDING_MARGIN_UNITS = 1e-6  # keeps sums of fractions below a limit that must not be passed
 
 
-class QuotaShare:
+class QuotaSchedule:
     """A host's part of what all hosts have together: `part` until `until_us`, `after` from then on.
 
     The end stands in the share itself, so that a host which hears nothing more, or did not run for a while,
@@ -18,13 +18,13 @@
     def __init__(self, part: float) -> None:
         self.part, self.until_us, self.after = part, 0, part
 
-    def tell(self, part: float, until_us: int, after: float) -> None:
+    def set(self, part: float, until_us: int, after: float) -> None:
         self.part, self.until_us, self.after = part, until_us, after
 
-    def now(self, at_us: int) -> float:
+    def at(self, at_us: int) -> float:
         return self.part if at_us < self.until_us else self.after
 
-    def span(self, from_us: int, to_us: int) -> float:
+    def integral(self, from_us: int, to_us: int) -> float:
         """The part added up over a time, in microseconds."""
         before = max(0, min(to_us, self.until_us) - from_us)
         return self.part * before + self.after * (to_us - from_us - before)
@@ -47,66 +47,79 @@
     that it tells, there is that much less room.
     """
 
-    __slots__ = ("level", "filled_us", "flow", "share", "rate", "top", "away", "owed", "owed_until_us")
+    __slots__ = (
+        "tokens",
+        "refilled_us",
+        "refill_sign",
+        "quota",
+        "rate",
+        "capacity",
+        "in_flight",
+        "predecessor_debt",
+        "predecessor_debt_until_us",
+    )
 
     def __init__(self, born_us: int, flow: float = 1.0) -> None:
-        self.level, self.filled_us, self.flow, self.share = 0.0, born_us, flow, QuotaShare(1.0)
-        self.rate, self.top = 0.0, -1.0  # no size yet
-        self.away = 0.0  # units on their way
-        self.owed, self.owed_until_us = 0.0, 0  # units of the process before, and until when they may come
-
-    def size(self, now: int, rate: float, top: float, hosts: int, even: bool) -> None:
+        self.tokens, self.refilled_us, self.refill_sign, self.quota = 0.0, born_us, flow, QuotaSchedule(1.0)
+        self.rate, self.capacity = 0.0, -1.0  # no size yet
+        self.in_flight = 0.0  # units on their way
+        self.predecessor_debt, self.predecessor_debt_until_us = (
+            0.0,
+            0,
+        )  # units of the process before, and until when they may come
+
+    def resize(self, now_us: int, rate: float, top: float, hosts: int, even: bool) -> None:
         """Go by `rate` units a second and `top` units for all of `hosts` from now on; `even` makes the
         shares even, until others are told.
         """
-        if self.top >= 0:  # at its first size what came in since its birth is still to come
-            self.fill(now)
-        if even or self.top < 0:
-            self.share = QuotaShare(1 / hosts)
-        self.rate, self.top = rate, top / hosts
+        if self.capacity >= 0:  # at its first size what came in since its birth is still to come
+            self.refill(now_us)
+        if even or self.capacity < 0:
+            self.quota = QuotaSchedule(1 / hosts)
+        self.rate, self.capacity = rate, top / hosts
 
-    def fill(self, now: int) -> float:
+    def refill(self, now_us: int) -> float:
         """The level. A store that was handed over has a flow of -1: what was kept ebbs as the successor's
         fills, since a store that is full would else fill on in two places.
         """
-        if self.owed and self.owed_until_us < now:
-            self._fill(max(self.filled_us, self.owed_until_us))
-            self.owed = 0.0
-        self._fill(now)
-        return self.level
-
-    def _fill(self, now: int) -> None:
-        self.level += self.flow * self.rate * self.share.span(self.filled_us, now) / 1e6
-        room = self.top - self.away - self.owed
-        self.level, self.filled_us = max(0.0, min(room, self.level)), now
-
-    def owe(self, units: float, until_us: int) -> None:
+        if self.predecessor_debt and self.predecessor_debt_until_us < now_us:
+            self._refill(max(self.refilled_us, self.predecessor_debt_until_us))
+            self.predecessor_debt = 0.0
+        self._refill(now_us)
+        return self.tokens
+
+    def _refill(self, now_us: int) -> None:
+        self.tokens += self.refill_sign * self.rate * self.quota.integral(self.refilled_us, now_us) / 1e6
+        room = self.capacity - self.in_flight - self.predecessor_debt
+        self.tokens, self.refilled_us = max(0.0, min(room, self.tokens)), now_us
+
+    def set_predecessor_debt(self, units: float, until_us: int) -> None:
         """The process before may still bring so many units to a node, until then."""
-        self.owed, self.owed_until_us = units, until_us
+        self.predecessor_debt, self.predecessor_debt_until_us = units, until_us
 
-    def tell(self, since: int, part: float, until_us: int, after: float) -> None:
+    def set_quota(self, since_us: int, part: float, until_us: int, after: float) -> None:
         """Another share since a moment ago: until then the one before counts."""
-        self.fill(max(since, self.filled_us))
-        self.share.tell(part, until_us, after)
+        self.refill(max(since_us, self.refilled_us))
+        self.quota.set(part, until_us, after)
 
-    def draw(self, units: float, now: int) -> None:
+    def draw(self, units: float, now_us: int) -> None:
         """Take units out, which may leave a debt until it fills again."""
-        self.level = self.fill(now) - units
+        self.tokens = self.refill(now_us) - units
 
-    def arrive(self, units: float, now: int, back: bool) -> None:
+    def settle(self, units: float, now_us: int, back: bool) -> None:
         """Units are on their way no more: they came to a node, or go `back`, as their request never did."""
-        self.fill(now)
-        self.away = max(0.0, self.away - units)
-        self.level += units if back else 0.0
+        self.refill(now_us)
+        self.in_flight = max(0.0, self.in_flight - units)
+        self.tokens += units if back else 0.0
 
-    def wait_us(self, units: float, now: int) -> int:
+    def wait_us(self, units: float, now_us: int) -> int:
         """How long until the store holds `units`, at the share of now and then at the one after."""
-        lack, share = (units + EPSILON - self.fill(now)) * 1e6, self.share
+        lack, share = (units + ROUNDING_MARGIN_UNITS - self.refill(now_us)) * 1e6, self.quota
         if lack <= 0:
             return 0
-        soon = self.rate * share.part * max(0, share.until_us - now)
-        if self.flow <= 0 or (soon < lack and share.after * self.rate <= 0):
+        soon = self.rate * share.part * max(0, share.until_us - now_us)
+        if self.refill_sign <= 0 or (soon < lack and share.after * self.rate <= 0):
             return NEVER_US
         if soon >= lack:
             return int(lack / (self.rate * share.part)) + 1
-        return max(0, share.until_us - now) + int((lack - soon) / (self.rate * share.after)) + 1
+        return max(0, share.until_us - now_us) + int((lack - soon) / (self.rate * share.after)) + 1
--- a/lemonridge/scheduling/volume_limits.py
+++ b/lemonridge/scheduling/volume_limits.py
@@ -9,7 +9,7 @@
 from lemonridge.scheduling.requests import Volume
 from lemonridge.scheduling.settings import Settings
 
-IDLE_US = 30_000_000  # entries of idle volumes live this long
+IDLE_VOLUME_TTL_US = 30_000_000  # entries of idle volumes live this long
 
 
 class VolumeLimits:
@@ -20,38 +20,38 @@
         self.volumes: dict[int, Volume] = {}
         self.levels: dict[int, LimitLevel] = {}  # of limits, taken over for volumes that have not asked yet
         self.slices: dict[int, QuotaChanged] = {}  # as last told, also of volumes that have not asked
-        self.flow = 1.0  # of limits: they fill, or ebb once they are handed over
+        self.refill_sign = 1.0  # of limits: they fill, or ebb once they are handed over
         self._swept_us = 0
 
-    def begin(self, now: int) -> None:
+    def begin(self, now_us: int) -> None:
         """The host's first moment."""
-        self._swept_us = now
+        self._swept_us = now_us
 
     def volume_of(self, event: RequestArrived) -> Volume:
         """The volume of a request that comes now."""
-        now, settings = self._context.now, self._context.settings
+        now_us, settings = self._context.now_us, self._context.settings
         if (volume := self.volumes.get(event.volume)) is None:
-            volume = Volume(self._context.born or 0, self.flow, now, settings)
+            volume = Volume(self._context.started_us or 0, self.refill_sign, now_us, settings)
             self.volumes[event.volume] = volume
             self._inherit(event.volume, volume)
         if volume.settings is not settings or max(1, event.hosts) > volume.hosts:
-            volume.go_by(event.plan, max(1, volume.hosts, event.hosts), settings, now)
+            volume.use_settings(event.plan, max(1, volume.hosts, event.hosts), settings, now_us)
             if told := self.slices.get(event.volume):
-                volume.store.tell(told.since_us, told.part, told.until_us, told.after)
-        volume.seen_us = now
+                volume.bucket.set_quota(told.since_us, told.part, told.until_us, told.after)
+        volume.last_request_us = now_us
         return volume
 
     def configure(self, settings: Settings) -> list[Volume]:
         """Let each volume keep its plan under new settings; the volumes."""
         for volume in self.volumes.values():
-            volume.go_by(volume.place, volume.hosts, settings, self._context.now)
+            volume.use_settings(volume.plan_index, volume.hosts, settings, self._context.now_us)
         return list(self.volumes.values())
 
     def slice(self, event: QuotaChanged) -> Volume | None:
         """Another slice of a limit; its volume, if it has asked."""
         self.slices[int(event.name)] = event
         if volume := self.volumes.get(int(event.name)):
-            volume.store.tell(event.since_us, event.part, event.until_us, event.after)
+            volume.bucket.set_quota(event.since_us, event.part, event.until_us, event.after)
         return volume
 
     def export_levels(self) -> dict[int, LimitLevel]:
@@ -60,40 +60,44 @@
         What is kept may be sent for as long as it has not ebbed away, and come to its node up to the longest
         deadline later, as may what is on its way now.
         """
-        self.flow, given = -1.0, {}
+        self.refill_sign, given = -1.0, {}
         longest_us = max(cls.deadline_us for cls in self._context.settings.classes)
         for name, volume in self.volumes.items():
-            store = volume.store
-            saved = max(0.0, store.fill(self._context.now) - volume.undrawn) / 2
-            store.level, store.flow = store.level - saved, self.flow
-            rate = store.rate * store.share.now(self._context.now)
-            ebbs_us = int(store.level / rate * 1e6) if rate > 0 else 0
-            until_us = self._context.now + ebbs_us + longest_us
-            given[name] = LimitLevel(saved, store.away + store.level, until_us)
+            bucket = volume.bucket
+            saved = max(0.0, bucket.refill(self._context.now_us) - volume.units_not_drawn) / 2
+            bucket.tokens, bucket.refill_sign = bucket.tokens - saved, self.refill_sign
+            rate = bucket.rate * bucket.quota.at(self._context.now_us)
+            ebbs_us = int(bucket.tokens / rate * 1e6) if rate > 0 else 0
+            until_us = self._context.now_us + ebbs_us + longest_us
+            given[name] = LimitLevel(saved, bucket.in_flight + bucket.tokens, until_us)
         return given
 
     def import_levels(self, now_us: int, levels: Mapping[int, LimitLevel]) -> None:
         """Be the one whose limits fill, from now on and from these levels."""
-        self.flow, self.levels = 1.0, dict(levels)
+        self.refill_sign, self.levels = 1.0, dict(levels)
         for name, volume in self.volumes.items():
             self._inherit(name, volume)
-            volume.store.filled_us, volume.store.flow = now_us, self.flow
+            volume.bucket.refilled_us, volume.bucket.refill_sign = now_us, self.refill_sign
 
     def _inherit(self, name: int, volume: Volume) -> None:
         """Give a volume what was taken over for it."""
         level = self.levels.pop(name, None)
         if level is not None:
-            volume.store.level += level.saved
-            volume.store.owe(level.owed, level.owed_until_us)
+            volume.bucket.tokens += level.saved
+            volume.bucket.set_predecessor_debt(level.owed, level.owed_until_us)
 
     def sweep(self) -> None:
         """Drop idle volumes. A bucket must be full first: dropping it earlier would refill it."""
-        now = self._context.now
-        if now - self._swept_us < IDLE_US:
+        now_us = self._context.now_us
+        if now_us - self._swept_us < IDLE_VOLUME_TTL_US:
             return
-        self._swept_us = now
+        self._swept_us = now_us
         self.slices = {name: told for name, told in self.slices.items() if name in self.volumes}
         for name, volume in list(self.volumes.items()):
-            idle = now - volume.seen_us > IDLE_US and not volume.waiting and not volume.undrawn
-            if idle and (not volume.plan.limit or volume.store.fill(now) >= volume.store.top):
+            idle = (
+                now_us - volume.last_request_us > IDLE_VOLUME_TTL_US
+                and not volume.queued_requests
+                and not volume.units_not_drawn
+            )
+            if idle and (not volume.plan.limit or volume.bucket.refill(now_us) >= volume.bucket.capacity):
                 del self.volumes[name]
--- a/tests/scheduling/test_recorded_trace.py
+++ b/tests/scheduling/test_recorded_trace.py
@@ -214,15 +214,15 @@
     if isinstance(action, Cancel):
         return "cancel", action.request, action.attempt
     if isinstance(action, Reject):
-        return "refuse", action.request, action.backoff_us, REASONS[action.why]
+        return "refuse", action.request, action.backoff_us, REASONS[action.reason]
     if isinstance(action, Fail):
-        return "fail", action.request, REASONS[action.why]
+        return "fail", action.request, REASONS[action.reason]
     if isinstance(action, SetTimer):
         return "timer", action.at_us
     if isinstance(action, Subscribe):
         return ("subscribe",)
     assert isinstance(action, SlowStartBegan)
-    return "slow-start", action.endpoint_id, action.shard, action.born_us, action.rate, action.until_us
+    return "slow-start", action.endpoint_id, action.shard, action.began_us, action.rate, action.until_us
 
 
 class Driven:
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -170,7 +170,7 @@
     hidden.run()
     condition = EndpointState.ACTIVE
     assert any(
-        node.condition is not condition for node in seen.brokers[0].scheduler.endpoint_list.endpoints.values()
+        node.state is not condition for node in seen.brokers[0].scheduler.endpoint_list.endpoints.values()
     ) or len(seen.brokers[0].scheduler.endpoint_list.endpoints) <= len(
         hidden.brokers[0].scheduler.endpoint_list.endpoints
     )
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -38,7 +38,7 @@
 def drain_order(rig: Rig, count: int) -> list[str]:
     """Answer one request at a time and list what is sent in turn."""
     order: list[str] = []
-    flying = [r for r, _ in rig.policy.flights]
+    flying = [r for r, _ in rig.policy.open_attempts]
     while len(order) < count and flying:
         rig.now += 1_000
         rig.end(flying.pop(0))
@@ -56,7 +56,7 @@
 
 def test_window_bounds_what_is_out_at_a_node(rig: Rig) -> None:
     fill(rig, 20, 1)
-    assert len(rig.policy.flights) == 2
+    assert len(rig.policy.open_attempts) == 2
 
 
 def test_blocked_node_does_not_block_the_volumes_other_nodes(rig: Rig) -> None:
@@ -100,7 +100,7 @@
     volume = rig.policy.limits.volumes[1]
     volume.balance = 0.0
     rig.now += 500_000
-    rig.policy.context.now = rig.now
+    rig.policy.context.now_us = rig.now
     volume.credit(rig.now, SETTINGS.largest_request_units)
     assert abs(volume.balance - 10.0 / 2 * 0.5) < 1e-6
 
@@ -116,7 +116,7 @@
     rig.now += 1_000_000
     for _ in range(60):
         fill(rig, 6, 1)
-        for name, _ in list(rig.policy.flights):
+        for name, _ in list(rig.policy.open_attempts):
             rig.end(name, lag=10_000)
     assert 4.0 < endpoint.window <= 8.0
 
@@ -240,7 +240,7 @@
 def test_never_two_attempts_at_once(rig: Rig) -> None:
     name = rig.ask()
     rig.pass_time(200_000)
-    assert list(rig.policy.flights) == [(name, 0)]
+    assert list(rig.policy.open_attempts) == [(name, 0)]
 
 
 def test_budget_rations_further_attempts(make) -> None:
@@ -252,7 +252,7 @@
         name = rig.ask(volume)
         assert name in rig.sent()
         again += sends(rig.end(name, AttemptResult.ERROR) + rig.pass_time(60_000)).count(name)
-        if (name, 1) in rig.policy.flights:
+        if (name, 1) in rig.policy.open_attempts:
             rig.end(name)
     assert 2 <= again <= 3
 
@@ -294,7 +294,7 @@
         name = rig.ask(1, plan=1, units=2.0, hosts=hosts)
         if name in rig.sent():
             total += 2.0
-        for request, _ in list(rig.policy.flights):
+        for request, _ in list(rig.policy.open_attempts):
             rig.end(request)
             total += 2.0 * len(rig.sent())
         rig.now += 10_000
@@ -327,10 +327,10 @@
     volume = rig.policy.limits.volumes[1]
     rig.end("r1")
     slow = replace(SETTINGS, plans=(SETTINGS.plans[0], VolumePlan(10.0, 5.0, 1.0, 0.01, 40.0, 4.0)))
-    volume.go_by(1, volume.hosts, slow, rig.now)
+    volume.use_settings(1, volume.hosts, slow, rig.now)
     rig.pass_time(70_000_000, step=1_000_000)
     assert 1 in rig.policy.limits.volumes
-    volume.go_by(1, volume.hosts, SETTINGS, rig.now)
+    volume.use_settings(1, volume.hosts, SETTINGS, rig.now)
     rig.pass_time(40_000_000, step=1_000_000)
     assert 1 not in rig.policy.limits.volumes
 
@@ -338,11 +338,11 @@
 def test_only_the_first_send_that_is_not_moot_draws(rig: Rig) -> None:
     rig.now += 10_000_000
     name = rig.ask(1, plan=1, units=4.0)
-    level = rig.policy.limits.volumes[1].store.level
+    level = rig.policy.limits.volumes[1].bucket.tokens
     rig.end(name, AttemptResult.QUEUE_FULL)
     rig.pass_time(100_000)
-    assert (name, 1) in rig.policy.flights
-    assert rig.policy.limits.volumes[1].store.fill(rig.now) >= level
+    assert (name, 1) in rig.policy.open_attempts
+    assert rig.policy.limits.volumes[1].bucket.refill(rig.now) >= level
 
 
 # Nodes and the list
@@ -365,7 +365,7 @@
     while rig.now < end:
         rig.ask(5, shard=shard)
         total += len(rig.sent())
-        for request, attempt in list(rig.policy.flights):
+        for request, attempt in list(rig.policy.open_attempts):
             rig.tries[request] = attempt
             rig.end(request, endpoint="n")
             total += len(rig.sent())
@@ -403,32 +403,35 @@
         rig.now += 9_000_000
         rig.ask(units=2.0)
         endpoint = rig.policy.endpoint_list.endpoints["a"]
-        assert (endpoint.cold_level > 2.0) is saved and endpoint.cold_rate > 0
+        assert (endpoint.slow_start_tokens > 2.0) is saved and endpoint.slow_start_rate > 0
 
 
 def test_a_new_object_passes_by_a_cold_node_whose_part_is_spent(rig: Rig) -> None:
     rig.listed(("n", 2), kind=EndpointListUpdate.DELTA)
     for name in "ab":
         rig.policy.endpoint_list.endpoints[name].window = 1.5
-    rig.policy.endpoint_list.endpoints["n"].window, rig.policy.endpoint_list.endpoints["n"].cold_level = (
+    (
+        rig.policy.endpoint_list.endpoints["n"].window,
+        rig.policy.endpoint_list.endpoints["n"].slow_start_tokens,
+    ) = (
         8.0,
         -4.0,
     )
-    assert rig.ask(shard=-1) in rig.sent() and rig.policy.endpoint_list.endpoints["n"].open == 0
+    assert rig.ask(shard=-1) in rig.sent() and rig.policy.endpoint_list.endpoints["n"].open_attempts == 0
 
 
 def test_unseen_restart_is_cold(rig: Rig) -> None:
     for _ in range(3):
         rig.ask()
-        for request, attempt in list(rig.policy.flights):
+        for request, attempt in list(rig.policy.open_attempts):
             rig.tries[request] = attempt
             rig.end(request, AttemptResult.CONNECT_FAILED)
         rig.now += 700_000
     rig.ask()
-    for request, attempt in list(rig.policy.flights):
+    for request, attempt in list(rig.policy.open_attempts):
         rig.tries[request] = attempt
         rig.end(request)
-    assert rig.policy.endpoint_list.endpoints["a"].born_us is not None
+    assert rig.policy.endpoint_list.endpoints["a"].slow_start_began_us is not None
 
 
 def test_silent_node_gets_few_safe_requests_and_comes_back(rig: Rig) -> None:
@@ -447,9 +450,9 @@
         r
         for r in once
         if rig.policy.requests.get(r)
-        and rig.policy.requests[r].cls.idempotency is IdempotencyKind.NOT_IDEMPOTENT
+        and rig.policy.requests[r].request_class.idempotency is IdempotencyKind.NOT_IDEMPOTENT
     ]
-    answered = next(iter(rig.policy.flights))
+    answered = next(iter(rig.policy.open_attempts))
     rig.tries[answered[0]] = answered[1]
     rig.end(answered[0])
     assert not rig.policy.health.suspect(rig.policy.endpoint_list.endpoints["a"])
@@ -483,18 +486,18 @@
 def test_nothing_is_left_behind_over_many_cycles(rig: Rig) -> None:
     for turn in range(400):
         rig.ask(turn, cls=turn % 3, plan=turn % 4, key=turn)
-        for request, attempt in list(rig.policy.flights):
+        for request, attempt in list(rig.policy.open_attempts):
             rig.tries[request] = attempt
             rig.end(request, (AttemptResult.OK, AttemptResult.RESET, AttemptResult.QUEUE_FULL)[turn % 3])
         rig.now += 20_000
     rig.listed(("b", 1), kind=EndpointListUpdate.SNAPSHOT)
-    for request, attempt in list(rig.policy.flights):
+    for request, attempt in list(rig.policy.open_attempts):
         rig.tries[request] = attempt
         rig.end(request)
     rig.pass_time(70_000_000, step=100_000)
     p = rig.policy
-    assert not (p.requests or p.flights or p.key_order._lines or p.key_order._rests)
-    assert not (p.queues.rotations or p.context.timers.next_us() or p.limits.volumes)
+    assert not (p.requests or p.open_attempts or p.key_order._lines or p.key_order._quarantined_until_us)
+    assert not (p.queues.rotation_by_shard or p.context.timers.next_us() or p.limits.volumes)
     assert list(p.endpoint_list.endpoints) == ["b"]
 
 
@@ -538,10 +541,12 @@
     assert probe in rig.sent() + sends(rig.pass_time(700_000))
     rig.end(probe)
     rig.pass_time(400_000)
-    assert (lost, 0) in rig.policy.flights and rig.policy.endpoint_list.endpoints["a"].open == 0
+    assert (lost, 0) in rig.policy.open_attempts and rig.policy.endpoint_list.endpoints[
+        "a"
+    ].open_attempts == 0
     assert rig.ask(2) in rig.sent()
     rig.end(lost)
-    assert rig.policy.endpoint_list.endpoints["a"].open == 1
+    assert rig.policy.endpoint_list.endpoints["a"].open_attempts == 1
 
 
 def grouped(group: DeduplicationScope) -> Rig:
@@ -558,7 +563,7 @@
     rig = grouped(DeduplicationScope.ZONE)
     name = rig.ask()
     first = next(a.endpoint_id for a in rig.actions if isinstance(a, Send))
-    rig.policy.endpoint_list.endpoints[first].condition = LEAVING
+    rig.policy.endpoint_list.endpoints[first].state = LEAVING
     actions = rig.end(name, AttemptResult.RESET, endpoint=first) + rig.pass_time(1_000_000)
     assert name not in sends(actions) and finals(actions) == {name: Fail}
 
@@ -567,7 +572,7 @@
     rig = grouped(DeduplicationScope.ALL)
     name = rig.ask()
     first = next(a.endpoint_id for a in rig.actions if isinstance(a, Send))
-    rig.policy.endpoint_list.endpoints[first].condition = LEAVING
+    rig.policy.endpoint_list.endpoints[first].state = LEAVING
     actions = rig.end(name, AttemptResult.RESET, endpoint=first) + rig.pass_time(200_000)
     assert sends(actions) == [name]
     assert finals(rig.end(name, AttemptResult.TIMEOUT)) == {name: Reject}
@@ -648,17 +653,17 @@
     for _ in range(400):
         rig.now += 50_000
         rig.end(rig.ask())
-    assert len(rig.policy.retries.ration._taken) <= 100
+    assert len(rig.policy.retries.retry_budget._requests_us) <= 100
 
 
 def test_deep_queue_of_what_cannot_be_sent_is_answered_in_one_go(rig: Rig) -> None:
     rig.now += 1_000_000
     rig.listed(("a", 0, EndpointState.ACTIVE, rig.now), kind=EndpointListUpdate.DELTA)
-    rig.policy.queues.rotations.clear()
+    rig.policy.queues.rotation_by_shard.clear()
     endpoint = rig.policy.endpoint_list.endpoints["a"]
-    endpoint.window, endpoint.open = 1.0, 1  # no room: all wait
+    endpoint.window, endpoint.open_attempts = 1.0, 1  # no room: all wait
     names = [rig.ask(units=8.0) for _ in range(3000)]
-    endpoint.open, endpoint.cold_sent.units = 0, 100.0
+    endpoint.open_attempts, endpoint.slow_start_sent.units = 0, 100.0
     rig.now += 290_000
     gone = finals(rig.do(TimerFired()))
     assert set(names) <= set(gone)
@@ -682,7 +687,7 @@
     assert rig.sent() == [read]
     rig.end(read, lag=100_000)
     assert rig.sent() == [write]
-    assert not rig.policy.limits.volumes[1].waiting
+    assert not rig.policy.limits.volumes[1].queued_requests
 
 
 def lose_one(make, cls: int, **changes: object) -> tuple[Rig, str, list[Action]]:
@@ -709,7 +714,10 @@
         assert Cancel(lost, 0) in seen, cls
         rig.end(lost, AttemptResult.CANCELLED)
         assert lost in rig.sent()
-        assert (lost, 1) in rig.policy.flights and (lost, 0) not in rig.policy.flights  # never two at once
+        assert (lost, 1) in rig.policy.open_attempts and (
+            lost,
+            0,
+        ) not in rig.policy.open_attempts  # never two at once
 
 
 def test_lost_answer_is_left_alone_where_a_further_attempt_is_not_allowed(make) -> None:
@@ -736,12 +744,12 @@
         rig.end(rig.ask(units=2.0))
     last = rig.ask(units=2.0)
     rig.listed(("a", 0, EndpointState.DRAINING), kind=EndpointListUpdate.DELTA)
-    before = rig.policy.slow_start.usual[0].units
+    before = rig.policy.slow_start.usual_traffic[0].units
     rig.now += 50_000
     rig.end(last)  # what was out still comes back, and must not start the fading again
     rig.now += 15_000_000
     rig.listed(("c", 0, EndpointState.ACTIVE, rig.now), kind=EndpointListUpdate.DELTA)
-    assert rig.policy.slow_start.usual[0].units == before > 0
+    assert rig.policy.slow_start.usual_traffic[0].units == before > 0
 
 
 def test_new_settings_bind_what_comes_after_and_keep_what_is_held(rig: Rig) -> None:
@@ -753,7 +761,7 @@
     rig.do(SettingsChanged(replace(SETTINGS, classes=SETTINGS.classes[1::-1], plans=(tight,)), False))
     taken = fill(rig, 4, 9, cls=1, plan=0, left=1_500_000)
     assert [name in rig.policy.requests for name in taken] == [True, True, True, False]
-    assert rig.policy.requests[held].cls is SETTINGS.classes[1]
+    assert rig.policy.requests[held].request_class is SETTINGS.classes[1]
     rig.end(held)
     assert held not in rig.policy.requests
 
@@ -776,9 +784,9 @@
         rig.pass_time(outage)
         name = rig.ask()
         rig.pass_time(100_000)
-        assert (name, 0) in rig.policy.flights
+        assert (name, 0) in rig.policy.open_attempts
         rig.end(name)
-        assert (rig.policy.endpoint_list.endpoints["a"].born_us is not None) is cold
+        assert (rig.policy.endpoint_list.endpoints["a"].slow_start_began_us is not None) is cold
 
 
 def test_a_node_whose_connects_outlast_deadlines_is_tried_now_and_then_and_is_not_cold(make) -> None:
@@ -788,7 +796,7 @@
     sent: list[str] = []
     for _ in range(100):
         name = rig.ask(left=60_000)
-        if (name, 0) in rig.policy.flights:
+        if (name, 0) in rig.policy.open_attempts:
             sent.append(name)
             rig.now += 60_000
             rig.do(
@@ -801,9 +809,9 @@
     assert 4 <= len(sent) <= 30  # 100 without that
     rig.pass_time(1_000_000)
     name = rig.ask()
-    assert (name, 0) in rig.policy.flights
+    assert (name, 0) in rig.policy.open_attempts
     rig.end(name)
-    assert rig.policy.endpoint_list.endpoints["a"].born_us is None
+    assert rig.policy.endpoint_list.endpoints["a"].slow_start_began_us is None
     assert not rig.policy.health.suspect(rig.policy.endpoint_list.endpoints["a"])
 
 
@@ -813,13 +821,13 @@
     for left, heard in ((60_000, True), (500_000, False)):
         window = endpoint.window
         name = rig.ask(left=left)
-        assert (name, 0) in rig.policy.flights
+        assert (name, 0) in rig.policy.open_attempts
         rig.now += left - 10_000
         rig.end(name, AttemptResult.TIMEOUT, lag=left - 10_000)
         rig.now += 1_000_000
         assert rig.policy.health.suspect(endpoint) is not heard
         assert (endpoint.window == window) is heard
-        assert (endpoint.open, endpoint.awaited) == (0, 0)
+        assert (endpoint.open_attempts, endpoint.expected_responses) == (0, 0)
 
 
 def test_a_new_object_that_may_have_been_written_goes_back_to_its_node(make) -> None:
@@ -843,7 +851,7 @@
     assert rig.end(request, AttemptResult.DATA_MIGRATED, lag=400_000) is not None and not rig.sent()
     rig.pass_time(100_000)
     endpoint = rig.policy.endpoint_list.endpoints["a"]
-    assert not rig.sent() and endpoint.window == window and endpoint.quiet_us is None
+    assert not rig.sent() and endpoint.window == window and endpoint.silent_since_us is None
     assert rig.do(DataMigrated(request, 1)) == [Send(request, "b")]
     # A write of the class once: it may have run.
     assert finals(rig.end(request, AttemptResult.RESET, endpoint="b")) == {request: Fail}
@@ -896,7 +904,7 @@
     waits = rig.ask(plan=1, units=8.0)
     volume = rig.policy.limits.volumes[1]
     lane = volume.queues[0]
-    assert not rig.sent() and lane.suspended and not rig.policy.queues.rotations
+    assert not rig.sent() and lane.suspended and not rig.policy.queues.rotation_by_shard
     weighed = []
     was = rig.policy.queues.expire
     rig.policy.queues.expire = lambda lane, endpoint=None: (weighed.append(lane), was(lane, endpoint))
@@ -916,9 +924,9 @@
     waits = rig.ask(plan=1, units=8.0)
     volume = rig.policy.limits.volumes[1]
     assert volume.queues[0].suspended
-    volume.store.level -= 30.0  # as a refund that is taken back
+    volume.bucket.tokens -= 30.0  # as a refund that is taken back
     seen = rig.pass_time(400_000)
-    assert finals(seen) == {waits: Reject} and not volume.waiting and not volume.queues[0].line
+    assert finals(seen) == {waits: Reject} and not volume.queued_requests and not volume.queues[0].on_time
 
 
 def test_lanes_wait_together_and_are_visited_once_in_a_cycle(rig):
@@ -926,12 +934,12 @@
     for volume in range(40):
         rig.ask(volume=volume, shard=volume % 2)
     visits = []
-    was = rig.policy.queues.visit
-    rig.policy.queues.visit = lambda shard: (visits.append(shard), was(shard))
+    was = rig.policy.queues.dispatch
+    rig.policy.queues.dispatch = lambda shard: (visits.append(shard), was(shard))
     for _ in range(100):
         rig.now += 100
         rig.do(TimerFired())
-    assert len(visits) <= 2 * len(rig.policy.queues.rotations) + 2
+    assert len(visits) <= 2 * len(rig.policy.queues.rotation_by_shard) + 2
 
 
 def test_many_nodes_are_chosen_from_at_random_and_few_all(make):
@@ -939,22 +947,22 @@
     rig.listed(*((f"n{n}", n) for n in range(400)), kind=EndpointListUpdate.SNAPSHOT)
     chosen = {rig.policy.health.pick(-1).id for _ in range(300)}
     assert len(chosen) > 100
-    looked = list(rig.policy.endpoint_list.choices())
+    looked = list(rig.policy.endpoint_list.candidates())
     assert len(looked) == 16
     rig.listed(*((f"n{n}", n) for n in range(20)), kind=EndpointListUpdate.SNAPSHOT)
-    assert len(list(rig.policy.endpoint_list.choices())) >= 20
+    assert len(list(rig.policy.endpoint_list.candidates())) >= 20
 
 
 def test_a_large_request_is_no_sign_of_load_and_its_time_no_silence(rig: Rig) -> None:
     """Four units take twice as long as the mean of two."""
     endpoint = rig.policy.endpoint_list.endpoints["a"]
     for units, window in ((4.0, 2.5), (1.0, 1.25)):
-        endpoint.window, endpoint.cut_us = 2.5, 0
+        endpoint.window, endpoint.window_cut_us = 2.5, 0
         name = rig.ask(units=units)
-        rig.now += int(1.5 * 0.25 * rig.policy.context.tightest_us)
-        rig.end(name, lag=int(1.5 * 0.25 * rig.policy.context.tightest_us))
+        rig.now += int(1.5 * 0.25 * rig.policy.context.tightest_objective_us)
+        rig.end(name, lag=int(1.5 * 0.25 * rig.policy.context.tightest_objective_us))
         assert endpoint.window == window
-    endpoint.lag, endpoint.dev = 20_000.0, 0.0
+    endpoint.latency_ewma_us, endpoint.latency_deviation_us = 20_000.0, 0.0
     for units, suspect in ((8.0, False), (1.0, True)):
         name = rig.ask(units=units)
         assert name in rig.sent()
@@ -975,7 +983,7 @@
     rig.now += 1_000_000
     rig.ask(units=2.0)
     core = 2.0 / 100_000  # units a microsecond
-    assert rig.policy.endpoint_list.endpoints["a"].cold_rate == pytest.approx(
+    assert rig.policy.endpoint_list.endpoints["a"].slow_start_rate == pytest.approx(
         0.5 * core / 40 * 0.5 * 2.5 * 0.2, rel=0.2
     )
 
@@ -1005,17 +1013,19 @@
 
 def test_a_slice_holds_to_its_end_and_the_one_after_it_from_then_on(rig: Rig) -> None:
     rig.ask(1, plan=1)
-    store = rig.policy.limits.volumes[1].store
-    store.level = 0.0
+    bucket = rig.policy.limits.volumes[1].bucket
+    bucket.tokens = 0.0
     rig.do(QuotaChanged(SharedBudget.LIMIT, 1, 0.9, rig.now + 1_000_000, 0.1, rig.now))
     limit = SETTINGS.plans[1].limit
-    assert store.fill(rig.now + 2_000_000) == pytest.approx(min(store.top, limit * (0.9 + 0.1)), rel=1e-6)
+    assert bucket.refill(rig.now + 2_000_000) == pytest.approx(
+        min(bucket.capacity, limit * (0.9 + 0.1)), rel=1e-6
+    )
 
 
 def test_a_slice_that_is_told_before_the_first_request_counts(rig: Rig) -> None:
     rig.do(QuotaChanged(SharedBudget.LIMIT, 7, 0.02, 0, 0.02, rig.now))
     rig.ask(7, plan=1)
-    assert rig.policy.limits.volumes[7].store.share.now(rig.now) == 0.02
+    assert rig.policy.limits.volumes[7].bucket.quota.at(rig.now) == 0.02
 
 
 def test_further_attempts_wait_for_the_slice_of_all_hosts(make) -> None:
@@ -1039,10 +1049,12 @@
     rig.do(PeerHealthReported("a", 2, True, rig.now))
     assert endpoint.connect_failures and rig.policy.health.suspect(endpoint)
     first, second = rig.ask(), rig.ask()
-    assert [one for one, _ in rig.policy.flights] == [first]  # a try at once, and no other beside it
+    assert [one for one, _ in rig.policy.open_attempts] == [first]  # a try at once, and no other beside it
     rig.end(first)
-    assert not endpoint.connect_failures and [one for one, _ in rig.policy.flights] == [second]
-    rig.do(PeerHealthReported("a", 5, True, endpoint.heard_us))  # older than what this host heard itself
+    assert not endpoint.connect_failures and [one for one, _ in rig.policy.open_attempts] == [second]
+    rig.do(
+        PeerHealthReported("a", 5, True, endpoint.last_response_us)
+    )  # older than what this host heard itself
     assert not endpoint.connect_failures
 
 
@@ -1057,20 +1069,20 @@
     rig.pass_time(300_000)
     if name in rig.policy.requests:
         rig.end(name)
-    assert rig.policy.endpoint_list.endpoints["a"].born_us == born
+    assert rig.policy.endpoint_list.endpoints["a"].slow_start_began_us == born
     rig.pass_time(2_000_000)
     rig.do(PeerHealthReported("a", 2, True, rig.now - 100_000))
     assert rig.policy.endpoint_list.endpoints["a"].connect_failures  # of later ones the next request is a try
 
 
 def test_where_plans_stand_as_they_stood_what_waits_goes_by_the_new_ones_at_once(rig: Rig) -> None:
-    rig.pass_time(60_000_000)  # the store is full
+    rig.pass_time(60_000_000)  # the bucket is full
     held = [rig.ask(1, plan=1) for _ in range(60)]
-    before = rig.policy.limits.volumes[1].store.fill(rig.now)
+    before = rig.policy.limits.volumes[1].bucket.refill(rig.now)
     tight = replace(SETTINGS.plans[1], limit=1.0, burst=3.0, slack=0.0)
     rig.do(SettingsChanged(replace(SETTINGS, plans=(SETTINGS.plans[0], tight, *SETTINGS.plans[2:])), True))
     volume = rig.policy.limits.volumes[1]
-    assert volume.plan == tight and volume.store.fill(rig.now) <= min(before, 3.0)
+    assert volume.plan == tight and volume.bucket.refill(rig.now) <= min(before, 3.0)
     sent = len(sends(rig.pass_time(2_000_000)))
     assert sent <= 3 + 2, (sent, len(held))
     wide = (SETTINGS.plans[0], replace(tight, limit=1000.0, burst=100.0), *SETTINGS.plans[2:])
@@ -1083,23 +1095,23 @@
     volume = rig.policy.limits.volumes[1]
     before = volume.balance
     rig.do(PeerUsageReported(1, 3.0))
-    assert volume.balance == pytest.approx(before - 3.0) and volume.told_us == rig.now
+    assert volume.balance == pytest.approx(before - 3.0) and volume.peer_usage_at_us == rig.now
 
 
 def test_what_is_lent_at_a_cold_node_raises_what_it_is_sent(rig: Rig) -> None:
     rig.listed(("a", 0, EndpointState.ACTIVE, rig.now), kind=EndpointListUpdate.DELTA)
     endpoint = rig.policy.endpoint_list.endpoints["a"]
     rig.now += 1_000_000
-    rig.policy.context.now = rig.now
+    rig.policy.context.now_us = rig.now
     assert rig.policy.slow_start.in_slow_start(endpoint)
-    own = endpoint.cold_rate
+    own = endpoint.slow_start_rate
     rig.do(QuotaChanged(SharedBudget.SLOW_START, "a", 5e-5, rig.now + 1_000_000, -1.0, rig.now))
     rig.policy.slow_start.in_slow_start(endpoint)
-    assert endpoint.cold_rate > own
+    assert endpoint.slow_start_rate > own
     rig.now += 1_000_000
-    rig.policy.context.now = rig.now
+    rig.policy.context.now_us = rig.now
     rig.policy.slow_start.in_slow_start(endpoint)
-    assert endpoint.cold_rate == 0.0  # all of its own is lent
+    assert endpoint.slow_start_rate == 0.0  # all of its own is lent
 
 
 # Between the decision and the first byte: a connection takes time to make
@@ -1111,52 +1123,58 @@
         replace(cls, latency_objective_us=20_000_000, deadline_us=20_000_000) for cls in SETTINGS.classes
     )
     rig = Rig(replace(SETTINGS, hosts=1, classes=classes))
-    rig.policy.context.asked = True
+    rig.policy.context.host_confirms_start = True
     rig.listed(("a", 0), ("b", 1))
     rig.now += 10_000_000  # stores are full
     return rig
 
 
 def test_a_limit_counts_what_comes_when_it_comes() -> None:
-    """What is on its way for a while and then comes at once finds no store that has filled up meanwhile."""
+    """What is on its way for a while and then comes at once finds no bucket that has filled up meanwhile."""
     rig = asked()
     for shard in (0, 1):
         rig.ask(1, shard=shard, plan=1, units=5.0)
         rig.now += 1_000_000  # time to fill up again
-        rig.policy.limits.volumes[1].store.fill(rig.now)
+        rig.policy.limits.volumes[1].bucket.refill(rig.now)
     assert [rig.policy.begins(rig.now, name, 0) for name in ("r1", "r2")] == [True, True]
-    store = rig.policy.limits.volumes[1].store
-    assert store.level == pytest.approx(store.top - 10.0)
+    bucket = rig.policy.limits.volumes[1].bucket
+    assert bucket.tokens == pytest.approx(bucket.capacity - 10.0)
     rig.now += 100_000
-    assert store.fill(rig.now) == pytest.approx(store.top - 10.0)  # nobody can say yet that they came
+    assert bucket.refill(rig.now) == pytest.approx(
+        bucket.capacity - 10.0
+    )  # nobody can say yet that they came
     for name in ("r1", "r2"):
         rig.end(name)
     rig.now += 100_000
-    assert store.fill(rig.now) == pytest.approx(store.top - 10.0 + 20.0 * 0.1)  # from here on it fills
+    assert bucket.refill(rig.now) == pytest.approx(
+        bucket.capacity - 10.0 + 20.0 * 0.1
+    )  # from here on it fills
 
 
 def test_what_never_came_is_drawn_when_it_is_sent_again() -> None:
     rig = asked()
     name = rig.ask(1, plan=1, units=5.0)
-    store = rig.policy.limits.volumes[1].store
-    assert store.level == store.top - 5.0
+    bucket = rig.policy.limits.volumes[1].bucket
+    assert bucket.tokens == bucket.capacity - 5.0
 
     def ended(number: int, result: AttemptResult, begun: bool) -> float:
         """The level after the end of an attempt, and another one after that."""
         rig.do(AttemptEnded(name, number, "a", result, 0, False, None, None, None, begun))
-        level = store.fill(rig.now)
+        level = bucket.refill(rig.now)
         assert number == 2 or sends(rig.pass_time(3_000_000)) == [name]
         return level
 
-    assert ended(0, AttemptResult.CONNECT_FAILED, False) == store.top  # as if it had not been sent
-    assert rig.policy.begins(rig.now, name, 1) and store.fill(rig.now) == pytest.approx(store.top - 5.0)
-    assert ended(1, AttemptResult.RESET, True) == pytest.approx(store.top - 5.0)
+    assert ended(0, AttemptResult.CONNECT_FAILED, False) == bucket.capacity  # as if it had not been sent
+    assert rig.policy.begins(rig.now, name, 1) and bucket.refill(rig.now) == pytest.approx(
+        bucket.capacity - 5.0
+    )
+    assert ended(1, AttemptResult.RESET, True) == pytest.approx(bucket.capacity - 5.0)
     assert ended(2, AttemptResult.CONNECT_FAILED, False) == pytest.approx(
-        store.top - 5.0
+        bucket.capacity - 5.0
     )  # it may have come before
     rig.do(ClientDisconnected(name))
-    assert store.away == 0.0 and store.fill(rig.now + 1_000_000) == store.top
-    assert rig.policy.limits.volumes[1].undrawn == 0.0
+    assert bucket.in_flight == 0.0 and bucket.refill(rig.now + 1_000_000) == bucket.capacity
+    assert rig.policy.limits.volumes[1].units_not_drawn == 0.0
 
 
 def test_where_repeats_are_marked_a_first_try_with_little_time_is_served_while_there_is_room(make) -> None:
@@ -1185,13 +1203,13 @@
             endpoint
         ].window = 100.0
     names = [before.ask(1, plan=1, units=4.0) for _ in range(10)]
-    assert len(before.policy.flights) == len(names)
+    assert len(before.policy.open_attempts) == len(names)
     after.now = before.now
     after.policy.import_limits(after.now, before.policy.export_limits())
 
     def sent_in_one_moment() -> float:
         asked_for = {after.ask(1, plan=1, units=4.0, shard=1) for _ in range(11)}
-        out = asked_for & {name for name, _ in after.policy.flights}
+        out = asked_for & {name for name, _ in after.policy.open_attempts}
         for name in asked_for:
             if name in out:
                 after.end(name)
@@ -1200,18 +1218,18 @@
 
     after.now += 10_000_000
     assert sent_in_one_moment() <= 4.0
-    after.now += 13_000_000  # what the one before had sent is over, and the store has filled since
+    after.now += 13_000_000  # what the one before had sent is over, and the bucket has filled since
     assert sent_in_one_moment() >= 40.0
 
 
 def test_what_may_come_with_its_repeat_only_finds_no_store_that_filled_up_meanwhile() -> None:
     """Requests that a silent node has been sent never came to it; nobody here can know. All of them come
-    with their repeats, behind whatever a store that had filled up would let go beside them."""
+    with their repeats, behind whatever a bucket that had filled up would let go beside them."""
     rig = asked()
     rig.policy.endpoint_list.endpoints["a"].window = rig.policy.endpoint_list.endpoints["b"].window = 100.0
     names = [rig.ask(1, plan=1, units=4.0) for _ in range(10)]
-    store, held = rig.policy.limits.volumes[1].store, len(rig.policy.flights)
-    assert held == len(names) and store.top == 44.0
+    bucket, held = rig.policy.limits.volumes[1].bucket, len(rig.policy.open_attempts)
+    assert held == len(names) and bucket.capacity == 44.0
     rig.now += 5_000_000  # time to fill up again
     for name in names:
         assert rig.policy.begins(rig.now, name, 0)
@@ -1219,9 +1237,9 @@
     come = sends(rig.pass_time(2_000_000))
     assert sorted(come) == sorted(names)
     for _ in range(11):
-        if (name := rig.ask(1, plan=1, units=4.0, shard=1)) in {one for one, _ in rig.policy.flights}:
+        if (name := rig.ask(1, plan=1, units=4.0, shard=1)) in {one for one, _ in rig.policy.open_attempts}:
             come.append(name)
-    assert 4.0 * len(set(come)) <= store.top  # all that a node may count at this moment
+    assert 4.0 * len(set(come)) <= bucket.capacity  # all that a node may count at this moment
 
 
 def test_a_client_that_leaves_during_a_connect_leaves_nothing_asked_of_a_limit() -> None:
@@ -1235,7 +1253,7 @@
             rig.pass_time(21_000_000)  # past its deadline
         rig.do(AttemptEnded(name, 0, "a", AttemptResult.NOT_SENT, 0, True, None, None, None, False))
         volume = rig.policy.limits.volumes[1]
-        assert volume.undrawn == 0.0 and volume.store.away == 0.0
+        assert volume.units_not_drawn == 0.0 and volume.bucket.in_flight == 0.0
 
 
 def test_a_keyed_repeat_does_not_begin_past_its_window() -> None:
@@ -1263,9 +1281,9 @@
     first, second = rig.ask(units=8.0), rig.ask(2, units=8.0)
     rig.listed(("a", 0, EndpointState.ACTIVE, rig.now), kind=EndpointListUpdate.DELTA)
     endpoint = rig.policy.endpoint_list.endpoints["a"]
-    assert endpoint.cold_sent.units == 0.0
-    assert rig.policy.begins(rig.now, first, 0) and endpoint.cold_sent.units == 8.0
-    assert rig.policy.begins(rig.now, first, 0) and endpoint.cold_sent.units == 8.0  # counted once
+    assert endpoint.slow_start_sent.units == 0.0
+    assert rig.policy.begins(rig.now, first, 0) and endpoint.slow_start_sent.units == 8.0
+    assert rig.policy.begins(rig.now, first, 0) and endpoint.slow_start_sent.units == 8.0  # counted once
     assert not rig.policy.begins(rig.now, second, 0)
 
 
--- a/tests/test_simhost.py
+++ b/tests/test_simhost.py
@@ -196,7 +196,7 @@
     host = simulator.Host()
     host.batch(line(*begin(), ASK))
     ended = ["completed", 3, "id-1", 0, "10.0.0.1:9000", 0, 900, True, None, None, report]
-    assert simulator._ended(ended).held == held
+    assert simulator._ended(ended).endpoint_outstanding == held
     assert not [order for order in orders(host.batch(line(ended, now=8001000))) if order[0] == "fault"]
 
 
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -118,7 +118,9 @@
     def start(self, number: int) -> None:
         """A broker begins, or begins anew with nothing but the list."""
         self.lives[number] = self.lives.get(number, 0) + 1
-        self.brokers[number] = Scheduler(self.settings, number * 1000 + self.lives[number], asked=True)
+        self.brokers[number] = Scheduler(
+            self.settings, number * 1000 + self.lives[number], host_confirms_start=True
+        )
         self.tell(number, EndpointsChanged(EndpointListUpdate.CACHED, self.rows()))
 
     def stop(self, number: int) -> None:
@@ -160,7 +162,7 @@
 
     def send(self, number: int, action: Send) -> None:
         """An attempt begins half a millisecond after its decision, and its answer takes as long."""
-        attempt = self.brokers[number].requests[action.request].sent - 1
+        attempt = self.brokers[number].requests[action.request].attempts_sent - 1
         life = self.lives[number]
         self.at(500, lambda: self.begin(number, life, action, attempt))
 
