--- a/lemonridge/lab/soak_mutants.py
+++ b/lemonridge/lab/soak_mutants.py
@@ -80,13 +80,14 @@
 
 
 def _refuses_anything() -> None:
-    from lemonridge.scheduling import Request, Scheduler
+    from lemonridge.scheduling import Request
+    from lemonridge.scheduling.request_lifecycle import RequestLifecycle
 
-    def give_up(self: Scheduler, request: Request, why: RejectReason) -> None:
-        self.context.actions.append(Reject(request.id, 0, why))
-        self._finish(request)
+    def reject(self: RequestLifecycle, request: Request, reason: RejectReason) -> None:
+        self._context.actions.append(Reject(request.id, 0, reason))
+        self.finish(request)
 
-    Scheduler._give_up = give_up  # type: ignore[method-assign]
+    RequestLifecycle.reject = reject  # type: ignore[method-assign]
 
 
 def _dies_of_a_signal() -> None:
--- a/lemonridge/scheduling/actions.py
+++ b/lemonridge/scheduling/actions.py
@@ -10,19 +10,19 @@
 
 
 class RejectReason(Enum):
-    """Why a request was given up."""
+    """Why a request was rejected; the values are the words of the counters and of the log."""
 
-    LIMIT_REACHED = "limit"  # its volume's limit has no room in time
-    SLOW_START = "cold"  # its node is cold, and its part there is spent
-    OBJECTIVE_MISSED = "late"  # no node had room before its aim
-    ATTEMPTS_EXHAUSTED = "spent"  # it has no further attempt, by its class, its number or its time
-    DEADLINE_EXCEEDED = "over"  # its deadline came
-    ROUTE_UNKNOWN = "lost"  # nobody can say where its data is
+    LIMIT_REACHED = "limit"  # its volume's limit has no capacity in time
+    SLOW_START = "cold"  # its endpoint is in slow start, and this host's part of that is used up
+    OBJECTIVE_MISSED = "late"  # no endpoint had a free slot before its objective
+    ATTEMPTS_EXHAUSTED = "spent"  # its class, its attempts, the budgets or its time allow no retry
+    DEADLINE_EXCEEDED = "over"
+    ROUTE_UNKNOWN = "lost"  # nobody can say in time where its data is
 
 
 @dataclass(frozen=True, slots=True)
 class Send:
-    """Make an attempt, until the client gives up."""
+    """Make an attempt, which lasts until the request's deadline at most."""
 
     request: str
     endpoint_id: str
@@ -30,7 +30,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Cancel:
-    """Stop waiting for an attempt; its `AttemptEnded` follows."""
+    """Cancel an attempt; its `AttemptEnded` follows."""
 
     request: str
     attempt: int
@@ -38,7 +38,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Reject:
-    """Final answer: not done, a retry does no harm; come back after `backoff_us` (0: no advice)."""
+    """Final answer: not done, and a retry does no harm.
+
+    Attributes:
+        request: The request's id.
+        backoff_us: When the client should come back (Retry-After); 0: no advice.
+        reason: Why.
+    """
 
     request: str
     backoff_us: int
@@ -47,7 +53,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Fail:
-    """Final answer: failed, nothing promised."""
+    """Final answer: failed, and it may have run."""
 
     request: str
     reason: RejectReason
@@ -55,19 +61,27 @@
 
 @dataclass(frozen=True, slots=True)
 class SetTimer:
-    """Ask for `TimerFired` at or after a time."""
+    """Send `TimerFired` at or after a time; it replaces the timer before."""
 
     at_us: int
 
 
 @dataclass(frozen=True, slots=True)
 class Subscribe:
-    """Ask for the changes of the node list from here on."""
+    """Watch the endpoint list, and send its changes as `EndpointsChanged`."""
 
 
 @dataclass(frozen=True, slots=True)
 class SlowStartBegan:
-    """A node's cold spell began for this host; what is its own there, in units a second, until it is over."""
+    """An endpoint's slow start has begun for this host, which may lend its part to others.
+
+    Attributes:
+        endpoint_id: The endpoint.
+        shard: Its shard.
+        began_us: When the endpoint started.
+        rate: This host's part there, in units a second.
+        until_us: When the slow start ends.
+    """
 
     endpoint_id: str
     shard: int
--- a/lemonridge/scheduling/context.py
+++ b/lemonridge/scheduling/context.py
@@ -1,65 +1,72 @@
-"""What the parts of the decisions share: the settings, the time, the random numbers and the actions."""
+"""What the parts of one scheduler share: settings, time, random numbers, timers and the actions decided.
+
+All times are whole microseconds of the host's clock.
+"""
 
 from __future__ import annotations
 
 import random
-from collections.abc import Hashable
 
 from lemonridge.scheduling.actions import Action
 from lemonridge.scheduling.settings import Settings
-from lemonridge.scheduling.timers import TimerKind, Timers
+from lemonridge.scheduling.timers import Timer, Timers
 
-SMALL_FLEET_HOSTS = (
-    8  # up to so many hosts, one request or try of each floods no node: load against late discovery
-)
-INITIAL_WINDOW = 2.0  # a host's first guess for a node: few, since others send there too
-MIN_WINDOW = 1.0  # at few senders
-MAX_PROCESS_STALL_US = (
-    150_000  # a real host may be held up for so long between its clock and a write (STANDING)
-)
-ANY_SHARD = -1  # of a request for a new object, which any node takes
+SMALL_FLEET_HOSTS = 8  # up to this many hosts, one request of each at once overloads no endpoint
+INITIAL_WINDOW = 2.0  # requests; in a small fleet, before anything is known of an endpoint
+MIN_WINDOW = 1.0  # requests; the least window in a small fleet, the initial one in a large fleet
+MAX_PROCESS_STALL_US = 150_000  # longest pause of a process between its clock and a write (STANDING)
+ANY_SHARD = -1  # shard of a request for a new object, which any endpoint takes
 
 
 class DecisionContext:
-    """Shared by all parts of one scheduler. Times are in microseconds."""
+    """The state shared by all parts of one scheduler.
+
+    Attributes:
+        settings: The settings in force.
+        host_confirms_start: The host calls `Scheduler.begins` before the first byte of each attempt;
+            otherwise an attempt starts when it is sent.
+        first_byte_delay_us: The longest time between that moment and the first byte.
+        now_us: The time of the events that are handled.
+        started_us: The time of the first events, None before them.
+        actions: The actions decided for the events that are handled.
+        shards_to_dispatch: The shards whose queues are dispatched after the events, in this order.
+        tightest_objective_us: The shortest latency objective of all classes.
+        initial_window: The window of an endpoint of which nothing is known, in requests.
+    """
 
     def __init__(self, settings: Settings, seed: int, host_confirms_start: bool) -> None:
-        """`host_confirms_start`: the host asks before each first byte."""
-        self.settings, self.random, self.host_confirms_start = (
-            settings,
-            random.Random(seed),
-            host_confirms_start,
-        )
+        self.settings = settings
         self.seed = seed
-        self.first_byte_delay_us = (
-            MAX_PROCESS_STALL_US if host_confirms_start else settings.tick_us
-        )  # how late the first byte may follow
+        self.random = random.Random(seed)
+        self.host_confirms_start = host_confirms_start
+        self.first_byte_delay_us = MAX_PROCESS_STALL_US if host_confirms_start else settings.tick_us
         self.now_us = 0
-        self.started_us: int | None = None  # the host's start
+        self.started_us: int | None = None
         self.actions: list[Action] = []
-        self.shards_to_dispatch: dict[
-            int, None
-        ] = {}  # shards whose queues are visited at the end of this moment
+        self.shards_to_dispatch: dict[int, None] = {}
         self.timers = Timers()
-        self.tightest_objective_us = 0  # the shortest aim of a class
+        self.tightest_objective_us = 0
         self.initial_window = INITIAL_WINDOW
 
     def configure(self, settings: Settings) -> None:
-        """Go by new settings."""
+        """Applies new settings.
+
+        Requests of all classes share one queue at an endpoint, so the tightest objective bounds the time
+        in that queue for every class.
+        """
         self.settings = settings
-        # All classes wait in one queue at a node, so the tightest aim bounds it for every class.
         self.tightest_objective_us = min(cls.latency_objective_us for cls in settings.classes)
         self.initial_window = INITIAL_WINDOW if settings.hosts <= SMALL_FLEET_HOSTS else MIN_WINDOW
 
-    def set_timer(self, at_us: int, kind: TimerKind, what: Hashable) -> None:
-        """Look at something at its time."""
-        self.timers.add(at_us, kind, what)
+    def set_timer(self, at_us: int, timer: Timer) -> None:
+        """Sets a timer for a time."""
+        self.timers.add(at_us, timer)
 
     def mark_for_dispatch(self, shard: int) -> None:
-        """Visit a shard's queues, and those for new objects, at the end of this moment."""
+        """Dispatches a shard's queues, and those for new objects, after the events of this moment."""
         self.shards_to_dispatch[shard] = None
         self.shards_to_dispatch[ANY_SHARD] = None
 
-    def jitter(self, span: int) -> int:
-        """About a span: hosts that began together must not go on together."""
-        return int(span * self.random.uniform(0.75, 1.25))
+    def jitter(self, span_us: int) -> int:
+        """Draws a time within a quarter of `span_us`, so that hosts started together spread out."""
+        return int(span_us * self.random.uniform(0.75, 1.25))
--- a/lemonridge/scheduling/endpoint.py
+++ b/lemonridge/scheduling/endpoint.py
@@ -8,41 +8,78 @@
 
 
 class TrackedEndpoint:
-    """What this host knows of one node."""
+    """The state of one endpoint, as this host sees it.
+
+    Attributes:
+        state: What the endpoint list says.
+        registered: It is in the endpoint list, under its shard.
+        window: How many attempts may be open there; below 1 it is a pause after each response.
+        window_cut_us: When the window was last cut; results of earlier attempts cut it no more.
+        cooldown_until_us: Until when a window below 1 pauses.
+        open_attempts: Attempts of this host that count against the window.
+        expected_responses: Of these, those with time enough for their silence to say something.
+        silent_since_us: Since when such responses are out and none has come; None without any.
+        outstanding_by_report: Requests of all hosts there, by its last load report.
+        latency_ewma_us: The latency of a request of mean size, averaged; 0 before the first response.
+        latency_deviation_us: The mean deviation of that.
+        largest_open_size: The relative size of the largest open request.
+        next_probe_us: When a suspect endpoint is probed next.
+        probe_count: Probes since its last response, at most 16.
+        connect_failures: Failed connects since its last response.
+        unreachable_since_us: When the first of them failed.
+        last_response_us: When its last response came.
+        slow_start_began_us: The start of its slow start; None when it is warm.
+        slow_start_sent: What was sent to it within the overload window of the settings, in units.
+        slow_start_tokens: What this host may send to it in slow start, in units; negative is a debt.
+        slow_start_rate: How fast that refills, in units a microsecond.
+        slow_start_refilled_us: When it was last refilled.
+        capacity_fraction: The part of its full capacity that it has at least.
+        borrowed_quota: What other hosts lend this host there, less what it lends: units a microsecond.
+    """
 
     def __init__(self, entry: Endpoint, window: float) -> None:
         self.id, self.shard, self.zone = entry.endpoint_id, entry.shard, entry.zone
         self.state = entry.condition
-        self.registered = False  # in the rotation of its shard and in the order of all
-        self.slow_start_began_us: int | None = None  # start of a cold spell
-        self.window, self.window_cut_us, self.cooldown_until_us, self.open_attempts = window, 0, 0, 0
-        self.outstanding_by_report = 0.0  # requests of all hosts there, as last told
-        self.latency_ewma_us, self.latency_deviation_us, self.largest_open_size = (
-            0.0,
-            0.0,
-            1.0,
-        )  # of a request of mean size; of the largest one out
-        self.expected_responses = 0  # of those that are open: the silence of the others tells nothing
-        self.silent_since_us: int | None = None  # since when such a one is out and nothing was heard
-        self.next_probe_us, self.probe_count, self.connect_failures = 0, 0, 0
-        self.unreachable_since_us = 0  # when it was first not reached since its last answer
+        self.registered = False
+        self.window = window
+        self.window_cut_us = 0
+        self.cooldown_until_us = 0
+        self.open_attempts = 0
+        self.expected_responses = 0
+        self.silent_since_us: int | None = None
+        self.outstanding_by_report = 0.0
+        self.latency_ewma_us = 0.0
+        self.latency_deviation_us = 0.0
+        self.largest_open_size = 1.0
+        self.next_probe_us = 0
+        self.probe_count = 0
+        self.connect_failures = 0
+        self.unreachable_since_us = 0
         self.last_response_us = 0
+        self.slow_start_began_us: int | None = None
         self.slow_start_sent = SlidingWindow()
-        self.slow_start_tokens, self.slow_start_rate, self.slow_start_refilled_us, self.capacity_fraction = (
-            0.0,
-            0.0,
-            0,
-            1.0,
-        )
-        self.borrowed_quota = QuotaSchedule(
-            0.0
-        )  # to this host at a cold node, less what it lent: units a microsecond
+        self.slow_start_tokens = 0.0
+        self.slow_start_rate = 0.0
+        self.slow_start_refilled_us = 0
+        self.capacity_fraction = 1.0
+        self.borrowed_quota = QuotaSchedule(0.0)
 
     def expected_latency_us(self) -> float:
-        return self.latency_ewma_us + self.latency_deviation_us  # with its spread
+        """The usual latency of a request of mean size, with its deviation; 0 before the first response."""
+        return self.latency_ewma_us + self.latency_deviation_us
+
+    def expect_response(self, now_us: int) -> None:
+        """Counts an attempt whose silence says something of the endpoint."""
+        self.expected_responses += 1
+        if self.silent_since_us is None:
+            self.silent_since_us = now_us
+
+    def restart_silence(self, now_us: int) -> None:
+        """Counts silence from now on: the endpoint was heard, or an attempt no longer counts."""
+        self.silent_since_us = now_us if self.expected_responses else None
 
     def count_slow_start_units(self, now_us: int, units: float) -> int | None:
-        """Count what it is sent while it is cold; the start of that spell, None where it is warm."""
+        """Counts units that are sent in slow start; returns the start of it, None when it is warm."""
         if self.slow_start_began_us is not None:
             self.slow_start_sent.add(now_us, units)
             self.slow_start_tokens -= units
--- a/lemonridge/scheduling/events.py
+++ b/lemonridge/scheduling/events.py
@@ -1,6 +1,6 @@
 """The events that the host hands to the decisions.
 
-All times are whole microseconds of the host's clock.
+All times are whole microseconds of the host's clock; units are the work units of the settings.
 """
 
 from __future__ import annotations
@@ -12,7 +12,11 @@
 
 
 class AttemptResult(IntEnum):
-    """How an attempt ended. MOVED: the node said at once that it has the data no longer, and ran nothing."""
+    """How an attempt ended.
+
+    DATA_MIGRATED: the endpoint answered at once that it no longer has the data, and ran nothing.
+    NOT_SENT: the attempt never left this host.
+    """
 
     OK = 0
     ERROR = 1
@@ -27,8 +31,12 @@
 
 @dataclass(frozen=True, slots=True)
 class LimitLevel:
-    """What a process hands over of a volume's limit, in units: what its successor has saved from the start,
-    and what it may itself still bring to a node, until when (Unix microseconds).
+    """What a process hands over of a volume's limit, in units.
+
+    Attributes:
+        saved: What its successor has saved from the start.
+        owed: What it may itself still send to an endpoint.
+        owed_until_us: Until when, in Unix microseconds.
     """
 
     saved: float
@@ -37,7 +45,7 @@
 
 
 class EndpointState(Enum):
-    """What the list says of a node."""
+    """What the endpoint list says of an endpoint."""
 
     ACTIVE = "active"
     DRAINING = "draining"
@@ -45,15 +53,15 @@
 
 
 class SharedBudget(Enum):
-    """What hosts share in slices."""
+    """What hosts share by quotas."""
 
-    LIMIT = "limit"  # a volume's limit
-    SLOW_START = "slow start"  # what a cold node bears
-    RETRIES = "retries"  # further attempts
+    LIMIT = "limit"  # the limit of a volume
+    SLOW_START = "slow start"  # what an endpoint in slow start bears
+    RETRIES = "retries"  # the retries of all hosts
 
 
 class EndpointListUpdate(Enum):
-    """What a list event holds."""
+    """What an event of the endpoint list holds."""
 
     DELTA = "delta"
     SNAPSHOT = "snapshot"
@@ -63,7 +71,20 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestArrived:
-    """A client's request; `shard` -1 is a new object, `key` None has no order."""
+    """A client's request.
+
+    Attributes:
+        request: Its id, of which no other open request has the same.
+        shard: Where its data is; -1 for a new object.
+        volume: The volume's number.
+        deadline_us: When its client gives up.
+        key: Its ordering key; None where it has no order.
+        cls: The place of its class in the settings.
+        plan: The place of its volume's plan in the settings.
+        units: What it is expected to cost.
+        hosts: How many hosts serve the volume.
+        repeat: The client has marked it as a retry.
+    """
 
     request: str
     shard: int
@@ -74,12 +95,12 @@
     plan: int
     units: float
     hosts: int
-    repeat: bool = False  # a client's repeat, where clients mark them
+    repeat: bool = False
 
 
 @dataclass(frozen=True, slots=True)
 class ResponseStarted:
-    """The answer to an attempt began to stream; the deadline no longer runs."""
+    """The response to an attempt has started to stream; the deadline no longer applies."""
 
     request: str
     attempt: int
@@ -87,9 +108,19 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptEnded:
-    """One attempt ended; what the answer told, or None: `used` and `elsewhere` of the volume, and
-    `held`, the requests of all hosts at the node by its own report. `begun`: a part of it was sent, or may
-    have been; one that never was takes nothing from a limit.
+    """An attempt has ended.
+
+    Attributes:
+        request: The request's id.
+        attempt: The attempt's number, from 0.
+        endpoint_id: Where it was sent.
+        result: How it ended.
+        latency_us: The time from its start to its end.
+        finished: The request has its final answer by it.
+        volume_units: What the volume has used at the endpoint; None where the response does not say.
+        peer_units: What other hosts served the volume; None where the response does not say.
+        endpoint_outstanding: Requests of all hosts at the endpoint; None where the response does not say.
+        begun: A part of it was sent, or may have been; otherwise it uses nothing of a limit.
     """
 
     request: str
@@ -106,8 +137,10 @@
 
 @dataclass(frozen=True, slots=True)
 class DataMigrated:
-    """The data of a request lies elsewhere now; `shard` None: nobody can say where in time. Without effect
-    while an attempt is out; after one that ended as MOVED it is what the request waits for.
+    """The data of a request is on another shard now; `shard` None: nobody can say which in time.
+
+    A request whose attempt ended as DATA_MIGRATED waits for this event. It has no effect while an attempt
+    is open.
     """
 
     request: str
@@ -116,19 +149,19 @@
 
 @dataclass(frozen=True, slots=True)
 class ClientDisconnected:
-    """The client no longer waits; nothing is owed."""
+    """The client no longer waits; the request needs no answer."""
 
     request: str
 
 
 @dataclass(frozen=True, slots=True)
 class TimerFired:
-    """A timer fired."""
+    """The time of the last `SetTimer` has come."""
 
 
 @dataclass(frozen=True, slots=True)
 class Endpoint:
-    """One line of the node list; `started_us` 0 is long ago."""
+    """One entry of the endpoint list; `started_us` 0 is long ago."""
 
     endpoint_id: str
     shard: int
@@ -139,7 +172,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointsChanged:
-    """News of the node list."""
+    """A full endpoint list, a change of it, or a failed watch without entries."""
 
     kind: EndpointListUpdate
     entries: tuple[Endpoint, ...]
@@ -147,8 +180,12 @@
 
 @dataclass(frozen=True, slots=True)
 class SettingsChanged:
-    """New settings, from here on; the arrivals that follow count classes and plans by them. `same`: these
-    stand where they stood, so what waits goes by the new plans too.
+    """New settings, by which the requests that follow number their classes and plans.
+
+    Attributes:
+        settings: The new settings.
+        indices_unchanged: Classes and plans have kept their places, so open requests and volumes take the
+            new plans too.
     """
 
     settings: Settings
@@ -157,10 +194,16 @@
 
 @dataclass(frozen=True, slots=True)
 class QuotaChanged:
-    """What this host may use of a budget since a moment ago: `part` until `until_us`, `after` from then on.
-
-    `name` is a volume, a node, or 0. Parts are of the limit, or of the further attempts; at a cold node they
-    are what others lend to this host there, less what it lends, in units a microsecond.
+    """This host's quota of a shared budget has changed.
+
+    Attributes:
+        budget: Which budget.
+        name: The volume's number, the endpoint's id, or 0 for retries.
+        part: The quota until `until_us`: a fraction of the limit or of the retries; at an endpoint in slow
+            start what other hosts lend this one less what it lends, in units a microsecond.
+        until_us: When `part` ends.
+        after: The quota from then on.
+        since_us: When this quota began; the one before counts up to then.
     """
 
     budget: SharedBudget
@@ -173,7 +216,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PeerUsageReported:
-    """Other hosts served a volume some units of late; they were told of by all who may serve it."""
+    """Other hosts served a volume some units of late; reported by all hosts that may serve it."""
 
     volume: int
     units: float
@@ -181,8 +224,13 @@
 
 @dataclass(frozen=True, slots=True)
 class PeerHealthReported:
-    """Other hosts say that nothing good comes from a node: so many that have seen it themselves, `at_us` or
-    later.
+    """Other hosts report that an endpoint gives no good response.
+
+    Attributes:
+        endpoint_id: The endpoint.
+        sources: How many hosts have seen it themselves.
+        agreed: They are enough for the endpoint to be probed.
+        at_us: When they saw it, or later.
     """
 
     endpoint_id: str
--- a/lemonridge/scheduling/retries.py
+++ b/lemonridge/scheduling/retries.py
@@ -1,4 +1,4 @@
-"""What a request may still do: its class's effects, the budget of attempts and the pause before the next."""
+"""Whether and when a request may be attempted again: idempotency, the budgets of retries, the pause."""
 
 from __future__ import annotations
 
@@ -10,34 +10,59 @@
 from lemonridge.scheduling.settings import DeduplicationScope, IdempotencyKind, Settings
 from lemonridge.scheduling.token_bucket import TokenBucket
 
-INITIAL_RETRY_PAUSE_US = 20_000  # first pause before a further attempt, doubled for each later one
+INITIAL_RETRY_PAUSE_US = 20_000  # doubled for each later retry
+MAX_RETRY_PAUSE_DOUBLINGS = 6
 
 
 class RetryRules:
-    """The one place for effects, budget and further attempts."""
+    """The rules of retries.
+
+    Attributes:
+        fleet_retries: This host's part of the retries of all hosts, in retries a second.
+        retry_budget: This host's retries against its requests, within a sliding window.
+    """
 
     def __init__(self, context: DecisionContext) -> None:
         self._context = context
-        self.fleet_retries = TokenBucket(0)  # further attempts of all hosts
-        self.retry_budget = RetryBudget()  # of this host, within a time up to now
+        self.fleet_retries = TokenBucket(0)
+        self.retry_budget = RetryBudget()
 
     def configure(self, settings: Settings, hosts_before: int) -> None:
-        """Go by new settings."""
+        """Applies new settings; a new number of hosts splits the fleet's retries evenly again."""
         rate, hosts = settings.retry_rate, settings.hosts
         self.fleet_retries.resize(self._context.now_us, rate, max(rate, hosts), hosts, hosts != hosts_before)
 
     def may_send(self, request: Request, endpoint: TrackedEndpoint | None) -> bool:
-        """Whether a request may be sent now, to this node or, with None, to any."""
-        settings, now_us = self._context.settings, self._context.now_us
+        """Whether a request may be sent now: it is not over, has no open attempt, and the rules allow it.
+
+        Args:
+            request: The request.
+            endpoint: Where to, or None for the question whether any endpoint is possible.
+        """
         if request.done or request.open_endpoint is not None:
             return False
-        if request.attempts_sent - request.attempts_uncounted >= settings.max_attempts or not self.repeatable(
-            request, endpoint
-        ):
+        return self.another_attempt_allowed(request, endpoint)
+
+    def another_attempt_allowed(self, request: Request, endpoint: TrackedEndpoint | None) -> bool:
+        """Whether the rules allow one more attempt of a request, whether or not one is open.
+
+        A first attempt needs none of the budgets of retries (WIRE, rule 7): attempts are limited by the
+        settings' `max_attempts`, retries by the fleet's rate and by this host's budget.
+
+        Args:
+            request: The request.
+            endpoint: Where to, or None for the question whether any endpoint is possible.
+        """
+        settings, now_us = self._context.settings, self._context.now_us
+        if request.attempts_sent - request.attempts_uncounted >= settings.max_attempts:
             return False
-        if request.attempts_sent and settings.retry_rate and self.fleet_retries.refill(now_us) < 1.0:
+        if not self.repeatable(request, endpoint):
             return False
-        if request.attempts_sent and settings.retry_budget_window_us:
+        if not request.attempts_sent:
+            return True
+        if settings.retry_rate and self.fleet_retries.refill(now_us) < 1.0:
+            return False
+        if settings.retry_budget_window_us:
             return self.retry_budget.allows(
                 now_us,
                 settings.retry_budget_window_us,
@@ -47,33 +72,45 @@
         return True
 
     def repeatable(self, request: Request, endpoint: TrackedEndpoint | None) -> bool:
-        """Whether its class lets it be sent again now, after what may have run."""
-        if (
-            ran := request.first_run_endpoint
-        ) is None or request.request_class.idempotency is IdempotencyKind.IDEMPOTENT:
+        """Whether a request's class allows an attempt now, after one that may have run (WIRE, rule 2).
+
+        An idempotent request may always be repeated, one that is not idempotent never. One with an
+        idempotency key may be repeated within the deduplication window of the first attempt that may have
+        run, less the longest time until the first byte, and only in its deduplication scope.
+
+        Args:
+            request: The request.
+            endpoint: Where to, or None for the question whether any endpoint is possible.
+        """
+        request_class, ran = request.request_class, request.first_run_endpoint
+        if ran is None or request_class.idempotency is IdempotencyKind.IDEMPOTENT:
             return True
-        window_us = request.request_class.deduplication_window_us - self._context.first_byte_delay_us
-        if (
-            request.request_class.idempotency is IdempotencyKind.NOT_IDEMPOTENT
-            or self._context.now_us > request.first_run_at_us + window_us
-        ):
+        if request_class.idempotency is IdempotencyKind.NOT_IDEMPOTENT:
             return False
-        away = {
-            DeduplicationScope.SHARD: endpoint and endpoint.shard != ran.shard,
-            DeduplicationScope.ZONE: endpoint and endpoint.zone != ran.zone,
-        }
-        return not away.get(request.request_class.deduplication_scope)
+        window_us = request_class.deduplication_window_us - self._context.first_byte_delay_us
+        if self._context.now_us > request.first_run_at_us + window_us:
+            return False
+        if endpoint is None or request_class.deduplication_scope is DeduplicationScope.ALL:
+            return True
+        if request_class.deduplication_scope is DeduplicationScope.SHARD:
+            return endpoint.shard == ran.shard
+        return endpoint.zone == ran.zone
+
+    def record_request(self) -> None:
+        """Counts a request that arrived, of which the budget allows retries in proportion."""
+        self.retry_budget.record_request(self._context.now_us, self._context.settings.retry_budget_window_us)
 
     def record_attempt(self, request: Request) -> None:
-        """Book an attempt that is sent now."""
+        """Counts an attempt that is sent now; a first one uses no budget."""
         settings, now_us = self._context.settings, self._context.now_us
         if request.attempts_sent and settings.retry_budget_window_us:
             self.retry_budget.record_retry(now_us)
         if request.attempts_sent and settings.retry_rate:
             self.fleet_retries.draw(1.0, now_us)
 
-    def retry_pause_us(self, request: Request, result: AttemptResult) -> int:
-        """How long a request waits after an attempt that ended so."""
+    def pause_us(self, request: Request, result: AttemptResult) -> int:
+        """The backoff before the next attempt, doubled for each, with jitter; none after a cancelled one."""
         if result is AttemptResult.CANCELLED:
             return 0
-        return self._context.jitter(INITIAL_RETRY_PAUSE_US << min(request.attempts_sent, 6))
+        doublings = min(request.attempts_sent, MAX_RETRY_PAUSE_DOUBLINGS)
+        return self._context.jitter(INITIAL_RETRY_PAUSE_US << doublings)
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -496,7 +496,12 @@
         rig.end(request)
     rig.pass_time(70_000_000, step=100_000)
     p = rig.policy
-    assert not (p.requests or p.open_attempts or p.key_order._lines or p.key_order._quarantined_until_us)
+    assert not (
+        p.requests
+        or p.open_attempts
+        or p.lifecycle.key_order._lines
+        or p.lifecycle.key_order._quarantined_until_us
+    )
     assert not (p.queues.rotation_by_shard or p.context.timers.next_us() or p.limits.volumes)
     assert list(p.endpoint_list.endpoints) == ["b"]
 
