--- a/tests/test_extents_sources.py
+++ b/tests/extents/test_map_sources.py
@@ -22,7 +22,7 @@
 from lemonridge.extents.extent_map import Builder, Change, ChangeResult, Extent, ExtentMap
 from lemonridge.extents.map_cache import Background, KeepError, MapCache
 
-ROOT = Path(__file__).resolve().parent.parent
+ROOT = Path(__file__).resolve().parents[2]
 
 
 class Holder:
--- a/tests/test_lab.py
+++ b/tests/lab/test_lab.py
@@ -38,7 +38,7 @@
     TimerFired,
 )
 
-ROOT = Path(__file__).resolve().parent.parent
+ROOT = Path(__file__).resolve().parents[2]
 SMOKE = ROOT / "lab" / "smoke.toml"
 
 
@@ -320,7 +320,7 @@
 
 def test_messages_use_more_of_limits_whose_demand_is_at_one_broker() -> None:
     """On even slices a third and what was saved up; never more than is allowed and asked for."""
-    made = runs.load(str(Path(__file__).parents[1] / "lab" / "fleet.toml"))
+    made = runs.load(str(ROOT / "lab" / "fleet.toml"))
     used = []
     for peers in (False, True):
         told = spec.vary(made.scenario, {"peers": peers, "seconds": 10, "nodes.count": 5, "volumes": 12})
