--- a/lemonridge/cli/main.py
+++ b/lemonridge/cli/main.py
@@ -60,7 +60,7 @@
         sys.modules["ssl"] = None  # type: ignore[assignment]
     import asyncio
 
-    from lemonridge.service.assembly import serve  # only `serve` pays for loading the network's parts
+    from lemonridge.service.process import serve  # only `serve` pays for loading the network's parts
 
     gc.freeze()
     gc.enable()
--- a/lemonridge/coordination/etcd.py
+++ b/lemonridge/coordination/etcd.py
@@ -249,12 +249,12 @@
             self._put(row)
 
     def finish(self) -> None:
-        self._directory.take(EndpointListUpdate.SNAPSHOT, list(self._endpoints.values()))
+        self._directory.update(EndpointListUpdate.SNAPSHOT, list(self._endpoints.values()))
 
     def changes(self, events: Sequence[Event]) -> None:
         changed = [line for event in events if (line := self._put(event)) is not None]
         if changed:
-            self._directory.take(EndpointListUpdate.DELTA, changed)
+            self._directory.update(EndpointListUpdate.DELTA, changed)
 
     async def beside(self, etcd: EtcdClient, http: aiohttp.ClientSession) -> None:
         await asyncio.Event().wait()
@@ -264,7 +264,7 @@
         name = event.key.removeprefix(self.KIND)
         if event.value is None:
             line = self._endpoints.pop(name, None)
-            return line and replace(line, entry=replace(line.entry, condition=EndpointState.REMOVED))
+            return line and replace(line, endpoint=replace(line.endpoint, condition=EndpointState.REMOVED))
         try:
             told = orjson.loads(event.value)
             if isinstance(told, dict):
--- a/lemonridge/coordination/policy_coordinator.py
+++ b/lemonridge/coordination/policy_coordinator.py
@@ -198,7 +198,7 @@
         self._keeping: asyncio.Future[None] | None = None
         self._stuck = False  # the disk takes nothing
         self._timer: asyncio.TimerHandle | None = None
-        peers.coordinator = decider.fence = self
+        peers.coordinator = decider.lease_guard = self
         self._flush()
         self._tick()
 
@@ -227,7 +227,7 @@
             self._queue.remove(next(one for one in self._queue if isinstance(one, SendMessage)))
         self._pump()
         if self._mode != self._now():
-            self._decider.look()
+            self._decider.recheck_lease()
         fresh = self.rollout.ended - self._shown
         for result in self.rollout.results[-fresh:] if fresh else ():
             log.info("change ended", extra={"end": result.end, "why": result.why, "epoch": result.epoch})
--- a/lemonridge/core/__init__.py
+++ b/lemonridge/core/__init__.py
@@ -1,1 +1,1 @@
-"""Requests, attempts and outcomes, and the life of a request. Nothing here knows a wire."""
+"""A request, its attempts and their outcomes, and the task that runs it. Nothing here knows a protocol."""
--- a/lemonridge/core/broker.py
+++ b/lemonridge/core/broker.py
@@ -1,19 +1,17 @@
-"""The life of a request, from its arrival to its one final answer."""
+"""A request from its arrival to its final answer."""
 
 from __future__ import annotations
 
 import asyncio
 import logging
-from collections.abc import Callable
 
 from lemonridge.core.counters import Counters
-from lemonridge.core.decision_host import DecisionHost, RequestMailbox
+from lemonridge.core.decision_host import DecisionHost
+from lemonridge.core.errors import AttemptSuppressedError, ConnectFailedError
 from lemonridge.core.model import (
     Answer,
     AnswerKind,
     Attempt,
-    AttemptSuppressedError,
-    ConnectFailedError,
     Endpoints,
     Outcome,
     ReplyStream,
@@ -21,40 +19,50 @@
     Routes,
 )
 from lemonridge.core.open_ids import OpenIds
+from lemonridge.core.request_mailbox import RequestMailbox
+from lemonridge.scheduling.actions import Send
 from lemonridge.scheduling.events import AttemptEnded, AttemptResult, ClientDisconnected, DataMigrated
 
 log = logging.getLogger(__name__)
 
-# After these the module must hear where the data is: it waits for that, or sent where it was before.
-PLACED = frozenset((AttemptResult.DATA_MIGRATED, AttemptResult.NOT_SENT))
+# After these the scheduler is told where the data is, also if that has not changed: it waits for it, or has
+# chosen the endpoint by an older place.
+RESULTS_THAT_NEED_A_SHARD = frozenset((AttemptResult.DATA_MIGRATED, AttemptResult.NOT_SENT))
 
 
 class Broker:
-    """Carries requests: the decider says what to do, the nodes' side does it."""
+    """Runs requests: the scheduler decides what to do, `Endpoints` does it."""
 
     def __init__(
-        self, decider: DecisionHost, endpoints: Endpoints, counters: Counters, routes: Routes | None = None
+        self,
+        decision_host: DecisionHost,
+        endpoints: Endpoints,
+        counters: Counters,
+        routes: Routes | None = None,
     ) -> None:
-        self._decider, self._endpoints, self._counters, self._routes = decider, endpoints, counters, routes
-        self._lives: set[asyncio.Task[None]] = set()
+        self._decision_host, self._endpoints = decision_host, endpoints
+        self._counters, self._routes = counters, routes
+        self._tasks: set[asyncio.Task[None]] = set()
         self.open_ids = OpenIds()
 
     async def serve(self, request: Request) -> Answer:
-        """The final answer to a request; to cancel this tells that the client has gone.
+        """The final answer to a request. Cancelling this call says that the client has disconnected.
 
-        The life goes on behind it until its last attempt has ended, as the node works on too.
-        `DuplicateError` where a request with its id is open.
+        The request's task goes on until its last attempt has ended, as the endpoint works on it too.
+
+        Raises:
+            DuplicateRequestError: A request with its id is open.
         """
         self.open_ids.open(request.ident)
-        mailbox = self._decider.open(request)
-        life = asyncio.create_task(self.carry(mailbox))
-        self._lives.add(life)
-        life.add_done_callback(self._lives.discard)
+        mailbox = self._decision_host.open(request)
+        task = asyncio.create_task(self.run(mailbox))
+        self._tasks.add(task)
+        task.add_done_callback(self._tasks.discard)
         try:
             answer = await asyncio.shield(mailbox.answer)
         except asyncio.CancelledError:
-            if mailbox.settle(Answer(AnswerKind.GONE)):
-                self._decider.deliver(ClientDisconnected(mailbox.name))
+            if mailbox.settle(Answer(AnswerKind.CLIENT_GONE)):
+                self._decision_host.deliver(ClientDisconnected(mailbox.name))
                 self._counters["answers.gone"] += 1
             elif isinstance(reply := mailbox.answer.result().reply, ReplyStream):
                 reply.close()
@@ -62,107 +70,123 @@
         self._counters[f"answers.{answer.kind.value}"] += 1
         return answer
 
-    async def carry(self, mailbox: RequestMailbox) -> None:
-        """One request's life: send where the module says, report each end, until it is over."""
-        number, request = 0, mailbox.request
+    async def run(self, mailbox: RequestMailbox) -> None:
+        """Runs one request: makes each attempt that the scheduler decides on, and reports how it ended."""
+        request, host = mailbox.request, self._decision_host
         routes = self._routes if request.route is not None else None
         try:
             self._counters["requests.taken"] += 1
             if routes is not None:
-                routes.open(request, lambda shard: self._decider.deliver(DataMigrated(mailbox.name, shard)))
-            while (order := await mailbox.next_send()) is not None:
-                sent_us = self._decider.clock.now_us()
-                relied = request.route.shard if request.route is not None else request.shard
-                attempt = Attempt(
-                    request,
-                    number,
-                    order.endpoint_id,
-                    self._judge(mailbox, number),
-                    decided_s=mailbox.decided_s,
-                )
-                outcome = await self._attempt(mailbox, attempt)
-                lag_us = self._decider.clock.now_us() - sent_us
+                routes.open(request, lambda shard: host.deliver(DataMigrated(mailbox.name, shard)))
+            number = 0
+            while (send := await mailbox.next_send()) is not None:
+                sent_us = host.clock.now_us()
+                shard_at_send = request.route.shard if request.route is not None else request.shard
+                attempt = self._new_attempt(mailbox, number, send)
+                outcome = await self._make_attempt(mailbox, attempt)
+                latency_us = host.clock.now_us() - sent_us
                 if outcome.result is AttemptResult.OK:
-                    served = mailbox.settle(Answer(AnswerKind.SERVED, outcome.reply))
-                    if not served and isinstance(outcome.reply, ReplyStream):
-                        outcome.reply.close()
-                self._decider.deliver(
-                    AttemptEnded(
-                        mailbox.name,
-                        number,
-                        order.endpoint_id,
-                        outcome.result,
-                        lag_us,
-                        mailbox.answer.done(),
-                        outcome.used,
-                        outcome.elsewhere,
-                        outcome.held,
-                        attempt.begun,
-                    )
-                )
+                    self._answer_served(mailbox, outcome)
+                host.deliver(self._attempt_ended(mailbox, attempt, outcome, latency_us))
                 if routes is not None and not mailbox.answer.done():
-                    shard = await self._route(mailbox, routes, outcome)
-                    if shard != relied or outcome.result in PLACED:
-                        self._decider.deliver(DataMigrated(mailbox.name, shard))
+                    shard = await self._next_shard(mailbox, routes, outcome)
+                    if shard != shard_at_send or outcome.result in RESULTS_THAT_NEED_A_SHARD:
+                        host.deliver(DataMigrated(mailbox.name, shard))
                 number += 1
         except Exception:
-            log.exception("request failed")
+            log.exception("request failed by a fault in the broker", extra={"request": mailbox.name})
             self._counters["requests.broken"] += 1
         finally:
             if mailbox.settle(Answer(AnswerKind.FAILED)):
-                self._decider.deliver(ClientDisconnected(mailbox.name))
+                host.deliver(ClientDisconnected(mailbox.name))
             if routes is not None:
                 routes.close(request)
-            self._decider.close(mailbox)
-            self.open_ids.end(request.ident)
+            host.close(mailbox)
+            self.open_ids.close(request.ident)
+
+    def _new_attempt(self, mailbox: RequestMailbox, number: int, send: Send) -> Attempt:
+        return Attempt(
+            mailbox.request,
+            number,
+            send.endpoint_id,
+            lambda: self._decision_host.may_begin(mailbox, number),
+            decided_s=mailbox.decided_s,
+        )
+
+    @staticmethod
+    def _answer_served(mailbox: RequestMailbox, outcome: Outcome) -> None:
+        """Gives the endpoint's reply as the final answer; drops it where there is one already."""
+        served = mailbox.settle(Answer(AnswerKind.SERVED, outcome.reply))
+        if not served and isinstance(outcome.reply, ReplyStream):
+            outcome.reply.close()
 
-    async def _route(self, mailbox: RequestMailbox, routes: Routes, outcome: Outcome) -> int | None:
-        """Where the request goes on, if it does: asked after each attempt, since the map may have moved on
-        meanwhile. The wait for news of a move ends with the request's deadline.
+    @staticmethod
+    def _attempt_ended(
+        mailbox: RequestMailbox, attempt: Attempt, outcome: Outcome, latency_us: int
+    ) -> AttemptEnded:
+        return AttemptEnded(
+            mailbox.name,
+            attempt.number,
+            attempt.endpoint_id,
+            outcome.result,
+            latency_us,
+            mailbox.answer.done(),
+            outcome.units_used,
+            outcome.units_elsewhere,
+            outcome.endpoint_load,
+            attempt.begun,
+        )
+
+    async def _next_shard(self, mailbox: RequestMailbox, routes: Routes, outcome: Outcome) -> int | None:
+        """The shard to go on with, looked up after each attempt as the data may have migrated meanwhile.
+
+        After `DATA_MIGRATED` it waits for newer information until the request's deadline; None if none comes.
         """
         if outcome.result is not AttemptResult.DATA_MIGRATED:
             return routes.current(mailbox.request)
         try:
-            async with asyncio.timeout_at(self._decider.clock.loop_time(mailbox.request.deadline_us)):
+            async with asyncio.timeout_at(self._decision_host.clock.loop_time(mailbox.request.deadline_us)):
                 return await routes.reroute(mailbox.request, outcome.reply)
         except TimeoutError:
             return None
 
-    def _judge(self, mailbox: RequestMailbox, number: int) -> Callable[[], bool]:
-        return lambda: self._decider.begins(mailbox, number)
-
-    async def _attempt(self, mailbox: RequestMailbox, attempt: Attempt) -> Outcome:
-        """One attempt, until the request's deadline or until it is called off.
+    async def _make_attempt(self, mailbox: RequestMailbox, attempt: Attempt) -> Outcome:
+        """Makes one attempt, until the request's deadline or a cancel.
 
-        What never came to the node cannot have run; what did may have, whatever cut it short. None begins for
-        a request that is over: its client may have left since it was decided on.
+        No attempt is made for a request that has its final answer: its client may have disconnected since the
+        attempt was decided on. An attempt of which no byte was sent cannot have run; any other may have,
+        whatever ended it.
         """
         if mailbox.answer.done():
             return Outcome(AttemptResult.NOT_SENT)
-        mailbox.attempt, mailbox.cancelled = attempt, False
+        mailbox.attempt, mailbox.attempt_cancelled = attempt, False
         route = attempt.request.route
         try:
             if route is not None:
-                route.flying = True
-            at = self._decider.clock.loop_time(mailbox.request.deadline_us)
-            async with asyncio.timeout_at(at) as mailbox.scope:
+                route.attempt_in_flight = True
+            deadline_s = self._decision_host.clock.loop_time(mailbox.request.deadline_us)
+            async with asyncio.timeout_at(deadline_s) as mailbox.timeout_scope:
                 outcome = await self._endpoints.attempt(attempt)
         except TimeoutError:
-            if not attempt.begun:  # its time ran out here: only a connect that fails tells of the node
+            if not attempt.begun:  # only a connect that fails counts against the endpoint
                 outcome = Outcome(AttemptResult.NOT_SENT)
             else:
-                outcome = Outcome(AttemptResult.CANCELLED if mailbox.cancelled else AttemptResult.TIMEOUT)
+                cancelled = mailbox.attempt_cancelled
+                outcome = Outcome(AttemptResult.CANCELLED if cancelled else AttemptResult.TIMEOUT)
         except ConnectFailedError:
             outcome = Outcome(AttemptResult.CONNECT_FAILED)
         except AttemptSuppressedError:
             outcome = Outcome(AttemptResult.NOT_SENT)
         except Exception:
-            log.exception("attempt failed")
+            log.exception(
+                "attempt failed by a fault in the broker",
+                extra={"request": mailbox.name, "endpoint": attempt.endpoint_id},
+            )
             outcome = Outcome(AttemptResult.RESET if attempt.begun else AttemptResult.CONNECT_FAILED)
         finally:
-            mailbox.scope = mailbox.attempt = None
+            mailbox.timeout_scope = mailbox.attempt = None
             if route is not None:
-                route.flying = False
+                route.attempt_in_flight = False
         self._counters["attempts.sent"] += attempt.begun
         self._counters[f"attempts.{outcome.result.name.lower()}"] += 1
         return outcome
--- a/lemonridge/core/clock.py
+++ b/lemonridge/core/clock.py
@@ -1,7 +1,7 @@
-"""The one clock of a broker: microseconds that the monotonic clock advances, begun at Unix time.
+"""The broker's one clock: Unix time at the start, advanced by the monotonic clock, in microseconds.
 
-The decisions need a clock that never steps, so Unix time is read once, at the start. A wall clock may be
-stepped later, or have been before: what comes in Unix time is placed by what the wall clock says then.
+The scheduler needs a clock that never steps, so Unix time is read once. The machine's wall clock may be
+stepped before or later; times that come in Unix time are placed by `wall_us` (see `start_times`).
 """
 
 from __future__ import annotations
@@ -11,25 +11,26 @@
 
 
 class Clock:
-    """Unix microseconds, and their place on the event loop's own clock."""
+    """Microseconds since the Unix epoch, and their place on the event loop's clock."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         self._loop = loop
         self._base_us = time.time_ns() // 1000 - int(loop.time() * 1e6)
 
     def now_us(self) -> int:
+        """The time now, in microseconds."""
         return self._base_us + int(self._loop.time() * 1e6)
 
     @property
     def base_us(self) -> int:
-        """Where this clock stood when the monotonic clock, which all processes of a machine share, was 0."""
+        """This clock's time when the monotonic clock, which all processes of a machine share, was 0."""
         return self._base_us
 
     @staticmethod
     def wall_us() -> int:
-        """Unix time as the machine has it now, for what comes in Unix time; it may be stepped at any time."""
+        """Unix time by the machine's wall clock now, in microseconds; it may be stepped at any time."""
         return time.time_ns() // 1000
 
     def loop_time(self, at_us: int) -> float:
-        """The time on the event loop's clock at which `at_us` comes."""
+        """The time of the event loop's clock, in seconds, at which this clock shows `at_us`."""
         return (at_us - self._base_us) / 1e6
--- a/lemonridge/core/counters.py
+++ b/lemonridge/core/counters.py
@@ -1,4 +1,4 @@
-"""Counts of what the broker takes in, sends and answers."""
+"""Counts of requests, attempts, answers and faults, for the log."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 class Counters(Counter[str]):
     """Counts by dotted name; a name that was never counted is 0."""
 
-    def print(self, why: str, front: str) -> None:
-        """One log line with every count."""
+    def print(self, reason: str, front: str) -> None:
+        """Logs every count in one line; `reason` says what asked for it."""
         counts = {name: self[name] for name in sorted(self)}
-        log.info("counters", extra={"why": why, "front": front, **counts})
+        log.info("counters", extra={"reason": reason, "front": front, **counts})
--- a/lemonridge/core/decision_host.py
+++ b/lemonridge/core/decision_host.py
@@ -1,17 +1,18 @@
-"""The host of the decision module: its clock, its one timer, and a mailbox for each request."""
+"""Runs the scheduler on the event loop: its clock, its one timer, and a mailbox for each open request."""
 
 from __future__ import annotations
 
 import asyncio
 import dataclasses
 import logging
-from collections import deque
 from collections.abc import Callable, Iterable, Mapping
 from typing import Protocol
 
 from lemonridge.core.clock import Clock
 from lemonridge.core.counters import Counters
-from lemonridge.core.model import Answer, AnswerKind, Attempt, Request
+from lemonridge.core.model import Answer, AnswerKind, Request
+from lemonridge.core.request_mailbox import RequestMailbox
+from lemonridge.core.stall_detector import StallDetector
 from lemonridge.scheduling import Scheduler
 from lemonridge.scheduling.actions import (
     Action,
@@ -39,95 +40,54 @@
 log = logging.getLogger(__name__)
 
 
-class RequestMailbox:
-    """What was decided for one request, and its one final answer."""
+class DecisionObserver(Protocol):
+    """Sees events before the scheduler does, and the actions that follow."""
 
-    def __init__(self, name: str, request: Request) -> None:
-        self.name, self.request = name, request
-        self.answer: asyncio.Future[Answer] = asyncio.get_running_loop().create_future()
-        self.scope: asyncio.Timeout | None = None  # of the attempt in flight
-        self.attempt: Attempt | None = None  # the one in flight
-        self.cancelled = False  # it was called off
-        self.decided_s = 0.0  # when the last attempt was, on the loop's clock
-        self._orders: deque[Send] = deque()
-        self._waiter: asyncio.Future[None] | None = None
+    def on_request_arrived(self, event: RequestArrived) -> None:
+        """A request is about to be given to the scheduler."""
+        ...
 
-    def settle(self, answer: Answer) -> bool:
-        """Give the final answer, unless there is one."""
-        if self.answer.done():
-            return False
-        self.answer.set_result(answer)
-        if self.attempt is not None and not self.attempt.begun:
-            self._call_off()  # it would not begin any more
-        self._wake()
-        return True
-
-    def deliver(self, action: Send | Cancel | Reject | Fail) -> None:
-        """Take a decision. A final answer leaves at once, also while an attempt is out."""
-        if isinstance(action, Send):
-            self._orders.append(action)
-            self.decided_s = asyncio.get_running_loop().time()
-            self._wake()
-        elif isinstance(action, Reject):
-            self.settle(Answer(AnswerKind.REFUSED, backoff_us=action.backoff_us))
-        elif isinstance(action, Fail):
-            self.settle(Answer(AnswerKind.FAILED))
-        elif self.attempt is not None and action.attempt == self.attempt.number:
-            self._call_off()
-
-    def _call_off(self) -> None:
-        """End the attempt in flight."""
-        if self.scope is not None and not self.scope.expired():
-            self.cancelled = True
-            self.scope.reschedule(asyncio.get_running_loop().time())
-
-    async def next_send(self) -> Send | None:
-        """The next attempt to make; None once the request is over."""
-        while not self._orders:
-            if self.answer.done():
-                return None
-            self._waiter = asyncio.get_running_loop().create_future()
-            await self._waiter
-        return self._orders.popleft()
-
-    def _wake(self) -> None:
-        if self._waiter is not None and not self._waiter.done():
-            self._waiter.set_result(None)
-
-
-BEAT_S = 0.1  # how often a process that must know of its stops looks whether it ran
-STALL_S = 0.3  # a look that comes so much late says that it did not: well within the time of a drain
-CATCH_UP_S = 0.03  # after that nothing is decided for so long: what came meanwhile is read first
+    def on_endpoints_changed(self, endpoints: Iterable[Endpoint]) -> None:
+        """Endpoints are about to be given to the scheduler."""
+        ...
 
+    def on_attempt_sent(self, endpoint_id: str, request: Request) -> None:
+        """The scheduler sends an attempt to an endpoint."""
+        ...
 
-class Observer(Protocol):
-    """Sees what the decisions see, before they do, and what they decide."""
+    def on_attempt_ended(self, event: AttemptEnded, request: Request | None) -> None:
+        """An attempt has ended; `request` is None where the request was closed before."""
+        ...
 
-    def arrived(self, event: RequestArrived) -> None: ...
+    def on_slow_start_began(self, action: SlowStartBegan) -> None:
+        """The scheduler takes an endpoint for one that warms up."""
+        ...
 
-    def listed(self, entries: Iterable[Endpoint]) -> None: ...
-
-    def sent(self, endpoint: str, request: Request) -> None: ...
-
-    def ended(self, event: AttemptEnded, request: Request | None) -> None: ...
-
-    def acted(self, action: Action) -> None: ...
-
-    def renewed(self) -> None: ...
+    def on_scheduler_restarted(self) -> None:
+        """A new scheduler is in place of one that failed."""
+        ...
 
 
 class LeaseGuard(Protocol):
-    """Says by which settings the decisions go, where that may end by time alone."""
+    """The lease on the fleet's policy, which says by which settings the scheduler decides."""
 
     def before(self, now_us: int) -> Settings | None:
-        """Settings to go by from now on; None where nothing changed."""
+        """New settings that are in force from now on; None where nothing changed."""
 
     def epoch(self, decided_s: float) -> str | None:
-        """By which epochs an attempt begins that was decided at a time; None where it may not any more."""
+        """The epochs that an attempt decided on at `decided_s` (loop time) names; None: it may not begin."""
 
 
 class DecisionHost:
-    """Owns the scheduler. The events of one turn of the event loop go to it together."""
+    """Owns the scheduler. The events of one turn of the event loop go to it together.
+
+    Attributes:
+        clock: The broker's clock.
+        list_endpoints: The endpoint list for a scheduler that replaces a failed one.
+        observer: Sees events and actions, where there is one.
+        lease_guard: Says by which settings to decide, where a lease on a policy is needed.
+        stall_detector: Pauses decisions after a stall of the process, once it is started.
+    """
 
     def __init__(self, settings: Settings, seed: int, clock: Clock, counters: Counters) -> None:
         self._settings, self._seed = settings, seed
@@ -136,24 +96,23 @@
         self._scheduler = Scheduler(settings, seed, asked=True)
         self._mailboxes: dict[str, RequestMailbox] = {}
         self._events: list[Event] = []
-        self._due = False
+        self._decision_scheduled = False
         self._timer: asyncio.TimerHandle | None = None
-        self._taken = 0
-        self.relist: Callable[[], tuple[Endpoint, ...]] = tuple
-        self.observer: Observer | None = None
-        self.fence: LeaseGuard | None = None
-        self._beat_s: float | None = None
-        self._held_until_s = 0.0
+        self._requests_received = 0
+        self.list_endpoints: Callable[[], tuple[Endpoint, ...]] = tuple
+        self.observer: DecisionObserver | None = None
+        self.lease_guard: LeaseGuard | None = None
+        self.stall_detector = StallDetector(self._loop, counters)
 
     @property
-    def held(self) -> int:
-        """How many requests have a life that is not over."""
+    def open_requests(self) -> int:
+        """How many requests are open: without a final answer, or with an attempt in flight."""
         return len(self._mailboxes)
 
     def open(self, request: Request) -> RequestMailbox:
-        """A request begins. The name is the core's own: a client may send an id twice."""
-        self._taken += 1
-        mailbox = RequestMailbox(f"r{self._taken}", request)
+        """Opens a request, under a name of the broker's own: a client may use one id twice."""
+        self._requests_received += 1
+        mailbox = RequestMailbox(f"r{self._requests_received}", request)
         self._mailboxes[mailbox.name] = mailbox
         arrived = RequestArrived(
             mailbox.name,
@@ -168,126 +127,138 @@
             request.repeat,
         )
         if self.observer is not None:
-            self.observer.arrived(arrived)
+            self.observer.on_request_arrived(arrived)
         self.deliver(arrived)
         return mailbox
 
+    def close(self, mailbox: RequestMailbox) -> None:
+        """Closes a request, which has its final answer and no attempt in flight."""
+        self._mailboxes.pop(mailbox.name, None)
+
     def configure(self, settings: Settings) -> None:
-        """New settings, for every request that comes from now on."""
+        """Puts new settings in force, for every request that arrives from now on."""
         self._settings = settings
         self.deliver(SettingsChanged(settings, False))
 
     def export_limits(self) -> dict[int, LimitLevel]:
-        """Hand the limits over to another process of this broker, by volume."""
+        """Hands the limits over to another process of this broker, by volume."""
         return self._scheduler.export_limits()
 
     def import_limits(self, levels: Mapping[int, LimitLevel]) -> None:
-        """Be the process whose limits fill, from these levels on."""
+        """Makes this the process whose limits fill, from these levels on."""
         self._scheduler.import_limits(self.clock.now_us(), levels)
 
-    def begins(self, mailbox: RequestMailbox, number: int) -> bool:
-        """Whether an attempt may still begin: its client has not left and has no answer, and the decisions
-        stand by it. Asked at its first byte, for which it may have waited. The system is asked whether the
-        client has ended, as the event loop may not have read that yet (STANDING: 0.1 s after the close).
+    def may_begin(self, mailbox: RequestMailbox, number: int) -> bool:
+        """Whether attempt `number` may begin, asked as its first byte is about to be written.
+
+        It may not if its client has disconnected or has an answer, the lease that it was decided under has
+        ended, or the scheduler has changed its mind during the connect. The operating system is asked for the
+        disconnect, as the event loop may not have read it yet (STANDING: 0.1 s after the close).
         """
         if mailbox.request.abandoned():
             self._counters["attempts.abandoned"] += 1
             return False
-        if mailbox.answer.done() or (self.fence is not None and self.fence.epoch(mailbox.decided_s) is None):
+        if mailbox.answer.done():
+            return False
+        if self.lease_guard is not None and self.lease_guard.epoch(mailbox.decided_s) is None:
             return False
         return self._scheduler.begins(self.clock.now_us(), mailbox.name, number)
 
-    def close(self, mailbox: RequestMailbox) -> None:
-        """The life of a request is over."""
-        self._mailboxes.pop(mailbox.name, None)
-
     def deliver(self, event: Event) -> None:
-        """Note an event for the end of this turn of the loop."""
+        """Queues an event for the scheduler, which gets it at the end of this turn of the loop."""
         if self.observer is not None and isinstance(event, AttemptEnded):
             mailbox = self._mailboxes.get(event.request)
-            self.observer.ended(event, None if mailbox is None else mailbox.request)
+            self.observer.on_attempt_ended(event, None if mailbox is None else mailbox.request)
         elif self.observer is not None and isinstance(event, EndpointsChanged):
-            self.observer.listed(event.entries)
+            self.observer.on_endpoints_changed(event.entries)
         self._events.append(event)
-        if not self._due:
-            self._due = True
+        if not self._decision_scheduled:
+            self._decision_scheduled = True
             self._loop.call_soon(self._decide)
 
-    def look(self) -> None:
-        """Ask the fence anew at the end of this turn of the loop."""
+    def recheck_lease(self) -> None:
+        """Asks the lease guard again at the end of this turn of the loop."""
         self.deliver(TimerFired())
 
-    def watch_for_stops(self) -> None:
-        """Look from now on whether this process was stopped (SIGSTOP, a machine that had no time for it). One
-        that goes on believes what it knew before, while drains and slices that it has not read yet hold.
-        """
-        beat_s, self._beat_s = self._beat_s, self._loop.time()
-        if beat_s is not None:
-            self._look(beat_s)
-        self._loop.call_later(BEAT_S, self.watch_for_stops)
-
-    def _look(self, beat_s: float) -> None:
-        now_s = self._loop.time()
-        if now_s - beat_s > BEAT_S + STALL_S and now_s > self._held_until_s:
-            self._held_until_s, self._beat_s = now_s + CATCH_UP_S, now_s
-            self._counters["loop.stopped"] += 1
-            log.warning("did not run", extra={"for_ms": int((now_s - beat_s) * 1000)})
-
     def _decide(self) -> None:
-        if self._beat_s is not None:
-            self._look(self._beat_s)
-            if self._loop.time() < self._held_until_s:
-                self._loop.call_at(self._held_until_s, self._decide)
-                return
-        events, self._events, self._due = self._events, [], False
+        """Gives the queued events to the scheduler and carries its actions out."""
+        paused_until_s = self.stall_detector.paused_until_s()
+        if paused_until_s is not None:
+            self._loop.call_at(paused_until_s, self._decide)
+            return
+        events, self._events, self._decision_scheduled = self._events, [], False
         try:
-            if self.fence is not None and (settings := self.fence.before(self.clock.now_us())) is not None:
+            settings = self.lease_guard.before(self.clock.now_us()) if self.lease_guard is not None else None
+            if settings is not None:
                 self._settings = settings
                 events.insert(0, SettingsChanged(settings, True))
             actions = self._scheduler.handle(self.clock.now_us(), events)
         except Exception:
-            self._start_over()
+            self._restart_scheduler()
             return
         if log.isEnabledFor(logging.DEBUG):
             self._trace(events, actions)
         for action in actions:
-            if isinstance(action, (Reject, Fail)):
-                self._counters[f"given_up.{action.why.value}"] += 1
-            if isinstance(action, SetTimer):
-                self._wake_at(action.at_us)
-            elif isinstance(action, SlowStartBegan):
+            self._carry_out(action)
+
+    def _carry_out(self, action: Action) -> None:
+        match action:
+            case Send():
+                self._send(action)
+            case Reject() | Fail():
+                self._give_answer(action)
+            case Cancel():
+                self._cancel(action)
+            case SetTimer():
+                self._set_timer(action.at_us)
+            case SlowStartBegan():
                 if self.observer is not None:
-                    self.observer.acted(action)
-            elif not isinstance(action, Subscribe):  # the watch of the node list never ends
-                mailbox = self._mailboxes.get(action.request)
-                if mailbox is not None:
-                    if self.observer is not None and isinstance(action, Send):
-                        self.observer.sent(action.endpoint_id, mailbox.request)
-                    mailbox.deliver(action)
+                    self.observer.on_slow_start_began(action)
+            case Subscribe():
+                pass  # the watch of the endpoint list never ends
+
+    def _send(self, action: Send) -> None:
+        mailbox = self._mailboxes.get(action.request)
+        if mailbox is None:
+            return
+        if self.observer is not None:
+            self.observer.on_attempt_sent(action.endpoint_id, mailbox.request)
+        mailbox.deliver(action)
+
+    def _give_answer(self, action: Reject | Fail) -> None:
+        self._counters[f"given_up.{action.why.value}"] += 1
+        mailbox = self._mailboxes.get(action.request)
+        if mailbox is not None:
+            mailbox.deliver(action)
+
+    def _cancel(self, action: Cancel) -> None:
+        mailbox = self._mailboxes.get(action.request)
+        if mailbox is not None:
+            mailbox.deliver(action)
 
     def _trace(self, events: list[Event], actions: list[Action]) -> None:
-        """What was told and decided, a line each: to be added up over all brokers."""
-        for told in (*events, *actions):
-            if not isinstance(told, (EndpointsChanged, SettingsChanged, TimerFired, SetTimer, Subscribe)):
-                log.debug(type(told).__name__.lower(), extra=dataclasses.asdict(told))
+        """Logs each event and action that concerns a request, a line each."""
+        for item in (*events, *actions):
+            if not isinstance(item, (EndpointsChanged, SettingsChanged, TimerFired, SetTimer, Subscribe)):
+                log.debug(type(item).__name__.lower(), extra=dataclasses.asdict(item))
 
-    def _wake_at(self, at_us: int) -> None:
-        """The module asks again at each earlier need, so the last asked for is the only one."""
+    def _set_timer(self, at_us: int) -> None:
+        """Replaces the timer: the scheduler asks again at each earlier need, so the last one counts."""
         if self._timer is not None:
             self._timer.cancel()
-        self._timer = self._loop.call_at(self.clock.loop_time(at_us), self._woke)
+        self._timer = self._loop.call_at(self.clock.loop_time(at_us), self._on_timer)
 
-    def _woke(self) -> None:
+    def _on_timer(self) -> None:
         self._timer = None
         self.deliver(TimerFired())
 
-    def _start_over(self) -> None:
-        """An exception left the module's state in doubt: answer what it held, begin a new one.
+    def _restart_scheduler(self) -> None:
+        """Fails every open request and begins a new scheduler.
 
-        Guards against a fault in the decisions that would leave clients without an answer; the ends
-        of attempts that are still out mean nothing to the new module, which ignores them.
+        An exception left the state of the old one in doubt. Attempts that are in flight go on; the new
+        scheduler ignores their ends.
         """
-        log.exception("decisions failed", extra={"held": len(self._mailboxes)})
+        log.exception("scheduler failed", extra={"open_requests": len(self._mailboxes)})
         self._counters["decisions.failed"] += 1
         for mailbox in list(self._mailboxes.values()):
             mailbox.settle(Answer(AnswerKind.FAILED))
@@ -297,5 +268,5 @@
         self._seed += 1
         self._scheduler = Scheduler(self._settings, self._seed, asked=True)
         if self.observer is not None:
-            self.observer.renewed()
-        self.deliver(EndpointsChanged(EndpointListUpdate.CACHED, self.relist()))
+            self.observer.on_scheduler_restarted()
+        self.deliver(EndpointsChanged(EndpointListUpdate.CACHED, self.list_endpoints()))
--- a/lemonridge/core/endpoint_registry.py
+++ b/lemonridge/core/endpoint_registry.py
@@ -1,4 +1,4 @@
-"""The node list as this broker has last been told it: who may get new work, and at which address."""
+"""The endpoint list of this broker: which endpoints may get new work, and at which address."""
 
 from __future__ import annotations
 
@@ -8,181 +8,210 @@
 from dataclasses import dataclass, replace
 from typing import Protocol
 
-from lemonridge.core.start_times import NEWS_LATE_US, StartTime, StartTimes
+from lemonridge.core.start_times import WATCH_EVENT_AGE_MAX_US, StartTime, StartTimes
 from lemonridge.operate.maintenance import Maintenance, ReturnedToService
 from lemonridge.scheduling.events import Endpoint, EndpointListUpdate, EndpointsChanged, EndpointState, Event
 
 log = logging.getLogger(__name__)
 
-LOGGED_MAX = 256  # nodes of one list that get a log line each
+LOG_LINES_MAX = 256  # endpoints of one update that get a log line each
 
 
 @dataclass(frozen=True, slots=True)
 class EndpointAddress:
-    """One line of the list with the address to dial."""
+    """An endpoint with the address to connect to, as HOST:PORT."""
 
-    entry: Endpoint
+    endpoint: Endpoint
     address: str
 
 
 class EventSink(Protocol):
-    """Takes events; the decider does."""
+    """Takes events for the scheduler; `DecisionHost` is one."""
 
-    def deliver(self, event: Event) -> None: ...
+    def deliver(self, event: Event) -> None:
+        """Queues an event for the scheduler."""
+        ...
 
 
 class EndpointRegistry:
-    """The map from node to address, kept in step with what the decisions are told.
+    """Endpoints by id, kept in step with what the scheduler knows of them.
 
-    Here alone discovery's news and the operators' bans come together: everyone behind it sees one condition.
+    Here alone the source's list and the operators' bans come together: everyone behind it sees one state of
+    an endpoint.
+
+    Args:
+        sink: Gets `EndpointsChanged`.
+        now_us: The broker's clock, in microseconds.
+        wall_us: The machine's wall clock, in Unix microseconds.
+
+    Attributes:
+        has_list: Whether a list is known, be it an empty one of the source.
+        source_has_answered: Set once the source has given a list, beside one that was cached.
     """
 
     def __init__(self, sink: EventSink, now_us: Callable[[], int], wall_us: Callable[[], int]) -> None:
-        """`now_us` is the broker's clock, `wall_us` the machine's wall clock."""
         self._sink, self._now_us, self._wall_us = sink, now_us, wall_us
-        self._starts = StartTimes()
-        self._heard_us: int | None = None  # when the source last answered, if it says so
-        self._late_us = NEWS_LATE_US  # how late what it tells now may be
-        self._told: dict[str, EndpointAddress] = {}  # as discovery says
-        self._endpoints: dict[str, EndpointAddress] = {}  # with the bans laid over it
+        self._start_times = StartTimes()
+        self._last_answer_us: int | None = None  # when the source last answered, if it says so
+        self._event_age_max_us = WATCH_EVENT_AGE_MAX_US  # of what the source says now
+        self._source_list: dict[str, EndpointAddress] = {}  # as the source says
+        self._endpoints: dict[str, EndpointAddress] = {}  # with the bans applied
         self._maintenance = Maintenance()
-        self.listed = False
-        self.fresh = asyncio.Event()  # once discovery itself has told
+        self.has_list = False
+        self.source_has_answered = asyncio.Event()
+
+    # The source's list
+
+    def record_answer(self) -> None:
+        """Notes that the source has answered, with a change or without.
 
-    def heard(self) -> None:
-        """The source has answered, with news or without. What is told now may have waited since the answer
-        before, beside the time that news may take.
+        What it says now may have waited since its answer before, beside the time that a watch event may take.
         """
         now_us = self._now_us()
-        silent_us = 0 if self._heard_us is None else now_us - self._heard_us
-        self._heard_us, self._late_us = now_us, NEWS_LATE_US + silent_us
+        silent_us = 0 if self._last_answer_us is None else now_us - self._last_answer_us
+        self._last_answer_us, self._event_age_max_us = now_us, WATCH_EVENT_AGE_MAX_US + silent_us
 
-    def take(self, kind: EndpointListUpdate, listings: list[EndpointAddress]) -> None:
-        """Apply a change, or a whole list: a node that it does not name is gone."""
-        before = self._told
+    def update(self, kind: EndpointListUpdate, changes: list[EndpointAddress]) -> None:
+        """Applies a change, or a whole list: an endpoint that it does not name is removed."""
+        before = self._source_list
         if kind is not EndpointListUpdate.DELTA:
-            self._told, self._endpoints = {}, {}
-        news = [one for one in listings if before.get(one.entry.endpoint_id) != one]
-        for listing in listings:
-            if listing.entry.condition is EndpointState.REMOVED:
-                self._told.pop(listing.entry.endpoint_id, None)
+            self._source_list, self._endpoints = {}, {}
+        new = [one for one in changes if before.get(one.endpoint.endpoint_id) != one]
+        for change in changes:
+            if change.endpoint.condition is EndpointState.REMOVED:
+                self._source_list.pop(change.endpoint.endpoint_id, None)
             else:
-                self._told[listing.entry.endpoint_id] = listing
-        for listing in news[:LOGGED_MAX]:
-            entry = listing.entry
+                self._source_list[change.endpoint.endpoint_id] = change
+        self._log(new)
+        first = kind is not EndpointListUpdate.DELTA and not self.source_has_answered.is_set()
+        age_max_us = None if first else self._event_age_max_us
+        changes = [self._with_own_start(one, age_max_us) for one in changes]
+        self._start_times.prune(self._source_list)
+        self._maintenance.prune(self._source_list)
+        if kind is not EndpointListUpdate.CACHED:
+            self.source_has_answered.set()
+        # An empty list of the source is a list too.
+        self.has_list = self.has_list or bool(changes) or kind is EndpointListUpdate.SNAPSHOT
+        self._publish(kind, changes)
+
+    def source_list(self) -> tuple[EndpointAddress, ...]:
+        """The list as the source gave it, without the bans."""
+        return tuple(self._source_list.values())
+
+    def _log(self, new: list[EndpointAddress]) -> None:
+        for change in new[:LOG_LINES_MAX]:
+            endpoint = change.endpoint
             log.info(
-                "listed",
+                "endpoint listed",
                 extra={
-                    "node": entry.endpoint_id,
-                    "condition": entry.condition.value,
-                    "shard": entry.shard,
-                    "started_us": entry.started_us,
-                    "address": listing.address,
+                    "endpoint": endpoint.endpoint_id,
+                    "state": endpoint.condition.value,
+                    "shard": endpoint.shard,
+                    "started_us": endpoint.started_us,
+                    "address": change.address,
                 },
             )
-        if len(news) > LOGGED_MAX:
-            log.info("listed", extra={"further": len(news) - LOGGED_MAX, "nodes": len(self._told)})
-        first = kind is not EndpointListUpdate.DELTA and not self.fresh.is_set()
-        listings = [self._placed(one, None if first else self._late_us) for one in listings]
-        self._starts.prune(self._told)
-        self._maintenance.prune(self._told)
-        if kind is not EndpointListUpdate.CACHED:
-            self.fresh.set()
-        self.listed = (
-            self.listed or bool(listings) or kind is EndpointListUpdate.SNAPSHOT
-        )  # also an empty one is news
-        self._tell(kind, listings)
-
-    def _placed(self, listing: EndpointAddress, late_us: int | None) -> EndpointAddress:
-        """A line with its start on the broker's own clock; see `StartTimes.place`."""
-        entry = listing.entry
-        started_us = self._starts.place(
-            entry.endpoint_id, entry.started_us, self._now_us(), self._wall_us(), late_us
+        if len(new) > LOG_LINES_MAX:
+            more = len(new) - LOG_LINES_MAX
+            log.info("more endpoints listed", extra={"more": more, "endpoints": len(self._source_list)})
+
+    def _with_own_start(self, listing: EndpointAddress, age_max_us: int | None) -> EndpointAddress:
+        """The same with its start on the broker's own clock; see `StartTimes.place`."""
+        endpoint = listing.endpoint
+        started_us = self._start_times.place(
+            endpoint.endpoint_id, endpoint.started_us, self._now_us(), self._wall_us(), age_max_us
         )
-        return EndpointAddress(replace(entry, started_us=started_us), listing.address)
-
-    def _tell(self, kind: EndpointListUpdate, listings: list[EndpointAddress]) -> None:
-        """Lay the bans over these lines, and pass them on."""
-        lines = [EndpointAddress(self._maintenance.over(one.entry), one.address) for one in listings]
-        for line in lines:
-            if line.entry.condition is EndpointState.REMOVED:
-                self._endpoints.pop(line.entry.endpoint_id, None)
+        return EndpointAddress(replace(endpoint, started_us=started_us), listing.address)
+
+    def _publish(self, kind: EndpointListUpdate, changes: list[EndpointAddress]) -> None:
+        """Applies the bans to these endpoints, and gives them to the scheduler."""
+        changes = [EndpointAddress(self._maintenance.apply(one.endpoint), one.address) for one in changes]
+        for change in changes:
+            if change.endpoint.condition is EndpointState.REMOVED:
+                self._endpoints.pop(change.endpoint.endpoint_id, None)
             else:
-                self._endpoints[line.entry.endpoint_id] = line
-        self._sink.deliver(EndpointsChanged(kind, tuple(line.entry for line in lines)))
+                self._endpoints[change.endpoint.endpoint_id] = change
+        self._sink.deliver(EndpointsChanged(kind, tuple(change.endpoint for change in changes)))
 
-    def _retell(self, endpoint: str) -> None:
-        """A ban on a node began or ended. One that discovery does not list has nothing to be told of."""
-        if (told := self._told.get(endpoint)) is not None:
-            self._tell(EndpointListUpdate.DELTA, [self._placed(told, None)])
+    # The operators' bans
 
-    def disable(self, endpoint: str) -> bool:
-        """Nothing more to this node, whatever discovery says; False where it is not known, or too many are
-        out already.
+    def disable(self, endpoint_id: str) -> bool:
+        """Bans an endpoint: it gets nothing new, whatever the source says.
+
+        False where it is not known, or too many are banned already.
         """
-        if endpoint not in self._told and endpoint not in self._maintenance:
+        if endpoint_id not in self._source_list and endpoint_id not in self._maintenance:
             return False
-        if not self._maintenance.disable(endpoint, self._now_us()):
+        if not self._maintenance.disable(endpoint_id, self._now_us()):
             return False
-        self._retell(endpoint)
+        self._republish(endpoint_id)
         return True
 
-    def enable(self, endpoint: str) -> bool:
-        """End the ban on a node; False where it is not known."""
-        if self._maintenance.enable(endpoint, self._now_us()):
-            self._retell(endpoint)
+    def enable(self, endpoint_id: str) -> bool:
+        """Ends the ban on an endpoint; False where the endpoint is not known."""
+        if self._maintenance.enable(endpoint_id, self._now_us()):
+            self._republish(endpoint_id)
             return True
-        return endpoint in self._told
-
-    def told(self) -> tuple[EndpointAddress, ...]:
-        """The list as discovery has told it, without the bans."""
-        return tuple(self._told.values())
-
-    def bans(self) -> tuple[Mapping[str, int], Mapping[str, ReturnedToService]]:
-        """What operators have taken out and called back, for a process that takes over."""
-        return self._maintenance.out(), self._maintenance.back()
-
-    def starts(self) -> Mapping[str, StartTime]:
-        """The start times that were heard, for a process that takes over."""
-        return self._starts.held()
-
-    def inherit_starts(self, starts: Mapping[str, StartTime]) -> None:
-        """Go by what the process before this one heard of starts, and tell the decisions."""
-        self._starts.inherit(starts)
-        if self._told:
-            self._tell(EndpointListUpdate.DELTA, [self._placed(one, None) for one in self._told.values()])
-
-    def inherit(self, out: Mapping[str, int], back: Mapping[str, ReturnedToService]) -> None:
-        """Go by the bans of the process before this one."""
-        self._maintenance.inherit(out, back)
-        for endpoint in (*out, *back):
-            self._retell(endpoint)
-
-    def entries(self) -> tuple[Endpoint, ...]:
-        return tuple(listing.entry for listing in self._endpoints.values())
-
-    def shard(self, endpoint: str) -> int | None:
-        """The shard of a node that is listed."""
-        listing = self._endpoints.get(endpoint)
-        return None if listing is None else listing.entry.shard
-
-    def shards(self) -> frozenset[int]:
-        """The shards that have a node which may get new work."""
-        return frozenset(
-            one.entry.shard for one in self._endpoints.values() if one.entry.condition is EndpointState.ACTIVE
-        )
+        return endpoint_id in self._source_list
+
+    def _republish(self, endpoint_id: str) -> None:
+        """Publishes an endpoint whose ban began or ended, if the source lists it."""
+        if (listing := self._source_list.get(endpoint_id)) is not None:
+            self._publish(EndpointListUpdate.DELTA, [self._with_own_start(listing, None)])
+
+    # Handover to the successor process
+
+    def export_bans(self) -> tuple[Mapping[str, int], Mapping[str, ReturnedToService]]:
+        """The bans by endpoint with their begin in microseconds, and the endpoints returned from one."""
+        return self._maintenance.banned(), self._maintenance.returned()
+
+    def import_bans(self, banned: Mapping[str, int], returned: Mapping[str, ReturnedToService]) -> None:
+        """Goes by the bans of the process before this one."""
+        self._maintenance.replace_all(banned, returned)
+        for endpoint_id in (*banned, *returned):
+            self._republish(endpoint_id)
+
+    def export_start_times(self) -> Mapping[str, StartTime]:
+        """The start times that were received."""
+        return self._start_times.export()
+
+    def import_start_times(self, start_times: Mapping[str, StartTime]) -> None:
+        """Goes by the start times that the process before this one received."""
+        self._start_times.replace_all(start_times)
+        if self._source_list:
+            changes = [self._with_own_start(one, None) for one in self._source_list.values()]
+            self._publish(EndpointListUpdate.DELTA, changes)
+
+    # What the rest of the broker asks
+
+    def endpoints(self) -> tuple[Endpoint, ...]:
+        """The endpoints with the bans applied."""
+        return tuple(listing.endpoint for listing in self._endpoints.values())
+
+    def address(self, endpoint_id: str) -> str | None:
+        """Where to send new work for an endpoint; None where it may get none."""
+        listing = self._endpoints.get(endpoint_id)
+        if listing is None or listing.endpoint.condition is not EndpointState.ACTIVE:
+            return None
+        return listing.address
+
+    def shard(self, endpoint_id: str) -> int | None:
+        """The shard of an endpoint; None where it is not listed."""
+        listing = self._endpoints.get(endpoint_id)
+        return None if listing is None else listing.endpoint.shard
 
-    def serves(self, shard: int) -> EndpointState:
-        """The best condition of a shard's nodes."""
-        found = {one.entry.condition for one in self._endpoints.values() if one.entry.shard == shard}
-        return next(
-            (one for one in (EndpointState.ACTIVE, EndpointState.DRAINING) if one in found),
-            EndpointState.REMOVED,
+    def active_shards(self) -> frozenset[int]:
+        """The shards with an endpoint that may get new work."""
+        return frozenset(
+            one.endpoint.shard
+            for one in self._endpoints.values()
+            if one.endpoint.condition is EndpointState.ACTIVE
         )
 
-    def address(self, endpoint: str) -> str | None:
-        """Where to send new work for `node`; None where the list forbids it."""
-        listing = self._endpoints.get(endpoint)
-        if listing is None or listing.entry.condition is not EndpointState.ACTIVE:
-            return None
-        return listing.address
+    def shard_state(self, shard: int) -> EndpointState:
+        """The best state among a shard's endpoints; `REMOVED` where it has none."""
+        found = {one.endpoint.condition for one in self._endpoints.values() if one.endpoint.shard == shard}
+        for state in (EndpointState.ACTIVE, EndpointState.DRAINING):
+            if state in found:
+                return state
+        return EndpointState.REMOVED
--- a/lemonridge/core/model.py
+++ b/lemonridge/core/model.py
@@ -1,4 +1,4 @@
-"""What the core deals in: a request, the attempts made for it, their outcomes and its one answer."""
+"""The core's data types: a request, its attempts, their outcomes, and its final answer."""
 
 from __future__ import annotations
 
@@ -7,21 +7,41 @@
 from enum import Enum
 from typing import Protocol, runtime_checkable
 
+from lemonridge.core.errors import AttemptSuppressedError
 from lemonridge.scheduling.events import AttemptResult
 
 
 class Route(Protocol):
-    """Where a request's data lies, as far as is known; `flying` while an attempt is out on its word."""
+    """Where a request's data is, as far as known."""
 
-    flying: bool
+    attempt_in_flight: bool  # set by the broker while an attempt relies on `shard`
 
     @property
-    def shard(self) -> int: ...
+    def shard(self) -> int:
+        """The shard that held the data when it was last looked up."""
+        ...
 
 
 @dataclass(slots=True)
 class Request:
-    """What a client asks for. `payload` belongs to the wire that it came by; the core passes it on."""
+    """A client's request.
+
+    Attributes:
+        shard: The shard that serves it; -1 for a new object.
+        volume: The volume whose limit it counts against.
+        deadline_us: When its client gives up, in microseconds of the broker's clock.
+        key: Requests of one key run in order.
+        cls: Index of its class in the settings.
+        plan: Index of its plan in the settings.
+        units: Its cost.
+        hosts: How many endpoints it occupies.
+        payload: Its content in the form of its front; the core passes it on unread.
+        ident: Its id at the endpoints, empty where the protocol has none.
+        route: Where its data is, if data can migrate.
+        repeat: Whether its client marked it as a retry.
+        abandoned: Asks the operating system whether its client has disconnected.
+        forwarded: Whether an attempt has begun, so that it may have run.
+    """
 
     shard: int
     volume: int
@@ -32,108 +52,122 @@
     units: float
     hosts: int
     payload: object
-    ident: str = ""  # by which the nodes know it, where its wire has such a thing
-    route: Route | None = None  # where its data may move
-    repeat: bool = False  # a client's repeat, where clients mark them
-    abandoned: Callable[[], bool] = lambda: False  # whether its client has gone, asked of the system now
-    forwarded: bool = False  # an attempt has begun, so it may have run
+    ident: str = ""
+    route: Route | None = None
+    repeat: bool = False
+    abandoned: Callable[[], bool] = lambda: False
+    forwarded: bool = False
 
 
 @dataclass(slots=True)
 class Attempt:
-    """One try of a request at one node. `begun` is set just before its first byte is written."""
+    """One attempt of a request at one endpoint.
+
+    Attributes:
+        request: The request.
+        number: How many attempts were made before this one.
+        endpoint_id: Where it goes.
+        may_begin: Asks the decisions whether it may still begin.
+        begun: Whether its first byte was written, or was about to be.
+        decided_s: When it was decided on, in seconds of the event loop's clock.
+    """
 
     request: Request
     number: int
     endpoint_id: str
-    judge: Callable[[], bool] = lambda: True  # whether it may still begin
+    may_begin: Callable[[], bool] = lambda: True
     begun: bool = False
-    decided_s: float = 0.0  # on the loop's clock
+    decided_s: float = 0.0
 
     def begin(self) -> None:
-        """Begin, with nothing awaited between this and the first byte: what was decided before a connection
-        was made may hold no more. `AttemptSuppressedError` then.
+        """Marks the attempt as begun; to be called in the step that writes its first byte.
+
+        Raises:
+            AttemptSuppressedError: What was decided before the connect does not hold any more.
         """
-        if not self.judge():
+        if not self.may_begin():
             raise AttemptSuppressedError
         self.begun = self.request.forwarded = True
 
 
 @runtime_checkable
 class ReplyStream(Protocol):
-    """A reply that is still coming. Whoever does not pass it on closes it."""
+    """A reply of which a part is still to come; whoever does not pass it on closes it."""
 
-    def close(self) -> None: ...
+    def close(self) -> None:
+        """Gives up the rest of the reply."""
+        ...
 
 
 @dataclass(slots=True)
 class Outcome:
-    """How an attempt ended; `reply` is the node's answer, in the form of its wire, and after MOVED what the
-    node knows of where the data went.
+    """How an attempt ended.
+
+    Attributes:
+        result: The evidence of the end.
+        reply: The endpoint's answer in the form of its protocol; after `DATA_MIGRATED`, what the endpoint
+            knows of the new place.
+        units_used: Units of the volume that the endpoint has counted.
+        units_elsewhere: Units of the volume a second that come by other brokers, as the endpoint reports.
+        endpoint_load: Requests of all brokers at the endpoint, by its own report.
     """
 
     result: AttemptResult
     reply: object = None
-    used: int | None = None
-    elsewhere: float | None = None
-    held: float | None = None
+    units_used: int | None = None
+    units_elsewhere: float | None = None
+    endpoint_load: float | None = None
 
 
 class AnswerKind(Enum):
-    """The three final answers, and the end of a request whose client has left."""
+    """The final answers; the value is the name of the counter."""
 
     SERVED = "served"
-    REFUSED = "refused"
+    REJECTED = "refused"
     FAILED = "failed"
-    GONE = "gone"
+    CLIENT_GONE = "gone"  # nobody is left to answer
 
 
 @dataclass(slots=True)
 class Answer:
-    """The one final answer to a request."""
+    """The one final answer to a request; `retry_after_us` is advice for the client, 0 for none."""
 
     kind: AnswerKind
     reply: object = None
-    backoff_us: int = 0
-
-
-class DuplicateError(Exception):
-    """A request with this ident is open already: the nodes would see one request twice."""
-
-
-class ConnectFailedError(Exception):
-    """The attempt never came to the node: it cannot have run."""
-
-
-class AttemptSuppressedError(Exception):
-    """The attempt was held back before its first byte; it spends none of its request's attempts."""
-
-
-class LocalFailureError(AttemptSuppressedError):
-    """The broker's own machine could not connect at this moment (no port, no memory, no route): that says
-    nothing of the node, and nothing was sent.
-    """
+    retry_after_us: int = 0
 
 
 class Endpoints(Protocol):
-    """The side towards the nodes. Makes one attempt; whoever calls it watches the deadline."""
+    """Makes attempts at endpoints over one protocol."""
+
+    async def attempt(self, attempt: Attempt) -> Outcome:
+        """Makes one attempt; the caller cancels it at the request's deadline.
 
-    async def attempt(self, attempt: Attempt) -> Outcome: ...
+        Raises:
+            ConnectFailedError: The endpoint could not be connected to.
+            AttemptSuppressedError: The attempt was stopped before its first byte.
+        """
+        ...
 
 
 class Routes(Protocol):
-    """Knows where data lies. It tells of a move by `told` while no attempt of the request is out."""
+    """Knows on which shard data is, where data can migrate."""
 
-    def open(self, request: Request, told: Callable[[int], None]) -> None: ...
+    def open(self, request: Request, notify: Callable[[int], None]) -> None:
+        """Follows a request's data; `notify` gets the new shard while no attempt is in flight."""
+        ...
 
-    def close(self, request: Request) -> None: ...
+    def close(self, request: Request) -> None:
+        """Ends what `open` began."""
+        ...
 
     def current(self, request: Request) -> int:
         """The shard of the request's data as known now."""
         ...
 
     async def reroute(self, request: Request, reply: object) -> int | None:
-        """Where to go after a node said that the data is not there; None gives up. It waits for news where
-        there may be some; whoever calls it watches the deadline.
+        """The shard to go on with after an endpoint said that the data is not there; None gives up.
+
+        Waits for newer information where some may come; the caller cancels it at the request's deadline.
         """
         ...
--- a/lemonridge/core/open_ids.py
+++ b/lemonridge/core/open_ids.py
@@ -1,55 +1,63 @@
-"""The ids of the requests whose life is not over, in this process and in the others of the same broker. Pure.
+"""Ids of open requests, in this process and in the other processes of the same broker. Pure.
 
-Nodes know a request by its id, so that two of one id at once are one request sent twice (PROTOCOL: a second
-copy if an earlier one is still out). While two processes of a broker live, each refuses what the other has
-open. What each opens and ends is passed on by whoever carries their words.
+Endpoints know a request by its id, so two requests of one id at once are one request sent twice (PROTOCOL: a
+second copy if an earlier one is still out). While two processes of a broker run, each rejects the ids that
+the other one has open. `net.process_handover` passes on what each opens and closes.
 """
 
 from __future__ import annotations
 
 from collections.abc import Callable, Iterable
 
-from lemonridge.core.model import DuplicateError
+from lemonridge.core.errors import DuplicateRequestError
 
-ELSEWHERE_MAX = 65536  # ids that another process is believed to have open
+REMOTE_IDS_MAX = 65536  # ids that one other process is believed to have open
 
 
 class OpenIds:
-    """Who has which id open."""
+    """The ids that are open, by process.
+
+    Attributes:
+        on_change: Called with each id of this process that opens (True) or closes (False).
+    """
 
     def __init__(self) -> None:
         self._own: set[str] = set()
-        self._elsewhere: dict[object, set[str]] = {}  # by process
-        self.changed: Callable[[str, bool], None] | None = None  # told of each id that opens (True) or ends
+        self._remote: dict[object, set[str]] = {}
+        self.on_change: Callable[[str, bool], None] | None = None
 
     def open(self, ident: str) -> None:
-        """A request begins; `DuplicateError` where one with its id is open. An empty id is none."""
-        if ident in self._own or any(ident in ids for ids in self._elsewhere.values()):
-            raise DuplicateError
+        """Opens an id; the empty one stands for none.
+
+        Raises:
+            DuplicateRequestError: The id is open, here or in another process.
+        """
+        if ident in self._own or any(ident in ids for ids in self._remote.values()):
+            raise DuplicateRequestError
         if ident:
             self._own.add(ident)
-            if self.changed is not None:
-                self.changed(ident, True)
+            if self.on_change is not None:
+                self.on_change(ident, True)
 
-    def end(self, ident: str) -> None:
-        """The life of a request is over."""
+    def close(self, ident: str) -> None:
+        """Closes an id of this process; without effect on one that is not open."""
         if ident in self._own:
             self._own.discard(ident)
-            if self.changed is not None:
-                self.changed(ident, False)
+            if self.on_change is not None:
+                self.on_change(ident, False)
 
     def own(self) -> tuple[str, ...]:
-        """What is open in this process."""
+        """The ids that are open in this process."""
         return tuple(self._own)
 
-    def told(self, process: object, opened: Iterable[str], ended: Iterable[str]) -> None:
-        """What another process has opened and ended since it last told."""
-        ids = self._elsewhere.setdefault(process, set())
+    def update_remote(self, process: object, opened: Iterable[str], closed: Iterable[str]) -> None:
+        """Notes what another process has opened and closed since its last message."""
+        ids = self._remote.setdefault(process, set())
         ids.update(opened)
-        ids.difference_update(ended)
-        while len(ids) > ELSEWHERE_MAX:
+        ids.difference_update(closed)
+        while len(ids) > REMOTE_IDS_MAX:
             ids.pop()
 
-    def gone(self, process: object) -> None:
-        """A process is not heard any more: what it had open ends with its connections."""
-        self._elsewhere.pop(process, None)
+    def forget_remote(self, process: object) -> None:
+        """Drops the ids of a process that is gone: its requests ended with its connections."""
+        self._remote.pop(process, None)
--- /dev/null
+++ b/lemonridge/core/request_mailbox.py
@@ -0,0 +1,83 @@
+"""What the scheduler decided for one request, on its way to the task that runs the request."""
+
+from __future__ import annotations
+
+import asyncio
+from collections import deque
+
+from lemonridge.core.model import Answer, AnswerKind, Attempt, Request
+from lemonridge.scheduling.actions import Cancel, Fail, Reject, Send
+
+
+class RequestMailbox:
+    """Decisions for one request, and its one final answer.
+
+    `DecisionHost` delivers decisions; `Broker.run` takes them out and notes the attempt in flight here, so
+    that a decision can cancel it.
+
+    Attributes:
+        name: The scheduler's name for the request.
+        request: The request.
+        answer: Resolves with the final answer.
+        attempt: The attempt in flight.
+        timeout_scope: Ends the attempt in flight.
+        attempt_cancelled: Whether the attempt in flight was cancelled before the request's deadline.
+        decided_s: When the last attempt was decided on, in seconds of the event loop's clock.
+    """
+
+    def __init__(self, name: str, request: Request) -> None:
+        self.name, self.request = name, request
+        self.answer: asyncio.Future[Answer] = asyncio.get_running_loop().create_future()
+        self.attempt: Attempt | None = None
+        self.timeout_scope: asyncio.Timeout | None = None
+        self.attempt_cancelled = False
+        self.decided_s = 0.0
+        self._sends: deque[Send] = deque()
+        self._waiter: asyncio.Future[None] | None = None
+
+    def settle(self, answer: Answer) -> bool:
+        """Gives the final answer; False if there is one already.
+
+        An attempt that has not written its first byte yet is cancelled; one that has goes on, as the endpoint
+        works on it too.
+        """
+        if self.answer.done():
+            return False
+        self.answer.set_result(answer)
+        if self.attempt is not None and not self.attempt.begun:
+            self._cancel_attempt()
+        self._notify_runner()
+        return True
+
+    def deliver(self, action: Send | Cancel | Reject | Fail) -> None:
+        """Takes a decision; a final answer leaves at once, also while an attempt is in flight."""
+        match action:
+            case Send():
+                self._sends.append(action)
+                self.decided_s = asyncio.get_running_loop().time()
+                self._notify_runner()
+            case Cancel():
+                if self.attempt is not None and action.attempt == self.attempt.number:
+                    self._cancel_attempt()
+            case Reject():
+                self.settle(Answer(AnswerKind.REJECTED, retry_after_us=action.backoff_us))
+            case Fail():
+                self.settle(Answer(AnswerKind.FAILED))
+
+    async def next_send(self) -> Send | None:
+        """Waits for the next attempt to make; None once the request has its final answer."""
+        while not self._sends:
+            if self.answer.done():
+                return None
+            self._waiter = asyncio.get_running_loop().create_future()
+            await self._waiter
+        return self._sends.popleft()
+
+    def _cancel_attempt(self) -> None:
+        if self.timeout_scope is not None and not self.timeout_scope.expired():
+            self.attempt_cancelled = True
+            self.timeout_scope.reschedule(asyncio.get_running_loop().time())
+
+    def _notify_runner(self) -> None:
+        if self._waiter is not None and not self._waiter.done():
+            self._waiter.set_result(None)
--- a/lemonridge/core/start_times.py
+++ b/lemonridge/core/start_times.py
@@ -1,10 +1,10 @@
-"""Start times of nodes, from Unix time to the broker's own clock. Pure.
+"""Start times of endpoints, from Unix time to the broker's own clock. Pure.
 
-A node list gives start times in Unix time, and a wall clock may be stepped by seconds or by an hour, on this
-machine or another, before, during or after a start. So each start time is placed on the broker's clock once,
-when it is first heard, by what both clocks say at that moment, and stays there. What lies in the future, or
-is told as news and is older than news can be, was written by a clock that says something else than this one:
-that node counts as started now, which is the coldest it can be.
+An endpoint list gives start times in Unix time, and a wall clock may be stepped by seconds or by an hour, on
+this machine or another, before, during or after a start. So each start time is placed on the broker's clock
+once, when it is first received, by what both clocks say at that moment, and stays there. A start time that
+lies in the future, or is older than a watch event can be, was written by a clock that disagrees with this
+one: that endpoint counts as started now, and gets the longest slow start.
 """
 
 from __future__ import annotations
@@ -12,55 +12,66 @@
 from collections.abc import Container, Mapping
 from dataclasses import dataclass
 
-NEWS_LATE_US = 6_000_000  # STANDING: whatever discovery has to tell counts as told 6 s later at the latest
-KEPT_MAX = 16_384  # start times that are held; past it those of nodes that are not listed go
+WATCH_EVENT_AGE_MAX_US = (
+    6_000_000  # STANDING: what discovery has to say counts as said 6 s later at the latest
+)
+START_TIMES_MAX = 16_384  # past it, those of endpoints that are not listed are dropped
 
 
 @dataclass(frozen=True, slots=True)
 class StartTime:
-    """When a node started: as the list told it, in Unix microseconds, and on the broker's own clock."""
+    """When an endpoint started: `unix_us` as the list gave it, `own_us` on the broker's own clock."""
 
-    told_us: int
+    unix_us: int
     own_us: int
 
 
 class StartTimes:
-    """The start times that were heard, also of nodes that have left: one that is listed again with the same
-    start time has not been restarted.
+    """The start times that were received.
+
+    Those of endpoints that were removed are kept too: one that is listed again with the same start time has
+    not been restarted.
     """
 
     def __init__(self) -> None:
-        self._held: dict[str, StartTime] = {}
+        self._start_times: dict[str, StartTime] = {}
+
+    def place(self, endpoint_id: str, unix_us: int, now_us: int, wall_us: int, age_max_us: int | None) -> int:
+        """The start of an endpoint on the broker's clock.
 
-    def place(self, endpoint: str, told_us: int, now_us: int, wall_us: int, late_us: int | None) -> int:
-        """The start of a node on the broker's clock, `now_us`, while the wall clock says `wall_us`; 0 is long
-        ago. `late_us` is how late news may be; None: a first list tells what may be of any age.
+        Args:
+            endpoint_id: The endpoint.
+            unix_us: Its start as the list gives it; 0 is long ago.
+            now_us: The broker's clock now.
+            wall_us: The machine's wall clock now.
+            age_max_us: How old a start may be that comes in a watch event; None for a first list, which may
+                give starts of any age.
         """
-        if not told_us:
-            self._held.pop(endpoint, None)
+        if not unix_us:
+            self._start_times.pop(endpoint_id, None)
             return 0
-        held = self._held.get(endpoint)
-        if held is not None and held.told_us == told_us:
-            return held.own_us
-        age_us = wall_us - told_us
-        believed = age_us >= 0 and (late_us is None or age_us <= late_us)
-        own_us = now_us - age_us if believed else now_us
-        self._held[endpoint] = StartTime(told_us, max(1, own_us))
-        return max(1, own_us)
-
-    def prune(self, listed: Container[str]) -> None:
-        """Keep the bound: forget nodes that are not listed, the longest held first."""
-        if len(self._held) <= KEPT_MAX:
+        known = self._start_times.get(endpoint_id)
+        if known is not None and known.unix_us == unix_us:
+            return known.own_us
+        age_us = wall_us - unix_us
+        plausible = age_us >= 0 and (age_max_us is None or age_us <= age_max_us)
+        own_us = max(1, now_us - age_us if plausible else now_us)
+        self._start_times[endpoint_id] = StartTime(unix_us, own_us)
+        return own_us
+
+    def prune(self, known_endpoints: Container[str]) -> None:
+        """Drops endpoints that are not listed, the oldest first, while there are too many."""
+        if len(self._start_times) <= START_TIMES_MAX:
             return
-        for endpoint in [one for one in self._held if one not in listed]:
-            if len(self._held) <= KEPT_MAX:
+        for endpoint_id in [one for one in self._start_times if one not in known_endpoints]:
+            if len(self._start_times) <= START_TIMES_MAX:
                 return
-            del self._held[endpoint]
+            del self._start_times[endpoint_id]
 
-    def held(self) -> Mapping[str, StartTime]:
-        """All of them, for a process that takes over."""
-        return dict(self._held)
+    def export(self) -> Mapping[str, StartTime]:
+        """All of them, for the successor process."""
+        return dict(self._start_times)
 
-    def inherit(self, held: Mapping[str, StartTime]) -> None:
-        """Go by what another process of this broker heard; its own clock is this one's by now."""
-        self._held = dict(held)
+    def replace_all(self, start_times: Mapping[str, StartTime]) -> None:
+        """Goes by another process's start times, on this process's clock."""
+        self._start_times = dict(start_times)
--- a/lemonridge/extents/carrier.py
+++ b/lemonridge/extents/carrier.py
@@ -35,7 +35,7 @@
         else:
             await self._side_by_side(pieces, answers)
         ends = [self._end(answer) for answer in answers]
-        return join(writes, ends, (answer.backoff_us for answer in answers if answer)), answers
+        return join(writes, ends, (answer.retry_after_us for answer in answers if answer)), answers
 
     async def _side_by_side(self, pieces: list[Request], answers: list[Answer | None]) -> None:
         tasks = {
@@ -59,4 +59,4 @@
             return End.UNSENT
         if answer.kind is AnswerKind.SERVED:
             return End.GOOD if self._good(answer.reply) else End.BAD
-        return End.REFUSED if answer.kind is AnswerKind.REFUSED else End.FAILED
+        return End.REFUSED if answer.kind is AnswerKind.REJECTED else End.FAILED
--- a/lemonridge/extents/router.py
+++ b/lemonridge/extents/router.py
@@ -158,7 +158,7 @@
         route = _route(request)
         told = reply if isinstance(reply, Redirect) else Redirect()
         self.counters["redirects"] += 1
-        decision = routing.redirected(self.map, self.limits, route, told, self._directory.shards())
+        decision = routing.redirected(self.map, self.limits, route, told, self._directory.active_shards())
         while decision.verdict is Verdict.WAIT:
             decision = await self._news_of(route, decision)
         if decision.verdict is Verdict.GIVE_UP:
--- a/lemonridge/extents/routing.py
+++ b/lemonridge/extents/routing.py
@@ -51,7 +51,7 @@
     writes: bool
     redirects: int = 0
     refreshes: int = 0
-    flying: bool = False  # an attempt is out on its word
+    attempt_in_flight: bool = False  # an attempt is out on its word
     ahead: bool = False  # it relies on a node's word that the map has not confirmed
 
     @property
@@ -155,7 +155,7 @@
 def caught_up(held: ExtentMap, route: Route) -> bool:
     """Go by the map where it knows better than the route; whether it did. Not while an attempt is out."""
     now = _extent(held, route)
-    if route.flying or now is None or now.version <= route.piece.version:
+    if route.attempt_in_flight or now is None or now.version <= route.piece.version:
         return False
     _follow(route, now.shard, now.version, ahead=False)
     return True
--- a/lemonridge/iscsi/initiator.py
+++ b/lemonridge/iscsi/initiator.py
@@ -12,13 +12,8 @@
 from lemonridge.config.platform import Address
 from lemonridge.core.counters import Counters
 from lemonridge.core.endpoint_registry import EndpointRegistry
-from lemonridge.core.model import (
-    Attempt,
-    AttemptSuppressedError,
-    ConnectFailedError,
-    LocalFailureError,
-    Outcome,
-)
+from lemonridge.core.errors import AttemptSuppressedError, ConnectFailedError, LocalFailureError
+from lemonridge.core.model import Attempt, Outcome
 from lemonridge.extents.routing import Route
 from lemonridge.iscsi import chap, scsi, versions
 from lemonridge.iscsi.keys import Agreed, NegotiationError, Pairs, conclude, parse, proposal
--- a/lemonridge/iscsi/mapped.py
+++ b/lemonridge/iscsi/mapped.py
@@ -27,7 +27,7 @@
     if answer.kind is AnswerKind.SERVED:
         assert isinstance(answer.reply, scsi.Reply)
         return answer.reply
-    return scsi.Reply(scsi.Status.BUSY) if answer.kind is AnswerKind.REFUSED else scsi.unreachable()
+    return scsi.Reply(scsi.Status.BUSY) if answer.kind is AnswerKind.REJECTED else scsi.unreachable()
 
 
 def request_of(
@@ -153,5 +153,5 @@
             assert answer is not None
             return reply_of(answer)
         return reply_of(
-            Answer(AnswerKind.REFUSED if joined.whole is JoinResult.REFUSED else AnswerKind.FAILED)
+            Answer(AnswerKind.REJECTED if joined.whole is JoinResult.REFUSED else AnswerKind.FAILED)
         )
--- a/lemonridge/iscsi/portal.py
+++ b/lemonridge/iscsi/portal.py
@@ -171,7 +171,9 @@
         row = self.config.luns[lun]
         if row.mapped:
             return 0
-        return {EndpointState.ACTIVE: 0, EndpointState.DRAINING: 15}.get(self._directory.serves(row.shard), 3)
+        return {EndpointState.ACTIVE: 0, EndpointState.DRAINING: 15}.get(
+            self._directory.shard_state(row.shard), 3
+        )
 
     def forget(self, session: Session) -> None:
         if self.sessions.get(session.tsih) is session:
--- a/lemonridge/lab/fleet_mutants.py
+++ b/lemonridge/lab/fleet_mutants.py
@@ -101,9 +101,9 @@
 
 def _decides_at_once() -> None:
     """After a stop, by what was known before it."""
-    from lemonridge.core import decision_host
+    from lemonridge.core import stall_detector
 
-    decision_host.CATCH_UP_S = 0.0
+    stall_detector.CATCH_UP_S = 0.0
 
 
 def _serves_on() -> None:
--- a/lemonridge/lab/links/drains.py
+++ b/lemonridge/lab/links/drains.py
@@ -20,11 +20,11 @@
 
     def heard(self, at_s: float, pairs: dict[str, str]) -> None:
         """A log line of the program."""
-        if pairs.get("event") == "listed":
-            if pairs["condition"] == "draining":
-                self._told.setdefault(pairs["node"], at_s)
+        if pairs.get("event") == "endpoint listed":
+            if pairs["state"] == "draining":
+                self._told.setdefault(pairs["endpoint"], at_s)
             else:
-                self._told.pop(pairs["node"], None)
+                self._told.pop(pairs["endpoint"], None)
 
     async def drain(self, node: ExtentNode) -> None:
         """Drain a node for a while, and take it back."""
--- a/lemonridge/lab/program.py
+++ b/lemonridge/lab/program.py
@@ -4,6 +4,7 @@
 
 import asyncio
 import os
+import re
 import signal
 import sys
 import tempfile
@@ -12,6 +13,7 @@
 from pathlib import Path
 
 START_S, END_S = 15.0, 15.0
+PAIR = re.compile(r'(\S+?)=("(?:[^"\\]|\\.)*"|\S*)')  # of a log line; a value with spaces is quoted
 
 
 class ProgramError(Exception):
@@ -57,7 +59,7 @@
         assert self.process.stderr is not None
         while text := (await self.process.stderr.readline()).decode():
             self.last = [*self.last[-30:], text]
-            pairs = dict(pair.partition("=")[::2] for pair in text.split())
+            pairs = {key: value.strip('"') for key, value in PAIR.findall(text)}
             for hear in self.heard:
                 hear(asyncio.get_running_loop().time(), pairs)
             if pairs.get("event") == "counters":
--- a/lemonridge/lab/soak_mutants.py
+++ b/lemonridge/lab/soak_mutants.py
@@ -38,12 +38,12 @@
 def _sends_to_draining() -> None:
     from lemonridge.core.endpoint_registry import EndpointAddress, EndpointRegistry
 
-    real = EndpointRegistry._tell
+    real = EndpointRegistry._publish
 
-    def tell(self: EndpointRegistry, kind: EndpointListUpdate, listings: list[EndpointAddress]) -> None:
-        real(self, kind, [one for one in listings if one.entry.condition is EndpointState.ACTIVE])
+    def tell(self: EndpointRegistry, kind: EndpointListUpdate, changes: list[EndpointAddress]) -> None:
+        real(self, kind, [one for one in changes if one.endpoint.condition is EndpointState.ACTIVE])
 
-    EndpointRegistry._tell = tell  # type: ignore[method-assign]
+    EndpointRegistry._publish = tell  # type: ignore[method-assign]
 
 
 def _floods_cold_nodes() -> None:
@@ -64,13 +64,13 @@
     from lemonridge.core.model import Answer, Request
 
     async def serve(self: Broker, request: Request) -> Answer:
-        mailbox = self._decider.open(request)
-        life = asyncio.create_task(self.carry(mailbox))
-        self._lives.add(life)
+        mailbox = self._decision_host.open(request)
+        task = asyncio.create_task(self.run(mailbox))
+        self._tasks.add(task)
         return await asyncio.shield(mailbox.answer)
 
     Broker.serve = serve  # type: ignore[method-assign]
-    DecisionHost.begins = lambda self, mailbox, number: True  # type: ignore[method-assign]
+    DecisionHost.may_begin = lambda self, mailbox, number: True  # type: ignore[method-assign]
 
 
 def _tells_the_whole_deadline() -> None:
--- a/lemonridge/net/admin_client.py
+++ b/lemonridge/net/admin_client.py
@@ -1,4 +1,4 @@
-"""Calls to brokers' operators' addresses, from the command line."""
+"""Operators' calls to brokers, from the command line."""
 
 from __future__ import annotations
 
@@ -9,19 +9,23 @@
 
 from lemonridge.config.platform import Address
 
-REPLY_MAX = 4 << 20  # of a line that comes back
-ANSWER_S = 2.0  # a broker answers within 1 s
+REPLY_MAX = 4 << 20  # bytes of a reply
+REPLY_WAIT_S = 2.0  # a broker replies within 1 s
 
 
 class CallError(Exception):
-    """A call without a yes; the text is fit to print."""
+    """A call that was not done; the text is fit to print."""
 
 
 async def call(address: Address, line: str) -> str:
-    """What stands behind the ACK; CallError where there is none in time."""
+    """The text behind the ACK.
+
+    Raises:
+        CallError: The reply is a NAK, or there is none in time.
+    """
     loop = asyncio.get_running_loop()
     try:
-        async with asyncio.timeout_at(loop.time() + ANSWER_S):
+        async with asyncio.timeout_at(loop.time() + REPLY_WAIT_S):
             reader, writer = await asyncio.open_connection(address.host, address.port, limit=REPLY_MAX)
             try:
                 writer.write(line.encode() + b"\n")
@@ -32,22 +36,22 @@
         raise CallError(f"{address} does not answer") from None
     except (OSError, ValueError) as error:
         raise CallError(f"{address}: {error}") from None
-    word, _, rest = reply.partition(" ")
+    word, _, text = reply.partition(" ")
     if word != "ACK":
-        raise CallError(f"{address}: {rest or 'no answer'}")
-    return rest
+        raise CallError(f"{address}: {text or 'no answer'}")
+    return text
 
 
 async def views(addresses: Iterable[Address]) -> tuple[list[dict[str, object]], list[str]]:
-    """Each broker's view of the fleet, and why there is none of some."""
-    told = await asyncio.gather(*(call(one, "fleet") for one in addresses), return_exceptions=True)
-    good: list[dict[str, object]] = []
-    bad: list[str] = []
-    for one in told:
-        if isinstance(one, CallError):
-            bad.append(str(one))
-        elif isinstance(one, BaseException):
-            raise one
+    """Each broker's view of the fleet, and the errors of those that gave none."""
+    results = await asyncio.gather(*(call(one, "fleet") for one in addresses), return_exceptions=True)
+    found: list[dict[str, object]] = []
+    errors: list[str] = []
+    for result in results:
+        if isinstance(result, CallError):
+            errors.append(str(result))
+        elif isinstance(result, BaseException):
+            raise result
         else:
-            good.append(orjson.loads(one))
-    return good, bad
+            found.append(orjson.loads(result))
+    return found, errors
--- a/lemonridge/net/discovery.py
+++ b/lemonridge/net/discovery.py
@@ -250,7 +250,7 @@
             raise MalformedError(f"version {seq} after {self._seq}: discovery has begun anew")
         lines = listings(told, self._zones)
         self._counters["discovery.answers"] += 1
-        self._directory.heard()
+        self._directory.record_answer()
         if lines or whole:
-            self._directory.take(EndpointListUpdate.SNAPSHOT if whole else EndpointListUpdate.DELTA, lines)
+            self._directory.update(EndpointListUpdate.SNAPSHOT if whole else EndpointListUpdate.DELTA, lines)
         return seq
--- a/lemonridge/net/http_connection.py
+++ b/lemonridge/net/http_connection.py
@@ -138,7 +138,7 @@
         """End what has waited for too long."""
         now = self._loop.time()
         self._timer = self._loop.call_at(now + SWEEP_S, self._sweep)
-        if self.clock.now_us() >= self.lifecycle.closes_us:
+        if self.clock.now_us() >= self.lifecycle.close_idle_from_us:
             self.close_waiting(patient=True)
         keep = KEEP_S if len(self) <= self._sockets * ROOMY else WAIT_S
         for connection in list(self._states[State.PARTIAL]):
--- a/lemonridge/net/http_endpoints.py
+++ b/lemonridge/net/http_endpoints.py
@@ -19,13 +19,8 @@
 from lemonridge.core.clock import Clock
 from lemonridge.core.counters import Counters
 from lemonridge.core.endpoint_registry import EndpointRegistry
-from lemonridge.core.model import (
-    Attempt,
-    AttemptSuppressedError,
-    ConnectFailedError,
-    LocalFailureError,
-    Outcome,
-)
+from lemonridge.core.errors import AttemptSuppressedError, ConnectFailedError, LocalFailureError
+from lemonridge.core.model import Attempt, Outcome
 from lemonridge.net.http_response import AnswerReader, LongAnswer, gather
 from lemonridge.net.sockets import LOCAL_ERRORS, Payload, has_no_unread_data, session
 from lemonridge.scheduling.events import AttemptResult
@@ -238,9 +233,9 @@
             return Outcome(AttemptResult.ERROR)
         headers = response.headers
         told: dict[str, Any] = {
-            "used": _whole(headers.get("X-Iops-Used"), 1),
-            "elsewhere": _number(headers.get("X-Rho")),
-            "held": _load(headers.get("X-Load")).get(self._held_field),
+            "units_used": _whole(headers.get("X-Iops-Used"), 1),
+            "units_elsewhere": _number(headers.get("X-Rho")),
+            "endpoint_load": _load(headers.get("X-Load")).get(self._held_field),
         }
         if response.status == 200:
             return Outcome(AttemptResult.OK, reply, **told)
--- a/lemonridge/net/http_front.py
+++ b/lemonridge/net/http_front.py
@@ -18,13 +18,14 @@
 from lemonridge.core.clock import Clock
 from lemonridge.core.counters import Counters
 from lemonridge.core.endpoint_registry import EndpointRegistry
-from lemonridge.core.model import Answer, AnswerKind, DuplicateError, Request
+from lemonridge.core.errors import DuplicateRequestError
+from lemonridge.core.model import Answer, AnswerKind, Request
 from lemonridge.net.http_connection import Connection, ConnectionTable
 from lemonridge.net.http_headers import BadMessageError
 from lemonridge.net.http_response import LongAnswer
 from lemonridge.net.listener import Listener, listening_socket
 from lemonridge.net.sockets import BrokenError, Payload
-from lemonridge.operate.lifecycle import FAR_US, Lifecycle
+from lemonridge.operate.lifecycle import NEVER_US, Lifecycle
 from lemonridge.scheduling.settings import IdempotencyKind
 
 log = logging.getLogger(__name__)
@@ -103,8 +104,8 @@
         self._lifecycle.stop(self._clock.now_us())
         self.changed()
         loop = asyncio.get_running_loop()
-        await asyncio.sleep((self._lifecycle.ends_us - self._clock.now_us()) / 1e6)
-        until_s = self._clock.loop_time(self._lifecycle.whole_by_us)
+        await asyncio.sleep((self._lifecycle.accept_until_us - self._clock.now_us()) / 1e6)
+        until_s = self._clock.loop_time(self._lifecycle.request_complete_by_us)
         await self.listener.accept_the_rest(until_s)
         self.listener.close()
         while self.listener.accepting or self._table.close_waiting(patient=loop.time() < until_s):
@@ -118,8 +119,8 @@
         self._table.changed()
 
     def _due(self, arrived_us: int) -> float | None:
-        due_us = self._lifecycle.due(arrived_us)
-        return None if due_us == FAR_US else self._clock.loop_time(due_us)
+        due_us = self._lifecycle.answer_by_us(arrived_us)
+        return None if due_us == NEVER_US else self._clock.loop_time(due_us)
 
     @property
     def busy(self) -> bool:
@@ -162,13 +163,13 @@
             return self._ready(http)
         try:
             request = self._parse(http, connection.body, arrived_us, connection.abandoned)
-            if self._lifecycle.ends_us != FAR_US:
+            if self._lifecycle.accept_until_us != NEVER_US:
                 self._counters["requests.stopping"] += 1
             return _response(await self._serve(request, arrived_us))
         except BadMessageError as error:
             self._counters["requests.bad"] += 1
             return web.Response(status=error.status, text=f"{error}\n")
-        except DuplicateError:
+        except DuplicateRequestError:
             self._counters["requests.bad"] += 1
             return web.Response(status=409, text="a request with this X-Request-Id is open\n")
         except Exception:
@@ -189,12 +190,12 @@
                 finally:
                     del self._scopes[scope]
         except TimeoutError:
-            return Answer(AnswerKind.FAILED if request.forwarded else AnswerKind.REFUSED)
+            return Answer(AnswerKind.FAILED if request.forwarded else AnswerKind.REJECTED)
 
     def _ready(self, http: web.BaseRequest) -> web.Response:
         if http.method != "GET" or http.path != "/-/ready":
             return web.Response(status=404)
-        up = self._directory.listed and self._lifecycle.ready and self.has_lease()
+        up = self._directory.has_list and self._lifecycle.ready and self.has_lease()
         return web.Response(status=200 if up else 503)
 
     def _parse(
@@ -282,7 +283,7 @@
     if answer.kind is AnswerKind.SERVED:
         assert isinstance(answer.reply, bytes)
         return web.Response(body=answer.reply)
-    if answer.kind is AnswerKind.REFUSED:
-        advice = {"Retry-After": f"{answer.backoff_us / 1e6:.3f}"} if answer.backoff_us else None
+    if answer.kind is AnswerKind.REJECTED:
+        advice = {"Retry-After": f"{answer.retry_after_us / 1e6:.3f}"} if answer.retry_after_us else None
         return web.Response(status=503, headers=advice)
     return web.Response(status=502)
--- a/lemonridge/net/peer_transport.py
+++ b/lemonridge/net/peer_transport.py
@@ -23,7 +23,7 @@
 from lemonridge.fleet.member_list import MemberList
 from lemonridge.fleet.scheduler_bridge import SchedulerBridge
 from lemonridge.fleet.status_report import report
-from lemonridge.scheduling.actions import Action, SlowStartBegan
+from lemonridge.scheduling.actions import SlowStartBegan
 from lemonridge.scheduling.events import AttemptEnded, Endpoint, RequestArrived
 from lemonridge.scheduling.settings import Settings
 
@@ -168,34 +168,33 @@
 
     # What the decider shows
 
-    def arrived(self, event: RequestArrived) -> None:
+    def on_request_arrived(self, event: RequestArrived) -> None:
         """A request is about to be told to the decisions."""
         self._companion.arrived(event, self._clock.now_us())
         if self._companion.events:
             self._flush()
 
-    def listed(self, entries: Iterable[Endpoint]) -> None:
+    def on_endpoints_changed(self, entries: Iterable[Endpoint]) -> None:
         """The node list, or a part of it."""
         self._companion.listed(entries)
 
-    def ended(self, event: AttemptEnded, request: Request | None) -> None:
+    def on_attempt_ended(self, event: AttemptEnded, request: Request | None) -> None:
         """An attempt ended."""
         volume, units = (request.volume, request.units) if request is not None else (0, 0.0)
         self._companion.ended(event, self._clock.now_us(), volume, units)
         if self._companion.events or self._companion.tells:
             self._flush()
 
-    def sent(self, endpoint: str, request: Request) -> None:
+    def on_attempt_sent(self, endpoint: str, request: Request) -> None:
         """An attempt was decided on."""
         self._companion.sent(endpoint, request.units)
 
-    def acted(self, action: Action) -> None:
-        """Something else was decided."""
-        if isinstance(action, SlowStartBegan):
-            self._companion.slow_start_began(action, self._clock.now_us())
-            self._flush()
+    def on_slow_start_began(self, action: SlowStartBegan) -> None:
+        """The scheduler takes an endpoint for one that warms up."""
+        self._companion.slow_start_began(action, self._clock.now_us())
+        self._flush()
 
-    def renewed(self) -> None:
+    def on_scheduler_restarted(self) -> None:
         """The decisions began anew, with even slices."""
         self._companion.renewed(self._clock.now_us())
         self._flush()
--- a/lemonridge/operate/__init__.py
+++ b/lemonridge/operate/__init__.py
@@ -1,4 +1,5 @@
-"""What operators ask of a running broker, decided without a clock, a loop or I/O.
+"""Operators' calls, maintenance, graceful shutdown and handover, decided without a clock, a loop or I/O.
 
-`calls` reads their lines, `maintenance` holds which nodes are out, `lifecycle` the state of the process.
+`admin_calls` parses calls, `maintenance` holds the operators' bans, `lifecycle` the phase of the process,
+`handover` what a process passes on to its successor and `handover_format` its form on the socket.
 """
--- a/lemonridge/operate/admin_calls.py
+++ b/lemonridge/operate/admin_calls.py
@@ -1,18 +1,20 @@
-"""The operators' calls: one line in, one line out. Pure."""
+"""The operators' calls: a line with a request, a line with the reply. Pure."""
 
 from __future__ import annotations
 
 import re
 from dataclasses import dataclass
-from enum import Enum
+from enum import Enum, StrEnum
 
-LINE_MAX = 512  # bytes of a line, its end included; a longer one is refused unread
-LONG_MAX = 32_768  # of one that carries a policy
-_IDENT = re.compile(r"[\x21-\x7e]{1,200}")
+from lemonridge.operate.errors import BadCallError
+
+LINE_MAX = 512  # bytes of a line with its end; a longer one is rejected unread
+POLICY_LINE_MAX = 32_768  # bytes of a line that carries a policy
+_ENDPOINT_ID = re.compile(r"[\x21-\x7e]{1,200}")
 
 
 class AdminCall(Enum):
-    """What can be asked; the value is the word on the wire."""
+    """What can be asked; the value is the first word of the line."""
 
     READY = "ready"
     DISABLE = "disable-server"
@@ -28,51 +30,80 @@
     FORCE = "policy-force"
 
 
-NAMING = frozenset((AdminCall.DISABLE, AdminCall.ENABLE, AdminCall.RETIRE))  # these name a node, or a broker
-TELLING = {one.value.encode(): one for one in (AdminCall.PROPOSE, AdminCall.FORCE)}  # these carry JSON
-OF_POLICY = frozenset(
+CALLS_WITH_ID = frozenset((AdminCall.DISABLE, AdminCall.ENABLE, AdminCall.RETIRE))
+CALLS_WITH_JSON = {one.value.encode(): one for one in (AdminCall.PROPOSE, AdminCall.FORCE)}
+POLICY_CALLS = frozenset(
     (AdminCall.POLICY, AdminCall.PROPOSE, AdminCall.ABORT, AdminCall.ADMIT, AdminCall.RETIRE, AdminCall.FORCE)
 )
 
 
 @dataclass(frozen=True, slots=True)
 class AdminRequest:
-    """One call as it was read; `node` is empty where none is named."""
+    """One call as it was read.
+
+    Attributes:
+        call: What is asked.
+        endpoint_id: The endpoint, or for `RETIRE` the broker; empty where none is named.
+        text: JSON: of a proposal the policy and a note, of the emergency call the lost brokers and a note.
+    """
 
     call: AdminCall
-    endpoint_id: str = ""  # or the broker
-    text: str = ""  # JSON: of a proposal the policy and a note, of the emergency call the lost and a note
+    endpoint_id: str = ""
+    text: str = ""
+
+
+class ReplyText(StrEnum):
+    """The fixed texts of replies, as they stand in the line."""
+
+    BANNED = "out"
+    BAN_REJECTED = "unknown node, or too many are out"
+    BAN_ENDED = "in use as discovery says"
+    UNKNOWN_ENDPOINT = "unknown node"
+    TAKING_OVER = "not in charge yet"
+    OTHER_PROCESS_SILENT = "the other process of this broker does not answer"
+    NO_ENDPOINT_LIST = "no list of nodes yet"
+    NO_POLICY = "no policy in force yet"
+    NO_PEERS = "this broker speaks to no peers"
+    NO_FLEET_POLICY = "this broker goes by its own file"
+    NOT_ANSWERED_HERE = "only ready, fleet and policies are answered here"
+    SERVING = "serving"
+    CALL_FAILED = "it failed, see the log"
 
 
 @dataclass(frozen=True, slots=True)
 class AdminReply:
-    """The answer: done and in force, or not, with a reason in plain words."""
+    """The reply to a call.
+
+    Attributes:
+        done: Whether what was asked is in force.
+        text: A result, or the reason why it is not done.
+    """
 
     done: bool
-    why: str = ""
+    text: str = ""
 
     def encode(self) -> bytes:
-        """The line on the wire, its end included."""
+        """The line as it is sent, with its end."""
         word = "ACK" if self.done else "NAK"
-        return f"{word} {self.why}".rstrip().encode("ascii", "replace") + b"\n"
-
+        return f"{word} {self.text}".rstrip().encode("ascii", "replace") + b"\n"
 
-def longest(line: bytes) -> int:
-    """How long a line that begins so may be."""
-    return LONG_MAX if line.startswith(AdminCall.PROPOSE.value.encode() + b" ") else LINE_MAX
 
-
-class BadCallError(Exception):
-    """A line that is no call; the text is fit to answer with."""
+def line_max(line: bytes) -> int:
+    """How many bytes a line that begins so may have."""
+    return POLICY_LINE_MAX if line.startswith(AdminCall.PROPOSE.value.encode() + b" ") else LINE_MAX
 
 
 def parse(line: bytes) -> AdminRequest:
-    """The call of a line, with or without its end (LF or CRLF); `BadCallError` says what is wrong."""
-    if len(line) > longest(line):
+    """The call of a line, with or without its end (LF or CRLF).
+
+    Raises:
+        BadCallError: The line is no call.
+    """
+    if len(line) > line_max(line):
         raise BadCallError("the line is too long")
-    word, _, rest = line.partition(b" ")
-    if word in TELLING:
-        return AdminRequest(TELLING[word], text=rest.decode("utf-8", "replace").strip())
+    word, _, argument = line.partition(b" ")
+    if word in CALLS_WITH_JSON:
+        return AdminRequest(CALLS_WITH_JSON[word], text=argument.decode("utf-8", "replace").strip())
     try:
         words = line.decode("ascii").split()
     except UnicodeDecodeError:
@@ -83,12 +114,12 @@
         call = AdminCall(words[0])
     except ValueError:
         raise BadCallError(f"unknown call; known are {', '.join(one.value for one in AdminCall)}") from None
-    if call not in NAMING:
+    if call not in CALLS_WITH_ID:
         if len(words) > 1:
             raise BadCallError(f"{call.value} takes no further word")
         return AdminRequest(call)
     if len(words) != 2:
         raise BadCallError(f"{call.value} takes one {'broker' if call is AdminCall.RETIRE else 'node id'}")
-    if not _IDENT.fullmatch(words[1]):
+    if not _ENDPOINT_ID.fullmatch(words[1]):
         raise BadCallError("the node id cannot be read")
     return AdminRequest(call, words[1])
--- a/lemonridge/operate/maintenance.py
+++ b/lemonridge/operate/maintenance.py
@@ -1,6 +1,6 @@
-"""Which nodes operators have taken out, laid over what discovery says. Pure.
+"""Operators' bans on endpoints, applied to what the endpoint list says. Pure.
 
-The ban and the news are kept apart: whatever discovery says of a node meanwhile stands as soon as the ban
+The ban and the list are kept apart: what the list says of an endpoint during a ban counts as soon as the ban
 ends, and only then.
 """
 
@@ -11,74 +11,75 @@
 
 from lemonridge.scheduling.events import Endpoint, EndpointState
 
-OUT_MAX = 4096  # nodes that may be out, or be watched after their return, at a time
+BANS_MAX = 4096  # endpoints banned at a time; also the most that are followed after their return
 
 
 @dataclass(frozen=True, slots=True)
 class ReturnedToService:
-    """A node that was called back: when it went out and when it came back, in Unix microseconds."""
+    """An endpoint whose ban was ended: the ban's begin and end, in Unix microseconds."""
 
-    out_us: int
-    back_us: int
+    banned_us: int
+    returned_us: int
 
 
 class Maintenance:
-    """The bans in force, and the nodes back from one whose restart discovery has not told yet."""
+    """The bans in force, and the endpoints returned from one whose restart the list does not show yet."""
 
     def __init__(self) -> None:
-        self._out: dict[str, int] = {}  # since when, in Unix microseconds
-        self._back: dict[str, ReturnedToService] = {}
+        self._banned: dict[str, int] = {}  # since when, in Unix microseconds
+        self._returned: dict[str, ReturnedToService] = {}
 
-    def __contains__(self, endpoint: str) -> bool:
-        return endpoint in self._out
+    def __contains__(self, endpoint_id: str) -> bool:
+        return endpoint_id in self._banned
 
-    def out(self) -> Mapping[str, int]:
-        """The nodes that are out, and since when."""
-        return dict(self._out)
+    def banned(self) -> Mapping[str, int]:
+        """The banned endpoints, with the begin of each ban in Unix microseconds."""
+        return dict(self._banned)
 
-    def back(self) -> Mapping[str, ReturnedToService]:
-        """The nodes that were called back and are taken for cold since then."""
-        return dict(self._back)
+    def returned(self) -> Mapping[str, ReturnedToService]:
+        """The endpoints returned from a ban, which count as started with their return."""
+        return dict(self._returned)
 
-    def disable(self, endpoint: str, now_us: int) -> bool:
-        """Take a node out; False where too many are. A second call changes nothing."""
-        if endpoint not in self._out:
-            if len(self._out) >= OUT_MAX:
+    def disable(self, endpoint_id: str, now_us: int) -> bool:
+        """Bans an endpoint; False where too many are banned. A second call changes nothing."""
+        if endpoint_id not in self._banned:
+            if len(self._banned) >= BANS_MAX:
                 return False
-            self._out[endpoint] = now_us
+            self._banned[endpoint_id] = now_us
         return True
 
-    def enable(self, endpoint: str, now_us: int) -> bool:
-        """Put a node back, however often it was taken out; whether it was out at all."""
-        since = self._out.pop(endpoint, None)
-        if since is None:
+    def enable(self, endpoint_id: str, now_us: int) -> bool:
+        """Ends the ban on an endpoint, however often it was called; False where there is none."""
+        since_us = self._banned.pop(endpoint_id, None)
+        if since_us is None:
             return False
-        while len(self._back) >= OUT_MAX:
-            del self._back[next(iter(self._back))]
-        self._back[endpoint] = ReturnedToService(since, now_us)
+        while len(self._returned) >= BANS_MAX:
+            del self._returned[next(iter(self._returned))]
+        self._returned[endpoint_id] = ReturnedToService(since_us, now_us)
         return True
 
-    def inherit(self, out: Mapping[str, int], back: Mapping[str, ReturnedToService]) -> None:
-        """Take over another process's bans in place of one's own."""
-        self._out, self._back = dict(out), dict(back)
+    def replace_all(self, banned: Mapping[str, int], returned: Mapping[str, ReturnedToService]) -> None:
+        """Goes by another process's bans in place of this one's."""
+        self._banned, self._returned = dict(banned), dict(returned)
 
-    def prune(self, listed: Container[str]) -> None:
-        """Forget the returns of nodes that are not listed any more; a ban outlives its node's listing. The
-        cost goes with the returns, not with the list.
+    def prune(self, known_endpoints: Container[str]) -> None:
+        """Forgets the returns of endpoints that are not listed any more; a ban outlasts its endpoint's entry.
+
+        The cost goes with the returns, not with the list.
         """
-        for endpoint in [one for one in self._back if one not in listed]:
-            del self._back[endpoint]
+        for endpoint_id in [one for one in self._returned if one not in known_endpoints]:
+            del self._returned[endpoint_id]
 
-    def over(self, entry: Endpoint) -> Endpoint:
-        """What the decisions are told of a node, given what discovery says.
+    def apply(self, endpoint: Endpoint) -> Endpoint:
+        """The endpoint as the scheduler is to see it, given what the list says.
 
-        A node that is out drains. One that is back was restarted while out, at a moment that discovery tells
-        late: until it does, the node counts as started with the call back, which is the coldest it can be.
+        A banned endpoint drains. One that has returned was restarted during its ban, which the list shows
+        late: until it does, the endpoint counts as started with its return, so that its slow start is whole.
         """
-        if entry.endpoint_id in self._out:
-            active = entry.condition is EndpointState.ACTIVE
-            return replace(entry, condition=EndpointState.DRAINING) if active else entry
-        back = self._back.get(entry.endpoint_id)
-        if back is not None and entry.started_us < back.out_us:
-            return replace(entry, started_us=back.back_us)
-        return entry
+        if endpoint.endpoint_id in self._banned:
+            active = endpoint.condition is EndpointState.ACTIVE
+            return replace(endpoint, condition=EndpointState.DRAINING) if active else endpoint
+        returned = self._returned.get(endpoint.endpoint_id)
+        if returned is not None and endpoint.started_us < returned.banned_us:
+            return replace(endpoint, started_us=returned.returned_us)
+        return endpoint
--- a/lemonridge/service/ignored_signals.py
+++ b/lemonridge/service/ignored_signals.py
@@ -1,4 +1,4 @@
-"""Signals that must do no harm before the program can act on them, and once it is about to end.
+"""Ignores signals before the program can act on them, and once it is about to end.
 
 It loads nothing but `signal`, so that it can be the first thing of a start; see `signals`.
 """
@@ -12,12 +12,12 @@
 
 
 def ignore_reload_signals() -> None:
-    """Let SIGHUP and SIGUSR1 do no harm; SIGTERM ends a program that has taken nothing yet."""
+    """Ignores SIGHUP and SIGUSR1; SIGTERM ends a program that has accepted nothing yet."""
     for number in RELOAD_SIGNALS:
         signal.signal(number, signal.SIG_IGN)
 
 
 def ignore_all() -> None:
-    """Let no signal change how the process ends, once it ends by itself."""
+    """Ignores every signal of the pages, so that none changes how an ending process ends."""
     for number in (*RELOAD_SIGNALS, *STOP_SIGNALS):
         signal.signal(number, signal.SIG_IGN)
--- a/lemonridge/service/iscsi.py
+++ b/lemonridge/service/iscsi.py
@@ -1,7 +1,8 @@
-"""The iSCSI front with its core, nodes, map and sources, put together."""
+"""Puts the iSCSI front together: its core, endpoints, extent map and sources."""
 
 from __future__ import annotations
 
+import functools
 import logging
 import secrets
 from random import Random
@@ -19,104 +20,119 @@
 from lemonridge.iscsi.mapped import MappedLuns
 from lemonridge.iscsi.portal import IscsiFront
 from lemonridge.iscsi.reservation_file import ReservationFile
-from lemonridge.net.peer_transport import PeerTransport
 from lemonridge.scheduling.events import EndpointListUpdate
+from lemonridge.service.peers import connect_peers
 from lemonridge.service.service import Service
 
 log = logging.getLogger(__name__)
 
 
-async def iscsi_service(config: IscsiConfig, plan: FleetConfig | None = None) -> Service:
-    """The iSCSI front of an operator's file: initiators before it, targets behind it."""
-    counters, source = Counters(), None
-    governed = plan is not None and plan.rollout is not None
+def _random_seed() -> int:
+    return secrets.randbits(64)
+
+
+async def iscsi_service(config: IscsiConfig, fleet: FleetConfig | None = None) -> Service:
+    """The iSCSI front of an operator's file, which listens once this returns.
+
+    Raises:
+        ConfigError: A part of the configuration cannot be used.
+        OSError: An address to listen on cannot be had.
+    """
+    counters, etcd = Counters(), None
     if config.etcd is not None:
-        source = EtcdSource(config.etcd, Random(), counters, config.extents.page)
-        told = await source.contracts(config)
-        config = config if governed else told  # a fleet's are in force once that is decided
-    made = Service("iscsi", config.settings, secrets.randbits(64), counters)
-    router = _router(config, made) if config.mapped else None
+        etcd = EtcdSource(config.etcd, Random(), counters, config.extents.page)
+        etcd_config = await etcd.contracts(config)
+        # Contracts of a fleet with an agreed policy are in force once they are agreed on.
+        config = config if fleet is not None and fleet.rollout is not None else etcd_config
+    service = Service("iscsi", config.settings, _random_seed(), counters)
+    router = _router(config, service) if config.mapped else None
+    refresher = _follow_sources(config, service, etcd, router)
+    endpoints = IscsiEndpoints(config, service.registry, counters)
+    service.close = functools.partial(_close, endpoints, router, refresher)
+    service.front = front = await _front(config, service, endpoints, router)
+    if fleet is not None:
+        coordinator = await connect_peers(service, fleet, config, _random_seed)
+        if coordinator is not None and etcd is not None:
+            etcd.follow(coordinator.source_proposal)
+    await front.start(config.listen)
+    return service
+
+
+def _follow_sources(
+    config: IscsiConfig, service: Service, etcd: EtcdSource | None, router: Router | None
+) -> Refresher | None:
+    """Follows etcd, or takes the endpoints of the file; returns what reads single extents from etcd."""
+    if etcd is None:
+        service.registry.update(EndpointListUpdate.SNAPSHOT, list(config.endpoints))
+        return None
     refresher: Refresher | None = None
-    if source is not None:
-        feeds: dict[str, Feed] = {EndpointsFeed.KIND: EndpointsFeed(made.directory, counters)}
-        if router is not None and not config.extents.fixed and config.extents.file is None:
-            feeds[MapFeed.KIND] = MapFeed(router, config.mapped)
-            refresher = Refresher(source.client)
-            router.read = refresher.read
-        made.watch(source.run(feeds))
-    else:
-        made.directory.take(EndpointListUpdate.SNAPSHOT, list(config.endpoints))
-    endpoints = IscsiEndpoints(config, made.directory, made.counters)
-
-    async def close() -> None:
-        await endpoints.close()
-        if router is not None:
-            router.stop()
-        if refresher is not None:
-            await refresher.close()
-
-    made.close = close
-    broker = Broker(made.decider, endpoints, made.counters, router)
-    mapped = MappedLuns(config, broker, router, made.counters) if router is not None else None
-    keeper = ReservationFile(config.reservations) if config.reservations is not None else None
-    if keeper is not None:
-        await keeper.read()
-    made.front = front = IscsiFront(config, broker, made.clock, made.directory, made.counters, mapped, keeper)
+    feeds: dict[str, Feed] = {EndpointsFeed.KIND: EndpointsFeed(service.registry, service.counters)}
+    if router is not None and not config.extents.fixed and config.extents.file is None:
+        feeds[MapFeed.KIND] = MapFeed(router, config.mapped)
+        refresher = Refresher(etcd.client)
+        router.read = refresher.read
+    service.follow(etcd.run(feeds))
+    return refresher
+
+
+async def _front(
+    config: IscsiConfig, service: Service, endpoints: IscsiEndpoints, router: Router | None
+) -> IscsiFront:
+    """The initiators' side, with its LUNs by the extent map and its reservations on disk."""
+    broker = Broker(service.decision_host, endpoints, service.counters, router)
+    mapped = MappedLuns(config, broker, router, service.counters) if router is not None else None
+    reservations = ReservationFile(config.reservations) if config.reservations is not None else None
+    if reservations is not None:
+        await reservations.read()
+    front = IscsiFront(
+        config, broker, service.clock, service.registry, service.counters, mapped, reservations
+    )
     if router is not None:
         router.resized = lambda luns: front.device.tell(CAPACITY_CHANGED, luns)
-    rollout = plan.rollout if plan is not None else None
-    if rollout is not None:
-        from lemonridge.coordination.policy_coordinator import (  # only an operator's file sets it up
-            PolicyCoordinator,
-            held_store,
-        )
-
-        store, kept = await held_store(rollout.store)
-    if plan is not None:
-        made.speak(
-            PeerTransport(plan, made.decider, made.clock, counters, secrets.randbits(64), config.settings)
-        )
-    if plan is not None and rollout is not None:
-        assert made.peers is not None
-        made.coordinator = coordinator = PolicyCoordinator(
-            plan, config, secrets.randbits(64), made.peers, made.decider, made.clock, counters, store, kept
-        )
-        made.endings.insert(0, coordinator.stop)
-        if source is not None:
-            source.follow(coordinator.source_proposal)
-    await front.start(config.listen)
-    return made
+    return front
+
+
+async def _close(endpoints: IscsiEndpoints, router: Router | None, refresher: Refresher | None) -> None:
+    await endpoints.close()
+    if router is not None:
+        router.stop()
+    if refresher is not None:
+        await refresher.close()
 
 
-def _router(config: IscsiConfig, made: Service) -> Router:
-    """The map, from the operator's file, a file of its own, or etcd; begun with what was kept, if allowed."""
+def _router(config: IscsiConfig, service: Service) -> Router:
+    """The extent map from the operator's file, a file of its own, or etcd; begun with the cached map."""
     extents = config.extents
-    router = Router(extents.limits, extents.extents_max, made.clock, made.directory, made.counters)
+    router = Router(extents.limits, extents.extents_max, service.clock, service.registry, service.counters)
     if extents.fixed:
         router.whole(0, extents.fixed)
         router.confirm(for_ever=True)
         return router
     if extents.keep is not None:
-        _kept(extents.keep, extents.keep_bytes, extents.keep_age_us, router)
+        _load_cached_map(extents.keep, extents.keep_bytes, extents.keep_age_us, router)
     if extents.file is not None:
         file = FileSource(extents.file, router, config.mapped)
         router.read = file.read
-        made.watch(file.run(), "map")
+        service.follow(file.run(), "map")
     return router
 
 
-def _kept(path: str, size: int, age_us: int, router: Router) -> None:
-    """Begin with the map on disk: for reads until the source has spoken."""
+def _load_cached_map(path: str, size_bytes: int, age_max_us: int, router: Router) -> None:
+    """Begins with the map on disk, which serves reads until the source has answered.
+
+    Raises:
+        ConfigError: The file cannot be used at all.
+    """
     from lemonridge.extents.map_cache import Background, KeepError, MapCache  # only here is LMDB loaded
 
     try:
-        keeper = MapCache(path, size)
+        cache = MapCache(path, size_bytes)
     except (KeepError, OSError) as error:
         raise ConfigError(f"extents.keep: cannot use {path}: {error}") from None
     try:
-        version, extents = keeper.load(age_us)
+        version, extents = cache.load(age_max_us)
         if router.whole(version, extents, confirmed=False):
             router.trust_kept()
     except KeepError as error:
-        log.info("kept map not used", extra={"path": path, "error": str(error)})
-    router.keeper = Background(keeper)
+        log.info("cached map not used", extra={"path": path, "error": str(error)})
+    router.keeper = Background(cache)
--- a/lemonridge/service/log_format.py
+++ b/lemonridge/service/log_format.py
@@ -1,4 +1,4 @@
-"""Log lines of the form key=value."""
+"""Log lines of the form key=value, written by a thread of their own."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
 import time
 from typing import TextIO
 
-LINES_MAX = 10_000  # that wait to be written
-LAST_S = 1.0  # for the last lines at the end
+WAITING_LINES_MAX = 10_000  # lines that wait to be written; more are dropped
+LAST_LINES_WAIT_S = 1.0  # for the last lines at the end
 
 _STANDARD = frozenset(vars(logging.makeLogRecord({}))) | {"message", "asctime", "taskName"}
 _BARE = re.compile(r"[^\s\"=]+")
@@ -27,9 +27,10 @@
 
 
 class KeyValueFormatter(logging.Formatter):
-    """One line a record: time, level, logger, event, then what was given as `extra`."""
+    """One line a record: time, level, logger, event, then the keys given as `extra`."""
 
     def format(self, record: logging.LogRecord) -> str:
+        """The record as one line."""
         stamp = time.strftime("%Y-%m-%dT%H:%M:%S", time.gmtime(record.created))
         pairs: dict[str, object] = {
             "ts": f"{stamp}.{int(record.msecs):03d}Z",
@@ -47,27 +48,31 @@
     """Writes lines from a thread of its own.
 
     Guards against a reader of the log that has stopped: its pipe fills, and a write from the event loop
-    would stop the whole broker with it. Lines beyond the room are counted and dropped.
+    would stop the whole broker with it.
+
+    Attributes:
+        dropped: How many lines were dropped, as too many waited or the stream took none.
     """
 
     def __init__(self, stream: TextIO) -> None:
         super().__init__()
         self._stream, self.dropped = stream, 0
-        self._lines: queue.Queue[str | None] = queue.Queue(LINES_MAX)
+        self._lines: queue.Queue[str | None] = queue.Queue(WAITING_LINES_MAX)
         self._thread = threading.Thread(target=self._run, name="log", daemon=True)
         self._thread.start()
 
     def emit(self, record: logging.LogRecord) -> None:
+        """Queues a line without waiting."""
         try:
             self._lines.put_nowait(self.format(record))
         except queue.Full:
             self.dropped += 1
 
     def finish(self) -> None:
-        """Write out what is left, unless no one reads it."""
+        """Writes the lines that wait, unless nobody reads them within `LAST_LINES_WAIT_S`."""
         with contextlib.suppress(queue.Full):
             self._lines.put_nowait(None)
-            self._thread.join(LAST_S)
+            self._thread.join(LAST_LINES_WAIT_S)
 
     def _run(self) -> None:
         while (line := self._lines.get()) is not None:
@@ -79,7 +84,7 @@
 
 
 def set_up(level: str, stream: TextIO | None = None) -> Writer:
-    """Send every log line to standard error."""
+    """Sends every log line of this level and above to `stream`, or standard error."""
     handler = Writer(stream or sys.stderr)
     handler.setFormatter(KeyValueFormatter())
     logging.basicConfig(level=level.upper(), handlers=[handler], force=True)
--- /dev/null
+++ b/lemonridge/service/platform.py
@@ -0,0 +1,158 @@
+"""Puts the platform's front together: clients and endpoints over HTTP/1.1, with discovery."""
+
+from __future__ import annotations
+
+import logging
+import os
+from dataclasses import replace
+from random import Random
+
+from lemonridge.config.platform import PlatformConfig
+from lemonridge.core.broker import Broker
+from lemonridge.core.counters import Counters
+from lemonridge.net.admin_server import AdminServer
+from lemonridge.net.discovery import Discovery, MalformedError, listings
+from lemonridge.net.http_endpoints import HttpEndpoints
+from lemonridge.net.http_front import HttpFront
+from lemonridge.net.process_handover import ProcessHandover
+from lemonridge.operate.lifecycle import Lifecycle
+from lemonridge.scheduling.events import EndpointListUpdate
+from lemonridge.service.admin import AdminService
+from lemonridge.service.service import Service
+
+log = logging.getLogger(__name__)
+
+
+async def platform_service(config: PlatformConfig) -> Service:
+    """The platform's front, which listens once this returns.
+
+    Raises:
+        ConfigError: A part of the configuration cannot be used.
+        OSError: An address to listen on cannot be had.
+    """
+    assembly = PlatformAssembly(config)
+    await assembly.connect_peers()
+    assembly.front.bind(config.listen, config.passed)
+    await assembly.listen_for_operators()
+    await assembly.take_over()
+    await assembly.front.listen()
+    return assembly.service
+
+
+class PlatformAssembly:
+    """The parts of the platform's front, and how a new configuration reaches them.
+
+    Attributes:
+        service: The service that the parts make up.
+        front: The clients' side.
+    """
+
+    def __init__(self, config: PlatformConfig) -> None:
+        self._config = config
+        self.service = service = Service("http", config.settings, config.seed, Counters())
+        self._log_settings()
+        cached_seq = self._load_cached_list()
+        self._endpoints = HttpEndpoints(service.registry, service.clock, config, service.counters)
+        service.close = self._endpoints.close
+        self._random = Random(config.seed)
+        # A list that has to be polled costs its source less from the cached position on.
+        self._watch_discovery(cached_seq if config.settings.polls_endpoint_list else None)
+        self._broker = Broker(service.decision_host, self._endpoints, service.counters)
+        self._lifecycle = Lifecycle(max(cls.deadline_us for cls in config.settings.classes))
+        service.front = self.front = HttpFront(
+            config, self._broker, service.registry, service.clock, service.counters, self._lifecycle
+        )
+        service.configure = self._configure
+        self._admin = AdminService(service, self.front, self._lifecycle)
+
+    def _log_settings(self) -> None:
+        settings = self._config.settings
+        log.info(
+            "settings",
+            extra={
+                "hosts": settings.hosts,
+                "shards": self._config.shards,
+                "sockets": self._config.sockets,
+                "mean_request_units": settings.mean_request_units,
+                "largest_request_units": settings.largest_request_units,
+                "slow_start_units": settings.slow_start_units,
+                "polls_endpoint_list": settings.polls_endpoint_list,
+                "poll_within_us": settings.poll_within_us,
+            },
+        )
+
+    def _load_cached_list(self) -> int | None:
+        """Begins with the endpoint list of the configuration; returns its sequence number, if it has one."""
+        cached = self._config.known
+        if not cached.get("hosts"):
+            return None
+        try:
+            endpoints = listings(cached, self._config.zones)
+        except MalformedError as error:
+            log.warning("cached endpoint list ignored", extra={"error": str(error)})
+            return None
+        self.service.registry.update(EndpointListUpdate.CACHED, endpoints)
+        seq = cached.get("seq")
+        return seq if isinstance(seq, int) and not isinstance(seq, bool) else None
+
+    def _watch_discovery(self, seq: int | None = None) -> None:
+        """Follows discovery at the configured address, from this sequence number on."""
+        discovery = Discovery(
+            str(self._config.discovery),
+            self._config.zones,
+            self.service.registry,
+            self._random,
+            self.service.counters,
+            self._config.settings,
+        )
+        self.service.follow(discovery.run(seq))
+
+    def _configure(self, new: PlatformConfig) -> None:
+        """Puts a new configuration in force.
+
+        Nothing is awaited between its parts, so no request meets half of it. Open requests go on, and
+        discovery is asked at its new address at once.
+        """
+        old, self._config = self._config, new
+        coordinator, peers = self.service.coordinator, self.service.peers
+        if coordinator is not None:  # what of it is the fleet's policy is proposed, the rest is in force
+            new = replace(new, settings=coordinator.configure(new))
+        self.service.decision_host.configure(new.settings)
+        if peers is not None:
+            peers.configure(new.settings)
+        self.front.configure(new)
+        self._endpoints.configure(new)
+        if (new.discovery, new.zones) != (old.discovery, old.zones):
+            self._watch_discovery()
+
+    async def connect_peers(self) -> None:
+        """Starts messages to the other brokers, where the configuration allows them."""
+        config, fleet = self._config, self._config.fleet
+        log.info("fleet", extra={"peers": len(fleet.names) if fleet else 0, "speaks": config.speaks})
+        if fleet is None or not config.speaks:
+            return
+        from lemonridge.service.peers import connect_peers
+
+        coordinator = await connect_peers(self.service, fleet, config, lambda: config.seed)
+        self._endpoints.expires_decisions = True
+        if coordinator is not None:
+            self._endpoints.epoch, self.front.has_lease = coordinator.epoch, coordinator.has_lease
+
+    async def listen_for_operators(self) -> None:
+        """Answers operators' calls, where there is an address for them."""
+        if self._config.admin is not None:
+            server = AdminServer(self._admin.handle, self.service.counters)
+            await server.start(self._config.admin)
+            self.service.on_stop.append(server.stop)
+
+    async def take_over(self) -> None:
+        """Takes over from the process before, where this one has got its listening socket."""
+        folder = os.environ.get("TMPDIR")
+        if self._config.passed is None or not folder:
+            return
+        service = self.service
+        handover = ProcessHandover(
+            folder, self._config.name, self._admin, service.clock, service.counters, self._broker.open_ids
+        )
+        await self._admin.take_over(handover)
+        service.on_stop.append(self._admin.stop)
--- /dev/null
+++ b/lemonridge/service/process.py
@@ -0,0 +1,113 @@
+"""The broker's process: start of the configured fronts, signals, reload, and graceful shutdown."""
+
+from __future__ import annotations
+
+import asyncio
+import logging
+import signal
+from typing import TYPE_CHECKING
+
+from lemonridge.config.platform import ConfigError, FleetConfig, PlatformConfig, file_text, load
+from lemonridge.service.admin import listen_for_fleet_calls
+from lemonridge.service.ignored_signals import STOP_SIGNALS
+from lemonridge.service.platform import platform_service
+from lemonridge.service.service import Service
+from lemonridge.service.signals import SignalReceiver
+
+if TYPE_CHECKING:
+    from lemonridge.config.operator_file import IscsiConfig
+
+log = logging.getLogger(__name__)
+
+
+async def serve(
+    platform: PlatformConfig | None, iscsi: IscsiConfig | None, fleet: FleetConfig | None = None
+) -> None:
+    """Runs every front that is configured, until SIGTERM or SIGINT.
+
+    Raises:
+        ConfigError: A part of the configuration cannot be used.
+        OSError: An address to listen on cannot be had.
+    """
+    await BrokerProcess(platform, iscsi, fleet).run()
+
+
+class BrokerProcess:
+    """The fronts of one process, and its signals.
+
+    Args:
+        platform: The platform's front.
+        iscsi: The iSCSI front.
+        fleet: The fleet of a process without the platform's front; that one's is in `platform`.
+    """
+
+    def __init__(
+        self, platform: PlatformConfig | None, iscsi: IscsiConfig | None, fleet: FleetConfig | None
+    ) -> None:
+        self._platform, self._iscsi, self._fleet = platform, iscsi, fleet
+        self._services: list[Service] = []
+        self._stop_requested = asyncio.Event()
+        self._signals = SignalReceiver()
+
+    async def run(self) -> None:
+        """Starts the fronts, waits for the signal to stop, and stops them."""
+        for number in STOP_SIGNALS:
+            self._signals.handle(number, self._stop_requested.set)
+        self._signals.handle(signal.SIGHUP, self._reload)
+        if self._platform is not None and file_text() != self._platform.text:
+            self._reload()  # changed since it was read: its SIGHUP may have come before there was a handler
+        self._signals.handle(signal.SIGUSR1, self._print_counters)
+        await self._start_until_stop()
+        await asyncio.gather(*(service.stop() for service in self._services))
+        self._signals.close()
+
+    async def _start_until_stop(self) -> None:
+        """Starts the fronts and waits for the signal, which ends a start that waits (for etcd) too."""
+        starting = asyncio.create_task(self._start())
+        stopping = asyncio.create_task(self._stop_requested.wait())
+        await asyncio.wait((starting, stopping), return_when=asyncio.FIRST_COMPLETED)
+        if starting.done():
+            starting.result()
+        await stopping
+        starting.cancel()
+
+    async def _start(self) -> None:
+        if self._platform is not None:
+            await self._start_platform(self._platform)
+        if self._iscsi is not None:
+            await self._start_iscsi(self._iscsi)
+
+    async def _start_platform(self, platform: PlatformConfig) -> None:
+        service = await platform_service(platform)
+        if self._platform is not None and self._platform is not platform and service.configure is not None:
+            service.configure(self._platform)  # reloaded during the start
+        self._services.append(service)
+
+    async def _start_iscsi(self, iscsi: IscsiConfig) -> None:
+        from lemonridge.service.iscsi import iscsi_service  # the platform's broker does not load it
+
+        # A process is one member of a fleet, and beside the platform's front that one is it.
+        fleet = self._fleet if self._platform is None else None
+        service = await iscsi_service(iscsi, fleet)
+        if fleet is not None and fleet.admin is not None:
+            await listen_for_fleet_calls(service, fleet.admin)
+        self._services.append(service)
+
+    def _reload(self) -> None:
+        """Reads the platform's file again. A file that cannot be used changes nothing."""
+        if self._platform is None or self._stop_requested.is_set():
+            log.info("nothing to reload")
+            return
+        try:
+            self._platform = load(before=self._platform)
+        except ConfigError as error:
+            log.error("configuration rejected, the one before stays", extra={"error": str(error)})
+            return
+        log.info("configuration reloaded", extra={"discovery": str(self._platform.discovery)})
+        for service in self._services:
+            if service.configure is not None:
+                service.configure(self._platform)
+
+    def _print_counters(self) -> None:
+        for service in self._services:
+            service.print_counters("SIGUSR1")
--- a/lemonridge/service/service.py
+++ b/lemonridge/service/service.py
@@ -1,4 +1,4 @@
-"""One front with the core and the nodes' side behind it, and its end."""
+"""One front with the core and the endpoints' side behind it, from its assembly to its stop."""
 
 from __future__ import annotations
 
@@ -20,85 +20,116 @@
 
 log = logging.getLogger(__name__)
 
-IDLE_S = 0.005  # how often the end of the last request is looked for, once the program is to end
+OPEN_REQUESTS_POLL_S = 0.005  # how often a service that stops looks whether its last request has ended
 
 
 class Front(Protocol):
-    """A front, as the program's end needs it."""
+    """The clients' side, as a stop needs it."""
 
-    async def stop(self) -> None: ...
+    async def stop(self) -> None:
+        """Stops accepting, once that is due."""
+        ...
 
     @property
-    def busy(self) -> bool: ...
+    def busy(self) -> bool:
+        """Whether responses are still being written."""
+        ...
 
 
 class LocalPolicy(Protocol):
-    """What a broker's own file says of what is policy; the names are those that its clients know."""
+    """What a broker's own file says on matters of policy; the names are those that its clients use."""
 
     @property
-    def settings(self) -> Settings: ...
+    def settings(self) -> Settings:
+        """The settings of the scheduler."""
+        ...
 
     @property
-    def plans(self) -> tuple[str, ...]: ...
+    def plans(self) -> tuple[str, ...]:
+        """The names of the plans, by index."""
+        ...
 
     @property
-    def classes(self) -> tuple[str, ...]: ...
+    def classes(self) -> tuple[str, ...]:
+        """The names of the request classes, by index."""
+        ...
 
 
 class PolicyCoordination(Protocol):
-    """The policy of the fleet at this broker; see `governance.py`."""
+    """The fleet's policy at this broker; see `coordination.policy_coordinator`."""
+
+    def configure(self, own: LocalPolicy) -> Settings:
+        """Proposes the policy of a new file; returns the settings to go by until it is agreed."""
+        ...
 
-    def configure(self, own: LocalPolicy) -> Settings: ...
+    def act(self, order: AdminRequest) -> AdminReply:
+        """The reply to an operators' call about the policy."""
+        ...
 
-    def act(self, order: AdminRequest) -> AdminReply: ...
+    def has_lease(self) -> bool:
+        """Whether it is known by which policy to decide."""
+        ...
 
-    def has_lease(self) -> bool: ...
+    def epoch(self, decided_s: float) -> str | None:
+        """See `core.decision_host.LeaseGuard`."""
+        ...
 
 
 class Service:
-    """One front with the core and the nodes' side behind it."""
+    """One front with the core and the endpoints' side behind it.
+
+    Attributes:
+        name: The front's name, for the log.
+        front: The clients' side.
+        close: Closes the endpoints' side.
+        configure: Puts a new configuration in force, where the front has one that can change.
+        on_stop: Called last in a stop, in this order.
+        peers: The other brokers of the fleet.
+        coordinator: The fleet's policy.
+    """
 
     def __init__(self, name: str, settings: Settings, seed: int, counters: Counters) -> None:
         self.name, self.counters, self.clock = name, counters, Clock(asyncio.get_running_loop())
-        self.decider = DecisionHost(settings, seed, self.clock, self.counters)
-        self.directory = EndpointRegistry(self.decider, self.clock.now_us, self.clock.wall_us)
-        self.decider.relist = self.directory.entries
+        self.decision_host = DecisionHost(settings, seed, self.clock, self.counters)
+        self.registry = EndpointRegistry(self.decision_host, self.clock.now_us, self.clock.wall_us)
+        self.decision_host.list_endpoints = self.registry.endpoints
         self.front: Front
         self.close: Callable[[], Awaitable[None]]
         self.configure: Callable[[PlatformConfig], None] | None = None
-        self.endings: list[Callable[[], None]] = []  # called last
+        self.on_stop: list[Callable[[], None]] = []
         self.peers: PeerTransport | None = None
         self.coordinator: PolicyCoordination | None = None
-        self._watches: dict[str, asyncio.Task[None]] = {}
+        self._followers: dict[str, asyncio.Task[None]] = {}  # by the source's name
 
-    def speak(self, peers: PeerTransport) -> None:
-        """Speak to the other brokers."""
+    def connect(self, peers: PeerTransport) -> None:
+        """Starts messages to the other brokers."""
         self.peers = peers
-        self.endings.append(peers.stop)
-        self.watch(peers.start(), "peers")
-        self.decider.watch_for_stops()
+        self.on_stop.append(peers.stop)
+        self.follow(peers.start(), "peers")
+        self.decision_host.stall_detector.start()
 
-    def watch(self, work: Coroutine[None, None, None], what: str = "nodes") -> None:
-        """Follow a source, in place of the one before of the same."""
-        before = self._watches.get(what)
+    def follow(self, source: Coroutine[None, None, None], name: str = "endpoints") -> None:
+        """Follows a source until the stop, in place of the one of the same name."""
+        before = self._followers.get(name)
         if before is not None:
             before.cancel()
-        self._watches[what] = asyncio.create_task(work)
+        self._followers[name] = asyncio.create_task(source)
 
-    def print_counters(self, why: str) -> None:
+    def print_counters(self, reason: str) -> None:
+        """Logs all counters; `reason` says what asked for it."""
         if self.peers is not None:
             self.peers.count()
-        self.counters.print(why, self.name)
+        self.counters.print(reason, self.name)
 
     async def stop(self) -> None:
-        """Serve the tail, finish what is held, leave."""
-        log.info("stopping", extra={"front": self.name, "held": self.decider.held})
+        """Shuts down gracefully: accepts until it is due, ends the open requests, closes."""
+        log.info("stopping", extra={"front": self.name, "open_requests": self.decision_host.open_requests})
         await self.front.stop()
-        while self.decider.held or self.front.busy:
-            await asyncio.sleep(IDLE_S)
-        for watch in self._watches.values():
-            watch.cancel()
+        while self.decision_host.open_requests or self.front.busy:
+            await asyncio.sleep(OPEN_REQUESTS_POLL_S)
+        for follower in self._followers.values():
+            follower.cancel()
         await self.close()
-        for ending in self.endings:
-            ending()
+        for call in self.on_stop:
+            call()
         self.print_counters("exit")
--- a/lemonridge/service/signals.py
+++ b/lemonridge/service/signals.py
@@ -1,10 +1,10 @@
-"""The process's signals, from its first moment to its last.
+"""Calls actions in the event loop for the process's signals.
 
-A signal that nothing handles ends a process, so the ones of the pages are ignored until the program can act
-on them, and again once it is about to end. Handlers of asyncio's own would go with its loop, a moment too
-early. What a signal told while it was ignored is found out otherwise: a configuration is read again once
-SIGHUP is handled (`app.serve`). Where `run` is started by a shell, the deploy file's line ignores them before
-the program is loaded.
+A signal without a handler ends a process, so those of the pages are ignored until the program can act on
+them (`ignored_signals`), and again once it is about to end. asyncio's own handlers would go with its loop, a
+moment too early. What a signal meant that came while it was ignored is found out otherwise: `process` reads
+the configuration again once SIGHUP has a handler. Where a shell starts the program, the deploy file's line
+ignores the signals before the program is loaded.
 """
 
 from __future__ import annotations
@@ -31,19 +31,20 @@
         self._loop.add_reader(self._read_end, self._drain)
 
     def handle(self, number: signal.Signals, action: Callable[[], object]) -> None:
-        """Call `action` for each signal of this number; signals in quick series may be one."""
+        """Calls `action` for each signal of this number; signals in quick series may be one."""
 
-        def received(_number: int, _frame: object) -> None:
+        def on_signal(_number: int, _frame: object) -> None:
+            """Runs in the interpreter's signal handler."""
             self._loop.call_soon_threadsafe(action)
 
-        signal.signal(number, received)
+        signal.signal(number, on_signal)
 
     def _drain(self) -> None:
         with contextlib.suppress(BlockingIOError):
             self._read_end.recv(4096)
 
     def close(self) -> None:
-        """The program ends: no signal does anything from here on."""
+        """Ends the handling: from here on the signals are ignored, as the process is about to end."""
         ignore_all()
         signal.set_wakeup_fd(-1)
         self._loop.remove_reader(self._read_end)
--- a/tests/extents/test_extent_map.py
+++ b/tests/extents/test_extent_map.py
@@ -292,7 +292,7 @@
 
 def test_what_waits_goes_by_the_map_and_what_flies_does_not() -> None:
     atlas, one, two = held(), route(), route()
-    two.flying = True
+    two.attempt_in_flight = True
     moved(atlas, 3, 2)
     assert routing.caught_up(atlas, one) and not routing.caught_up(atlas, one)
     assert not routing.caught_up(atlas, two) and (one.shard, two.shard) == (3, 0)
--- a/tests/integration/test_extents_live.py
+++ b/tests/integration/test_extents_live.py
@@ -188,7 +188,7 @@
 
     async def test_what_waits_for_a_dead_shard_goes_on_when_its_extent_moves(self) -> None:
         self.etcd.delete("/t/nodes/n1")
-        await self.program.line("condition=left")
+        await self.program.line("state=removed")
         tag = self.session.command(cdb(0x28, 16, BLOCK), read=BLOCK)
         while (await self.program.counters()).get("requests.taken", 0) < 1:
             await asyncio.sleep(0)
@@ -294,7 +294,7 @@
             record = (0).to_bytes(4, "big") + (16).to_bytes(8, "big") + (16).to_bytes(8, "big")
             self.assertGreaterEqual(raw.find(record), 0)
             path.write_bytes(raw.replace(record, record[:-1] + b"\x11"))
-        await self.launch(wait="kept map not used")
+        await self.launch(wait="cached map not used")
         async with asyncio.timeout(10):
             while await self.write(2, 0, 64) != GOOD:
                 await asyncio.sleep(0.01)
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -12,9 +12,11 @@
 from lemonridge.core.broker import Broker
 from lemonridge.core.clock import Clock
 from lemonridge.core.counters import Counters
-from lemonridge.core.decision_host import CATCH_UP_S, DecisionHost
-from lemonridge.core.model import AnswerKind, Attempt, ConnectFailedError, Outcome, Request
-from lemonridge.core.start_times import KEPT_MAX, NEWS_LATE_US, StartTimes
+from lemonridge.core.decision_host import DecisionHost
+from lemonridge.core.errors import ConnectFailedError
+from lemonridge.core.model import AnswerKind, Attempt, Outcome, Request
+from lemonridge.core.stall_detector import CATCH_UP_S
+from lemonridge.core.start_times import START_TIMES_MAX, WATCH_EVENT_AGE_MAX_US, StartTimes
 from lemonridge.scheduling.actions import Action, Cancel, Fail, Reject, RejectReason, Send
 from lemonridge.scheduling.events import (
     AttemptEnded,
@@ -69,7 +71,7 @@
         return Request(0, 1, self.decider.clock.now_us() + left_us, 2, 0, 0, 1.0, 1, None)
 
     async def quiet(self) -> None:
-        while self.decider.held:
+        while self.decider.open_requests:
             await asyncio.sleep(0)
         await asyncio.sleep(0)
 
@@ -80,13 +82,15 @@
             else []
         )
         answers = await asyncio.gather(*(self.broker.serve(self.request()) for _ in range(5)))
-        self.assertEqual({(one.kind, one.backoff_us) for one in answers}, {(AnswerKind.REFUSED, 7)})
+        self.assertEqual({(one.kind, one.retry_after_us) for one in answers}, {(AnswerKind.REJECTED, 7)})
         self.assertEqual(len(self.policy.batches[0]), 5)
 
     async def test_after_a_stop_nothing_is_decided_until_what_came_meanwhile_is_read(self) -> None:
-        self.decider.watch_for_stops()
+        self.decider.stall_detector.start()
         loop = asyncio.get_running_loop()
-        self.decider._beat_s = loop.time() - 1.0  # as a process finds it that was stopped for a second
+        self.decider.stall_detector._last_heartbeat_s = (
+            loop.time() - 1.0
+        )  # as a process finds it that was stopped for a second
         begun = loop.time()
         self.decider.deliver(ClientDisconnected("r1"))
         await asyncio.sleep(0)
@@ -103,7 +107,7 @@
         order: list[str] = []
 
         class Looker:
-            def arrived(self, event: RequestArrived) -> None:
+            def on_request_arrived(self, event: RequestArrived) -> None:
                 order.append("observer")
 
             def __getattr__(self, name: str) -> Callable[..., None]:
@@ -169,7 +173,7 @@
             (unreached, False, False, AttemptResult.CONNECT_FAILED),
         ):
             with self.subTest(result=result, behave=behave.__name__):
-                self.behave, name = behave, f"r{self.decider._taken + 1}"
+                self.behave, name = behave, f"r{self.decider._requests_received + 1}"
                 case.update(reaches=reaches, cancels=cancels)
 
                 def react(event: Event, name: str = name) -> list[Action]:
@@ -279,7 +283,7 @@
             return Outcome(AttemptResult.OK, b"x")
 
         self.behave = ok
-        self.decider.relist = lambda: (Endpoint("a", 0, 0, EndpointState.ACTIVE, 0),)
+        self.decider.list_endpoints = lambda: (Endpoint("a", 0, 0, EndpointState.ACTIVE, 0),)
         self.policy.react = broken
         answers = await asyncio.gather(*(self.broker.serve(self.request()) for _ in range(3)))
         self.assertEqual({one.kind for one in answers}, {AnswerKind.FAILED})
@@ -292,7 +296,7 @@
         test = self
 
         class Way:
-            flying, shard = False, 0
+            attempt_in_flight, shard = False, 0
 
         class Ways:
             def open(self, request: Request, told: Callable[[int], None]) -> None:
@@ -310,7 +314,7 @@
                 return where.pop(0)
 
         async def elsewhere(attempt: Attempt) -> Outcome:
-            attempt.begun = test.flew = way.flying
+            attempt.begun = test.flew = way.attempt_in_flight
             return (
                 Outcome(AttemptResult.DATA_MIGRATED, "elsewhere")
                 if where
@@ -333,7 +337,7 @@
         request.route = way
         answer = await broker.serve(request)
         await self.quiet()
-        self.assertTrue(self.flew and self.closed and not way.flying)
+        self.assertTrue(self.flew and self.closed and not way.attempt_in_flight)
         return answer.kind, self.policy.of(AttemptEnded)
 
     async def test_a_request_whose_data_moved_goes_on_as_one_request(self) -> None:
@@ -346,7 +350,7 @@
 
     async def test_a_move_that_leads_nowhere_ends_in_the_modules_word(self) -> None:
         kind, ended = await self.moves([None])
-        self.assertEqual((kind, len(ended)), (AnswerKind.REFUSED, 1))
+        self.assertEqual((kind, len(ended)), (AnswerKind.REJECTED, 1))
 
     async def test_the_wait_for_news_of_a_move_ends_with_the_deadline(self) -> None:
         class Silent:
@@ -359,7 +363,7 @@
                 raise AssertionError
 
         class Way:
-            flying, shard = False, 0
+            attempt_in_flight, shard = False, 0
 
         async def gone(attempt: Attempt) -> Outcome:
             attempt.begun = True
@@ -376,7 +380,7 @@
         broker = Broker(self.decider, self, self.counters, Silent())  # type: ignore[arg-type]
         request = self.request(30_000)
         request.route = Way()
-        self.assertEqual((await broker.serve(request)).kind, AnswerKind.REFUSED)
+        self.assertEqual((await broker.serve(request)).kind, AnswerKind.REJECTED)
         self.assertEqual([one.shard for one in self.policy.of(DataMigrated)], [None])
 
 
@@ -386,19 +390,21 @@
     def test_a_start_is_placed_once_and_what_cannot_be_is_now(self) -> None:
         starts, now = StartTimes(), 10**13
         told = now - 2_000_000
-        self.assertEqual(starts.place("a", told, now, now, NEWS_LATE_US), told)
+        self.assertEqual(starts.place("a", told, now, now, WATCH_EVENT_AGE_MAX_US), told)
         for step in (-3_600_000_000, 3_600_000_000):  # heard again after the wall clock was stepped
-            self.assertEqual(starts.place("a", told, now + 5, now + step, NEWS_LATE_US), told)
-        self.assertEqual(starts.place("b", now + 1, now, now, NEWS_LATE_US), now)
-        self.assertEqual(starts.place("c", now - NEWS_LATE_US - 1, now, now, NEWS_LATE_US), now)
+            self.assertEqual(starts.place("a", told, now + 5, now + step, WATCH_EVENT_AGE_MAX_US), told)
+        self.assertEqual(starts.place("b", now + 1, now, now, WATCH_EVENT_AGE_MAX_US), now)
+        self.assertEqual(
+            starts.place("c", now - WATCH_EVENT_AGE_MAX_US - 1, now, now, WATCH_EVENT_AGE_MAX_US), now
+        )
         self.assertEqual(starts.place("d", now - 10**9, now, now, None), now - 10**9)
         self.assertEqual(starts.place("d", 0, now, now, None), 0)
 
     def test_the_bound_keeps_those_that_are_listed(self) -> None:
         starts = StartTimes()
-        for number in range(KEPT_MAX + 10):
+        for number in range(START_TIMES_MAX + 10):
             starts.place(f"n{number}", number + 1, 10**13, 10**13, None)
         starts.prune({"n0", "n1"})
-        self.assertEqual(len(starts.held()), KEPT_MAX)
-        self.assertIn("n1", starts.held())
-        self.assertNotIn("n2", starts.held())
+        self.assertEqual(len(starts.export()), START_TIMES_MAX)
+        self.assertIn("n1", starts.export())
+        self.assertNotIn("n2", starts.export())
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -113,7 +113,7 @@
         node = await asyncio.start_server(hang, "127.0.0.1", 0, limit=1 << 12)
         self.addCleanup(node.close)
         self.register.set("s-2", node.sockets[0].getsockname()[1], shard=1)
-        await self.program.line("node=s-2")
+        await self.program.line("endpoint=s-2")
         body = b"x" * (20 << 20)  # more than the system holds of it
         answer = await self.client.ask("new-write", shard=1, body=body, X_Deadline_Ms="500")
         self.assertNotEqual(answer.status, 200)
@@ -145,7 +145,7 @@
         node = await asyncio.start_server(full_once, "127.0.0.1", 0, limit=1 << 12)
         self.addCleanup(node.close)
         self.register.set("s-2", node.sockets[0].getsockname()[1], shard=1)
-        await self.program.line("node=s-2")
+        await self.program.line("endpoint=s-2")
         answer = await self.client.ask("new-write", shard=1, body=body)
         self.assertEqual((answer.status, answer.body), (200, b"whole"))
         free.set()
@@ -219,7 +219,7 @@
         with socket.socket() as late:
             fill = full_backlog(late)
             self.register.set("s-2", late.getsockname()[1], shard=1)
-            await self.program.line("node=s-2")
+            await self.program.line("endpoint=s-2")
             client = await self.connect()
             client.writer.write(client.text(shard=1, X_Request_Id="00000000000000aa"))
             await self.program.counted("connections.opened")
@@ -282,7 +282,7 @@
 
     async def drained_after(self, since_s: float) -> float:
         """How long after a moment on the loop's clock the drain of the node was taken up."""
-        await self.program.line("condition=leaving")
+        await self.program.line("state=draining")
         return asyncio.get_running_loop().time() - since_s
 
     async def watching(self) -> int:
@@ -421,7 +421,7 @@
         self.addCleanup(self.late.close)
         self.fill = full_backlog(self.late)
         self.register.set("s-2", self.late.getsockname()[1], shard=1)
-        await self.program.line("node=s-2")
+        await self.program.line("endpoint=s-2")
 
     async def come_up(self) -> Server:
         """The node takes connections from here on."""
@@ -443,7 +443,7 @@
         asking = asyncio.create_task(self.client.ask(shard=1, X_Deadline_Ms="1200"))
         await self.program.counted("connections.opened")
         self.register.set("s-2", self.late.getsockname()[1], shard=1, health="draining")
-        await self.program.line("condition=leaving")
+        await self.program.line("state=draining")
         node = await self.come_up()
         self.assertEqual((await asking).status, 503)
         self.assertFalse(node.seen)
--- a/tests/test_customers.py
+++ b/tests/test_customers.py
@@ -115,8 +115,8 @@
         """A new object may go to any node; its repeat only to the zone in which it is dropped."""
         other = await Server(serve_ok).start()
         self.register.set("s-1", self.node.port, shard=0, site="quay-1")
-        await self.program.line("node=s-1")
-        await self.program.line("node=s-1")
+        await self.program.line("endpoint=s-1")
+        await self.program.line("endpoint=s-1")
         self.node.script = self.resets
         asking = asyncio.create_task(self.ask("booking", shard=-1, X_Deadline_Ms="2000"))
         await self.node.until(lambda: len(self.node.seen) == 1)
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -164,7 +164,7 @@
             told = self.record(slow)
             self.register.set("s-1", self.node.port, health="draining")
             self.register.set("s-2", made.getsockname()[1])
-            await self.program.line("node=s-2")
+            await self.program.line("endpoint=s-2")
             loop = asyncio.get_running_loop()
             asked = asyncio.create_task(self.ask_held_up())
             await pause(loop.time() + 0.5)
@@ -455,7 +455,7 @@
             if moment == "during":
                 faults.set(wall_step_s=step_s)
             case.register.set("s-1", case.node.port, born_ms=time.time_ns() // 1_000_000)
-            await case.program.line("event=listed node=s-1")
+            await case.program.line('event="endpoint listed" endpoint=s-1')
             if moment == "after":
                 faults.set(wall_step_s=step_s)
             told = asyncio.get_running_loop().time()
--- a/tests/test_format_admin.py
+++ b/tests/test_format_admin.py
@@ -28,7 +28,8 @@
 from lemonridge.fleet import datagrams, fleet_member, health_gossip, quota_lending
 from lemonridge.fleet.member_list import MemberList, key_of
 from lemonridge.fleet.status_report import report, table, whole
-from lemonridge.operate.admin_calls import AdminCall, AdminReply, AdminRequest, BadCallError, longest, parse
+from lemonridge.operate.admin_calls import AdminCall, AdminReply, AdminRequest, line_max, parse
+from lemonridge.operate.errors import BadCallError
 from lemonridge.operate.lifecycle import Phase
 from lemonridge.rollout import policy_document
 from lemonridge.rollout.rollout_member import StoredVote
@@ -105,9 +106,13 @@
 
 def test_replies_and_lengths() -> None:
     assert AdminReply(done=True).encode() == b"ACK\n"
-    assert AdminReply(done=True, why="out").encode() == b"ACK out\n"
-    assert AdminReply(done=False, why="zu fr\u00fch").encode() == b"NAK zu fr?h\n"
-    assert (longest(b"ready"), longest(b"policy-propose {"), longest(b"policy-force {")) == (512, 32768, 512)
+    assert AdminReply(done=True, text="out").encode() == b"ACK out\n"
+    assert AdminReply(done=False, text="zu fr\u00fch").encode() == b"NAK zu fr?h\n"
+    assert (line_max(b"ready"), line_max(b"policy-propose {"), line_max(b"policy-force {")) == (
+        512,
+        32768,
+        512,
+    )
 
 
 # The fleet
@@ -315,7 +320,7 @@
     loop = asyncio.get_running_loop()
     clock = SimpleNamespace(now_us=lambda: 10**9, loop_time=lambda at_us: loop.time() + 60)
     peers = SimpleNamespace(life=77, post=lambda items: None, configure=lambda settings: None)
-    decider = SimpleNamespace(look=lambda: None)
+    decider = SimpleNamespace(recheck_lease=lambda: None)
     here = Address("127.0.0.1", 1)
     plan = FleetConfig(
         names=("b0", "b1"), me=0, listen=here, addresses=(here, here), rollout=RolloutConfig(str(path))
--- a/tests/test_format_etcd.py
+++ b/tests/test_format_etcd.py
@@ -186,7 +186,7 @@
         feed.begin()
         feed.page(events)
         feed.finish()
-        return [call.args for call in directory.take.call_args_list]
+        return [call.args for call in directory.update.call_args_list]
 
     def plans(self, *events: Event) -> dict[str, VolumePlan]:
         feed = PlansFeed(Counters())
@@ -208,12 +208,14 @@
         ((kind, (one, other)),) = self.endpoints(Event("nodes/n1", full, 5), Event("nodes/n2", least, 6))
 
         self.assertIs(kind, EndpointListUpdate.SNAPSHOT)
-        self.assertEqual((one.entry.endpoint_id, one.entry.shard), ("n1", 3))
-        self.assertIs(one.entry.condition, EndpointState.DRAINING)
-        self.assertEqual(one.entry.started_us, 1_700_000_000_123_000)
+        self.assertEqual((one.endpoint.endpoint_id, one.endpoint.shard), ("n1", 3))
+        self.assertIs(one.endpoint.condition, EndpointState.DRAINING)
+        self.assertEqual(one.endpoint.started_us, 1_700_000_000_123_000)
         self.assertEqual(one.address, "127.0.0.1:3260/iqn.2026-12.org.lemonridge:n1")
-        self.assertEqual((other.entry.endpoint_id, other.entry.shard, other.entry.started_us), ("n2", 0, 0))
-        self.assertIs(other.entry.condition, EndpointState.ACTIVE)
+        self.assertEqual(
+            (other.endpoint.endpoint_id, other.endpoint.shard, other.endpoint.started_us), ("n2", 0, 0)
+        )
+        self.assertIs(other.endpoint.condition, EndpointState.ACTIVE)
 
     def test_a_plan_is_read(self) -> None:
         told = self.plans(
--- a/tests/test_format_handover.py
+++ b/tests/test_format_handover.py
@@ -1,9 +1,7 @@
 """What a process and its successor tell each other, byte for byte: an upgrade runs two versions at once.
 
-The names of the code stand in the builders below; what follows are literals. The word in `say` is derived
-from the message's class name in lower case when it is written (`Take`, `Given`, `No`, `Called`, `Done`,
-`Ids`) and is a literal when it is read: a rename of one of these classes needs a table of words. All other
-keys are literals in the code.
+The names of the code stand in the builders below; what follows are literals. Every key and word of a message
+is a literal in `operate.handover_format`.
 """
 
 from __future__ import annotations
@@ -18,37 +16,37 @@
 from lemonridge.core.open_ids import OpenIds
 from lemonridge.core.start_times import StartTime
 from lemonridge.net.process_handover import ProcessHandover
-from lemonridge.operate import handover
+from lemonridge.operate import handover, handover_format
 from lemonridge.operate.admin_calls import AdminCall, AdminReply, AdminRequest
 from lemonridge.operate.maintenance import ReturnedToService
 from lemonridge.scheduling.events import Endpoint, EndpointState, LimitLevel
 
 
 def row(number: int, condition: EndpointState) -> handover.HandedOverEndpoint:
-    entry = Endpoint(endpoint_id=f"s-{number}", shard=3, zone=1, condition=condition, started_us=9)
-    return handover.HandedOverEndpoint(entry=entry, address=f"127.0.0.1:{number}")
+    endpoint = Endpoint(endpoint_id=f"s-{number}", shard=3, zone=1, condition=condition, started_us=9)
+    return handover.HandedOverEndpoint(endpoint=endpoint, address=f"127.0.0.1:{number}")
 
 
 STATE = handover.HandoverState(
-    out={"s-1": 5, "s-9": 6},
-    back={"s-2": ReturnedToService(out_us=1, back_us=4)},
-    drained_us=7,
-    levels={
+    banned={"s-1": 5, "s-9": 6},
+    returned={"s-2": ReturnedToService(banned_us=1, returned_us=4)},
+    drain_began_us=7,
+    limit_levels={
         2**64 - 1: LimitLevel(saved=2.5, owed=3.25, owed_until_us=11),
         4: LimitLevel(saved=1.0),
     },
-    rows=(row(1, EndpointState.ACTIVE), row(2, EndpointState.DRAINING), row(3, EndpointState.REMOVED)),
-    starts={"s-1": StartTime(told_us=9, own_us=8)},
+    endpoints=(row(1, EndpointState.ACTIVE), row(2, EndpointState.DRAINING), row(3, EndpointState.REMOVED)),
+    start_times={"s-1": StartTime(unix_us=9, own_us=8)},
     open_ids=("a", "b"),
-    base_us=3,
+    clock_base_us=3,
 )
 EMPTY = handover.HandoverState()
 
 PAIRS = {
-    "take": (handover.HandoverRequested(ids=True), b'{"v":1,"say":"take","ids":true}\n'),
+    "take": (handover.HandoverRequested(wants_ids=True), b'{"v":1,"say":"take","ids":true}\n'),
     "take, no ids": (handover.HandoverRequested(), b'{"v":1,"say":"take","ids":false}\n'),
     "given": (
-        handover.HandoverGranted(estate=STATE),
+        handover.HandoverGranted(state=STATE),
         b'{"v":1,"say":"given","out":{"s-1":5,"s-9":6},"back":{"s-2":[1,4]},"drained_us":7,'
         b'"levels":[[18446744073709551615,2.5],[4,1.0]],'
         b'"owed":[[18446744073709551615,3.25,11],[4,0.0,0]],'
@@ -57,33 +55,33 @@
         b'"starts":{"s-1":[9,8]},"base_us":3,"ids":["a","b"]}\n',
     ),
     "given, empty": (
-        handover.HandoverGranted(estate=EMPTY),
+        handover.HandoverGranted(state=EMPTY),
         b'{"v":1,"say":"given","out":{},"back":{},"drained_us":null,"levels":[],"owed":[],"rows":[],'
         b'"starts":{},"base_us":0}\n',
     ),
     "no": (
-        handover.HandoverRefused(why="handed over already"),
+        handover.HandoverRefused(reason="handed over already"),
         b'{"v":1,"say":"no","why":"handed over already"}\n',
     ),
     "called, a node": (
-        handover.CallForwarded(number=4, order=AdminRequest(call=AdminCall.DISABLE, endpoint_id="s-1")),
+        handover.CallForwarded(number=4, request=AdminRequest(call=AdminCall.DISABLE, endpoint_id="s-1")),
         b'{"v":1,"say":"called","number":4,"call":"disable-server","node":"s-1"}\n',
     ),
     "called back, a node": (
-        handover.CallForwarded(number=6, order=AdminRequest(call=AdminCall.ENABLE, endpoint_id="s-1")),
+        handover.CallForwarded(number=6, request=AdminRequest(call=AdminCall.ENABLE, endpoint_id="s-1")),
         b'{"v":1,"say":"called","number":6,"call":"enable-server","node":"s-1"}\n',
     ),
     "called, a drain": (
-        handover.CallForwarded(number=5, order=AdminRequest(call=AdminCall.DRAIN)),
+        handover.CallForwarded(number=5, request=AdminRequest(call=AdminCall.DRAIN)),
         b'{"v":1,"say":"called","number":5,"call":"drain","node":""}\n',
     ),
     "called, its end": (
-        handover.CallForwarded(number=7, order=AdminRequest(call=AdminCall.RESUME)),
+        handover.CallForwarded(number=7, request=AdminRequest(call=AdminCall.RESUME)),
         b'{"v":1,"say":"called","number":7,"call":"resume","node":""}\n',
     ),
     "done": (handover.CallAcknowledged(number=3), b'{"v":1,"say":"done","number":3}\n'),
     "ids": (
-        handover.OpenIdsChanged(opened=("a",), ended=("b", "c")),
+        handover.OpenIdsChanged(opened=("a",), closed=("b", "c")),
         b'{"v":1,"say":"ids","opened":["a"],"ended":["b","c"]}\n',
     ),
 }
@@ -93,7 +91,7 @@
 def test_a_message_is_written_and_read_byte_for_byte(what: str) -> None:
     message, line = PAIRS[what]
 
-    written, read = handover.encode(message), handover.decode(line)
+    written, read = handover_format.encode(message), handover_format.decode(line)
 
     assert written == line
     assert read == message
@@ -105,23 +103,25 @@
         b'"levels":[[4,1.5]],"rows":[]}\n'
     )
 
-    read = handover.decode(line)
+    read = handover_format.decode(line)
 
     assert read == handover.HandoverGranted(
         handover.HandoverState(
-            out={"s-1": 5}, back={"s-2": ReturnedToService(1, 4)}, levels={4: LimitLevel(saved=1.5)}
+            banned={"s-1": 5},
+            returned={"s-2": ReturnedToService(1, 4)},
+            limit_levels={4: LimitLevel(saved=1.5)},
         )
     )
-    assert handover.decode(b'{"v":1,"say":"take"}\n') == handover.HandoverRequested(ids=False)
+    assert handover_format.decode(b'{"v":1,"say":"take"}\n') == handover.HandoverRequested(wants_ids=False)
 
 
 def test_the_bounds_of_messages() -> None:
-    assert (handover.VERSION, handover.LINE_MAX) == (1, 4_194_304)
-    assert (handover.ROWS_MAX, handover.IDS_MAX) == (65_536, 65_536)
+    assert (handover_format.VERSION, handover_format.LINE_MAX) == (1, 4_194_304)
+    assert (handover_format.ROWS_MAX, handover_format.IDS_MAX) == (65_536, 65_536)
 
 
 def test_the_words_of_nodes_and_of_calls() -> None:
-    assert [handover.WORD_OF_STATE[one] for one in EndpointState] == ["active", "leaving", "left"]
+    assert [handover_format.WORD_OF_STATE[one] for one in EndpointState] == ["active", "leaving", "left"]
     assert [
         one.value for one in (AdminCall.DISABLE, AdminCall.ENABLE, AdminCall.DRAIN, AdminCall.RESUME)
     ] == [
@@ -141,11 +141,11 @@
     def export_state(self) -> handover.HandoverState:
         return STATE
 
-    def take_back(self) -> None:
+    def undo_handover(self) -> None:
         pass
 
-    def obey(self, order: AdminRequest) -> AdminReply:
-        self.obeyed.append(order)
+    def apply(self, request: AdminRequest) -> AdminReply:
+        self.obeyed.append(request)
         return AdminReply(True)
 
 
@@ -177,7 +177,7 @@
         first_writer.write(b'{"v":1,"say":"called","number":9,"call":"drain","node":""}\n')
         answers.append(await first.readline())
         open_ids.open("request-2")
-        open_ids.end("request-1")
+        open_ids.close("request-1")
         answers.append(await first.readline())
         first_writer.close()
     finally:
@@ -214,14 +214,14 @@
     server = await asyncio.start_unix_server(answer, str(folder / "n1.handover"))
     clock = Clock(asyncio.get_running_loop())
     one = ProcessHandover(str(folder), "n1", Host(), clock, Counters(), OpenIds())
-    estate = await one.take_over()
+    state = await one.take_over()
     one.stop()
     server.close()
-    return heard[0], estate
+    return heard[0], state
 
 
 def test_a_successor_asks_byte_for_byte(tmp_path: Path) -> None:
-    heard, estate = asyncio.run(asyncio.wait_for(ask(tmp_path), 10))
+    heard, state = asyncio.run(asyncio.wait_for(ask(tmp_path), 10))
 
     assert heard == b'{"v":1,"say":"take","ids":true}\n'
-    assert estate == STATE
+    assert state == STATE
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -34,10 +34,9 @@
 from test_operate import call
 
 from lemonridge.core.start_times import StartTime
-from lemonridge.operate import handover
 from lemonridge.operate.admin_calls import AdminCall, AdminRequest
+from lemonridge.operate.errors import BadMessageError
 from lemonridge.operate.handover import (
-    BadMessageError,
     CallAcknowledged,
     CallForwarded,
     HandedOverEndpoint,
@@ -46,9 +45,8 @@
     HandoverRequested,
     HandoverState,
     OpenIdsChanged,
-    decode,
-    encode,
 )
+from lemonridge.operate.handover_format import IDS_MAX, ROWS_MAX, decode, encode
 from lemonridge.operate.maintenance import ReturnedToService
 from lemonridge.scheduling.actions import Send
 from lemonridge.scheduling.events import (
@@ -63,18 +61,18 @@
 )
 
 STATE = HandoverState(
-    out={"s-1": 5},
-    back={"s-2": ReturnedToService(1, 4)},
-    drained_us=7,
-    levels={2**64 - 1: LimitLevel(2.5, 3.0, 11)},
-    rows=(HandedOverEndpoint(Endpoint("s-1", 3, 1, EndpointState.DRAINING, 9), "127.0.0.1:1"),),
-    starts={"s-1": StartTime(9, 8)},
+    banned={"s-1": 5},
+    returned={"s-2": ReturnedToService(1, 4)},
+    drain_began_us=7,
+    limit_levels={2**64 - 1: LimitLevel(2.5, 3.0, 11)},
+    endpoints=(HandedOverEndpoint(Endpoint("s-1", 3, 1, EndpointState.DRAINING, 9), "127.0.0.1:1"),),
+    start_times={"s-1": StartTime(9, 8)},
     open_ids=("a", "b"),
-    base_us=3,
+    clock_base_us=3,
 )
 MESSAGES = (
     HandoverRequested(),
-    HandoverRequested(ids=True),
+    HandoverRequested(wants_ids=True),
     OpenIdsChanged(("a",), ("b", "c")),
     HandoverRefused("so"),
     HandoverGranted(STATE),
@@ -94,22 +92,23 @@
         for step in (-3_600_000_000, -2_000_000, 2_000_000, 3_600_000_000):
             base = 10**13
             told = HandoverState(
-                out={"a": base + 5},
-                back={"b": ReturnedToService(base + 1, base + 4)},
-                drained_us=base + 7,
-                levels={1: LimitLevel(2.0, 3.0, base + 8)},
-                starts={"a": StartTime(123, base + 9)},
-                base_us=base,
+                banned={"a": base + 5},
+                returned={"b": ReturnedToService(base + 1, base + 4)},
+                drain_began_us=base + 7,
+                limit_levels={1: LimitLevel(2.0, 3.0, base + 8)},
+                start_times={"a": StartTime(123, base + 9)},
+                clock_base_us=base,
             )
             took = told.on_clock(base + step)
             self.assertEqual(
-                (took.out["a"], took.back["b"]),
+                (took.banned["a"], took.returned["b"]),
                 (base + step + 5, ReturnedToService(base + step + 1, base + step + 4)),
             )
             self.assertEqual(
-                (took.drained_us, took.starts["a"]), (base + step + 7, StartTime(123, base + step + 9))
+                (took.drain_began_us, took.start_times["a"]),
+                (base + step + 7, StartTime(123, base + step + 9)),
             )
-            self.assertEqual(took.levels[1], LimitLevel(2.0, 3.0, base + step + 8))
+            self.assertEqual(took.limit_levels[1], LimitLevel(2.0, 3.0, base + step + 8))
 
     def test_what_a_process_of_an_earlier_version_does_not_tell_is_none(self) -> None:
         told = json.loads(encode(HandoverGranted(STATE)))
@@ -117,9 +116,11 @@
             del told[name]
         read = decode(json.dumps(told).encode())
         assert isinstance(read, HandoverGranted)
-        self.assertEqual(read.estate.levels, {2**64 - 1: LimitLevel(2.5)})
-        self.assertEqual((read.estate.open_ids, read.estate.starts, read.estate.base_us), (None, {}, 0))
-        self.assertEqual(decode(b'{"v":1,"say":"take"}\n'), HandoverRequested(ids=False))
+        self.assertEqual(read.state.limit_levels, {2**64 - 1: LimitLevel(2.5)})
+        self.assertEqual(
+            (read.state.open_ids, read.state.start_times, read.state.clock_base_us), (None, {}, 0)
+        )
+        self.assertEqual(decode(b'{"v":1,"say":"take"}\n'), HandoverRequested(wants_ids=False))
 
     def test_half_a_message_or_another_versions_is_worth_nothing(self) -> None:
         line = encode(HandoverGranted(STATE))
@@ -137,14 +138,14 @@
             {"rows": [["s"]]},
             {"ids": "a"},
             {"ids": [1]},
-            {"ids": ["a"] * (handover.IDS_MAX + 1)},
+            {"ids": ["a"] * (IDS_MAX + 1)},
             {"owed": [[1, -1, 2]]},
             {"owed": [[1, 1]]},
-            {"owed": [[1, 1, 2]] * (handover.ROWS_MAX + 1)},
+            {"owed": [[1, 1, 2]] * (ROWS_MAX + 1)},
             {"rows": [["s", 1, 1, "odd", 0, ""]]},
             {"back": {"s": [1]}},
             {"drained_us": "x"},
-            {"levels": [[1, 1]] * (handover.ROWS_MAX + 1)},
+            {"levels": [[1, 1]] * (ROWS_MAX + 1)},
         ):
             with self.subTest(change=list(change)), self.assertRaises(BadMessageError):
                 decode(json.dumps({**json.loads(line), **change}).encode())
@@ -407,7 +408,7 @@
     async def test_if_the_successor_dies_the_one_before_goes_on(self) -> None:
         program, _ = await self.follow()
         await program.end(signal.SIGKILL)
-        await self.program.line("taken back")
+        await self.program.line("successor gone, serving again")
         self.assertEqual((await (await self.connect()).ask()).status, 200)
         await self.follow()  # and it can be replaced again
 
--- a/tests/test_operate.py
+++ b/tests/test_operate.py
@@ -13,8 +13,9 @@
 from hypothesis import strategies as st
 
 from lemonridge.operate import lifecycle as times
-from lemonridge.operate.admin_calls import LINE_MAX, AdminCall, AdminRequest, BadCallError, parse
-from lemonridge.operate.lifecycle import FAR_US, Lifecycle, Phase
+from lemonridge.operate.admin_calls import LINE_MAX, AdminCall, AdminRequest, parse
+from lemonridge.operate.errors import BadCallError
+from lemonridge.operate.lifecycle import NEVER_US, Lifecycle, Phase
 from lemonridge.operate.maintenance import Maintenance
 from lemonridge.scheduling.events import Endpoint, EndpointState
 
@@ -57,21 +58,21 @@
         for now in (10, 20):
             self.assertTrue(bans.disable("s-1", now))
         for condition in EndpointState:
-            self.assertIsNot(bans.over(entry(condition=condition)).condition, EndpointState.ACTIVE)
-        self.assertIs(bans.over(entry(condition=EndpointState.REMOVED)).condition, EndpointState.REMOVED)
+            self.assertIsNot(bans.apply(entry(condition=condition)).condition, EndpointState.ACTIVE)
+        self.assertIs(bans.apply(entry(condition=EndpointState.REMOVED)).condition, EndpointState.REMOVED)
         self.assertTrue(bans.enable("s-1", 30))
-        self.assertIs(bans.over(entry()).condition, EndpointState.ACTIVE)
+        self.assertIs(bans.apply(entry()).condition, EndpointState.ACTIVE)
 
     def test_a_node_that_is_back_is_cold_from_the_call_until_discovery_tells_its_start(self) -> None:
         bans = Maintenance()
         bans.disable("s-1", 10)
         bans.enable("s-1", 30)
-        self.assertEqual(bans.over(entry(9)).started_us, 30)
-        self.assertEqual(bans.over(entry(25)).started_us, 25)
+        self.assertEqual(bans.apply(entry(9)).started_us, 30)
+        self.assertEqual(bans.apply(entry(25)).started_us, 25)
         bans.prune(["s-1"])
-        self.assertEqual(bans.over(entry(0)).started_us, 30)
+        self.assertEqual(bans.apply(entry(0)).started_us, 30)
         bans.prune([])
-        self.assertEqual(bans.over(entry(0)).started_us, 0)
+        self.assertEqual(bans.apply(entry(0)).started_us, 0)
 
     @given(st.lists(st.tuples(st.sampled_from(["disable", "enable", "prune", "hand"]), st.integers(0, 3))))
     def test_what_is_out_is_what_was_called_out_last(self, steps: list[tuple[str, int]]) -> None:
@@ -88,9 +89,9 @@
                 bans.prune([])  # nothing is listed any more: a ban stays
             else:
                 after = Maintenance()
-                after.inherit(bans.out(), bans.back())
+                after.replace_all(bans.banned(), bans.returned())
                 bans = after
-            self.assertEqual(set(bans.out()), out)
+            self.assertEqual(set(bans.banned()), out)
 
 
 S = 1_000_000
@@ -109,11 +110,11 @@
         for longest_ms, *told in rows:
             plan = times.stop_schedule(longest_ms * 1000)
             worked_out = (
-                plan.closes_answered_us,
-                plan.accepts_until_us,
-                plan.begun_by_us,
-                plan.answered_by_us,
-                plan.killed_us,
+                plan.close_after_answer_from_us,
+                plan.accept_until_us,
+                plan.request_complete_by_us,
+                plan.answer_by_us,
+                plan.kill_earliest_us,
             )
             self.assertEqual(told, [one // 1000 for one in worked_out])
 
@@ -123,21 +124,21 @@
         self.assertFalse(lifecycle.ready)
         self.assertTrue(lifecycle.allows_keep_alive(11 * S))
         self.assertFalse(lifecycle.allows_keep_alive(12 * S))
-        self.assertLess(lifecycle.closes_us, 14 * S - times.DRAIN_YOUNG_US // 4)
-        self.assertLess(lifecycle.due(12 * S), 14 * S)
-        self.assertEqual(lifecycle.due(11 * S), FAR_US)  # it may take its whole time
+        self.assertLess(lifecycle.close_idle_from_us, 14 * S - times.DRAIN_YOUNG_REQUESTS_US // 4)
+        self.assertLess(lifecycle.answer_by_us(12 * S), 14 * S)
+        self.assertEqual(lifecycle.answer_by_us(11 * S), NEVER_US)  # it may take its whole time
         self.assertTrue(lifecycle.resume())
         self.assertTrue(lifecycle.ready and lifecycle.allows_keep_alive(15 * S))
-        self.assertEqual((lifecycle.closes_us, lifecycle.due(13 * S)), (FAR_US, FAR_US))
+        self.assertEqual((lifecycle.close_idle_from_us, lifecycle.answer_by_us(13 * S)), (NEVER_US, NEVER_US))
 
     def test_all_that_came_after_the_signal_is_answered_before_sigkill(self) -> None:
         for longest in (S, 6 * S):
             lifecycle = Lifecycle(longest)
             lifecycle.stop(10 * S)
             killed = 10 * S + min(longest, 3 * S) + 700_000
-            self.assertLess(lifecycle.due(10 * S), killed)
-            self.assertEqual(lifecycle.due(10 * S - 1), FAR_US)
-            self.assertLessEqual(lifecycle.closes_us, lifecycle.due(10 * S))
+            self.assertLess(lifecycle.answer_by_us(10 * S), killed)
+            self.assertEqual(lifecycle.answer_by_us(10 * S - 1), NEVER_US)
+            self.assertLessEqual(lifecycle.close_idle_from_us, lifecycle.answer_by_us(10 * S))
             self.assertFalse(lifecycle.drain(11 * S) or lifecycle.resume() or lifecycle.hand_over(11 * S))
 
     def test_the_process_that_was_replaced_speaks_as_its_successor_does(self) -> None:
@@ -145,10 +146,10 @@
         lifecycle.hand_over(10 * S)
         self.assertTrue(lifecycle.ready)
         self.assertFalse(lifecycle.allows_keep_alive(10 * S))
-        self.assertEqual(lifecycle.closes_us, FAR_US)
+        self.assertEqual(lifecycle.close_idle_from_us, NEVER_US)
         lifecycle.stop(12 * S)
         self.assertTrue(lifecycle.ready)
-        self.assertLess(lifecycle.closes_us, FAR_US)
+        self.assertLess(lifecycle.close_idle_from_us, NEVER_US)
 
     @given(
         st.lists(
@@ -167,7 +168,7 @@
             elif step == "hand":
                 lifecycle.hand_over(now)
             elif step == "back":
-                lifecycle.take_back()
+                lifecycle.undo_handover()
             else:
                 lifecycle.stop(now)
                 stopped = True
@@ -175,9 +176,9 @@
             if drained:
                 self.assertFalse(lifecycle.ready)
                 self.assertFalse(lifecycle.allows_keep_alive(now + 4 * S))
-                self.assertLess(lifecycle.closes_us, now + 4 * S)
+                self.assertLess(lifecycle.close_idle_from_us, now + 4 * S)
             if stopped:
-                self.assertLess(lifecycle.closes_us, now + 4 * S)
+                self.assertLess(lifecycle.close_idle_from_us, now + 4 * S)
 
 
 async def call(port: int, line: str, **options: Any) -> str:
@@ -239,10 +240,10 @@
         before = len(self.node.seen)
         for health in ("draining", "up"):
             self.register.set("s-1", self.node.port, health=health)
-            self.assertIn("condition=", await self.program.line("event=listed"))
+            self.assertIn("state=", await self.program.line('event="endpoint listed"'))
             self.assertEqual((await self.client.ask(X_Deadline_Ms="300")).status, 503)
         self.register.set("s-1", other.port)  # it is back at another address
-        await self.program.line("event=listed")
+        await self.program.line('event="endpoint listed"')
         self.assertEqual((await self.client.ask(X_Deadline_Ms="300")).status, 503)
         await self.yes("enable-server s-1")
         self.assertEqual((await self.client.ask()).status, 200)
@@ -282,7 +283,7 @@
         self.assertEqual((await (await self.connect(ready=False)).ask()).status, 200)  # one that still comes
         while (await kept.ask()).headers.get("connection") != "close":
             pass  # it stays of use for a while, and its last answer says so
-        async with asyncio.timeout(times.DRAIN_OVER_US / 1e6):
+        async with asyncio.timeout(times.DRAIN_COMPLETE_US / 1e6):
             self.assertEqual(await idle.reader.read(), b"")
         await self.yes("ready")  # it could serve
         await self.yes("resume")
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -38,7 +38,8 @@
 from lemonridge.config.platform import ConfigError
 from lemonridge.core.clock import Clock
 from lemonridge.core.counters import Counters
-from lemonridge.core.model import Attempt, AttemptSuppressedError, Outcome, Request
+from lemonridge.core.errors import AttemptSuppressedError
+from lemonridge.core.model import Attempt, Outcome, Request
 from lemonridge.net.http_connection import EVICTION_AGE_S, State
 from lemonridge.net.http_endpoints import REST_S, HttpEndpoints
 from lemonridge.net.sockets import Payload
@@ -234,7 +235,7 @@
     async def test_a_draining_node_gets_nothing_new(self) -> None:
         self.assertEqual((await self.client.ask()).status, 200)
         self.register.set("s-1", self.node.port, health="draining")
-        await self.program.line("condition=leaving")
+        await self.program.line("state=draining")
         self.assertEqual((await self.client.ask(X_Deadline_Ms="600")).status, 503)
         self.assertEqual(len(self.node.seen), 1)
 
@@ -292,7 +293,7 @@
                 for _ in range(2):  # on a new connection and on a used one
                     payload = Payload("PUT" if body else "GET", "/read/1/2", {}, body)
                     request = Request(0, 1, self.clock.now_us() + 2_000_000, 2, 0, 0, 2.0, 1, payload)
-                    attempt = Attempt(request, 0, "s-1", judge=lambda: ask("judge"))
+                    attempt = Attempt(request, 0, "s-1", may_begin=lambda: ask("judge"))
                     self.assertEqual((await self.nodes.attempt(attempt)).result, AttemptResult.OK)
                     self.assertTrue(attempt.begun)
         self.assertEqual(written, [{"address", "judge"}] * 6)
@@ -301,7 +302,7 @@
         """A body is written one turn of the loop after its head is ready: nothing of either may leave."""
         payload = Payload("PUT", "/read/1/2", {}, b"x" * 65_536)
         request = Request(0, 1, self.clock.now_us() + 2_000_000, 2, 0, 0, 2.0, 1, payload)
-        attempt = Attempt(request, 0, "s-1", judge=lambda: False)
+        attempt = Attempt(request, 0, "s-1", may_begin=lambda: False)
         with self.assertRaises(AttemptSuppressedError):
             await self.nodes.attempt(attempt)
         self.assertFalse(attempt.begun)
@@ -318,7 +319,7 @@
         for _ in range(2):
             await asyncio.sleep(REST_S)  # the latest used has had its rest
             outcome = await self.attempt()
-        self.assertEqual((outcome.used, outcome.elsewhere), (86, 3.0))
+        self.assertEqual((outcome.units_used, outcome.units_elsewhere), (86, 3.0))
         self.assertEqual(self.node.seen[2].connection, self.node.seen[3].connection)
         await asyncio.gather(self.attempt(), self.attempt())
         self.assertEqual(self.node.opened, 3)
@@ -336,7 +337,7 @@
                 reply(writer, X_Load=told)
 
             self.node.script = tells
-            self.assertEqual((await self.attempt()).held, held)
+            self.assertEqual((await self.attempt()).endpoint_load, held)
 
     async def test_a_spoilt_answer_is_a_reset_and_its_connection_not_used_again(self) -> None:
         good = b"HTTP/1.1 200 X\r\nContent-Length: 2\r\n"
@@ -385,7 +386,7 @@
             for _ in range(5):
                 outcome = await self.attempt()
                 self.assertEqual(
-                    (outcome.result, outcome.reply, outcome.used), (AttemptResult.OK, b"one", None)
+                    (outcome.result, outcome.reply, outcome.units_used), (AttemptResult.OK, b"one", None)
                 )
         self.assertEqual(self.node.opened, len(self.node.seen))
 
@@ -407,7 +408,7 @@
                 one.setblocking(False)
                 one.connect_ex(deaf.getsockname())
             self.register.set("s-2", deaf.getsockname()[1], shard=1)
-            await self.program.line("node=s-2")
+            await self.program.line("endpoint=s-2")
             self.assertEqual((await self.client.ask("new-write", shard=1, X_Deadline_Ms="800")).status, 503)
             self.assertGreater((await self.program.counters())["attempts.connect_failed"], 0)
             for one in fill:
@@ -570,7 +571,7 @@
         self.assertEqual((await doomed).status, 502)
         self.assertLess(time.monotonic() - began, 3.7)  # SIGKILL comes no sooner
         self.assertEqual(await self.program.end(signal.SIGCONT), 0)
-        self.assertRegex("".join(self.program.lines), "event=counters why=exit .*requests.stopping=[1-9]")
+        self.assertRegex("".join(self.program.lines), "event=counters reason=exit .*requests.stopping=[1-9]")
 
 
 class Configuration(unittest.IsolatedAsyncioTestCase):
@@ -646,18 +647,18 @@
         for cls in ("nap", "read", "new-write"):
             self.assertEqual((await self.client.ask(cls)).status, 200)
         register.set("s-1", self.node.port, health="draining")
-        await self.program.line("condition=leaving")
+        await self.program.line("state=draining")
         self.assertEqual(await self.program.end(), 0)
 
     async def test_a_bad_file_changes_nothing_and_gets_one_line(self) -> None:
         for changes in ({"settings": {}}, {"discovery": "nowhere"}, {"listen": "127.0.0.1:1"}):
             self.rewrite(**changes)
-            self.assertIn("error=", await self.program.line("configuration kept"))
+            self.assertIn("error=", await self.program.line("configuration rejected"))
             self.rewrite(settings=FACTS, discovery=f"127.0.0.1:{self.discovery.port}", listen="127.0.0.1:0")
-            await self.program.line("configuration taken")
+            await self.program.line("configuration reloaded")
         Path(self.config).write_text("{")
         self.program.process.send_signal(signal.SIGHUP)
-        await self.program.line("configuration kept")
+        await self.program.line("configuration rejected")
         self.assertEqual((await self.client.ask()).status, 200)
         self.assertEqual(self.discovery.opened, 1)
         self.assertEqual(await self.program.end(), 0)
--- a/tests/test_repo.py
+++ b/tests/test_repo.py
@@ -84,7 +84,7 @@
 def test_the_platforms_broker_loads_none_of_the_operators_libraries() -> None:
     """It has part of a core and restarts often: what only an operator's file needs must not be loaded."""
     code = (
-        "import sys, lemonridge.cli.main, lemonridge.service.assembly;"
+        "import sys, lemonridge.cli.main, lemonridge.service.process;"
         " print(*sorted(name for name in sys.modules if name.split('.')[0]"
         " in ('msgspec', 'lmdb', 'xxhash', 'crc32c', 'numpy', 'scipy', 'simpy', 'matplotlib')"
         " or name.startswith(('lemonridge.lab', 'lemonridge.iscsi', 'lemonridge.extents'))))"
