--- a/tests/integration/test_extents_live.py
+++ b/tests/integration/test_extents_live.py
@@ -188,7 +188,7 @@
 
     async def test_what_waits_for_a_dead_shard_goes_on_when_its_extent_moves(self) -> None:
         self.etcd.delete("/t/nodes/n1")
-        await self.program.line("condition=left")
+        await self.program.line("condition=removed")
         tag = self.session.command(cdb(0x28, 16, BLOCK), read=BLOCK)
         while (await self.program.counters()).get("requests.taken", 0) < 1:
             await asyncio.sleep(0)
--- a/tests/integration/test_iscsi.py
+++ b/tests/integration/test_iscsi.py
@@ -269,7 +269,7 @@
         session = await self.session()
         self.assertEqual((await session.read(1, 512))[0], 0)
         self.etcd.put("/lr/nodes/n1", self.target.row(0, "draining"))
-        await self.program.line("condition=leaving")
+        await self.program.line("condition=draining")
         self.assertEqual((await session.read(2, 512))[0], 0x08)
         self.assertEqual([block for _, block, _ in self.target.begun], [1])
 
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -282,7 +282,7 @@
 
     async def drained_after(self, since_s: float) -> float:
         """How long after a moment on the loop's clock the drain of the node was taken up."""
-        await self.program.line("condition=leaving")
+        await self.program.line("condition=draining")
         return asyncio.get_running_loop().time() - since_s
 
     async def watching(self) -> int:
@@ -443,7 +443,7 @@
         asking = asyncio.create_task(self.client.ask(shard=1, X_Deadline_Ms="1200"))
         await self.program.counted("connections.opened")
         self.register.set("s-2", self.late.getsockname()[1], shard=1, health="draining")
-        await self.program.line("condition=leaving")
+        await self.program.line("condition=draining")
         node = await self.come_up()
         self.assertEqual((await asking).status, 503)
         self.assertFalse(node.seen)
--- a/tests/test_etcd.py
+++ b/tests/test_etcd.py
@@ -33,7 +33,7 @@
         await self.program.line(f":{other.port}/")
         await self.served_by(other)
         self.etcd.delete("/lr/nodes/n1")
-        await self.program.line("condition=left")
+        await self.program.line("condition=removed")
         self.assertEqual((await (await self.session()).read(1, 512))[0], 0x08)
 
     async def test_a_broken_watch_goes_on_where_it_was(self) -> None:
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -234,7 +234,7 @@
     async def test_a_draining_node_gets_nothing_new(self) -> None:
         self.assertEqual((await self.client.ask()).status, 200)
         self.register.set("s-1", self.node.port, health="draining")
-        await self.program.line("condition=leaving")
+        await self.program.line("condition=draining")
         self.assertEqual((await self.client.ask(X_Deadline_Ms="600")).status, 503)
         self.assertEqual(len(self.node.seen), 1)
 
@@ -646,7 +646,7 @@
         for cls in ("nap", "read", "new-write"):
             self.assertEqual((await self.client.ask(cls)).status, 200)
         register.set("s-1", self.node.port, health="draining")
-        await self.program.line("condition=leaving")
+        await self.program.line("condition=draining")
         self.assertEqual(await self.program.end(), 0)
 
     async def test_a_bad_file_changes_nothing_and_gets_one_line(self) -> None:
