--- a/lemonridge/cli/main.py
+++ b/lemonridge/cli/main.py
@@ -12,24 +12,25 @@
 
 from lemonridge import __version__
 from lemonridge.config import platform as platform_config
+from lemonridge.config.address import Address
+from lemonridge.config.errors import ConfigError
+from lemonridge.config.fleet import FleetConfig
 from lemonridge.service import ignored_signals, log_format
 
 if TYPE_CHECKING:
-    from lemonridge.config import operator_file as iscsi
+    from lemonridge.iscsi.config import IscsiConfig
 
 
 def _load(
     options: argparse.Namespace,
-) -> tuple[
-    platform_config.PlatformConfig | None, iscsi.IscsiConfig | None, platform_config.FleetConfig | None
-]:
+) -> tuple[platform_config.PlatformConfig | None, IscsiConfig | None, FleetConfig | None]:
     """The platform's configuration, unless there is only an operator's file; what that file says of the iSCSI
     front; and of the fleet, where there is no platform that it is laid over.
     """
     operators = table = plan = None
     if options.config:
         from lemonridge.config.operator_file import (  # without a file its library is not loaded
-            fleet_plan,
+            fleet_config,
             load,
         )
 
@@ -37,11 +38,11 @@
     platform = None if operators and "ROUTER_CONFIG" not in os.environ else platform_config.load()
     if table is not None:
         if platform is not None:
-            plan = fleet_plan(table, platform.name, platform.settings.hosts)
+            plan = fleet_config(table, platform.name, platform.settings.hosts)
             settings = replace(platform.settings, retry_rate=plan.retry_rate)
             platform = replace(platform, fleet=plan, speaks=True, settings=settings)
         elif operators is not None:
-            plan = fleet_plan(table, None, operators.settings.hosts)
+            plan = fleet_config(table, None, operators.settings.hosts)
             settings = replace(operators.settings, retry_rate=plan.retry_rate)
             operators = replace(operators, settings=settings)
     if platform is not None and options.peers:
@@ -67,7 +68,7 @@
     try:
         asyncio.run(serve(platform, operators, plan))
     except OSError as error:
-        raise platform_config.ConfigError(f"cannot listen: {error.strerror or error}") from None
+        raise ConfigError(f"cannot listen: {error.strerror or error}") from None
     finally:
         ignored_signals.ignore_all()
         writer.finish()
@@ -159,7 +160,7 @@
     from lemonridge.fleet.status_report import table, whole
     from lemonridge.net.admin_client import views
 
-    addresses = [platform_config.Address.parse(one, "ADDR") for one in options.address]
+    addresses = [Address.parse(one, "ADDR") for one in options.address]
     told, silent = asyncio.run(views(addresses))
     if options.json:
         print(orjson.dumps({"brokers": told, "silent": silent}, option=orjson.OPT_INDENT_2).decode())
@@ -319,6 +320,6 @@
     options = parser().parse_args(arguments)
     try:
         return int(options.run(options))
-    except platform_config.ConfigError as error:
+    except ConfigError as error:
         print(f"lemonridge: {error}", file=sys.stderr)
         return 2
--- a/lemonridge/cli/policy_commands.py
+++ b/lemonridge/cli/policy_commands.py
@@ -17,7 +17,8 @@
 import msgspec
 import orjson
 
-from lemonridge.config.platform import Address, ConfigError
+from lemonridge.config.address import Address
+from lemonridge.config.errors import ConfigError
 from lemonridge.coordination.policy_coordinator import VoteStore, VoteStoreError
 from lemonridge.net.admin_client import CallError, call
 from lemonridge.rollout import policy_document
--- a/lemonridge/config/operator_schema.py
+++ b/lemonridge/config/operator_schema.py
@@ -10,7 +10,7 @@
 import msgspec
 from msgspec import Meta, Struct, field
 
-from lemonridge.config.platform import ConfigError
+from lemonridge.config.errors import ConfigError
 
 T = TypeVar("T")
 IQN = r"^(iqn\.\d{4}-\d{2}\.[a-z0-9.:-]+|eui\.[0-9A-Fa-f]{16})$"
--- a/lemonridge/config/platform.py
+++ b/lemonridge/config/platform.py
@@ -10,6 +10,9 @@
 
 import orjson
 
+from lemonridge.config.address import Address
+from lemonridge.config.errors import ConfigError
+from lemonridge.config.fleet import FleetConfig
 from lemonridge.config.scheduler_settings import SettingsError, held_field, names, settings_from
 from lemonridge.scheduling.settings import Settings
 
@@ -18,53 +21,6 @@
 NAMED = ("name", "listen", "discovery")  # the keys of the file that a variable can go before
 
 
-class ConfigError(Exception):
-    """Bad configuration; the text is one plain line."""
-
-
-@dataclass(frozen=True, slots=True)
-class Address:
-    """A TCP address."""
-
-    host: str
-    port: int
-
-    @classmethod
-    def parse(cls, text: object, name: str) -> Address:
-        host, colon, port = str(text).rpartition(":")
-        if not colon or not host or not port.isascii() or not port.isdigit() or int(port) > 65535:
-            raise ConfigError(f"{name} must be HOST:PORT, not {text!r}")
-        return cls(host.strip("[]"), int(port))
-
-    def __str__(self) -> str:
-        return f"[{self.host}]:{self.port}" if ":" in self.host else f"{self.host}:{self.port}"
-
-
-@dataclass(frozen=True, slots=True)
-class RolloutConfig:
-    """How this broker takes part in changes of policy."""
-
-    store: str  # the file of its votes
-    span_us: int = 2_000_000  # of a lease
-    floor: float = 0.25  # part of the file's own limits that a broker without a lease goes by
-
-
-@dataclass(frozen=True, slots=True)
-class FleetConfig:
-    """This broker among its peers: the roster with what each one's address is from here."""
-
-    names: tuple[str, ...]
-    me: int
-    listen: Address
-    addresses: tuple[Address, ...]
-    bytes_s: float = 8192.0
-    error_us: int = 50_000
-    secret: bytes = b""
-    retry_rate: float = 0.0
-    admin: Address | None = None  # where operators call, where there is no platform to say so
-    rollout: RolloutConfig | None = None  # None: each broker goes by its own file
-
-
 @dataclass(frozen=True, slots=True)
 class PlatformConfig:
     """One broker of the platform."""
--- a/lemonridge/coordination/etcd.py
+++ b/lemonridge/coordination/etcd.py
@@ -19,14 +19,15 @@
 import aiohttp
 import orjson
 
-from lemonridge.config.operator_file import EtcdConfig, IscsiConfig, listing, plan_from
+from lemonridge.config.errors import ConfigError
+from lemonridge.config.etcd import EtcdConfig
+from lemonridge.config.operator_rows import endpoint_from_row, plan_from_row
 from lemonridge.config.operator_schema import NodeTable, PlanTable, read
-from lemonridge.config.platform import ConfigError
 from lemonridge.core.counters import Counters
 from lemonridge.core.endpoint_registry import EndpointAddress, EndpointRegistry
 from lemonridge.net.watch_stream import Backoff, client
 from lemonridge.scheduling.events import EndpointListUpdate, EndpointState
-from lemonridge.scheduling.settings import VolumePlan
+from lemonridge.scheduling.settings import Settings, VolumePlan
 
 log = logging.getLogger(__name__)
 
@@ -269,7 +270,7 @@
             told = orjson.loads(event.value)
             if isinstance(told, dict):
                 told["name"] = name
-            line = listing(read(NodeTable, told, event.key), event.key)
+            line = endpoint_from_row(read(NodeTable, told, event.key), event.key)
         except (ConfigError, ValueError) as error:
             _ignored(event, error, self._counters)
             return None
@@ -305,7 +306,7 @@
             if event.value is None:
                 continue
             try:
-                plan = plan_from(read(PlanTable, orjson.loads(event.value), event.key))
+                plan = plan_from_row(read(PlanTable, orjson.loads(event.value), event.key))
             except (ConfigError, ValueError) as error:
                 _ignored(event, error, self._counters)
                 continue
@@ -334,8 +335,8 @@
         self._plans, self._plans_revision = PlansFeed(counters), 0
         self._backoff = Backoff("etcd", log, PAUSE_S, PAUSE_TOP_S, random, counters)
 
-    async def contracts(self, config: IscsiConfig) -> IscsiConfig:
-        """The configuration with the contracts that etcd holds at the start; waits until it answers."""
+    async def contracts(self, names: tuple[str, ...], settings: Settings) -> Settings:
+        """The settings with the contracts that etcd holds at the start; waits until it answers."""
         async with client() as http:
             while True:
                 try:
@@ -344,10 +345,9 @@
                 except (CompactedError, *FAILURES) as error:
                     await self._backoff.failed(error)
         plans = tuple(
-            self._plans.plans.get(name, plan)
-            for name, plan in zip(config.plans, config.settings.plans, strict=True)
+            self._plans.plans.get(name, plan) for name, plan in zip(names, settings.plans, strict=True)
         )
-        return replace(config, settings=replace(config.settings, plans=plans))
+        return replace(settings, plans=plans)
 
     def follow(self, changed: Callable[[dict[str, VolumePlan]], None]) -> None:
         """Tell the contracts now, and at each change."""
--- a/lemonridge/coordination/policy_coordinator.py
+++ b/lemonridge/coordination/policy_coordinator.py
@@ -22,7 +22,9 @@
 import msgspec
 import orjson
 
-from lemonridge.config.platform import ConfigError, FleetConfig
+from lemonridge.config.errors import ConfigError
+from lemonridge.config.fleet import FleetConfig
+from lemonridge.config.local_policy import LocalPolicy
 from lemonridge.core.clock import Clock
 from lemonridge.core.counters import Counters
 from lemonridge.core.decision_host import DecisionHost
@@ -41,7 +43,6 @@
     StoredVote,
 )
 from lemonridge.scheduling.settings import Settings, VolumePlan
-from lemonridge.service.service import LocalPolicy
 
 log = logging.getLogger(__name__)
 
--- a/lemonridge/iscsi/device.py
+++ b/lemonridge/iscsi/device.py
@@ -15,8 +15,8 @@
 from dataclasses import dataclass, field
 from functools import partial
 
-from lemonridge.config.operator_file import IscsiConfig
 from lemonridge.iscsi import scsi
+from lemonridge.iscsi.config import IscsiConfig
 from lemonridge.iscsi.pdu import pack_lun
 from lemonridge.iscsi.reservation_file import NotKeptError, ReservationFile
 from lemonridge.iscsi.reservations import Action, Attention, Done, Effect, Refusal, Reservations
--- a/lemonridge/iscsi/initiator.py
+++ b/lemonridge/iscsi/initiator.py
@@ -8,8 +8,7 @@
 import secrets
 from dataclasses import dataclass, field
 
-from lemonridge.config.operator_file import IscsiConfig
-from lemonridge.config.platform import Address
+from lemonridge.config.address import Address
 from lemonridge.core.counters import Counters
 from lemonridge.core.endpoint_registry import EndpointRegistry
 from lemonridge.core.model import (
@@ -21,6 +20,7 @@
 )
 from lemonridge.extents.routing import Route
 from lemonridge.iscsi import chap, scsi, versions
+from lemonridge.iscsi.config import IscsiConfig
 from lemonridge.iscsi.keys import Agreed, NegotiationError, Pairs, conclude, parse, proposal
 from lemonridge.iscsi.numbers import later
 from lemonridge.iscsi.pdu import (
--- a/lemonridge/iscsi/mapped.py
+++ b/lemonridge/iscsi/mapped.py
@@ -6,7 +6,6 @@
 
 from collections.abc import Callable
 
-from lemonridge.config.operator_file import READ, WRITE, IscsiConfig, Lun
 from lemonridge.core.broker import Broker
 from lemonridge.core.counters import Counters
 from lemonridge.core.model import Answer, AnswerKind, Request
@@ -15,6 +14,7 @@
 from lemonridge.extents.router import Router
 from lemonridge.extents.routing import Cause, RouteError
 from lemonridge.iscsi import scsi
+from lemonridge.iscsi.config import READ, WRITE, IscsiConfig, Lun
 
 
 def _good(reply: object) -> bool:
--- a/lemonridge/iscsi/portal.py
+++ b/lemonridge/iscsi/portal.py
@@ -6,13 +6,13 @@
 import logging
 import secrets
 
-from lemonridge.config.operator_file import IscsiConfig
-from lemonridge.config.platform import Address
+from lemonridge.config.address import Address
 from lemonridge.core.broker import Broker
 from lemonridge.core.clock import Clock
 from lemonridge.core.counters import Counters
 from lemonridge.core.endpoint_registry import EndpointRegistry
 from lemonridge.iscsi import scsi
+from lemonridge.iscsi.config import IscsiConfig
 from lemonridge.iscsi.connection import Connection
 from lemonridge.iscsi.device import Device
 from lemonridge.iscsi.login import Attempts, Known, Rules, TargetLogin
--- a/lemonridge/lab/command.py
+++ b/lemonridge/lab/command.py
@@ -10,7 +10,8 @@
 
 import orjson
 
-from lemonridge.config.platform import Address, ConfigError
+from lemonridge.config.address import Address
+from lemonridge.config.errors import ConfigError
 from lemonridge.lab.conform import suite
 from lemonridge.lab.drills import extents as drill_extents
 from lemonridge.lab.drills import iscsi as drill_iscsi
--- a/lemonridge/lab/drills/policy.py
+++ b/lemonridge/lab/drills/policy.py
@@ -14,7 +14,7 @@
 import msgspec
 import orjson
 
-from lemonridge.config.platform import Address
+from lemonridge.config.address import Address
 from lemonridge.lab.checkers import fleet as rules
 from lemonridge.lab.checkers.policy import Findings, Proposed, check, epochs
 from lemonridge.lab.links.datagrams import Stretch
--- a/lemonridge/lab/links/schedule.py
+++ b/lemonridge/lab/links/schedule.py
@@ -13,8 +13,8 @@
 import msgspec
 from msgspec import Meta, Struct
 
+from lemonridge.config.errors import ConfigError
 from lemonridge.config.operator_schema import plain
-from lemonridge.config.platform import ConfigError
 
 Share = Annotated[float, Meta(ge=0, le=1)]
 Seconds = Annotated[float, Meta(ge=0, le=3600)]
--- a/lemonridge/lab/measure/rollout_live.py
+++ b/lemonridge/lab/measure/rollout_live.py
@@ -11,7 +11,7 @@
 import msgspec
 import orjson
 
-from lemonridge.config.platform import Address
+from lemonridge.config.address import Address
 from lemonridge.lab.drills.policy import NODES, askers
 from lemonridge.lab.load.fleet import Asked, Clients
 from lemonridge.lab.rig import Rig, Site, standing
--- a/lemonridge/lab/model/spec.py
+++ b/lemonridge/lab/model/spec.py
@@ -11,8 +11,8 @@
 import msgspec
 from msgspec import Meta, Struct, field
 
+from lemonridge.config.errors import ConfigError
 from lemonridge.config.operator_schema import plain
-from lemonridge.config.platform import ConfigError
 
 Share = Annotated[float, Meta(ge=0, le=1)]
 Positive = Annotated[float, Meta(gt=0, lt=1e9)]
--- a/lemonridge/net/admin_client.py
+++ b/lemonridge/net/admin_client.py
@@ -7,7 +7,7 @@
 
 import orjson
 
-from lemonridge.config.platform import Address
+from lemonridge.config.address import Address
 
 REPLY_MAX = 4 << 20  # of a line that comes back
 ANSWER_S = 2.0  # a broker answers within 1 s
--- a/lemonridge/net/admin_server.py
+++ b/lemonridge/net/admin_server.py
@@ -6,7 +6,7 @@
 import logging
 from collections.abc import Awaitable, Callable
 
-from lemonridge.config.platform import Address
+from lemonridge.config.address import Address
 from lemonridge.core.counters import Counters
 from lemonridge.net.listener import Listener, listening_socket
 from lemonridge.operate.admin_calls import AdminReply, AdminRequest, BadCallError, longest, parse
--- a/lemonridge/net/discovery.py
+++ b/lemonridge/net/discovery.py
@@ -10,7 +10,8 @@
 import aiohttp
 import orjson
 
-from lemonridge.config.platform import Address, ConfigError
+from lemonridge.config.address import Address
+from lemonridge.config.errors import ConfigError
 from lemonridge.core.counters import Counters
 from lemonridge.core.endpoint_registry import EndpointAddress, EndpointRegistry
 from lemonridge.net.watch_stream import Backoff, client
--- a/lemonridge/net/http_front.py
+++ b/lemonridge/net/http_front.py
@@ -13,7 +13,8 @@
 from aiohttp.streams import StreamReader
 from multidict import CIMultiDictProxy
 
-from lemonridge.config.platform import Address, PlatformConfig
+from lemonridge.config.address import Address
+from lemonridge.config.platform import PlatformConfig
 from lemonridge.core.broker import Broker
 from lemonridge.core.clock import Clock
 from lemonridge.core.counters import Counters
--- a/lemonridge/net/listener.py
+++ b/lemonridge/net/listener.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable
 from enum import Enum
 
-from lemonridge.config.platform import Address
+from lemonridge.config.address import Address
 from lemonridge.core.counters import Counters
 
 log = logging.getLogger(__name__)
--- a/lemonridge/net/peer_transport.py
+++ b/lemonridge/net/peer_transport.py
@@ -14,7 +14,7 @@
 from collections.abc import Iterable
 from typing import Any, Protocol
 
-from lemonridge.config.platform import FleetConfig
+from lemonridge.config.fleet import FleetConfig
 from lemonridge.core.clock import Clock
 from lemonridge.core.counters import Counters
 from lemonridge.core.decision_host import DecisionHost
--- a/lemonridge/service/assembly.py
+++ b/lemonridge/service/assembly.py
@@ -13,7 +13,10 @@
 
 import orjson
 
-from lemonridge.config.platform import Address, ConfigError, FleetConfig, PlatformConfig, file_text, load
+from lemonridge.config.address import Address
+from lemonridge.config.errors import ConfigError
+from lemonridge.config.fleet import FleetConfig
+from lemonridge.config.platform import PlatformConfig, file_text, load
 from lemonridge.core.broker import Broker
 from lemonridge.core.counters import Counters
 from lemonridge.core.endpoint_registry import EndpointAddress
@@ -31,7 +34,7 @@
 from lemonridge.service.signals import SignalReceiver
 
 if TYPE_CHECKING:
-    from lemonridge.config.operator_file import IscsiConfig
+    from lemonridge.iscsi.config import IscsiConfig
 
 log = logging.getLogger(__name__)
 
--- a/lemonridge/service/iscsi.py
+++ b/lemonridge/service/iscsi.py
@@ -4,16 +4,18 @@
 
 import logging
 import secrets
+from dataclasses import replace
 from random import Random
 
-from lemonridge.config.operator_file import IscsiConfig
-from lemonridge.config.platform import ConfigError, FleetConfig
+from lemonridge.config.errors import ConfigError
+from lemonridge.config.fleet import FleetConfig
 from lemonridge.coordination.etcd import EndpointsFeed, EtcdSource, Feed
 from lemonridge.core.broker import Broker
 from lemonridge.core.counters import Counters
 from lemonridge.extents.etcd_source import MapFeed, Refresher
 from lemonridge.extents.file_source import FileSource
 from lemonridge.extents.router import Router
+from lemonridge.iscsi.config import IscsiConfig
 from lemonridge.iscsi.device import CAPACITY_CHANGED
 from lemonridge.iscsi.initiator import IscsiEndpoints
 from lemonridge.iscsi.mapped import MappedLuns
@@ -32,8 +34,10 @@
     governed = plan is not None and plan.rollout is not None
     if config.etcd is not None:
         source = EtcdSource(config.etcd, Random(), counters, config.extents.page)
-        told = await source.contracts(config)
-        config = config if governed else told  # a fleet's are in force once that is decided
+        settings = await source.contracts(config.plans, config.settings)
+        config = (
+            config if governed else replace(config, settings=settings)
+        )  # a fleet's are in force once that is decided
     made = Service("iscsi", config.settings, secrets.randbits(64), counters)
     router = _router(config, made) if config.mapped else None
     refresher: Refresher | None = None
--- a/lemonridge/service/service.py
+++ b/lemonridge/service/service.py
@@ -7,6 +7,7 @@
 from collections.abc import Awaitable, Callable, Coroutine
 from typing import TYPE_CHECKING, Protocol
 
+from lemonridge.config.local_policy import LocalPolicy
 from lemonridge.config.platform import PlatformConfig
 from lemonridge.core.clock import Clock
 from lemonridge.core.counters import Counters
@@ -32,19 +33,6 @@
     def busy(self) -> bool: ...
 
 
-class LocalPolicy(Protocol):
-    """What a broker's own file says of what is policy; the names are those that its clients know."""
-
-    @property
-    def settings(self) -> Settings: ...
-
-    @property
-    def plans(self) -> tuple[str, ...]: ...
-
-    @property
-    def classes(self) -> tuple[str, ...]: ...
-
-
 class PolicyCoordination(Protocol):
     """The policy of the fleet at this broker; see `governance.py`."""
 
--- a/tests/test_extents_sources.py
+++ b/tests/test_extents_sources.py
@@ -13,14 +13,15 @@
 import msgspec
 
 from lemonridge.cli.main import main
-from lemonridge.config.operator_file import IscsiConfig, parse
+from lemonridge.config.errors import ConfigError
+from lemonridge.config.operator_file import parse
 from lemonridge.config.operator_schema import json_schema
-from lemonridge.config.platform import ConfigError
 from lemonridge.coordination.etcd import Event, OutOfStepError
 from lemonridge.core.counters import Counters
 from lemonridge.extents.etcd_source import HEAD, MapFeed, RowError, key_of
 from lemonridge.extents.extent_map import Builder, Change, ChangeResult, Extent, ExtentMap
 from lemonridge.extents.map_cache import Background, KeepError, MapCache
+from lemonridge.iscsi.config import IscsiConfig
 
 ROOT = Path(__file__).resolve().parent.parent
 
--- a/tests/test_fleet_checker.py
+++ b/tests/test_fleet_checker.py
@@ -5,7 +5,7 @@
 import tomllib
 import unittest
 
-from lemonridge.config.platform import ConfigError
+from lemonridge.config.errors import ConfigError
 from lemonridge.lab.checkers.fleet import Findings, Limit, check, healed_ms, used
 from lemonridge.lab.links import schedule
 from lemonridge.lab.load.fleet import Asked
--- a/tests/test_fleet_config.py
+++ b/tests/test_fleet_config.py
@@ -14,9 +14,10 @@
 from harness import FACTS
 
 from lemonridge.cli import main
-from lemonridge.config import platform
-from lemonridge.config.operator_file import fleet_plan, load
-from lemonridge.config.platform import Address, ConfigError
+from lemonridge.config.address import Address
+from lemonridge.config.errors import ConfigError
+from lemonridge.config.fleet import FleetConfig
+from lemonridge.config.operator_file import fleet_config, load
 from lemonridge.fleet.status_report import table, whole
 from lemonridge.lab.rig import Broker, Rig, Site
 from lemonridge.net.admin_client import CallError, call, views
@@ -31,13 +32,13 @@
         self.addCleanup(folder.cleanup)
         self.folder = Path(folder.name)
 
-    def read(self, text: str, hosts: int = 3) -> platform.FleetConfig:
+    def read(self, text: str, hosts: int = 3) -> FleetConfig:
         path = self.folder / "fleet.toml"
         path.write_text(text)
         front, table = load(str(path))
         self.assertIsNone(front)
         assert table is not None
-        return fleet_plan(table, "n1", hosts)
+        return fleet_config(table, "n1", hosts)
 
     def test_the_file_in_deploy_is_read(self) -> None:
         plan = self.read(FLEET)
--- a/tests/test_fleet_live.py
+++ b/tests/test_fleet_live.py
@@ -8,7 +8,7 @@
 from collections.abc import Awaitable, Callable
 from typing import Any
 
-from lemonridge.config.platform import Address
+from lemonridge.config.address import Address
 from lemonridge.fleet.datagrams import Head, LoanGrant, LoanRequest, MemberState, Ping, encode
 from lemonridge.fleet.member_list import MemberList
 from lemonridge.lab.checkers.fleet import Findings, Limit, check, used
--- a/tests/test_format_admin.py
+++ b/tests/test_format_admin.py
@@ -22,7 +22,8 @@
 from conftest import SETTINGS
 
 from lemonridge.cli import main, policy_commands
-from lemonridge.config.platform import Address, FleetConfig, RolloutConfig
+from lemonridge.config.address import Address
+from lemonridge.config.fleet import FleetConfig, RolloutConfig
 from lemonridge.coordination.policy_coordinator import MAGIC, PolicyCoordinator, VoteStore
 from lemonridge.core.counters import Counters
 from lemonridge.fleet import datagrams, fleet_member, health_gossip, quota_lending
--- a/tests/test_format_etcd.py
+++ b/tests/test_format_etcd.py
@@ -14,9 +14,10 @@
 from aiohttp import web
 from aiohttp.test_utils import TestServer
 
-from lemonridge.config.operator_file import EtcdConfig
+from lemonridge.config.address import Address
+from lemonridge.config.errors import ConfigError
+from lemonridge.config.etcd import EtcdConfig
 from lemonridge.config.operator_schema import NodeTable, PlanTable, read
-from lemonridge.config.platform import Address, ConfigError
 from lemonridge.coordination.etcd import CompactedError, EndpointsFeed, EtcdClient, Event, PlansFeed
 from lemonridge.core.counters import Counters
 from lemonridge.core.endpoint_registry import EndpointAddress
--- a/tests/test_format_operator_file.py
+++ b/tests/test_format_operator_file.py
@@ -19,8 +19,8 @@
 import msgspec
 
 from lemonridge.cli.main import main
+from lemonridge.config.errors import ConfigError
 from lemonridge.config.operator_schema import FleetFile, OperatorFile, SecretsFile, read
-from lemonridge.config.platform import ConfigError
 
 ROOT = Path(__file__).resolve().parent.parent
 
--- a/tests/test_format_settings.py
+++ b/tests/test_format_settings.py
@@ -18,6 +18,9 @@
 import pytest
 
 from lemonridge.config import platform, scheduler_settings
+from lemonridge.config.address import Address
+from lemonridge.config.errors import ConfigError
+from lemonridge.config.fleet import FleetConfig
 from lemonridge.scheduling.settings import (
     DeduplicationScope,
     IdempotencyKind,
@@ -245,8 +248,8 @@
     return str(path)
 
 
-def at(port: int, host: str = "127.0.0.1") -> platform.Address:
-    return platform.Address(host=host, port=port)
+def at(port: int, host: str = "127.0.0.1") -> Address:
+    return Address(host=host, port=port)
 
 
 def test_every_key_of_the_file_comes_to_its_field(tmp_path: Path) -> None:
@@ -273,7 +276,7 @@
         known={"nodes": []},
         filed={"name": "n1", "listen": "127.0.0.1:8001", "discovery": "[::1]:8002"},
         admin=at(8003),
-        fleet=platform.FleetConfig(
+        fleet=FleetConfig(
             names=("0", "1", "2"),
             me=1,
             listen=at(8004),
@@ -347,7 +350,7 @@
 def test_what_is_wrong_with_the_file_is_named(tmp_path: Path, change: dict[str, Any], words: str) -> None:
     path = write(tmp_path, {**TOLD, **change})
 
-    with pytest.raises(platform.ConfigError) as caught:
+    with pytest.raises(ConfigError) as caught:
         platform.load({"ROUTER_CONFIG": path})
 
     assert str(caught.value) == words
@@ -367,7 +370,7 @@
     told = copy.deepcopy(TOLD)
     del told["settings"][table][key]
 
-    with pytest.raises(platform.ConfigError) as caught:
+    with pytest.raises(ConfigError) as caught:
         platform.load({"ROUTER_CONFIG": write(tmp_path, told)})
 
     assert str(caught.value) == words
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -12,7 +12,7 @@
 import pytest
 import simpy
 
-from lemonridge.config.platform import ConfigError
+from lemonridge.config.errors import ConfigError
 from lemonridge.lab import demo
 from lemonridge.lab.links.datagrams import kept_port
 from lemonridge.lab.load import iscsi as load
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -34,8 +34,8 @@
     serve_ok,
 )
 
+from lemonridge.config.errors import ConfigError
 from lemonridge.config.operator_file import parse
-from lemonridge.config.platform import ConfigError
 from lemonridge.core.clock import Clock
 from lemonridge.core.counters import Counters
 from lemonridge.core.model import Attempt, AttemptSuppressedError, Outcome, Request
--- a/tests/test_rollout_iscsi.py
+++ b/tests/test_rollout_iscsi.py
@@ -12,7 +12,7 @@
 
 import orjson
 
-from lemonridge.config.platform import Address
+from lemonridge.config.address import Address
 from lemonridge.coordination.policy_coordinator import VoteStore
 from lemonridge.lab.links.datagrams import Network, kept_port
 from lemonridge.lab.measure.rollout import policy
--- a/tests/test_rollout_live.py
+++ b/tests/test_rollout_live.py
@@ -19,7 +19,8 @@
 import orjson
 
 from lemonridge.cli import main
-from lemonridge.config.platform import Address, ConfigError
+from lemonridge.config.address import Address
+from lemonridge.config.errors import ConfigError
 from lemonridge.coordination import policy_coordinator
 from lemonridge.coordination.policy_coordinator import VoteStore, VoteStoreError
 from lemonridge.lab.checkers.policy import Findings, Proposed, check
