--- a/lemonridge/lab/drills/fleet.py
+++ b/lemonridge/lab/drills/fleet.py
@@ -126,9 +126,7 @@
 ) -> tuple[dict[str, object], Findings, Rig]:
     """One run: the figures of the last line, what was broken, and the rig as it ended."""
     site, schedule = site or Site(further=FURTHER if options.peers else 0.0), schedule or plan(options)
-    module = (
-        ("lemonridge.lab.fleet_mutants", f"fault={options.mutant}") if options.mutant else ("lemonridge",)
-    )
+    module = ("lemonridge.cli.mutant", f"fleet-fault={options.mutant}") if options.mutant else ("lemonridge",)
     async with standing(schedule.brokers, NODES, options.seed, site, options.peers, module=module) as rig:
         clients = Clients([one.port for one in rig.brokers], options.seed, site.deadline_ms)
         await asyncio.gather(
--- a/lemonridge/lab/drills/policy.py
+++ b/lemonridge/lab/drills/policy.py
@@ -323,9 +323,7 @@
 async def run(options: Options) -> tuple[dict[str, object], Findings, rules.Findings]:
     """One run: the figures of the last line, and what was broken."""
     site = Site(lease_ms=LEASE_MS, floor=FLOOR, short=options.brokers - 1)
-    module = (
-        ("lemonridge.lab.fleet_mutants", f"fault={options.mutant}") if options.mutant else ("lemonridge",)
-    )
+    module = ("lemonridge.cli.mutant", f"fleet-fault={options.mutant}") if options.mutant else ("lemonridge",)
     async with standing(options.brokers, NODES, options.seed, site, True, module=module) as rig:
         clients = Clients([one.port for one in rig.brokers], options.seed, site.deadline_ms)
         drill = Drill(options, rig)
--- a/lemonridge/lab/drills/soak.py
+++ b/lemonridge/lab/drills/soak.py
@@ -194,7 +194,9 @@
 
     async def _start(self) -> Program:
         module = (
-            ("lemonridge.lab.soak_mutants", self._options.mutant) if self._options.mutant else ("lemonridge",)
+            ("lemonridge.cli.mutant", f"soak-fault={self._options.mutant}")
+            if self._options.mutant
+            else ("lemonridge",)
         )
         for discovery in self._discoveries:  # without a list no broker can serve
             discovery.silent = False
--- a/lemonridge/lab/fleet_mutants.py
+++ b/lemonridge/lab/fleet_mutants.py
@@ -1,19 +1,17 @@
 """The real program with a clock that is off, or with a fault planted in what the fleet shares and decides.
 
-`python -m lemonridge.lab.fleet_mutants clock=500 serve …` starts it half a second ahead; `fault=NAME` plants
-one of FAULTS. Drills and tests start it in place of the program, so that nothing of this stands in it.
+`cli/mutant.py` starts it so, in place of the program, so that nothing of this stands in it.
 """
 
 from __future__ import annotations
 
-import sys
 import time
 from collections.abc import Callable
 
 from lemonridge.scheduling.settings import Settings
 
 
-def _clock(offset_ms: float) -> None:
+def shift_clock(offset_ms: float) -> None:
     """Unix time is off by so much, for whoever asks."""
     real_ns, real = time.time_ns, time.time
     time.time_ns = lambda: real_ns() + int(offset_ms * 1e6)
@@ -141,20 +139,3 @@
     "serves-on": _serves_on,
     "switches-at-once": _switches_at_once,
 }
-
-
-def main(arguments: list[str]) -> int:
-    """Bend, then run the command line with what is left."""
-    while arguments and "=" in arguments[0]:
-        name, _, value = arguments.pop(0).partition("=")
-        if name == "clock":
-            _clock(float(value))
-        else:
-            FAULTS[value]()
-    from lemonridge.cli.main import main as run
-
-    return run(arguments)
-
-
-if __name__ == "__main__":
-    sys.exit(main(sys.argv[1:]))
--- a/lemonridge/lab/rig.py
+++ b/lemonridge/lab/rig.py
@@ -412,7 +412,7 @@
 ) -> AsyncGenerator[Rig, None]:
     """A rig that is up, until the block ends; ProgramError if a broker does not start as it should.
 
-    `module` is what is run in place of the program, with its first arguments (see `fleet_mutants`): for all,
+    `module` is what is run in place of the program, with its first arguments (see `cli/mutant.py`): for all,
     or by the broker's number.
     """
     if not 1 <= brokers <= BROKERS_MAX:
--- a/lemonridge/lab/soak_mutants.py
+++ b/lemonridge/lab/soak_mutants.py
@@ -1,14 +1,9 @@
-"""The real program with one fault planted, for drills that have to find it.
-
-`python -m lemonridge.lab.soak_mutants NAME serve …` plants one of `MUTANTS` and runs the rest as a
-command line.
-"""
+"""Faults to plant in the real program, for the soak that has to find them; `cli/mutant.py` plants one."""
 
 from __future__ import annotations
 
 import asyncio
 import signal
-import sys
 from collections.abc import Callable
 
 from lemonridge.scheduling.actions import Reject, RejectReason
@@ -109,15 +104,3 @@
     "refuses-anything": (_refuses_anything, "bad_refusals"),
     "dies-of-a-signal": (_dies_of_a_signal, "crashes"),
 }
-
-
-def main(arguments: list[str]) -> int:
-    """Plant the fault, then run the command line with what is left."""
-    from lemonridge.cli.main import main as run
-
-    MUTANTS[arguments[0]][0]()
-    return run(arguments[1:])
-
-
-if __name__ == "__main__":
-    sys.exit(main(sys.argv[1:]))
--- a/tests/test_fleet_config.py
+++ b/tests/test_fleet_config.py
@@ -13,7 +13,7 @@
 
 from harness import FACTS
 
-from lemonridge.cli import main
+from lemonridge.cli import configuration, main
 from lemonridge.config.address import Address
 from lemonridge.config.errors import ConfigError
 from lemonridge.config.fleet import FleetConfig
@@ -85,7 +85,7 @@
             path.write_text(json.dumps(told))
             with mock.patch.dict(os.environ, {"ROUTER_CONFIG": str(path)}):
                 options = main.parser().parse_args(["check-config", "--peers"])
-                platform, _, _ = main._load(options)
+                platform = configuration.load(options).platform
             assert platform is not None
             seen.append(platform.speaks)
         self.assertEqual(seen, [True, False, False, False])
--- a/tests/test_fleet_live.py
+++ b/tests/test_fleet_live.py
@@ -122,7 +122,7 @@
             play(
                 7.0,
                 [hot(lambda t: 1 if t < 4 else int(t * 2) % 3)],
-                module=lambda n: ("lemonridge.lab.fleet_mutants", f"clock={(0, 50, -500)[n]}"),
+                module=lambda n: ("lemonridge.cli.mutant", f"clock={(0, 50, -500)[n]}"),
             )
         )
         self.assertTrue(found.held, found.notes)
@@ -214,7 +214,7 @@
         """All demand is at one broker, which borrows; then links are cut, and it is at all brokers."""
         cut = Fault(kind="cut", at_s=4.0, for_s=5.0, brokers=(0, 1, 2), to=(0, 1, 2))
         demand = [hot(lambda t: 0 if t < 4.0 else int(t * 1000) % 3)]
-        mutant = ("lemonridge.lab.fleet_mutants", "fault=keeps-for-ever")
+        mutant = ("lemonridge.cli.mutant", "fleet-fault=keeps-for-ever")
         (sound, held), (_, broken) = asyncio.run(
             both(play(9.0, demand, cut), play(9.0, demand, cut, module=lambda n: mutant))
         )
--- a/tests/test_rollout_live.py
+++ b/tests/test_rollout_live.py
@@ -358,7 +358,7 @@
         async def both() -> list[tuple[Rig, Clients]]:
             return await asyncio.gather(
                 *(
-                    _stand(apart, 3.0, "lemonridge.lab.fleet_mutants", f"fault={fault}")
+                    _stand(apart, 3.0, "lemonridge.cli.mutant", f"fleet-fault={fault}")
                     for fault in ("switches-at-once", "serves-on")
                 )
             )
