--- a/lemonridge/core/decision_host.py
+++ b/lemonridge/core/decision_host.py
@@ -93,7 +93,7 @@
         self._settings, self._seed = settings, seed
         self.clock, self._counters = clock, counters
         self._loop = asyncio.get_running_loop()
-        self._scheduler = Scheduler(settings, seed, asked=True)
+        self._scheduler = Scheduler(settings, seed, host_confirms_start=True)
         self._mailboxes: dict[str, RequestMailbox] = {}
         self._events: list[Event] = []
         self._decision_scheduled = False
@@ -226,7 +226,7 @@
         mailbox.deliver(action)
 
     def _give_answer(self, action: Reject | Fail) -> None:
-        self._counters[f"given_up.{action.why.value}"] += 1
+        self._counters[f"given_up.{action.reason.value}"] += 1
         mailbox = self._mailboxes.get(action.request)
         if mailbox is not None:
             mailbox.deliver(action)
@@ -266,7 +266,7 @@
             self._timer.cancel()
             self._timer = None
         self._seed += 1
-        self._scheduler = Scheduler(self._settings, self._seed, asked=True)
+        self._scheduler = Scheduler(self._settings, self._seed, host_confirms_start=True)
         if self.observer is not None:
             self.observer.on_scheduler_restarted()
         self.deliver(EndpointsChanged(EndpointListUpdate.CACHED, self.list_endpoints()))
--- a/lemonridge/core/endpoint_registry.py
+++ b/lemonridge/core/endpoint_registry.py
@@ -8,7 +8,8 @@
 from dataclasses import dataclass, replace
 from typing import Protocol
 
-from lemonridge.core.start_times import WATCH_EVENT_AGE_MAX_US, StartTime, StartTimes
+from lemonridge.core.start_times import WATCH_EVENT_AGE_MAX_US, StartTimes
+from lemonridge.operate.handover import StartTime
 from lemonridge.operate.maintenance import Maintenance, ReturnedToService
 from lemonridge.scheduling.events import Endpoint, EndpointListUpdate, EndpointsChanged, EndpointState, Event
 
--- a/lemonridge/core/start_times.py
+++ b/lemonridge/core/start_times.py
@@ -10,7 +10,8 @@
 from __future__ import annotations
 
 from collections.abc import Container, Mapping
-from dataclasses import dataclass
+
+from lemonridge.operate.handover import StartTime
 
 WATCH_EVENT_AGE_MAX_US = (
     6_000_000  # STANDING: what discovery has to say counts as said 6 s later at the latest
@@ -18,14 +19,6 @@
 START_TIMES_MAX = 16_384  # past it, those of endpoints that are not listed are dropped
 
 
-@dataclass(frozen=True, slots=True)
-class StartTime:
-    """When an endpoint started: `unix_us` as the list gave it, `own_us` on the broker's own clock."""
-
-    unix_us: int
-    own_us: int
-
-
 class StartTimes:
     """The start times that were received.
 
--- a/lemonridge/net/admin_client.py
+++ b/lemonridge/net/admin_client.py
@@ -7,7 +7,7 @@
 
 import orjson
 
-from lemonridge.config.platform import Address
+from lemonridge.config.address import Address
 
 REPLY_MAX = 4 << 20  # bytes of a reply
 REPLY_WAIT_S = 2.0  # a broker replies within 1 s
--- a/lemonridge/operate/handover.py
+++ b/lemonridge/operate/handover.py
@@ -12,7 +12,6 @@
 from collections.abc import Mapping
 from dataclasses import dataclass, field, replace
 
-from lemonridge.core.start_times import StartTime
 from lemonridge.operate.admin_calls import AdminRequest
 from lemonridge.operate.maintenance import ReturnedToService
 from lemonridge.scheduling.events import Endpoint, LimitLevel
@@ -22,6 +21,14 @@
 CALL_WAIT_US = 400_000  # a forwarded call waits so long; its caller waits for 1 s
 
 
+@dataclass(frozen=True, slots=True)
+class StartTime:
+    """When an endpoint started: `unix_us` as the list gave it, `own_us` on the broker's own clock."""
+
+    unix_us: int
+    own_us: int
+
+
 @dataclass(frozen=True, slots=True)
 class HandedOverEndpoint:
     """An endpoint as the source listed it, with its address."""
--- a/lemonridge/operate/handover_format.py
+++ b/lemonridge/operate/handover_format.py
@@ -12,7 +12,6 @@
 
 import orjson
 
-from lemonridge.core.start_times import StartTime
 from lemonridge.operate.admin_calls import AdminCall, AdminRequest
 from lemonridge.operate.errors import BadMessageError
 from lemonridge.operate.handover import (
@@ -25,6 +24,7 @@
     HandoverState,
     Message,
     OpenIdsChanged,
+    StartTime,
 )
 from lemonridge.operate.maintenance import BANS_MAX, ReturnedToService
 from lemonridge.scheduling.events import Endpoint, EndpointState, LimitLevel
--- a/lemonridge/service/admin.py
+++ b/lemonridge/service/admin.py
@@ -8,7 +8,7 @@
 
 import orjson
 
-from lemonridge.config.platform import Address
+from lemonridge.config.address import Address
 from lemonridge.core.endpoint_registry import EndpointAddress
 from lemonridge.net.admin_server import AdminServer
 from lemonridge.net.http_front import HttpFront
--- a/lemonridge/service/iscsi.py
+++ b/lemonridge/service/iscsi.py
@@ -5,16 +5,18 @@
 import functools
 import logging
 import secrets
+from dataclasses import replace
 from random import Random
 
-from lemonridge.config.operator_file import IscsiConfig
-from lemonridge.config.platform import ConfigError, FleetConfig
+from lemonridge.config.errors import ConfigError
+from lemonridge.config.fleet import FleetConfig
 from lemonridge.coordination.etcd import EndpointsFeed, EtcdSource, Feed
 from lemonridge.core.broker import Broker
 from lemonridge.core.counters import Counters
 from lemonridge.extents.etcd_source import MapFeed, Refresher
 from lemonridge.extents.file_source import FileSource
 from lemonridge.extents.router import Router
+from lemonridge.iscsi.config import IscsiConfig
 from lemonridge.iscsi.device import CAPACITY_CHANGED
 from lemonridge.iscsi.initiator import IscsiEndpoints
 from lemonridge.iscsi.mapped import MappedLuns
@@ -41,9 +43,9 @@
     counters, etcd = Counters(), None
     if config.etcd is not None:
         etcd = EtcdSource(config.etcd, Random(), counters, config.extents.page)
-        etcd_config = await etcd.contracts(config)
-        # Contracts of a fleet with an agreed policy are in force once they are agreed on.
-        config = config if fleet is not None and fleet.rollout is not None else etcd_config
+        settings = await etcd.contracts(config.plans, config.settings)
+        if fleet is None or fleet.rollout is None:  # else contracts are in force once they are agreed on
+            config = replace(config, settings=settings)
     service = Service("iscsi", config.settings, _random_seed(), counters)
     router = _router(config, service) if config.mapped else None
     refresher = _follow_sources(config, service, etcd, router)
--- a/lemonridge/service/peers.py
+++ b/lemonridge/service/peers.py
@@ -5,8 +5,9 @@
 from collections.abc import Callable
 from typing import TYPE_CHECKING
 
-from lemonridge.config.platform import FleetConfig
-from lemonridge.service.service import LocalPolicy, Service
+from lemonridge.config.fleet import FleetConfig
+from lemonridge.config.local_policy import LocalPolicy
+from lemonridge.service.service import Service
 
 if TYPE_CHECKING:
     from lemonridge.coordination.policy_coordinator import PolicyCoordinator
--- a/lemonridge/service/process.py
+++ b/lemonridge/service/process.py
@@ -7,7 +7,9 @@
 import signal
 from typing import TYPE_CHECKING
 
-from lemonridge.config.platform import ConfigError, FleetConfig, PlatformConfig, file_text, load
+from lemonridge.config.errors import ConfigError
+from lemonridge.config.fleet import FleetConfig
+from lemonridge.config.platform import PlatformConfig, file_text, load
 from lemonridge.service.admin import listen_for_fleet_calls
 from lemonridge.service.ignored_signals import STOP_SIGNALS
 from lemonridge.service.platform import platform_service
@@ -15,7 +17,7 @@
 from lemonridge.service.signals import SignalReceiver
 
 if TYPE_CHECKING:
-    from lemonridge.config.operator_file import IscsiConfig
+    from lemonridge.iscsi.config import IscsiConfig
 
 log = logging.getLogger(__name__)
 
--- a/lemonridge/service/service.py
+++ b/lemonridge/service/service.py
@@ -7,6 +7,7 @@
 from collections.abc import Awaitable, Callable, Coroutine
 from typing import TYPE_CHECKING, Protocol
 
+from lemonridge.config.local_policy import LocalPolicy
 from lemonridge.config.platform import PlatformConfig
 from lemonridge.core.clock import Clock
 from lemonridge.core.counters import Counters
@@ -36,25 +37,6 @@
         ...
 
 
-class LocalPolicy(Protocol):
-    """What a broker's own file says on matters of policy; the names are those that its clients use."""
-
-    @property
-    def settings(self) -> Settings:
-        """The settings of the scheduler."""
-        ...
-
-    @property
-    def plans(self) -> tuple[str, ...]:
-        """The names of the plans, by index."""
-        ...
-
-    @property
-    def classes(self) -> tuple[str, ...]:
-        """The names of the request classes, by index."""
-        ...
-
-
 class PolicyCoordination(Protocol):
     """The fleet's policy at this broker; see `coordination.policy_coordinator`."""
 
--- a/tests/lab/test_lab.py
+++ b/tests/lab/test_lab.py
@@ -12,7 +12,7 @@
 import pytest
 import simpy
 
-from lemonridge.config.platform import ConfigError
+from lemonridge.config.errors import ConfigError
 from lemonridge.lab import demo
 from lemonridge.lab.links.datagrams import kept_port
 from lemonridge.lab.load import iscsi as load
@@ -170,7 +170,7 @@
     hidden.run()
     condition = EndpointState.ACTIVE
     assert any(
-        node.condition is not condition for node in seen.brokers[0].scheduler.endpoint_list.endpoints.values()
+        node.state is not condition for node in seen.brokers[0].scheduler.endpoint_list.endpoints.values()
     ) or len(seen.brokers[0].scheduler.endpoint_list.endpoints) <= len(
         hidden.brokers[0].scheduler.endpoint_list.endpoints
     )
--- a/tests/test_format_handover.py
+++ b/tests/test_format_handover.py
@@ -14,7 +14,6 @@
 from lemonridge.core.clock import Clock
 from lemonridge.core.counters import Counters
 from lemonridge.core.open_ids import OpenIds
-from lemonridge.core.start_times import StartTime
 from lemonridge.net.process_handover import ProcessHandover
 from lemonridge.operate import handover, handover_format
 from lemonridge.operate.admin_calls import AdminCall, AdminReply, AdminRequest
@@ -36,7 +35,7 @@
         4: LimitLevel(saved=1.0),
     },
     endpoints=(row(1, EndpointState.ACTIVE), row(2, EndpointState.DRAINING), row(3, EndpointState.REMOVED)),
-    start_times={"s-1": StartTime(unix_us=9, own_us=8)},
+    start_times={"s-1": handover.StartTime(unix_us=9, own_us=8)},
     open_ids=("a", "b"),
     clock_base_us=3,
 )
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -33,7 +33,6 @@
 from test_faults import pause
 from test_operate import call
 
-from lemonridge.core.start_times import StartTime
 from lemonridge.operate.admin_calls import AdminCall, AdminRequest
 from lemonridge.operate.errors import BadMessageError
 from lemonridge.operate.handover import (
@@ -45,6 +44,7 @@
     HandoverRequested,
     HandoverState,
     OpenIdsChanged,
+    StartTime,
 )
 from lemonridge.operate.handover_format import IDS_MAX, ROWS_MAX, decode, encode
 from lemonridge.operate.maintenance import ReturnedToService
