--- a/lemonridge/cli/simulator.py
+++ b/lemonridge/cli/simulator.py
@@ -126,20 +126,20 @@
     def __init__(self, facts: Any, seed: int, now: int, peers: bool) -> None:
         settings = settings_from(facts)
         self.scheduler = Scheduler(settings, seed)
-        self.companion: SchedulerBridge | None = None
+        self.bridge: SchedulerBridge | None = None
         if peers and facts["limits"].get("peers") and 2 <= settings.hosts <= MEMBERS_MAX:
-            roster = MemberList(tuple(map(str, range(settings.hosts))), int(facts["me"]))
-            self.companion = SchedulerBridge(roster, now // 1000, seed, now, settings)
+            member_list = MemberList(tuple(map(str, range(settings.hosts))), int(facts["me"]))
+            self.bridge = SchedulerBridge(member_list, now // 1000, seed, now, settings)
 
     def handle(
         self, now: int, events: list[Event], heard: list[tuple[int, bytes]]
     ) -> tuple[list[Action], list[SendDatagram]]:
         """Decide: the decisions go by what the fleet's machine has before they are told anything else."""
-        companion = self.companion
-        if companion is None:
+        bridge = self.bridge
+        if bridge is None:
             return self.scheduler.handle(now, events), []
-        actions, tells = decide(self.scheduler.handle, companion, now, events, heard)
-        return [*actions, SetTimer(companion.wake_us)], tells
+        actions, tells = decide(self.scheduler.handle, bridge, now, events, heard)
+        return [*actions, SetTimer(bridge.next_timer_us)], tells
 
 
 class Host:
--- a/lemonridge/coordination/policy_coordinator.py
+++ b/lemonridge/coordination/policy_coordinator.py
@@ -175,7 +175,7 @@
             self.rollout = RolloutMember(
                 plan.me,
                 plan.names,
-                peers.life,
+                peers.incarnation,
                 genesis,
                 kept,
                 ident,
--- a/lemonridge/fleet/datagrams.py
+++ b/lemonridge/fleet/datagrams.py
@@ -17,13 +17,13 @@
 
 import crc32c
 
-DATAGRAM_MAX = 256  # bytes: PROTOCOL, "Between brokers"
+DATAGRAM_MAX_BYTES = 256  # bytes: PROTOCOL, "Between brokers"
 VERSION = 0xB2  # of the layout below; another one is not read
-TAG = 8  # bytes of the keyed tag
-_HEAD = Struct("<BBHHQBII")  # version, state, roster, sender, life, round, number, sent
+TAG_BYTES = 8  # bytes of the keyed tag
+_HEADER = Struct("<BBHHQBII")  # version, state, roster, sender, life, round, number, sent
 _CHECK = Struct("<I")
-HEAD_BYTES = _HEAD.size + _CHECK.size
-WRAP = 1 << 32  # of numbers and of times in milliseconds
+HEADER_BYTES = _HEADER.size + _CHECK.size
+WRAP_MODULUS = 1 << 32  # of numbers and of times in milliseconds
 
 
 class MemberState(IntEnum):
@@ -38,7 +38,7 @@
     LEFT = 6
 
 
-class Flaw(Enum):
+class DatagramFault(Enum):
     """Why a datagram was not taken."""
 
     SHORT = "short"
@@ -88,7 +88,7 @@
 
     LAYOUT: ClassVar[Struct] = Struct("<HQBB")
     who: int
-    life: int
+    incarnation: int
     round: int
     state: int
 
@@ -126,7 +126,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Release:
+class LoanRelease:
     """Nothing that was lent for questions up to `ask` is used any more, nor will be."""
 
     LAYOUT: ClassVar[Struct] = Struct("<BQI")
@@ -136,7 +136,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Recall:
+class LoanRecall:
     """This incarnation of mine has just begun: use nothing any more that one before lent you, and say so.
     Filled up to the length of its answer.
     """
@@ -145,15 +145,15 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Cleared:
-    """Nothing is used that an incarnation before `life` lent, nor will be."""
+class LoanRecallAck:
+    """Nothing is used that an incarnation before `incarnation` lent, nor will be."""
 
     LAYOUT: ClassVar[Struct] = Struct("<Q")
-    life: int
+    incarnation: int
 
 
 @dataclass(frozen=True, slots=True)
-class Count:
+class UsageTotal:
     """All that the sender's incarnation has counted of `kind`/`key` so far, in thousandths."""
 
     LAYOUT: ClassVar[Struct] = Struct("<BQQ")
@@ -163,7 +163,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Judge:
+class HealthReport:
     """What the sender has seen itself of a node, `age_ms` ago, on `weight` observations."""
 
     LAYOUT: ClassVar[Struct] = Struct("<QBBH")
@@ -174,7 +174,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Presence:
+class Heartbeat:
     """Nothing but the head: the sender is there, and there was no more to tell."""
 
     LAYOUT: ClassVar[Struct] = Struct("")
@@ -319,12 +319,12 @@
     | MembershipUpdate
     | LoanRequest
     | LoanGrant
-    | Release
-    | Recall
-    | Cleared
-    | Count
-    | Judge
-    | Presence
+    | LoanRelease
+    | LoanRecall
+    | LoanRecallAck
+    | UsageTotal
+    | HealthReport
+    | Heartbeat
     | LeaseAsk
     | Lease
     | Prepare
@@ -338,19 +338,19 @@
     | Piece
     | Chosen
 )
-KINDS: tuple[type[Item], ...] = (
+ITEM_TYPES: tuple[type[Item], ...] = (
     Ping,
     Ack,
     PingRequest,
     MembershipUpdate,
     LoanRequest,
     LoanGrant,
-    Release,
-    Recall,
-    Cleared,
-    Count,
-    Judge,
-    Presence,
+    LoanRelease,
+    LoanRecall,
+    LoanRecallAck,
+    UsageTotal,
+    HealthReport,
+    Heartbeat,
     LeaseAsk,
     Lease,
     Prepare,
@@ -364,23 +364,23 @@
     Piece,
     Chosen,
 )
-ROLLOUT: tuple[type[Item], ...] = KINDS[12:]  # passed on to the machine that changes policies
-_CODES = {kind: code for code, kind in enumerate(KINDS, 1)}
-_FIELDS = {kind: tuple(kind.__slots__) for kind in KINDS}
+ROLLOUT_ITEM_TYPES: tuple[type[Item], ...] = ITEM_TYPES[12:]  # passed on to the machine that changes policies
+_CODES = {kind: code for code, kind in enumerate(ITEM_TYPES, 1)}
+_FIELDS = {kind: tuple(kind.__slots__) for kind in ITEM_TYPES}
 
 
-def size(item: Item) -> int:
+def item_bytes(item: Item) -> int:
     """Its bytes in a datagram."""
     return 1 + item.LAYOUT.size
 
 
 @dataclass(frozen=True, slots=True)
-class Head:
+class DatagramHeader:
     """Who says it, and when, in milliseconds of its own clock."""
 
     sender: int
     state: MemberState
-    life: int
+    incarnation: int
     round: int
     number: int
     sent_ms: int
@@ -390,16 +390,16 @@
 class Datagram:
     """One that was read whole."""
 
-    head: Head
+    head: DatagramHeader
     items: tuple[Item, ...]
 
 
-class FlawError(Exception):
+class DatagramError(Exception):
     """A datagram that is not taken."""
 
-    def __init__(self, flaw: Flaw) -> None:
-        super().__init__(flaw.value)
-        self.flaw = flaw
+    def __init__(self, fault: DatagramFault) -> None:
+        super().__init__(fault.value)
+        self.fault = fault
 
 
 class DatagramSigner(Protocol):
@@ -412,18 +412,20 @@
     def holds(self, data: bytes, tag: bytes) -> bool: ...
 
 
-def encode(head: Head, items: Iterable[Item], mark: int, tagger: DatagramSigner | None = None) -> bytes:
+def encode(
+    head: DatagramHeader, items: Iterable[Item], fingerprint: int, signer: DatagramSigner | None = None
+) -> bytes:
     """The bytes; ValueError past DATAGRAM_MAX."""
     parts = [
-        _HEAD.pack(
+        _HEADER.pack(
             VERSION,
             head.state,
-            mark,
+            fingerprint,
             head.sender,
-            head.life,
+            head.incarnation,
             head.round,
-            head.number % WRAP,
-            head.sent_ms % WRAP,
+            head.number % WRAP_MODULUS,
+            head.sent_ms % WRAP_MODULUS,
         )
     ]
     for item in items:
@@ -432,53 +434,53 @@
         parts.append(item.LAYOUT.pack(*(getattr(item, name) for name in _FIELDS[kind])))
     body = b"".join(parts)
     data = _CHECK.pack(crc32c.crc32c(body)) + body
-    if tagger is not None:
-        data += tagger.tag(data)
-    if len(data) > DATAGRAM_MAX:
+    if signer is not None:
+        data += signer.tag(data)
+    if len(data) > DATAGRAM_MAX_BYTES:
         raise ValueError(f"a datagram of {len(data)} bytes")
     return data
 
 
-def decode(data: bytes, mark: int, tagger: DatagramSigner | None = None) -> Datagram:
+def decode(data: bytes, fingerprint: int, signer: DatagramSigner | None = None) -> Datagram:
     """The datagram of some bytes; FlawError says what is wrong with them. The checksum comes first: of bytes
     that were spoilt on the way nothing else can be said.
     """
-    tag = TAG if tagger is not None else 0
-    if not HEAD_BYTES + tag <= len(data) <= DATAGRAM_MAX:
-        raise FlawError(Flaw.SHORT)
+    tag = TAG_BYTES if signer is not None else 0
+    if not HEADER_BYTES + tag <= len(data) <= DATAGRAM_MAX_BYTES:
+        raise DatagramError(DatagramFault.SHORT)
     if data[_CHECK.size] != VERSION:
-        raise FlawError(Flaw.VERSION)
+        raise DatagramError(DatagramFault.VERSION)
     body = data[_CHECK.size : len(data) - tag]
     if crc32c.crc32c(body) != _CHECK.unpack_from(data)[0]:
-        raise FlawError(Flaw.CHECKSUM)
-    if tagger is not None and not tagger.holds(data[:-tag], data[-tag:]):
-        raise FlawError(Flaw.FORGED)
-    _, state, told, sender, life, turn, number, sent = _HEAD.unpack_from(body)
-    if told != mark:
-        raise FlawError(Flaw.ROSTER)
+        raise DatagramError(DatagramFault.CHECKSUM)
+    if signer is not None and not signer.holds(data[:-tag], data[-tag:]):
+        raise DatagramError(DatagramFault.FORGED)
+    _, state, told, sender, incarnation, turn, number, sent = _HEADER.unpack_from(body)
+    if told != fingerprint:
+        raise DatagramError(DatagramFault.ROSTER)
     items: list[Item] = []
-    at = _HEAD.size
+    at = _HEADER.size
     try:
         while at < len(body):
-            kind = KINDS[body[at] - 1] if body[at] else None
+            kind = ITEM_TYPES[body[at] - 1] if body[at] else None
             if kind is None:
-                raise FlawError(Flaw.MALFORMED)
+                raise DatagramError(DatagramFault.MALFORMED)
             items.append(kind(*kind.LAYOUT.unpack_from(body, at + 1)))
             at += 1 + kind.LAYOUT.size
-        head = Head(sender, MemberState(state), life, turn, number, sent)
+        head = DatagramHeader(sender, MemberState(state), incarnation, turn, number, sent)
     except (IndexError, ValueError, StructError):
-        raise FlawError(Flaw.MALFORMED) from None
+        raise DatagramError(DatagramFault.MALFORMED) from None
     return Datagram(head, tuple(items))
 
 
-def pack(items: Iterable[Item], room: int = DATAGRAM_MAX - HEAD_BYTES) -> list[list[Item]]:
+def pack(items: Iterable[Item], room: int = DATAGRAM_MAX_BYTES - HEADER_BYTES) -> list[list[Item]]:
     """Items in their order in as few datagrams as hold them, `room` bytes of items in each."""
     made: list[list[Item]] = []
     left = 0
     for item in items:
-        if size(item) > left:
+        if item_bytes(item) > left:
             made.append([])
             left = room
         made[-1].append(item)
-        left -= size(item)
+        left -= item_bytes(item)
     return made
--- a/lemonridge/fleet/demand.py
+++ b/lemonridge/fleet/demand.py
@@ -6,16 +6,22 @@
 
 from lemonridge.fleet.quota_lending import Key
 
-FADE_US = 700_000  # memory of a rate: a lead that moves each second must be followed, single requests not
-COLD_US = 4_000_000  # of what is asked for at a cold node, where a broker sees a request now and then
-AHEAD = 1.3  # so much more than what was asked for is wanted: room to grow into, against what others lack
+DEMAND_DECAY_US = (
+    700_000  # memory of a rate: a lead that moves each second must be followed, single requests not
+)
+SLOW_START_DECAY_US = (
+    4_000_000  # of what is asked for at a cold node, where a broker sees a request now and then
+)
+DEMAND_HEADROOM = (
+    1.3  # so much more than what was asked for is wanted: room to grow into, against what others lack
+)
 RATES_MAX = 8192  # keys that are kept; past it the ones that were not asked for the longest make room
 
 
-class Rates:
+class DemandEstimator:
     """Units a second by key, fading."""
 
-    def __init__(self, fade_us: int = FADE_US) -> None:
+    def __init__(self, fade_us: int = DEMAND_DECAY_US) -> None:
         self._fade_us = fade_us
         self._rates: dict[Key, tuple[float, int]] = {}
 
--- a/lemonridge/fleet/fleet_member.py
+++ b/lemonridge/fleet/fleet_member.py
@@ -15,83 +15,92 @@
 import crc32c
 
 from lemonridge.fleet.datagrams import (
-    DATAGRAM_MAX,
-    HEAD_BYTES,
-    ROLLOUT,
-    TAG,
-    WRAP,
+    DATAGRAM_MAX_BYTES,
+    HEADER_BYTES,
+    ROLLOUT_ITEM_TYPES,
+    TAG_BYTES,
+    WRAP_MODULUS,
     Ack,
-    Cleared,
-    Count,
     Datagram,
+    DatagramError,
+    DatagramFault,
+    DatagramHeader,
     DatagramSigner,
-    Flaw,
-    FlawError,
-    Head,
+    HealthReport,
+    Heartbeat,
     Item,
-    Judge,
     LoanGrant,
+    LoanRecall,
+    LoanRecallAck,
+    LoanRelease,
     LoanRequest,
     MembershipUpdate,
     MemberState,
     Ping,
     PingRequest,
-    Presence,
-    Recall,
-    Release,
+    UsageTotal,
     decode,
     encode,
-    size,
+    item_bytes,
+)
+from lemonridge.fleet.demand import DEMAND_HEADROOM, SLOW_START_DECAY_US, DemandEstimator
+from lemonridge.fleet.health_gossip import (
+    LocalObservations,
+    ObservedOutcome,
+    PeerHealthReports,
+    PeerHealthSummary,
 )
-from lemonridge.fleet.demand import AHEAD, COLD_US, Rates
-from lemonridge.fleet.health_gossip import Evidence, HealthVerdict, ObservedOutcome, PeerHealthReports
 from lemonridge.fleet.member_list import MemberList
-from lemonridge.fleet.membership import ALIVE, Membership
-from lemonridge.fleet.quota_lending import WHOLE, BudgetKind, Key, QuotaLedger, QuotaSlice
-from lemonridge.fleet.usage_totals import Counted, Counts
-
-BYTES_S, ERROR_US = 8192.0, 50_000  # where nothing else is said
-TICK_US = 50_000  # while budgets are in use: how soon demand that moves is followed, against CPU
-STALL_US = 400_000  # a tick so much too late says that this process did not run
-IDLE_US = 30_000_000  # a budget that no one has used or lent for so long is dropped
-FAN = 8  # brokers that one question goes to at most: of more, those that use the budget, and some at random
-OLD_MS = 5_000  # a datagram sent longer ago, or so far ahead, is not taken
-WINDOW = 64  # numbers of one sender that are told from repeats
-RECALL_US = 100_000  # between two of a fresh start's questions to those that have not answered yet
-READ_S = 500  # datagrams read in a second, at most
-POST_S = 400.0  # datagrams about policies that leave in a second, at most: beside the budget of bytes
-BURST_S = 1.0  # bytes that may leave at once, in seconds of their budget
-REGISTER_US = 10_000_000  # between two tellings that a limit is used
-PLACES_MAX = 8192  # of limits whose places are remembered
-TELL_US = 500_000  # between two tellings of counts and judgements
-COUNTS = 24  # totals that are told at a time, at most
-JUDGES = 8  # judgements
+from lemonridge.fleet.membership import ALIVE_STATES, Membership
+from lemonridge.fleet.quota_lending import WHOLE_PARTS, BudgetKind, Key, Quota, QuotaLedger
+from lemonridge.fleet.usage_totals import UsageKind, UsageTotals
+
+SEND_BUDGET_BYTES_S, CLOCK_ERROR_US = 8192.0, 50_000  # where nothing else is said
+TICK_INTERVAL_US = 50_000  # while budgets are in use: how soon demand that moves is followed, against CPU
+STALL_THRESHOLD_US = 400_000  # a tick so much too late says that this process did not run
+IDLE_BUDGET_US = 30_000_000  # a budget that no one has used or lent for so long is dropped
+FANOUT = (
+    8  # brokers that one question goes to at most: of more, those that use the budget, and some at random
+)
+DATAGRAM_MAX_AGE_MS = 5_000  # a datagram sent longer ago, or so far ahead, is not taken
+REPLAY_WINDOW = 64  # numbers of one sender that are told from repeats
+RECALL_INTERVAL_US = 100_000  # between two of a fresh start's questions to those that have not answered yet
+DATAGRAMS_READ_PER_S = 500  # datagrams read in a second, at most
+ROLLOUT_DATAGRAMS_PER_S = (
+    400.0  # datagrams about policies that leave in a second, at most: beside the budget of bytes
+)
+SEND_BURST_S = 1.0  # bytes that may leave at once, in seconds of their budget
+REGISTRATION_INTERVAL_US = 10_000_000  # between two tellings that a limit is used
+RENDEZVOUS_CACHE_MAX = 8192  # of limits whose places are remembered
+REPORT_INTERVAL_US = 500_000  # between two tellings of counts and judgements
+USAGE_TOTALS_PER_REPORT = 24  # totals that are told at a time, at most
+HEALTH_REPORTS_PER_REPORT = 8  # judgements
 # The most useful first.
-_RANKS: tuple[tuple[type[Item], ...], ...] = (
+_PRIORITIES: tuple[tuple[type[Item], ...], ...] = (
     (Ack,),
     (Ping, PingRequest),
-    (Release, Recall, Cleared, LoanGrant),
+    (LoanRelease, LoanRecall, LoanRecallAck, LoanGrant),
     (LoanRequest,),
     (MembershipUpdate,),
-    (Judge,),
-    (Count,),
-    (Presence,),
+    (HealthReport,),
+    (UsageTotal,),
+    (Heartbeat,),
 )
-RANK = {kind: place for place, kinds in enumerate(_RANKS) for kind in kinds}
+ITEM_PRIORITY = {kind: place for place, kinds in enumerate(_PRIORITIES) for kind in kinds}
 
 
 @dataclass(frozen=True, slots=True)
-class Tuning:
+class MemberSettings:
     """What the operators or the platform's settings say."""
 
-    bytes_s: float = BYTES_S  # that may leave, in a second
-    error_us: int = ERROR_US  # by which two clocks may differ over the span of a loan
+    bytes_s: float = SEND_BUDGET_BYTES_S  # that may leave, in a second
+    error_us: int = CLOCK_ERROR_US  # by which two clocks may differ over the span of a loan
     counts: bool = False  # whether totals are told: where nodes' answers do not
     further: float = 0.0  # further attempts a second, of all brokers; 0: they have no budget of the fleet
 
 
 @dataclass(frozen=True, slots=True)
-class Received:
+class DatagramReceived:
     """A datagram came from member `source`'s address; None: from an address that is no member's."""
 
     source: int | None
@@ -116,18 +125,18 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Leaving:
+class ShutdownBegan:
     """This broker is about to end."""
 
 
 @dataclass(frozen=True, slots=True)
-class Post:
+class RolloutItemsQueued:
     """Send what the machine that changes policies has to say, a datagram each."""
 
     items: tuple[tuple[int, Item], ...]
 
 
-Event = Received | TimerFired | SlowStartBegan | Leaving | Post
+Event = DatagramReceived | TimerFired | SlowStartBegan | ShutdownBegan | RolloutItemsQueued
 
 
 @dataclass(frozen=True, slots=True)
@@ -139,12 +148,12 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Sliced:
+class QuotaUpdated:
     """What this broker may use of a budget, from this moment on."""
 
     kind: BudgetKind
     key: int
-    slice: QuotaSlice
+    slice: Quota
     base: int
 
 
@@ -156,7 +165,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Served:
+class PeerUsageReceived:
     """Others served a volume so many units; all who may serve it told of it."""
 
     volume: int
@@ -164,29 +173,31 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Judged:
+class PeerHealthChanged:
     """What others say of a node is another thing now."""
 
-    verdict: HealthVerdict
+    verdict: PeerHealthSummary
 
 
 @dataclass(frozen=True, slots=True)
-class Passed:
+class RolloutItemReceived:
     """Something for the machine that changes policies came from a member's incarnation."""
 
     source: int
-    life: int
+    incarnation: int
     item: Item
 
 
-FleetAction = SendDatagram | Sliced | Served | Judged | Passed | SetTimer
+FleetAction = (
+    SendDatagram | QuotaUpdated | PeerUsageReceived | PeerHealthChanged | RolloutItemReceived | SetTimer
+)
 
 
 @dataclass(slots=True)
 class _Sender:
     """What keeps one sender's datagrams from counting twice, and how its link is."""
 
-    life: int = 0
+    incarnation: int = 0
     first: int = 0  # the first number that came
     came: int = 0
     top: int = -1
@@ -209,79 +220,88 @@
 
     def __init__(
         self,
-        roster: MemberList,
-        life: int,
+        member_list: MemberList,
+        incarnation: int,
         seed: int,
         now_us: int,
-        tuning: Tuning | None = None,
-        tagger: DatagramSigner | None = None,
+        tuning: MemberSettings | None = None,
+        signer: DatagramSigner | None = None,
     ) -> None:
-        """`life` is this start's time in Unix milliseconds: a later start of a name has a higher one."""
-        self.roster, self.tuning, self._tagger = roster, tuning or Tuning(), tagger
+        """`incarnation` is this start's time in Unix milliseconds: a later start of a name has a higher
+        one."""
+        self.member_list, self.tuning, self._signer = member_list, tuning or MemberSettings(), signer
         self._random = Random(f"{seed}/fleet")
-        self.members = Membership(roster, life, seed, now_us)
+        self.members = Membership(member_list, incarnation, seed, now_us)
         self.ledger = QuotaLedger(
-            roster.me, life, self._random.randrange(1, 1 << 30), self.tuning.error_us, now_us
-        ).among(roster.others)
-        self.rates, self.cold_rates = Rates(), Rates(COLD_US)
-        self.evidence, self.peer_reports, self.shared = Evidence(), PeerHealthReports(), Counts()
+            member_list.me, incarnation, self._random.randrange(1, 1 << 30), self.tuning.error_us, now_us
+        ).among(member_list.others)
+        self.rates, self.cold_rates = DemandEstimator(), DemandEstimator(SLOW_START_DECAY_US)
+        self.evidence, self.peer_reports, self.shared = (
+            LocalObservations(),
+            PeerHealthReports(),
+            UsageTotals(),
+        )
         self._told_us = self._recall_us = now_us
-        self.flaws: defaultdict[Flaw, int] = defaultdict(int)
+        self.faults: defaultdict[DatagramFault, int] = defaultdict(int)
         self.counts: defaultdict[str, int] = defaultdict(int)
         self._limits: dict[int, tuple[float, int]] = {}  # of volumes: units a second, and when last used
         self._cold: dict[int, _Cold] = {}  # by shard
         self._fresh: list[Key] = []  # limits whose use was not told yet
         self._due: dict[Key, int] = {}  # when to tell again that a limit is used, the earliest first
         self._places: dict[Key, tuple[int, ...]] = {}
-        self._told: dict[Key, QuotaSlice] = {}
-        self._senders = [_Sender() for _ in roster.names]
-        self._numbers = [0] * roster.size  # of the datagrams to each: gaps tell the other what was lost
-        self._room, self._room_us = self.tuning.bytes_s * BURST_S, now_us
+        self._told: dict[Key, Quota] = {}
+        self._senders = [_Sender() for _ in member_list.names]
+        self._numbers = [0] * member_list.size  # of the datagrams to each: gaps tell the other what was lost
+        self._room, self._room_us = self.tuning.bytes_s * SEND_BURST_S, now_us
         self._reads, self._reads_us = 0, now_us
-        self._posts, self._posts_us = POST_S, now_us
+        self._posts, self._posts_us = ROLLOUT_DATAGRAMS_PER_S, now_us
         self._tick_us = self._swept_us = now_us
         self._out: dict[int, list[Item]] = {}
         self._wake_us: int | None = None
-        if self.tuning.further and roster.size > 1:
-            self.ledger.own((BudgetKind.FURTHER, 0), WHOLE // roster.size, roster.size, True, now_us)
+        if self.tuning.further and member_list.size > 1:
+            self.ledger.own(
+                (BudgetKind.FURTHER, 0), WHOLE_PARTS // member_list.size, member_list.size, True, now_us
+            )
 
     # What this broker sees itself
 
-    def taken(self, volume: int, limit: float, hosts: int, units: float, now_us: int) -> Sliced | None:
+    def taken(self, volume: int, limit: float, hosts: int, units: float, now_us: int) -> QuotaUpdated | None:
         """A request of a volume that has a limit, of so many units a second, was asked for. The slice is told
         where it was not before: it may be lent already, and must be known before the request.
         """
-        if hosts < 2 or self.roster.size < 2:
+        if hosts < 2 or self.member_list.size < 2:
             return None
         key = (int(BudgetKind.LIMIT), volume)
         before = self._limits.get(volume)
         self._limits[volume] = (limit, now_us)
         self.rates.add(key, units, now_us, limit)
-        pool = self.ledger.own(key, WHOLE // hosts, hosts, True, now_us)
-        if self.roster.size > FAN + 1 and key not in self._due:
+        pool = self.ledger.own(key, WHOLE_PARTS // hosts, hosts, True, now_us)
+        if self.member_list.size > FANOUT + 1 and key not in self._due:
             self._fresh.append(key)
         # After a while without requests the decisions may have forgotten the volume, its slice too.
-        if pool is None or (key in self._told and before is not None and now_us - before[1] < IDLE_US // 2):
+        if pool is None or (
+            key in self._told and before is not None and now_us - before[1] < IDLE_BUDGET_US // 2
+        ):
             return None
         self._told[key] = now = self.ledger.slice(key, now_us)
-        return Sliced(BudgetKind.LIMIT, volume, now, pool.base)
+        return QuotaUpdated(BudgetKind.LIMIT, volume, now, pool.base)
 
     def links(self) -> Sequence[_Sender]:
         """What came from each member, by number."""
         return self._senders
 
-    def told(self) -> list[Sliced]:
+    def told(self) -> list[QuotaUpdated]:
         """Every slice as it was told last."""
         return [
-            Sliced(BudgetKind(key[0]), key[1], one, self.ledger.pools[key].base)
+            QuotaUpdated(BudgetKind(key[0]), key[1], one, self.ledger.budgets[key].base)
             for key, one in self._told.items()
-            if key in self.ledger.pools
+            if key in self.ledger.budgets
         ]
 
     def asked(self, shard: int, units: float, now_us: int) -> None:
         """A request for a shard was asked for."""
         if shard in self._cold:
-            self.cold_rates.add(self._cold[shard].key, units, now_us, COLD_TOP)
+            self.cold_rates.add(self._cold[shard].key, units, now_us, SLOW_START_DEMAND_MAX)
 
     def tried(self, now_us: int) -> None:
         """A further attempt was wanted, made or not."""
@@ -290,17 +310,17 @@
     def ended(self, endpoint: int, seen: ObservedOutcome, now_us: int) -> bool:
         """An attempt at a node (by its key) ended; whether this is to be told at once, by `handle`."""
         if self.evidence.ended(endpoint, seen, now_us):
-            self._told_us = self._tick_us = now_us - TELL_US
+            self._told_us = self._tick_us = now_us - REPORT_INTERVAL_US
             return True
         return False
 
     def sent(self, endpoint: int, units: float) -> None:
         """A node was sent some units."""
-        self.shared.add(Counted.SENT, endpoint, units)
+        self.shared.add(UsageKind.SENT, endpoint, units)
 
     def served(self, volume: int, units: float) -> None:
         """A volume was served some units."""
-        self.shared.add(Counted.SERVED, volume, units)
+        self.shared.add(UsageKind.SERVED, volume, units)
 
     # Events
 
@@ -308,22 +328,22 @@
         """Take the events of one moment."""
         actions: list[FleetAction] = []
         self._out = {}
-        if self._wake_us is not None and now_us - self._wake_us > STALL_US:
+        if self._wake_us is not None and now_us - self._wake_us > STALL_THRESHOLD_US:
             self.counts["stalls"] += 1
             self.members.stalled(now_us)
         for event in events:
-            if isinstance(event, Received):
+            if isinstance(event, DatagramReceived):
                 self._received(event, now_us, actions)
             elif isinstance(event, SlowStartBegan):
                 self._slow_start_began(event, now_us)
-            elif isinstance(event, Leaving):
+            elif isinstance(event, ShutdownBegan):
                 self._leave(now_us)
-            elif isinstance(event, Post):
+            elif isinstance(event, RolloutItemsQueued):
                 for who, item in event.items:
                     self._post(who, item, now_us, actions)
         self._queue(self.members.tick(now_us))
         if now_us >= self._tick_us:
-            self._tick_us = now_us + TICK_US
+            self._tick_us = now_us + TICK_INTERVAL_US
             self._tick(now_us)
         self._settle(now_us, actions)
         self._flush(now_us, actions)
@@ -346,36 +366,36 @@
     def _slow_start_began(self, event: SlowStartBegan, now_us: int) -> None:
         key = (int(BudgetKind.COLD), event.key)
         base = int(event.rate * 1e6)
-        if self.roster.size > 1 and 0 <= base < 1 << 31:
+        if self.member_list.size > 1 and 0 <= base < 1 << 31:
             before = self._cold.get(event.shard)
             if before is not None and before.key != key:  # another node has the shard now
                 self.cold_rates.forget(before.key)
-                self._queue(self.ledger.give_back(before.key))
+                self._queue(self.ledger.return_loans(before.key))
             self._cold[event.shard] = _Cold(event.name, key, event.shard, event.until_us)
             self._queue(
-                self.ledger.slow_start_began(key, base, self.roster.size, event.born_us // 1000, now_us)
+                self.ledger.slow_start_began(key, base, self.member_list.size, event.born_us // 1000, now_us)
             )
 
     def _leave(self, now_us: int) -> None:
         """What is lent to this broker goes back, and all hear that it leaves."""
         self.members.announce(MemberState.LEAVING)
-        for key in list(self.ledger.pools):
-            self._queue(self.ledger.give_back(key))
-        for who in self.members.there()[:FAN]:
-            self._queue([(who, Presence())])
+        for key in list(self.ledger.budgets):
+            self._queue(self.ledger.return_loans(key))
+        for who in self.members.there()[:FANOUT]:
+            self._queue([(who, Heartbeat())])
 
     # Datagrams that came
 
-    def _received(self, event: Received, now_us: int, actions: list[FleetAction]) -> None:
+    def _received(self, event: DatagramReceived, now_us: int, actions: list[FleetAction]) -> None:
         try:
             told = self._read(event, now_us)
-        except FlawError as error:
-            self.flaws[error.flaw] += 1
+        except DatagramError as error:
+            self.faults[error.fault] += 1
             return
         self.counts["datagrams.taken"] += 1
         head = told.head
         before, self._out = self._out, {}
-        self._queue(self.members.heard(head.sender, head.life, head.round, head.state, now_us))
+        self._queue(self.members.heard(head.sender, head.incarnation, head.round, head.state, now_us))
         for item in told.items:
             self._item(head, item, now_us, actions)
         answers, others = self._out.pop(head.sender, []), self._out
@@ -387,34 +407,36 @@
             # An answer is no longer than its question: nobody can make this broker send more than it gets.
             self._send(head.sender, answers, now_us, actions, len(event.data))
 
-    def _read(self, event: Received, now_us: int) -> Datagram:
+    def _read(self, event: DatagramReceived, now_us: int) -> Datagram:
         """A datagram that may count, once."""
         if now_us - self._reads_us >= 1_000_000:
             self._reads, self._reads_us = 0, now_us
         self._reads += 1
-        if self._reads > READ_S:
-            raise FlawError(Flaw.OVERRUN)
+        if self._reads > DATAGRAMS_READ_PER_S:
+            raise DatagramError(DatagramFault.OVERRUN)
         if event.source is None:
-            raise FlawError(Flaw.ADDRESS)
-        told = decode(event.data, self.roster.mark, self._tagger)
+            raise DatagramError(DatagramFault.ADDRESS)
+        told = decode(event.data, self.member_list.fingerprint, self._signer)
         head = told.head
-        if head.sender != event.source or head.sender == self.roster.me:
-            raise FlawError(Flaw.ADDRESS)
+        if head.sender != event.source or head.sender == self.member_list.me:
+            raise DatagramError(DatagramFault.ADDRESS)
         now_ms = now_us // 1000
-        ago_ms = (now_ms - head.sent_ms + WRAP // 2) % WRAP - WRAP // 2
-        if not -OLD_MS <= ago_ms <= OLD_MS:
-            raise FlawError(Flaw.OLD)
+        ago_ms = (now_ms - head.sent_ms + WRAP_MODULUS // 2) % WRAP_MODULUS - WRAP_MODULUS // 2
+        if not -DATAGRAM_MAX_AGE_MS <= ago_ms <= DATAGRAM_MAX_AGE_MS:
+            raise DatagramError(DatagramFault.OLD)
         sender = self._senders[head.sender]
-        if head.life < sender.life:
-            raise FlawError(Flaw.OLD)
-        if head.life > sender.life:
-            self._senders[head.sender] = sender = _Sender(head.life, head.number)
+        if head.incarnation < sender.incarnation:
+            raise DatagramError(DatagramFault.OLD)
+        if head.incarnation > sender.incarnation:
+            self._senders[head.sender] = sender = _Sender(head.incarnation, head.number)
         ahead = head.number - sender.top
         if ahead > 0:
-            sender.seen = (sender.seen << ahead | 1) & ((1 << WINDOW) - 1) if ahead < WINDOW else 1
+            sender.seen = (
+                (sender.seen << ahead | 1) & ((1 << REPLAY_WINDOW) - 1) if ahead < REPLAY_WINDOW else 1
+            )
             sender.top = head.number
-        elif ahead <= -WINDOW or sender.seen >> -ahead & 1:
-            raise FlawError(Flaw.REPLAYED)
+        elif ahead <= -REPLAY_WINDOW or sender.seen >> -ahead & 1:
+            raise DatagramError(DatagramFault.REPLAYED)
         else:
             sender.seen |= 1 << -ahead
         sender.came += 1
@@ -422,7 +444,7 @@
             sender.behind_ms = ago_ms
         return told
 
-    def _item(self, head: Head, item: Item, now_us: int, actions: list[FleetAction]) -> None:
+    def _item(self, head: DatagramHeader, item: Item, now_us: int, actions: list[FleetAction]) -> None:
         who = head.sender
         if isinstance(item, (Ping, PingRequest)):
             self._queue(self.members.asked(who, item, now_us))
@@ -436,47 +458,54 @@
             grant = (
                 LoanGrant(item.kind, item.key, item.ask, 0, 0)
                 if over
-                else self.ledger.asked(who, head.life, item, now_us)
+                else self.ledger.asked(who, head.incarnation, item, now_us)
             )
             self.counts["loans.given" if grant.parts else "loans.refused"] += 1
             self._queue([(who, grant)])
         elif isinstance(item, LoanGrant):
-            if self.ledger.lent_to_me(who, head.life, item, now_us) and item.parts:
+            if self.ledger.on_grant(who, head.incarnation, item, now_us) and item.parts:
                 self.counts["loans.taken"] += 1
-        elif isinstance(item, Release):
-            self.counts["loans.returned"] += self.ledger.returned(who, head.life, item)
-        elif isinstance(item, Recall):
-            self._queue([(who, self.ledger.recalled(who, head.life))])
-        elif isinstance(item, Cleared):
+        elif isinstance(item, LoanRelease):
+            self.counts["loans.returned"] += self.ledger.returned(who, head.incarnation, item)
+        elif isinstance(item, LoanRecall):
+            self._queue([(who, self.ledger.recalled(who, head.incarnation))])
+        elif isinstance(item, LoanRecallAck):
             self.counts["floors.over"] += self.ledger.cleared(who, item, now_us)
-        elif isinstance(item, Judge):
+        elif isinstance(item, HealthReport):
             seen_us = now_us - item.age_ms * 1000
             told = self.peer_reports.told(who, item.endpoint_id, item.what, item.weight, seen_us, now_us)
             if told is not None:
                 self.counts["judgements.agreed" if told.agreed else "judgements.lone"] += 1
-                actions.append(Judged(told))
-        elif isinstance(item, ROLLOUT):
-            actions.append(Passed(who, head.life, item))
-        elif isinstance(item, Count):
-            units = self.shared.heard(who, head.life, item.kind, item.key, item.total, now_us)
-            if units and item.kind == Counted.SERVED and self._all_heard(now_us):
-                actions.append(Served(item.key, units))
+                actions.append(PeerHealthChanged(told))
+        elif isinstance(item, ROLLOUT_ITEM_TYPES):
+            actions.append(RolloutItemReceived(who, head.incarnation, item))
+        elif isinstance(item, UsageTotal):
+            units = self.shared.heard(who, head.incarnation, item.kind, item.key, item.total, now_us)
+            if units and item.kind == UsageKind.SERVED and self._all_heard(now_us):
+                actions.append(PeerUsageReceived(item.key, units))
 
     def _all_heard(self, now_us: int) -> bool:
         """Whether all who may count are heard of late: of what some did not tell nothing is known."""
-        if self.roster.size > FAN + 1:
+        if self.member_list.size > FANOUT + 1:
             return False
-        members = (self.members.members[n] for n in self.roster.others)
-        return all(one.state not in ALIVE or now_us - one.heard_us <= 2 * TELL_US for one in members)
+        members = (self.members.members[n] for n in self.member_list.others)
+        return all(
+            one.state not in ALIVE_STATES or now_us - one.heard_us <= 2 * REPORT_INTERVAL_US
+            for one in members
+        )
 
     # Time
 
     def _tick(self, now_us: int) -> None:
         """Follow the demand: ask for what is missing, give back what is not needed."""
-        if now_us < self.ledger.whole_us and self.roster.size <= FAN + 1 and now_us >= self._recall_us:
-            self._recall_us = now_us + RECALL_US
-            self._queue([(who, Recall()) for who in self.ledger.unclear()])
-        if now_us >= self.ledger.whole_us and self.members.state is MemberState.JOINING:
+        if (
+            now_us < self.ledger.floors_until_us
+            and self.member_list.size <= FANOUT + 1
+            and now_us >= self._recall_us
+        ):
+            self._recall_us = now_us + RECALL_INTERVAL_US
+            self._queue([(who, LoanRecall()) for who in self.ledger.unacknowledged_peers()])
+        if now_us >= self.ledger.floors_until_us and self.members.state is MemberState.JOINING:
             self.members.announce(MemberState.UP)
         wanted: dict[int, list[LoanRequest]] = {}
         wanted_of = [*self.rates.known(), *self.cold_rates.known()]
@@ -489,17 +518,17 @@
         for who, wants in wanted.items():
             self._queue([(who, want) for want in wants])
         self._register(now_us)
-        if now_us - self._told_us >= TELL_US:
+        if now_us - self._told_us >= REPORT_INTERVAL_US:
             self._told_us = now_us
             self._say(now_us)
         for shard, cold in list(self._cold.items()):
             if now_us >= cold.until_us:
                 del self._cold[shard]
                 self.cold_rates.forget(cold.key)
-                self._queue(self.ledger.give_back(cold.key))
-        if now_us - self._swept_us > IDLE_US:
+                self._queue(self.ledger.return_loans(cold.key))
+        if now_us - self._swept_us > IDLE_BUDGET_US:
             self._swept_us = now_us
-            for key in self.ledger.sweep(now_us, IDLE_US):
+            for key in self.ledger.sweep(now_us, IDLE_BUDGET_US):
                 self._told.pop(key, None)
                 self.rates.forget(key)
                 if key[0] == BudgetKind.LIMIT:
@@ -508,50 +537,54 @@
     def _say(self, now_us: int) -> None:
         """Tell what was counted and what was seen of nodes: all of a small fleet, of a large one some."""
         some = list(self.members.there())
-        if len(some) > FAN:
-            some = self._random.sample(some, FAN)
+        if len(some) > FANOUT:
+            some = self._random.sample(some, FANOUT)
         judges = [
-            Judge(one.endpoint_id, int(one.what), one.weight, min(65535, (now_us - one.at_us) // 1000))
-            for one in self.evidence.observations(now_us)[:JUDGES]
+            HealthReport(one.endpoint_id, int(one.what), one.weight, min(65535, (now_us - one.at_us) // 1000))
+            for one in self.evidence.observations(now_us)[:HEALTH_REPORTS_PER_REPORT]
         ]
-        counts = [Count(*row) for row in self.shared.news(COUNTS)] if self.tuning.counts else []
+        counts = (
+            [UsageTotal(*row) for row in self.shared.news(USAGE_TOTALS_PER_REPORT)]
+            if self.tuning.counts
+            else []
+        )
         said: list[Item] = [*judges, *counts]
-        if self.tuning.counts and not said and self.roster.size <= FAN + 1:
-            said.append(Presence())  # who tells nothing has counted nothing: that must be heard too
+        if self.tuning.counts and not said and self.member_list.size <= FANOUT + 1:
+            said.append(Heartbeat())  # who tells nothing has counted nothing: that must be heard too
         for who in some:
             self._queue([(who, item) for item in said])
 
     def _need(self, key: Key, now_us: int) -> None:
-        pool = self.ledger.pools.get(key)
+        pool = self.ledger.budgets.get(key)
         if pool is None:
             return
         rates = self.cold_rates if key[0] == BudgetKind.COLD else self.rates
-        rate = rates.rate(key, now_us) * AHEAD
+        rate = rates.rate(key, now_us) * DEMAND_HEADROOM
         if key[0] == BudgetKind.LIMIT:
             limit = self._limits.get(key[1], (0.0, 0))[0]
-            pool.need = min(WHOLE, int(rate / limit * WHOLE)) if limit else 0
+            pool.need = min(WHOLE_PARTS, int(rate / limit * WHOLE_PARTS)) if limit else 0
         elif key[0] == BudgetKind.COLD:
-            pool.need = min((1 << 31) - 1, int(rate * 1e6 * COLD_TIMES))
+            pool.need = min((1 << 31) - 1, int(rate * 1e6 * SLOW_START_DEMAND_MULTIPLE))
         else:
-            pool.need = min(WHOLE, int(rate / self.tuning.further * WHOLE))
+            pool.need = min(WHOLE_PARTS, int(rate / self.tuning.further * WHOLE_PARTS))
         if pool.need < pool.base:
-            self._queue(self.ledger.give_back(key))
+            self._queue(self.ledger.return_loans(key))
 
     def _whom(self, key: Key) -> list[int]:
         """Whom to ask: those that use the budget, and others at random, up to FAN; all of a small fleet."""
-        others = [n for n in self.roster.others if self.members.members[n].state is not MemberState.LEFT]
-        if len(others) <= FAN:
+        others = [n for n in self.member_list.others if self.members.members[n].state is not MemberState.LEFT]
+        if len(others) <= FANOUT:
             return others
-        pool = self.ledger.pools[key]
-        known = sorted(pool.users)[:FAN]
+        pool = self.ledger.budgets[key]
+        known = sorted(pool.users)[:FANOUT]
         if key[0] == BudgetKind.LIMIT and len(known) >= pool.hosts - 1:
             return known
         if key[0] == BudgetKind.LIMIT:
-            known = list(dict.fromkeys([*known, *sorted(pool.hints), *self.places(key)]))[:FAN]
+            known = list(dict.fromkeys([*known, *sorted(pool.hints), *self.places(key)]))[:FANOUT]
         if key[0] != BudgetKind.LIMIT:  # whoever lent once lends again, or the slices would wander
-            known = [n for n in pool.borrowed if n in others][:FAN]
+            known = [n for n in pool.borrowed if n in others][:FANOUT]
         rest = [n for n in others if n not in known]
-        return known + self._random.sample(rest, min(len(rest), FAN - len(known)))
+        return known + self._random.sample(rest, min(len(rest), FANOUT - len(known)))
 
     def places(self, key: Key) -> tuple[int, ...]:
         """Whom the users of a limit tell that they use it, in a fleet in which not all are asked: two by
@@ -560,9 +593,9 @@
         """
         found = self._places.get(key)
         if found is None:
-            weights = sorted((crc32c.crc32c(b"%d %d" % (key[1], n)), n) for n in range(self.roster.size))
-            found = tuple(n for _, n in weights[-3:] if n != self.roster.me)[-2:]
-            if len(self._places) >= PLACES_MAX:
+            weights = sorted((crc32c.crc32c(b"%d %d" % (key[1], n)), n) for n in range(self.member_list.size))
+            found = tuple(n for _, n in weights[-3:] if n != self.member_list.me)[-2:]
+            if len(self._places) >= RENDEZVOUS_CACHE_MAX:
                 self._places.clear()
             self._places[key] = found
         return found
@@ -579,10 +612,10 @@
             self._tell_of(key, now_us)
 
     def _tell_of(self, key: Key, now_us: int) -> None:
-        pool = self.ledger.pools.get(key)
-        if pool is None or not pool.holds or now_us - pool.used_us >= REGISTER_US:
+        pool = self.ledger.budgets.get(key)
+        if pool is None or not pool.holds or now_us - pool.used_us >= REGISTRATION_INTERVAL_US:
             return
-        self._due[key] = now_us + REGISTER_US
+        self._due[key] = now_us + REGISTRATION_INTERVAL_US
         if len(pool.users) < pool.hosts - 1:
             want = self.ledger.ask(key, now_us, 0)
             self._queue([(who, want) for who in self.places(key)])
@@ -590,13 +623,13 @@
     def _settle(self, now_us: int, actions: list[FleetAction]) -> None:
         """Tell of each slice that is another one now."""
         for key in self.ledger.settle(now_us):
-            pool = self.ledger.pools.get(key)
+            pool = self.ledger.budgets.get(key)
             if pool is None or not pool.holds:
                 continue
             now = self.ledger.slice(key, now_us)
             if self._told.get(key) != now:
                 self._told[key] = now
-                actions.append(Sliced(BudgetKind(key[0]), key[1], now, pool.base))
+                actions.append(QuotaUpdated(BudgetKind(key[0]), key[1], now, pool.base))
 
     # Datagrams that leave
 
@@ -613,22 +646,22 @@
         self, who: int, items: list[Item], now_us: int, actions: list[FleetAction], most: int | None
     ) -> None:
         """Pack items for one member, the most useful first; what finds no room in the budget is left out."""
-        frame = HEAD_BYTES + (TAG if self._tagger is not None else 0)
-        items.sort(key=lambda item: RANK[type(item)])
-        limit = DATAGRAM_MAX if most is None else min(most, DATAGRAM_MAX)
+        frame = HEADER_BYTES + (TAG_BYTES if self._signer is not None else 0)
+        items.sort(key=lambda item: ITEM_PRIORITY[type(item)])
+        limit = DATAGRAM_MAX_BYTES if most is None else min(most, DATAGRAM_MAX_BYTES)
         while items:
             part: list[Item] = []
             room = limit - frame
-            while items and size(items[0]) <= room:
-                room -= size(items[0])
+            while items and item_bytes(items[0]) <= room:
+                room -= item_bytes(items[0])
                 part.append(items.pop(0))
             if not part:
                 self.counts["items.left_out"] += len(items)
                 return
-            if most is None or room >= size(_FACT):
-                facts = self.members.facts(who, room // size(_FACT))
+            if most is None or room >= item_bytes(_FACT):
+                facts = self.members.facts(who, room // item_bytes(_FACT))
                 part += facts
-            if not self._afford(frame + sum(map(size, part)), now_us):
+            if not self._afford(frame + sum(map(item_bytes, part)), now_us):
                 self.counts["items.left_out"] += len(part) + len(items)
                 return
             self._tell(who, part, now_us, actions)
@@ -639,15 +672,15 @@
 
     def _tell(self, who: int, items: list[Item], now_us: int, actions: list[FleetAction]) -> None:
         self._numbers[who] += 1
-        head = Head(
-            self.roster.me,
+        head = DatagramHeader(
+            self.member_list.me,
             self.members.state,
-            self.members.life,
+            self.members.incarnation,
             self.members.round,
             self._numbers[who],
-            now_us // 1000 % WRAP,
+            now_us // 1000 % WRAP_MODULUS,
         )
-        data = encode(head, items, self.roster.mark, self._tagger)
+        data = encode(head, items, self.member_list.fingerprint, self._signer)
         self.counts["datagrams.sent"] += 1
         self.counts["bytes.sent"] += len(data)
         actions.append(SendDatagram(who, data))
@@ -656,7 +689,9 @@
         """One datagram for one item, under a budget of its own: a change of policy is rare and must not wait
         for what budgets have to say. What finds no room is lost, as on any link, and is said again.
         """
-        self._posts = min(POST_S, self._posts + POST_S * (now_us - self._posts_us) / 1e6)
+        self._posts = min(
+            ROLLOUT_DATAGRAMS_PER_S, self._posts + ROLLOUT_DATAGRAMS_PER_S * (now_us - self._posts_us) / 1e6
+        )
         self._posts_us = now_us
         if self._posts < 1:
             self.counts["posts.left_out"] += 1
@@ -666,7 +701,7 @@
 
     def _afford(self, count: int, now_us: int) -> bool:
         rate = self.tuning.bytes_s
-        self._room = min(rate * BURST_S, self._room + rate * (now_us - self._room_us) / 1e6)
+        self._room = min(rate * SEND_BURST_S, self._room + rate * (now_us - self._room_us) / 1e6)
         self._room_us = now_us
         if self._room < count:
             return False
@@ -674,6 +709,8 @@
         return True
 
 
-COLD_TOP = 1000.0  # units a second: more is not asked for at a cold node
-COLD_TIMES = 4  # a cold node is sent a quarter of a right at least: so much more of it is of use
+SLOW_START_DEMAND_MAX = 1000.0  # units a second: more is not asked for at a cold node
+SLOW_START_DEMAND_MULTIPLE = (
+    4  # a cold node is sent a quarter of a right at least: so much more of it is of use
+)
 _FACT = MembershipUpdate(0, 0, 0, 0)
--- a/lemonridge/fleet/health_gossip.py
+++ b/lemonridge/fleet/health_gossip.py
@@ -13,16 +13,18 @@
 from dataclasses import dataclass, field
 from enum import IntEnum
 
-COLD_AFTER_US = 1_000_000  # not reached for so long: it restarted, as the decisions have it
-FRESH_US = 2_000_000  # a voice counts for so long: a node that came back must not be held dead by old words
-WINDOW_US = 2_000_000  # own observations that count
-DOWN_AFTER = 1  # failed connects in a row: the decisions go by one of their own too
-SILENT_AFTER = 2  # requests in a row that were never answered
-ERRORS_AFTER = 4  # errors within the window, and
-ERRORS_SHARE = 0.6  # of all answers within it
-AGREE = 2  # voices that agree: one broker's lie or bad link is one voice
+RESTART_AFTER_US = 1_000_000  # not reached for so long: it restarted, as the decisions have it
+REPORT_MAX_AGE_US = (
+    2_000_000  # a voice counts for so long: a node that came back must not be held dead by old words
+)
+OBSERVATION_WINDOW_US = 2_000_000  # own observations that count
+UNREACHABLE_AFTER = 1  # failed connects in a row: the decisions go by one of their own too
+UNRESPONSIVE_AFTER = 2  # requests in a row that were never answered
+ERRORS_MIN = 4  # errors within the window, and
+ERROR_FRACTION_MIN = 0.6  # of all answers within it
+AGREEMENT_MIN = 2  # voices that agree: one broker's lie or bad link is one voice
 NODES_MAX = 1024  # nodes that are remembered; past it the longest without news makes room
-VOICES_MAX = 16  # of one node
+REPORTS_PER_ENDPOINT_MAX = 16  # of one node
 
 
 class ReportedCondition(IntEnum):
@@ -65,7 +67,7 @@
     at_us: int
 
 
-class Evidence:
+class LocalObservations:
     """What this broker has seen itself."""
 
     def __init__(self) -> None:
@@ -81,15 +83,15 @@
         if seen is ObservedOutcome.CONNECT_FAILED:
             own.missed += 1
             own.down_us = own.down_us or now_us
-            return own.missed == DOWN_AFTER
+            return own.missed == UNREACHABLE_AFTER
         if seen is ObservedOutcome.SILENT:
             own.silent += 1
-            return own.silent == SILENT_AFTER
-        if own.missed and now_us - own.down_us >= COLD_AFTER_US:
+            return own.silent == UNRESPONSIVE_AFTER
+        if own.missed and now_us - own.down_us >= RESTART_AFTER_US:
             own.cold_us = now_us
         own.missed = own.down_us = own.silent = 0
         own.ends.append((now_us, seen is ObservedOutcome.ERROR))
-        while own.ends[0][0] < now_us - WINDOW_US:
+        while own.ends[0][0] < now_us - OBSERVATION_WINDOW_US:
             own.ends.popleft()
         return False
 
@@ -97,22 +99,22 @@
         """What may be told, the worst first; old observations say nothing any more."""
         told = []
         for endpoint, own in self._own.items():
-            if now_us - own.last_us > FRESH_US:
+            if now_us - own.last_us > REPORT_MAX_AGE_US:
                 continue
-            errors = sum(bad for when, bad in own.ends if when >= now_us - WINDOW_US)
-            if own.missed >= DOWN_AFTER:
+            errors = sum(bad for when, bad in own.ends if when >= now_us - OBSERVATION_WINDOW_US)
+            if own.missed >= UNREACHABLE_AFTER:
                 told.append(
                     HealthObservation(endpoint, ReportedCondition.DOWN, min(255, own.missed), own.last_us)
                 )
-            elif own.silent >= SILENT_AFTER:
+            elif own.silent >= UNRESPONSIVE_AFTER:
                 told.append(
                     HealthObservation(endpoint, ReportedCondition.SILENT, min(255, own.silent), own.last_us)
                 )
-            elif errors >= ERRORS_AFTER and errors >= ERRORS_SHARE * len(own.ends):
+            elif errors >= ERRORS_MIN and errors >= ERROR_FRACTION_MIN * len(own.ends):
                 told.append(
                     HealthObservation(endpoint, ReportedCondition.ERRORS, min(255, errors), own.last_us)
                 )
-            elif own.cold_us and now_us - own.cold_us <= FRESH_US:
+            elif own.cold_us and now_us - own.cold_us <= REPORT_MAX_AGE_US:
                 told.append(HealthObservation(endpoint, ReportedCondition.COLD, 1, own.cold_us))
         return sorted(told, key=lambda one: (one.what, -one.weight, one.endpoint_id))
 
@@ -127,7 +129,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class HealthVerdict:
+class PeerHealthSummary:
     """What the voices on a node come to. `at_us` is the oldest of those that agree."""
 
     endpoint_id: int
@@ -137,7 +139,7 @@
 
     @property
     def agreed(self) -> bool:
-        return self.sources >= AGREE
+        return self.sources >= AGREEMENT_MIN
 
 
 class PeerHealthReports:
@@ -148,9 +150,13 @@
 
     def told(
         self, source: int, endpoint: int, what: int, weight: int, at_us: int, now_us: int
-    ) -> HealthVerdict | None:
+    ) -> PeerHealthSummary | None:
         """A voice came; the verdict as it is now, or None where it changes nothing."""
-        if what not in ReportedCondition._value2member_map_ or not weight or now_us - at_us > FRESH_US:
+        if (
+            what not in ReportedCondition._value2member_map_
+            or not weight
+            or now_us - at_us > REPORT_MAX_AGE_US
+        ):
             return None
         voices = self._voices.pop(endpoint, {})
         self._voices[endpoint] = voices
@@ -160,15 +166,17 @@
         if before is not None and before.at_us >= at_us:
             return None  # told twice, or late
         voices[source] = PeerHealthReport(ReportedCondition(what), weight, at_us)
-        while len(voices) > VOICES_MAX:
+        while len(voices) > REPORTS_PER_ENDPOINT_MAX:
             del voices[min(voices, key=lambda who: voices[who].at_us)]
         return self.verdict(endpoint, now_us)
 
-    def verdict(self, endpoint: int, now_us: int) -> HealthVerdict | None:
+    def verdict(self, endpoint: int, now_us: int) -> PeerHealthSummary | None:
         """What most of the fresh voices say of a node. That it is down and that it is silent agree: nothing
         comes from it.
         """
-        fresh = [one for one in self._voices.get(endpoint, {}).values() if now_us - one.at_us <= FRESH_US]
+        fresh = [
+            one for one in self._voices.get(endpoint, {}).values() if now_us - one.at_us <= REPORT_MAX_AGE_US
+        ]
         if not fresh:
             return None
         gone = [one for one in fresh if one.what in (ReportedCondition.DOWN, ReportedCondition.SILENT)]
@@ -177,7 +185,7 @@
             for what in (ReportedCondition.ERRORS, ReportedCondition.COLD)
         ]
         most = max(groups, key=len)
-        return HealthVerdict(
+        return PeerHealthSummary(
             endpoint, min(one.what for one in most), len(most), min(one.at_us for one in most)
         )
 
@@ -186,5 +194,5 @@
         return {
             endpoint: kept
             for endpoint, voices in self._voices.items()
-            if (kept := {who: one for who, one in voices.items() if now_us - one.at_us <= FRESH_US})
+            if (kept := {who: one for who, one in voices.items() if now_us - one.at_us <= REPORT_MAX_AGE_US})
         }
--- a/lemonridge/fleet/member_list.py
+++ b/lemonridge/fleet/member_list.py
@@ -26,7 +26,7 @@
         return tuple(number for number in range(self.size) if number != self.me)
 
     @property
-    def mark(self) -> int:
+    def fingerprint(self) -> int:
         """Sixteen bits by which brokers of two rosters tell each other apart."""
         return crc32c.crc32c("\n".join(self.names).encode()) & 0xFFFF
 
--- a/lemonridge/fleet/scheduler_bridge.py
+++ b/lemonridge/fleet/scheduler_bridge.py
@@ -11,24 +11,24 @@
 from lemonridge.fleet import fleet_member
 from lemonridge.fleet.datagrams import DatagramSigner, Item
 from lemonridge.fleet.fleet_member import (
-    BYTES_S,
-    ERROR_US,
+    CLOCK_ERROR_US,
+    SEND_BUDGET_BYTES_S,
+    DatagramReceived,
     FleetMember,
-    Judged,
-    Leaving,
-    Passed,
-    Post,
-    Received,
+    MemberSettings,
+    PeerHealthChanged,
+    PeerUsageReceived,
+    QuotaUpdated,
+    RolloutItemReceived,
+    RolloutItemsQueued,
     SendDatagram,
-    Served,
     SetTimer,
-    Sliced,
+    ShutdownBegan,
     TimerFired,
-    Tuning,
 )
-from lemonridge.fleet.health_gossip import HealthVerdict, ObservedOutcome, ReportedCondition
+from lemonridge.fleet.health_gossip import ObservedOutcome, PeerHealthSummary, ReportedCondition
 from lemonridge.fleet.member_list import MemberList, key_of
-from lemonridge.fleet.quota_lending import WHOLE, BudgetKind
+from lemonridge.fleet.quota_lending import WHOLE_PARTS, BudgetKind
 from lemonridge.scheduling.actions import Action, SlowStartBegan
 from lemonridge.scheduling.events import (
     AttemptEnded,
@@ -70,56 +70,56 @@
 
     def __init__(
         self,
-        roster: MemberList,
-        life: int,
+        member_list: MemberList,
+        incarnation: int,
         seed: int,
         now_us: int,
         settings: Settings,
-        bytes_s: float = BYTES_S,
-        error_us: int = ERROR_US,
-        tagger: DatagramSigner | None = None,
+        bytes_s: float = SEND_BUDGET_BYTES_S,
+        error_us: int = CLOCK_ERROR_US,
+        signer: DatagramSigner | None = None,
     ) -> None:
         self.settings = settings
-        tuning = Tuning(bytes_s, error_us, not settings.reports_peer_usage, settings.retry_rate)
-        self.fleet = FleetMember(roster, life, seed, now_us, tuning, tagger)
+        tuning = MemberSettings(bytes_s, error_us, not settings.reports_peer_usage, settings.retry_rate)
+        self.fleet = FleetMember(member_list, incarnation, seed, now_us, tuning, signer)
         self.events: list[Event] = []
         self.tells: list[SendDatagram] = []
-        self.passed: list[Passed] = []  # for the machine that changes policies
-        self.wake_us = now_us
+        self.passed: list[RolloutItemReceived] = []  # for the machine that changes policies
+        self.next_timer_us = now_us
         self.endpoints: dict[int, str] = {}  # names by key
         self._handle(now_us)
 
     def _handle(self, now_us: int, *events: fleet_member.Event) -> None:
         for action in self.fleet.handle(now_us, events):
-            if isinstance(action, Sliced):
+            if isinstance(action, QuotaUpdated):
                 self._sliced(action, now_us)
             elif isinstance(action, SendDatagram):
                 self.tells.append(action)
-            elif isinstance(action, Judged):
+            elif isinstance(action, PeerHealthChanged):
                 self._judged(action.verdict)
-            elif isinstance(action, Passed):
+            elif isinstance(action, RolloutItemReceived):
                 self.passed.append(action)
-            elif isinstance(action, Served):
+            elif isinstance(action, PeerUsageReceived):
                 self.events.append(PeerUsageReported(action.volume, action.units))
             elif isinstance(action, SetTimer):
-                self.wake_us = action.at_us
+                self.next_timer_us = action.at_us
 
     # Time and datagrams
 
     def received(self, source: int | None, data: bytes, now_us: int) -> None:
         """A datagram came, from member `source`'s address or from no member's."""
-        self._handle(now_us, Received(source, data))
+        self._handle(now_us, DatagramReceived(source, data))
 
     def woke(self, now_us: int) -> None:
         self._handle(now_us, TimerFired())
 
     def post(self, items: Iterable[tuple[int, Item]], now_us: int) -> None:
         """Send what the machine that changes policies has to say."""
-        self._handle(now_us, Post(tuple(items)))
+        self._handle(now_us, RolloutItemsQueued(tuple(items)))
 
     def leave(self, now_us: int) -> None:
         """This broker is about to end."""
-        self._handle(now_us, Leaving())
+        self._handle(now_us, ShutdownBegan())
 
     # What the decisions see
 
@@ -175,9 +175,9 @@
 
     # What they are told
 
-    def _sliced(self, told: Sliced, now_us: int) -> None:
+    def _sliced(self, told: QuotaUpdated, now_us: int) -> None:
         name: int | str = told.key
-        own, whole = 0, float(WHOLE)
+        own, whole = 0, float(WHOLE_PARTS)
         if told.kind is BudgetKind.COLD:
             if told.key not in self.endpoints:
                 return
@@ -194,7 +194,7 @@
             )
         )
 
-    def _judged(self, verdict: HealthVerdict) -> None:
+    def _judged(self, verdict: PeerHealthSummary) -> None:
         """What others say of a node, if this broker knows it. That one came back cold is shown alone: an
         answer, or the list, tells.
         """
@@ -205,38 +205,38 @@
 
 def decide(
     handle: Decide,
-    companion: SchedulerBridge,
+    bridge: SchedulerBridge,
     now_us: int,
     events: Sequence[Event],
     heard: Iterable[tuple[int, bytes]],
 ) -> tuple[list[Action], list[SendDatagram]]:
     """One moment of a scheduler and its companion, for hosts whose events come in batches: the decisions, the
-    datagrams to send, and in `companion.wake_us` when to come again at the latest. The decisions are told of
-    a slice before anything that came with or after it.
+    datagrams to send, and in `bridge.next_timer_us` when to come again at the latest. The decisions are told
+    of a slice before anything that came with or after it.
     """
     told: list[Event] = []
 
     def take() -> list[Event]:
-        taken, companion.events = companion.events, []
+        taken, bridge.events = bridge.events, []
         return taken
 
     for source, data in heard:
-        companion.received(source, data, now_us)
+        bridge.received(source, data, now_us)
     for event in events:
         if isinstance(event, RequestArrived):
-            companion.arrived(event, now_us)
+            bridge.arrived(event, now_us)
         elif isinstance(event, EndpointsChanged):
-            companion.listed(event.entries)
+            bridge.listed(event.entries)
         elif isinstance(event, AttemptEnded):
-            companion.ended(event, now_us)
+            bridge.ended(event, now_us)
         told += [*take(), event]
-    if now_us >= companion.wake_us:
-        companion.woke(now_us)
+    if now_us >= bridge.next_timer_us:
+        bridge.woke(now_us)
     actions = handle(now_us, [*take(), *told])
     for action in list(actions):
         if isinstance(action, SlowStartBegan):
-            companion.slow_start_began(action, now_us)
+            bridge.slow_start_began(action, now_us)
     if later := take():
         actions += handle(now_us, later)
-    tells, companion.tells = companion.tells, []
+    tells, bridge.tells = bridge.tells, []
     return actions, tells
--- a/lemonridge/fleet/status_report.py
+++ b/lemonridge/fleet/status_report.py
@@ -7,7 +7,7 @@
 
 from lemonridge.fleet.datagrams import MemberState
 from lemonridge.fleet.fleet_member import FleetMember
-from lemonridge.fleet.quota_lending import WHOLE, BudgetKind
+from lemonridge.fleet.quota_lending import WHOLE_PARTS, BudgetKind
 
 BUDGETS_MAX, JUDGEMENTS_MAX = 64, 64  # shown at a time: the most active
 
@@ -18,18 +18,18 @@
     `nodes` are the names of nodes by their keys.
     """
     return {
-        "name": fleet.roster.names[fleet.roster.me],
+        "name": fleet.member_list.names[fleet.member_list.me],
         "state": fleet.members.state.name.lower(),
-        "life": fleet.members.life,
+        "life": fleet.members.incarnation,
         "round": fleet.members.round,
         "health": fleet.members.health,
         "accused": fleet.members.accused,
         "superseded": fleet.members.superseded,
-        "floors_only_ms": max(0, fleet.ledger.whole_us - now_us) // 1000,
-        "members": [_member(fleet, who, now_us) for who in fleet.roster.others],
+        "floors_only_ms": max(0, fleet.ledger.floors_until_us - now_us) // 1000,
+        "members": [_member(fleet, who, now_us) for who in fleet.member_list.others],
         "budgets": _budgets(fleet, now_us, endpoints),
         "judgements": _judgements(fleet, now_us, endpoints),
-        "counters": {**fleet.counts, **{f"not_taken.{flaw.value}": n for flaw, n in fleet.flaws.items()}},
+        "counters": {**fleet.counts, **{f"not_taken.{fault.value}": n for fault, n in fleet.faults.items()}},
     }
 
 
@@ -37,9 +37,9 @@
     member, link = fleet.members.members[who], fleet.links()[who]
     sent = link.top - link.first + 1
     return {
-        "name": fleet.roster.names[who],
+        "name": fleet.member_list.names[who],
         "state": member.state.name.lower(),
-        "life": member.life,
+        "life": member.incarnation,
         "for_ms": (now_us - member.since_us) // 1000,
         "heard_ms": (now_us - member.heard_us) // 1000 if member.heard_us else None,
         "lost": round(1 - link.came / sent, 3) if link.came and sent > 0 else None,
@@ -51,10 +51,10 @@
 
 def _budgets(fleet: FleetMember, now_us: int, endpoints: Mapping[int, str]) -> list[dict[str, Any]]:
     rows = []
-    active = sorted(fleet.ledger.pools.items(), key=lambda one: -one[1].used_us)
+    active = sorted(fleet.ledger.budgets.items(), key=lambda one: -one[1].used_us)
     for key, pool in active[:BUDGETS_MAX]:
         told = fleet.ledger.slice(key, now_us)
-        whole = WHOLE if key[0] != BudgetKind.COLD else max(1, pool.base)
+        whole = WHOLE_PARTS if key[0] != BudgetKind.COLD else max(1, pool.base)
         rows.append(
             {
                 "kind": BudgetKind(key[0]).name.lower(),
@@ -66,11 +66,11 @@
                 "has": told.parts / whole,
                 "needs": min(1.0, pool.need / whole),
                 "lent": {
-                    fleet.roster.names[who]: max(one.parts for one in loans) / whole
+                    fleet.member_list.names[who]: max(one.parts for one in loans) / whole
                     for who, loans in pool.lent.items()
                 },
                 "borrowed": {
-                    fleet.roster.names[who]: one.parts / whole
+                    fleet.member_list.names[who]: one.parts / whole
                     for who, one in pool.borrowed.items()
                     if one.end_us > now_us
                 },
@@ -87,7 +87,7 @@
         {
             "node": name(one.endpoint_id),
             "what": one.what.name.lower(),
-            "by": fleet.roster.names[fleet.roster.me],
+            "by": fleet.member_list.names[fleet.member_list.me],
             "weight": one.weight,
             "age_ms": (now_us - one.at_us) // 1000,
         }
@@ -98,7 +98,7 @@
             {
                 "node": name(endpoint),
                 "what": one.what.name.lower(),
-                "by": fleet.roster.names[who],
+                "by": fleet.member_list.names[who],
                 "weight": one.weight,
                 "age_ms": (now_us - one.at_us) // 1000,
             }
--- a/lemonridge/fleet/usage_totals.py
+++ b/lemonridge/fleet/usage_totals.py
@@ -12,12 +12,12 @@
 from dataclasses import dataclass
 from enum import IntEnum
 
-WORTH_US = 2_000_000  # growth over a longer gap, or told longer ago, is worth nothing
-KEYS_MAX = 4096  # counters kept of each kind; past it the longest without news makes room
-MILLI = 1000  # totals are in thousandths of a unit
+GROWTH_MAX_AGE_US = 2_000_000  # growth over a longer gap, or told longer ago, is worth nothing
+COUNTERS_MAX = 4096  # counters kept of each kind; past it the longest without news makes room
+THOUSANDTHS = 1000  # totals are in thousandths of a unit
 
 
-class Counted(IntEnum):
+class UsageKind(IntEnum):
     """What is counted."""
 
     SERVED = 1  # units that a volume was served
@@ -25,28 +25,28 @@
 
 
 @dataclass(slots=True)
-class Total:
+class ReceivedTotal:
     """One owner's total, as last told."""
 
-    life: int
+    incarnation: int
     total: int
     at_us: int
 
 
-class Counts:
+class UsageTotals:
     """This broker's own totals, and what the others told of theirs."""
 
     def __init__(self) -> None:
         self._own: dict[tuple[int, int], float] = {}
         self._told: dict[tuple[int, int], float] = {}  # the own totals as last told to all
-        self._heard: dict[tuple[int, int], dict[int, Total]] = {}
+        self._heard: dict[tuple[int, int], dict[int, ReceivedTotal]] = {}
 
-    def add(self, kind: Counted, key: int, units: float) -> None:
+    def add(self, kind: UsageKind, key: int, units: float) -> None:
         """This broker counts."""
         spot = (int(kind), key)
         total = self._own.pop(spot, 0.0) + units
         self._own[spot] = total
-        if len(self._own) > KEYS_MAX:
+        if len(self._own) > COUNTERS_MAX:
             gone = next(iter(self._own))
             del self._own[gone]
             self._told.pop(gone, None)
@@ -57,29 +57,29 @@
         grown = sorted((one for one in grown if one[0] > 0), reverse=True)[:most]
         for _, spot in grown:
             self._told[spot] = self._own[spot]
-        return [(spot[0], spot[1], int(self._own[spot] * MILLI)) for _, spot in grown]
+        return [(spot[0], spot[1], int(self._own[spot] * THOUSANDTHS)) for _, spot in grown]
 
-    def heard(self, who: int, life: int, kind: int, key: int, total: int, now_us: int) -> float:
+    def heard(self, who: int, incarnation: int, kind: int, key: int, total: int, now_us: int) -> float:
         """Another's total: the units by which it grew within a time that says when, else 0."""
         spot = (kind, key)
         owners = self._heard.pop(spot, {})
         self._heard[spot] = owners
-        if len(self._heard) > KEYS_MAX:
+        if len(self._heard) > COUNTERS_MAX:
             del self._heard[next(iter(self._heard))]
         before = owners.get(who)
-        if before is not None and (life, total) <= (before.life, before.total):
-            if (life, total) == (before.life, before.total):
+        if before is not None and (incarnation, total) <= (before.incarnation, before.total):
+            if (incarnation, total) == (before.incarnation, before.total):
                 before.at_us = max(before.at_us, now_us)
             return 0.0
-        owners[who] = Total(life, total, now_us)
-        if before is None or before.life != life or now_us - before.at_us > WORTH_US:
+        owners[who] = ReceivedTotal(incarnation, total, now_us)
+        if before is None or before.incarnation != incarnation or now_us - before.at_us > GROWTH_MAX_AGE_US:
             return 0.0
-        return (total - before.total) / MILLI
+        return (total - before.total) / THOUSANDTHS
 
-    def known(self, kind: Counted, key: int, now_us: int) -> dict[int, Total]:
+    def known(self, kind: UsageKind, key: int, now_us: int) -> dict[int, ReceivedTotal]:
         """What others have told of a counter, by owner, as long as it is worth something."""
         return {
             who: one
             for who, one in self._heard.get((int(kind), key), {}).items()
-            if now_us - one.at_us <= WORTH_US
+            if now_us - one.at_us <= GROWTH_MAX_AGE_US
         }
--- a/lemonridge/lab/checkers/escrow.py
+++ b/lemonridge/lab/checkers/escrow.py
@@ -12,17 +12,28 @@
 from collections.abc import Callable, Hashable, Iterable
 from dataclasses import dataclass, replace
 
-from lemonridge.fleet.datagrams import Cleared, Item, LoanGrant, LoanRequest, Recall, Release
-from lemonridge.fleet.quota_lending import SPAN_US, WHOLE, Borrowed, BudgetKind, Key, Loan, Pool, QuotaLedger
+from lemonridge.fleet.datagrams import Item, LoanGrant, LoanRecall, LoanRecallAck, LoanRelease, LoanRequest
+from lemonridge.fleet.quota_lending import (
+    LOAN_DURATION_US,
+    WHOLE_PARTS,
+    Budget,
+    BudgetKind,
+    Key,
+    LoanIn,
+    LoanOut,
+    QuotaLedger,
+)
 from lemonridge.lab.checkers.exhaust import Found, explore
 
-STEP_US = SPAN_US // 3
+STEP_US = LOAN_DURATION_US // 3
 START_US = 1_000 * STEP_US
 BROKERS = 3
 ALL_USE, TWO_USE = (int(BudgetKind.LIMIT), 1), (int(BudgetKind.LIMIT), 2)
 HOSTS = {ALL_USE: 3, TWO_USE: 2}
 USERS = {ALL_USE: (0, 1, 2), TWO_USE: (0, 1)}
 
+_ORDER = (LoanRecallAck, LoanGrant, LoanRequest, LoanRecall, LoanRelease)  # of messages in a state
+
 Make = Callable[[int, int, int], QuotaLedger]  # number, life, now: a ledger, perhaps one with a planted fault
 
 
@@ -53,7 +64,7 @@
 class Message:
     source: int
     to: int
-    life: int  # of its sender
+    incarnation: int  # of its sender
     item: Item
 
 
@@ -72,9 +83,9 @@
     recalls: int
 
 
-def ledger(number: int, life: int, now_us: int) -> QuotaLedger:
+def ledger(number: int, incarnation: int, now_us: int) -> QuotaLedger:
     """The real one; a clock may lose as much as a step."""
-    return QuotaLedger(number, life, life * 100, STEP_US, now_us).among(
+    return QuotaLedger(number, incarnation, incarnation * 100, STEP_US, now_us).among(
         n for n in range(BROKERS) if n != number
     )
 
@@ -82,7 +93,8 @@
 def search(bounds: Bounds, make: Make = ledger, states_max: int = 5_000_000) -> Found[State]:
     """Every state within the bounds, or the shortest way to one in which a budget is passed."""
     ledgers = tuple(
-        _begun(make(number, 1, START_US - 10 * SPAN_US), START_US, bounds) for number in range(BROKERS)
+        _begun(make(number, 1, START_US - 10 * LOAN_DURATION_US), START_US, bounds)
+        for number in range(BROKERS)
     )
     start = State(
         START_US,
@@ -102,7 +114,7 @@
     """Each user has had a request."""
     for key in bounds.budgets:
         if made.me in USERS[key]:
-            made.own(key, WHOLE // HOSTS[key], HOSTS[key], True, now_us)
+            made.own(key, WHOLE_PARTS // HOSTS[key], HOSTS[key], True, now_us)
     return made
 
 
@@ -115,9 +127,9 @@
         parts = [
             state.ledgers[n].slice(key, _clock(state, n)).parts
             for n in users
-            if key in state.ledgers[n].pools
+            if key in state.ledgers[n].budgets
         ]
-        if sum(parts) > WHOLE:
+        if sum(parts) > WHOLE_PARTS:
             return f"{sum(parts)} parts of budget {key[1]} are in use: {parts}"
     return ""
 
@@ -129,8 +141,8 @@
             lags = tuple(lag + (n == number) for n, lag in enumerate(state.lags))
             yield f"clock {number} loses a step", replace(state, lags=lags, slow=state.slow - 1)
         if state.crashes:
-            life = state.ledgers[number].life + 1
-            fresh = _begun(make(number, life, _clock(state, number)), _clock(state, number), bounds)
+            incarnation = state.ledgers[number].incarnation + 1
+            fresh = _begun(make(number, incarnation, _clock(state, number)), _clock(state, number), bounds)
             yield (
                 f"{number} starts anew",
                 replace(state, ledgers=_with(state, number, fresh), crashes=state.crashes - 1),
@@ -138,10 +150,10 @@
         yield from _asks(state, number, bounds)
         yield from _recalls(state, number, bounds)
         for key in bounds.budgets:
-            pool = state.ledgers[number].pools.get(key)
+            pool = state.ledgers[number].budgets.get(key)
             if pool is not None and pool.borrowed:
                 made = clone(state.ledgers[number])
-                sent = [Message(number, to, made.life, item) for to, item in made.give_back(key)]
+                sent = [Message(number, to, made.incarnation, item) for to, item in made.return_loans(key)]
                 if len(state.flights) + len(sent) <= bounds.flights:
                     flights = _sorted(state.flights + tuple(sent))
                     yield (
@@ -171,10 +183,10 @@
             if to == number:
                 continue
             made = clone(state.ledgers[number])
-            made.pools[key].need = WHOLE
+            made.budgets[key].need = WHOLE_PARTS
             want = made.ask(key, _clock(state, number))
-            made.pools[key].need = 0  # nobody keeps more than its floor: the most is lent
-            sent = Message(number, to, made.life, want)
+            made.budgets[key].need = 0  # nobody keeps more than its floor: the most is lent
+            sent = Message(number, to, made.incarnation, want)
             yield (
                 f"{number} asks {to} for budget {key[1]}",
                 replace(
@@ -189,10 +201,14 @@
 def _recalls(state: State, number: int, bounds: Bounds) -> Iterable[tuple[str, State]]:
     """A fresh start asks the others to use nothing that it lent before."""
     made = state.ledgers[number]
-    if _clock(state, number) >= made.whole_us or len(state.flights) >= bounds.flights or not state.recalls:
+    if (
+        _clock(state, number) >= made.floors_until_us
+        or len(state.flights) >= bounds.flights
+        or not state.recalls
+    ):
         return
-    for to in made.unclear():
-        sent = Message(number, to, made.life, Recall())
+    for to in made.unacknowledged_peers():
+        sent = Message(number, to, made.incarnation, LoanRecall())
         if sent not in state.flights:
             yield (
                 f"{number} recalls what {to} has",
@@ -203,21 +219,21 @@
 def _deliver(state: State, message: Message, rest: tuple[Message, ...], bounds: Bounds) -> State | None:
     made, now_us = clone(state.ledgers[message.to]), _clock(state, message.to)
     if isinstance(message.item, LoanRequest):
-        grant = made.asked(message.source, message.life, message.item, now_us)
+        grant = made.asked(message.source, message.incarnation, message.item, now_us)
         if len(rest) >= bounds.flights:
             return None
-        rest = _sorted((*rest, Message(message.to, message.source, made.life, grant)))
+        rest = _sorted((*rest, Message(message.to, message.source, made.incarnation, grant)))
     elif isinstance(message.item, LoanGrant):
-        made.lent_to_me(message.source, message.life, message.item, now_us)
-    elif isinstance(message.item, Recall):
-        said = made.recalled(message.source, message.life)
+        made.on_grant(message.source, message.incarnation, message.item, now_us)
+    elif isinstance(message.item, LoanRecall):
+        said = made.recalled(message.source, message.incarnation)
         if len(rest) >= bounds.flights:
             return None
-        rest = _sorted((*rest, Message(message.to, message.source, made.life, said)))
-    elif isinstance(message.item, Cleared):
+        rest = _sorted((*rest, Message(message.to, message.source, made.incarnation, said)))
+    elif isinstance(message.item, LoanRecallAck):
         made.cleared(message.source, message.item, now_us)
-    elif isinstance(message.item, Release):
-        made.returned(message.source, message.life, message.item)
+    elif isinstance(message.item, LoanRelease):
+        made.returned(message.source, message.incarnation, message.item)
     return replace(state, ledgers=_with(state, message.to, made), flights=rest)
 
 
@@ -226,7 +242,9 @@
 
 
 def _sorted(flights: tuple[Message, ...]) -> tuple[Message, ...]:
-    return tuple(sorted(flights, key=lambda one: (one.source, one.to, repr(one.item))))
+    return tuple(
+        sorted(flights, key=lambda one: (one.source, one.to, _ORDER.index(type(one.item)), repr(one.item)))
+    )
 
 
 def clone(made: QuotaLedger) -> QuotaLedger:
@@ -234,8 +252,8 @@
     other = object.__new__(type(made))
     other.__dict__.update(made.__dict__)
     other.active, other._recalled, other._clear = set(), dict(made._recalled), set(made._clear)
-    other.pools = {
-        key: Pool(
+    other.budgets = {
+        key: Budget(
             pool.base,
             pool.hosts,
             pool.holds,
@@ -247,7 +265,7 @@
             released=pool.released,
             asked_us=pool.asked_us,
         )
-        for key, pool in made.pools.items()
+        for key, pool in made.budgets.items()
     }
     return other
 
@@ -257,7 +275,7 @@
     return (
         tuple(_seen(state.ledgers[n], _clock(state, n)) for n in range(BROKERS)),
         state.lags,
-        tuple((m.source, m.to, m.life, m.item) for m in state.flights),
+        tuple((m.source, m.to, m.incarnation, m.item) for m in state.flights),
         state.asks,
         state.doubles,
         state.crashes,
@@ -267,9 +285,9 @@
 
 
 def _seen(made: QuotaLedger, now_us: int) -> Hashable:
-    fresh = max(0, made.whole_us - now_us)
+    fresh = max(0, made.floors_until_us - now_us)
     return (
-        made.life,
+        made.incarnation,
         made._ask,
         fresh,
         tuple(sorted(made._recalled.items())),
@@ -296,32 +314,32 @@
                         if one.end_us > now_us
                     )
                 ),
-                tuple((ask, now_us - at) for ask, at in pool.asks.items() if now_us - at < SPAN_US),
+                tuple((ask, now_us - at) for ask, at in pool.asks.items() if now_us - at < LOAN_DURATION_US),
             )
-            for key, pool in sorted(made.pools.items())
+            for key, pool in sorted(made.budgets.items())
         ),
     )
 
 
-def _loan(row: Loan, now_us: int) -> tuple[int, int, int, int]:
-    return row.life, row.ask, row.parts, row.end_us - now_us
+def _loan(row: LoanOut, now_us: int) -> tuple[int, int, int, int]:
+    return row.incarnation, row.ask, row.parts, row.end_us - now_us
 
 
 class GrantNotDeductedMutant(QuotaLedger):
     """Planted: what is lent stays in the lender's own slice."""
 
-    def mine(self, pool: Pool, now_us: int) -> int:
+    def mine(self, pool: Budget, now_us: int) -> int:
         return pool.base
 
 
 class GrantNeverExpiresMutant(QuotaLedger):
     """Planted: a loan's end is not kept by the borrower."""
 
-    def lent_to_me(self, peer: int, life: int, told: LoanGrant, now_us: int) -> bool:
-        done = super().lent_to_me(peer, life, told, now_us)
-        for pool in self.pools.values():
+    def on_grant(self, peer: int, incarnation: int, told: LoanGrant, now_us: int) -> bool:
+        done = super().on_grant(peer, incarnation, told, now_us)
+        for pool in self.budgets.values():
             pool.borrowed = {
-                who: Borrowed(one.ask, one.parts, one.end_us + 10 * SPAN_US)
+                who: LoanIn(one.ask, one.parts, one.end_us + 10 * LOAN_DURATION_US)
                 for who, one in pool.borrowed.items()
             }
         return done
@@ -330,50 +348,50 @@
 class NoClockErrorMarginMutant(QuotaLedger):
     """Planted: the lender counts on equal clocks."""
 
-    def asked(self, peer: int, life: int, told: LoanRequest, now_us: int) -> LoanGrant:
+    def asked(self, peer: int, incarnation: int, told: LoanRequest, now_us: int) -> LoanGrant:
         self.error_us = 0
-        return super().asked(peer, life, told, now_us)
+        return super().asked(peer, incarnation, told, now_us)
 
 
 class ExpiryFromReceiptMutant(QuotaLedger):
     """Planted: the borrower counts a loan from when the answer came."""
 
-    def lent_to_me(self, peer: int, life: int, told: LoanGrant, now_us: int) -> bool:
-        pool = self.pools.get((told.kind, told.key))
+    def on_grant(self, peer: int, incarnation: int, told: LoanGrant, now_us: int) -> bool:
+        pool = self.budgets.get((told.kind, told.key))
         if pool is not None and told.ask in pool.asks:
             pool.asks[told.ask] = now_us
-        return super().lent_to_me(peer, life, told, now_us)
+        return super().on_grant(peer, incarnation, told, now_us)
 
 
 class RestartForgetsGrantsMutant(QuotaLedger):
     """Planted: a fresh start believes that it has lent nothing."""
 
-    def __init__(self, me: int, life: int, first_ask: int, error_us: int, now_us: int) -> None:
-        super().__init__(me, life, first_ask, error_us, now_us)
-        self.whole_us = now_us
+    def __init__(self, me: int, incarnation: int, first_ask: int, error_us: int, now_us: int) -> None:
+        super().__init__(me, incarnation, first_ask, error_us, now_us)
+        self.floors_until_us = now_us
 
 
 class GrantAfterReleaseMutant(QuotaLedger):
     """Planted: an answer to a question is taken though its loan was given back."""
 
-    def give_back(self, key: Key) -> list[tuple[int, Item]]:
-        asks = dict(self.pools[key].asks)
-        sent = super().give_back(key)
-        self.pools[key].asks, self.pools[key].released = asks, 0
+    def return_loans(self, key: Key) -> list[tuple[int, Item]]:
+        asks = dict(self.budgets[key].asks)
+        sent = super().return_loans(key)
+        self.budgets[key].asks, self.budgets[key].released = asks, 0
         return sent
 
 
 class PreviousIncarnationMutant(QuotaLedger):
     """Planted: a grant of a lender's incarnation before counts after its recall was answered."""
 
-    def lent_to_me(self, peer: int, life: int, told: LoanGrant, now_us: int) -> bool:
-        return super().lent_to_me(peer, 1 << 62, told, now_us)
+    def on_grant(self, peer: int, incarnation: int, told: LoanGrant, now_us: int) -> bool:
+        return super().on_grant(peer, 1 << 62, told, now_us)
 
 
 class SingleClearanceMutant(QuotaLedger):
     """Planted: a fresh start has all of its own once one other has answered."""
 
-    def cleared(self, peer: int, told: Cleared, now_us: int) -> bool:
+    def cleared(self, peer: int, told: LoanRecallAck, now_us: int) -> bool:
         self._clear.update(self._others)
         return super().cleared(peer, told, now_us)
 
@@ -381,7 +399,7 @@
 class UnusedGrantsCountedMutant(QuotaLedger):
     """Planted: loans of brokers that do not use the budget count like those of users."""
 
-    def extra(self, key: Key, pool: Pool, now_us: int) -> int:
+    def extra(self, key: Key, pool: Budget, now_us: int) -> int:
         return sum(one.parts for one in pool.borrowed.values() if one.end_us > now_us)
 
 
@@ -400,6 +418,6 @@
 
 def with_mutant(kind: type[QuotaLedger]) -> Make:
     """Ledgers with a fault, for `search`."""
-    return lambda number, life, now_us: kind(number, life, life * 100, STEP_US, now_us).among(
-        n for n in range(BROKERS) if n != number
-    )
+    return lambda number, incarnation, now_us: kind(
+        number, incarnation, incarnation * 100, STEP_US, now_us
+    ).among(n for n in range(BROKERS) if n != number)
--- a/lemonridge/lab/fleet_mutants.py
+++ b/lemonridge/lab/fleet_mutants.py
@@ -21,9 +21,9 @@
 
 
 def _lends_unlowered() -> None:
-    from lemonridge.fleet.quota_lending import Pool, QuotaLedger
+    from lemonridge.fleet.quota_lending import Budget, QuotaLedger
 
-    def mine(self: QuotaLedger, pool: Pool, now_us: int) -> int:
+    def mine(self: QuotaLedger, pool: Budget, now_us: int) -> int:
         return pool.base
 
     QuotaLedger.mine = mine  # type: ignore[method-assign]
@@ -33,16 +33,18 @@
     from lemonridge.fleet import quota_lending
     from lemonridge.fleet.datagrams import LoanGrant
 
-    real = quota_lending.QuotaLedger.lent_to_me
+    real = quota_lending.QuotaLedger.on_grant
 
-    def lent(self: quota_lending.QuotaLedger, peer: int, life: int, told: LoanGrant, now_us: int) -> bool:
-        done = real(self, peer, life, told, now_us)
-        for pool in self.pools.values():
+    def lent(
+        self: quota_lending.QuotaLedger, peer: int, incarnation: int, told: LoanGrant, now_us: int
+    ) -> bool:
+        done = real(self, peer, incarnation, told, now_us)
+        for pool in self.budgets.values():
             for one in pool.borrowed.values():
                 one.end_us = now_us + 3_600_000_000
         return done
 
-    quota_lending.QuotaLedger.lent_to_me = lent  # type: ignore[method-assign]
+    quota_lending.QuotaLedger.on_grant = lent  # type: ignore[method-assign]
 
 
 def _forgets_its_loans() -> None:
@@ -51,10 +53,10 @@
     real = quota_lending.QuotaLedger.__init__
 
     def begin(
-        self: quota_lending.QuotaLedger, me: int, life: int, first_ask: int, error_us: int, now_us: int
+        self: quota_lending.QuotaLedger, me: int, incarnation: int, first_ask: int, error_us: int, now_us: int
     ) -> None:
-        real(self, me, life, first_ask, error_us, now_us)
-        self.whole_us = now_us
+        real(self, me, incarnation, first_ask, error_us, now_us)
+        self.floors_until_us = now_us
 
     quota_lending.QuotaLedger.__init__ = begin  # type: ignore[method-assign]
 
@@ -87,7 +89,7 @@
         self: fleet_member.FleetMember, endpoint: int, seen: health_gossip.ObservedOutcome, now_us: int
     ) -> bool:
         real(self, endpoint, health_gossip.ObservedOutcome.CONNECT_FAILED, now_us)
-        self._told_us = now_us - fleet_member.TELL_US
+        self._told_us = now_us - fleet_member.REPORT_INTERVAL_US
         return False
 
     fleet_member.FleetMember.ended = ended  # type: ignore[method-assign]
@@ -96,7 +98,7 @@
 def _believes_one() -> None:
     from lemonridge.fleet import health_gossip
 
-    health_gossip.AGREE = 1
+    health_gossip.AGREEMENT_MIN = 1
 
 
 def _decides_at_once() -> None:
--- a/lemonridge/lab/measure/membership.py
+++ b/lemonridge/lab/measure/membership.py
@@ -13,18 +13,18 @@
 from statistics import median
 from typing import Protocol, TypeAlias
 
-from lemonridge.fleet.datagrams import HEAD_BYTES, MemberState
+from lemonridge.fleet.datagrams import HEADER_BYTES, MemberState
 from lemonridge.fleet.fleet_member import (
+    DatagramReceived,
     FleetAction,
     FleetMember,
-    Received,
+    MemberSettings,
     SendDatagram,
     SetTimer,
     TimerFired,
-    Tuning,
 )
 from lemonridge.fleet.member_list import MemberList
-from lemonridge.fleet.membership import PERIOD_US
+from lemonridge.fleet.membership import PROBE_PERIOD_US
 
 START_US = 1_800_000_000_000_000
 DELAY_MS = (1.4, 35.0)  # one way, as the site's messages take
@@ -46,22 +46,30 @@
 class Swim:
     """The fleet's own."""
 
-    def __init__(self, number: int, count: int, seed: int, life: int) -> None:
-        self._roster, self._seed, self._life = MemberList(tuple(map(str, range(count))), number), seed, life
+    def __init__(self, number: int, count: int, seed: int, incarnation: int) -> None:
+        self._member_list, self._seed, self._life = (
+            MemberList(tuple(map(str, range(count))), number),
+            seed,
+            incarnation,
+        )
 
     def start(self, now_us: int) -> list[FleetAction]:
-        seed = self._seed * 1009 + self._roster.me
-        self.fleet = FleetMember(self._roster, now_us // 1000 + self._life, seed, now_us, Tuning(bytes_s=1e6))
+        seed = self._seed * 1009 + self._member_list.me
+        self.fleet = FleetMember(
+            self._member_list, now_us // 1000 + self._life, seed, now_us, MemberSettings(bytes_s=1e6)
+        )
         return self.fleet.handle(now_us, ())
 
     def take(self, now_us: int, source: int, data: bytes) -> list[FleetAction]:
-        return self.fleet.handle(now_us, (Received(source, data),))
+        return self.fleet.handle(now_us, (DatagramReceived(source, data),))
 
     def wake(self, now_us: int) -> list[FleetAction]:
         return self.fleet.handle(now_us, (TimerFired(),))
 
     def dead(self) -> set[int]:
-        return {n for n in self._roster.others if self.fleet.members.members[n].state is MemberState.DEAD}
+        return {
+            n for n in self._member_list.others if self.fleet.members.members[n].state is MemberState.DEAD
+        }
 
 
 class Plain:
@@ -69,14 +77,14 @@
 
     PATIENCE = 8  # at 10% loss of each way nobody is accused in an hour
 
-    def __init__(self, number: int, count: int, seed: int, life: int) -> None:
+    def __init__(self, number: int, count: int, seed: int, incarnation: int) -> None:
         self._me, self._count, self._random = number, count, Random(f"{seed}/{number}/plain")
         self._heard: dict[int, int] = {}
         self._now = 0
 
     def start(self, now_us: int) -> list[FleetAction]:
         self._now = now_us
-        return [SetTimer(now_us + int(self._random.random() * PERIOD_US))]
+        return [SetTimer(now_us + int(self._random.random() * PROBE_PERIOD_US))]
 
     def take(self, now_us: int, source: int, data: bytes) -> list[FleetAction]:
         self._heard[source], self._now = now_us, now_us
@@ -85,12 +93,12 @@
     def wake(self, now_us: int) -> list[FleetAction]:
         self._now = now_us
         return [
-            *(SendDatagram(n, bytes(HEAD_BYTES)) for n in range(self._count) if n != self._me),
-            SetTimer(now_us + PERIOD_US),
+            *(SendDatagram(n, bytes(HEADER_BYTES)) for n in range(self._count) if n != self._me),
+            SetTimer(now_us + PROBE_PERIOD_US),
         ]
 
     def dead(self) -> set[int]:
-        return {n for n, at in self._heard.items() if self._now - at > self.PATIENCE * PERIOD_US}
+        return {n for n, at in self._heard.items() if self._now - at > self.PATIENCE * PROBE_PERIOD_US}
 
 
 Make: TypeAlias = Callable[[int, int, int, int], Speaker]
--- a/lemonridge/lab/measure/rollout.py
+++ b/lemonridge/lab/measure/rollout.py
@@ -12,7 +12,7 @@
 
 import msgspec
 
-from lemonridge.fleet.datagrams import HEAD_BYTES, Item, size
+from lemonridge.fleet.datagrams import HEADER_BYTES, Item, item_bytes
 from lemonridge.rollout import leases, policy_document, rollout_member
 from lemonridge.rollout.leases import NOTHING, common
 from lemonridge.rollout.policy_document import Class, Plan, Policy, Rules
@@ -123,7 +123,7 @@
             if isinstance(action, PersistVote):
                 self.disks[n] = action.data
                 continue
-            self.bytes += HEAD_BYTES + size(action.item)
+            self.bytes += HEADER_BYTES + item_bytes(action.item)
             if isinstance(action, SendMessage) and (n, action.to) not in self.cut:
                 for _ in range(1 + (self.random.random() < self.copies)):
                     if self.random.random() >= self.loss:
--- a/lemonridge/lab/model/world.py
+++ b/lemonridge/lab/model/world.py
@@ -73,17 +73,17 @@
         self.cpu_s, self.decided, self.life = 0.0, 0, 0
         self._due = False
         self.heard: list[tuple[int, bytes]] = []  # datagrams of other brokers, until the next decision
-        self.companion: SchedulerBridge | None = None
+        self.bridge: SchedulerBridge | None = None
 
     def begin(self) -> None:
         """Speak to the other brokers, where the scenario says so."""
         if not self.world.scenario.peers or self.world.scenario.brokers < 2:
             return
         now_us = self.world.clock_us()
-        roster = MemberList(tuple(map(str, range(self.world.scenario.brokers))), self.number)
+        member_list = MemberList(tuple(map(str, range(self.world.scenario.brokers))), self.number)
         seed = self.world.seed * 31 + self.number
-        self.companion = SchedulerBridge(
-            roster, now_us // 1000 + self.life, seed, now_us, self.world.settings
+        self.bridge = SchedulerBridge(
+            member_list, now_us // 1000 + self.life, seed, now_us, self.world.settings
         )
         self._later()
 
@@ -94,13 +94,13 @@
             self.tell(TimerFired())
 
     def _later(self) -> None:
-        """Come again when the companion wants to; what was asked for before costs a look."""
-        assert self.companion is not None
-        wait = max(0.0, float(self.companion.wake_us - self.world.clock_us()))
-        self.world.after(wait, partial(self._due_now, self.life, self.companion.wake_us))
+        """Come again when the bridge asks for it to; what was asked for before costs a look."""
+        assert self.bridge is not None
+        wait = max(0.0, float(self.bridge.next_timer_us - self.world.clock_us()))
+        self.world.after(wait, partial(self._due_now, self.life, self.bridge.next_timer_us))
 
     def _due_now(self, life: int, at_us: int) -> None:
-        if life == self.life and self.up and self.companion is not None and self.companion.wake_us == at_us:
+        if life == self.life and self.up and self.bridge is not None and self.bridge.next_timer_us == at_us:
             self.tell(TimerFired())
 
     def tell(self, event: Event) -> None:
@@ -117,11 +117,11 @@
         events, self.events = self.events, []
         began = time.perf_counter()
         now_us, tells = self.world.clock_us(), list[SendDatagram]()
-        if self.companion is None:
+        if self.bridge is None:
             actions = self.scheduler.handle(now_us, events)
         else:
             heard, self.heard = self.heard, []
-            actions, tells = decide(self.scheduler.handle, self.companion, now_us, events, heard)
+            actions, tells = decide(self.scheduler.handle, self.bridge, now_us, events, heard)
             self._later()
         for one in tells:
             self.world.pass_on(self, one.to, one.data)
--- a/lemonridge/net/peer_transport.py
+++ b/lemonridge/net/peer_transport.py
@@ -32,7 +32,7 @@
 AGAIN_S = 0.5  # between tries to have the address: the process before this one may still hold it
 
 
-class Keyed:
+class KeyedDatagramSigner:
     """The tag of a datagram by a secret: BLAKE2s (RFC 7693), keyed."""
 
     def __init__(self, secret: bytes) -> None:
@@ -49,10 +49,10 @@
         return self._same(self.tag(data), tag)
 
 
-class Passes(Protocol):
+class RolloutItemHandler(Protocol):
     """Whom what is said of policies is passed on to."""
 
-    def heard(self, who: int, life: int, item: Item) -> None: ...
+    def heard(self, who: int, incarnation: int, item: Item) -> None: ...
 
 
 class PeerTransport(asyncio.DatagramProtocol):
@@ -72,9 +72,9 @@
         self._transport: asyncio.DatagramTransport | None = None
         self._sources = {(one.host, one.port): number for number, one in enumerate(plan.addresses)}
         self._timer: asyncio.TimerHandle | None = None
-        tagger: DatagramSigner | None = Keyed(plan.secret) if plan.secret else None
+        signer: DatagramSigner | None = KeyedDatagramSigner(plan.secret) if plan.secret else None
         # Wall time, which goes on over restarts: a later start of a name has a higher one.
-        self._companion = SchedulerBridge(
+        self._bridge = SchedulerBridge(
             MemberList(plan.names, plan.me),
             time.time_ns() // 1_000_000,
             seed,
@@ -82,9 +82,9 @@
             settings,
             plan.bytes_s,
             plan.error_us,
-            tagger,
+            signer,
         )
-        self.coordinator: Passes | None = None
+        self.coordinator: RolloutItemHandler | None = None
         self._flush()
         decider.observer = self
 
@@ -116,7 +116,7 @@
         self._transport = transport
 
     def datagram_received(self, data: bytes, addr: tuple[str | Any, int]) -> None:
-        self._companion.received(self._sources.get((addr[0], addr[1])), data, self._clock.now_us())
+        self._bridge.received(self._sources.get((addr[0], addr[1])), data, self._clock.now_us())
         self._flush()
 
     def error_received(self, exc: Exception) -> None:
@@ -125,7 +125,7 @@
     def stop(self) -> None:
         """Give back what is lent, and go."""
         if self._transport is not None:
-            self._companion.leave(self._clock.now_us())
+            self._bridge.leave(self._clock.now_us())
             self._flush()
             self._transport.close()
         if self._timer is not None:
@@ -135,84 +135,84 @@
 
     def _flush(self) -> None:
         """Take what the machine has: first what the decisions must go by, then what leaves."""
-        companion = self._companion
-        events, companion.events = companion.events, []
+        bridge = self._bridge
+        events, bridge.events = bridge.events, []
         for event in events:
             self._decider.deliver(event)
-        tells, companion.tells = companion.tells, []
+        tells, bridge.tells = bridge.tells, []
         for one in tells:
             if self._transport is not None:
                 peer = self.plan.addresses[one.to]
                 self._transport.sendto(one.data, (peer.host, peer.port))
         if self._timer is not None:
             self._timer.cancel()
-        self._timer = self._loop.call_at(self._clock.loop_time(companion.wake_us), self._woke)
-        passed, companion.passed = companion.passed, []
+        self._timer = self._loop.call_at(self._clock.loop_time(bridge.next_timer_us), self._woke)
+        passed, bridge.passed = bridge.passed, []
         if self.coordinator is not None:
             for told in passed:
-                self.coordinator.heard(told.source, told.life, told.item)
+                self.coordinator.heard(told.source, told.incarnation, told.item)
 
     def post(self, items: Iterable[tuple[int, Item]]) -> None:
         """Send what the machine that changes policies has to say."""
-        self._companion.post(items, self._clock.now_us())
+        self._bridge.post(items, self._clock.now_us())
         self._flush()
 
     @property
-    def life(self) -> int:
+    def incarnation(self) -> int:
         """This start's number: a later start has a higher one."""
-        return self._companion.fleet.members.life
+        return self._bridge.fleet.members.incarnation
 
     def _woke(self) -> None:
-        self._companion.woke(self._clock.now_us())
+        self._bridge.woke(self._clock.now_us())
         self._flush()
 
     # What the decider shows
 
     def arrived(self, event: RequestArrived) -> None:
         """A request is about to be told to the decisions."""
-        self._companion.arrived(event, self._clock.now_us())
-        if self._companion.events:
+        self._bridge.arrived(event, self._clock.now_us())
+        if self._bridge.events:
             self._flush()
 
     def listed(self, entries: Iterable[Endpoint]) -> None:
         """The node list, or a part of it."""
-        self._companion.listed(entries)
+        self._bridge.listed(entries)
 
     def ended(self, event: AttemptEnded, request: Request | None) -> None:
         """An attempt ended."""
         volume, units = (request.volume, request.units) if request is not None else (0, 0.0)
-        self._companion.ended(event, self._clock.now_us(), volume, units)
-        if self._companion.events or self._companion.tells:
+        self._bridge.ended(event, self._clock.now_us(), volume, units)
+        if self._bridge.events or self._bridge.tells:
             self._flush()
 
     def sent(self, endpoint: str, request: Request) -> None:
         """An attempt was decided on."""
-        self._companion.sent(endpoint, request.units)
+        self._bridge.sent(endpoint, request.units)
 
     def acted(self, action: Action) -> None:
         """Something else was decided."""
         if isinstance(action, SlowStartBegan):
-            self._companion.slow_start_began(action, self._clock.now_us())
+            self._bridge.slow_start_began(action, self._clock.now_us())
             self._flush()
 
     def renewed(self) -> None:
         """The decisions began anew, with even slices."""
-        self._companion.renewed(self._clock.now_us())
+        self._bridge.renewed(self._clock.now_us())
         self._flush()
 
     def configure(self, settings: Settings) -> None:
         """New settings, for what comes from now on."""
-        self._companion.settings = settings
+        self._bridge.settings = settings
 
     # For operators
 
     def report(self) -> dict[str, Any]:
         """What operators are shown: see `fleet/report.py`."""
-        return report(self._companion.fleet, self._clock.now_us(), self._companion.endpoints)
+        return report(self._bridge.fleet, self._clock.now_us(), self._bridge.endpoints)
 
     def count(self) -> None:
         """Bring the counters up to date."""
-        for name, value in self._companion.fleet.counts.items():
+        for name, value in self._bridge.fleet.counts.items():
             self._counters[f"fleet.{name}"] = value
-        for flaw, value in self._companion.fleet.flaws.items():
-            self._counters[f"fleet.not_taken.{flaw.value}"] = value
+        for fault, value in self._bridge.fleet.faults.items():
+            self._counters[f"fleet.not_taken.{fault.value}"] = value
--- a/tests/fleet/test_fleet_member.py
+++ b/tests/fleet/test_fleet_member.py
@@ -9,12 +9,12 @@
 from hypothesis import strategies as st
 
 from lemonridge.fleet.datagrams import (
-    DATAGRAM_MAX,
-    KINDS,
-    Flaw,
-    FlawError,
-    Head,
-    Judge,
+    DATAGRAM_MAX_BYTES,
+    ITEM_TYPES,
+    DatagramError,
+    DatagramFault,
+    DatagramHeader,
+    HealthReport,
     LoanGrant,
     LoanRequest,
     MembershipUpdate,
@@ -25,38 +25,38 @@
     encode,
 )
 from lemonridge.fleet.fleet_member import (
+    DatagramReceived,
     FleetMember,
-    Judged,
-    Leaving,
-    Received,
+    MemberSettings,
+    PeerHealthChanged,
+    PeerUsageReceived,
+    QuotaUpdated,
     SendDatagram,
-    Served,
     SetTimer,
-    Sliced,
+    ShutdownBegan,
     SlowStartBegan,
     TimerFired,
-    Tuning,
 )
 from lemonridge.fleet.health_gossip import (
-    FRESH_US,
-    Evidence,
+    REPORT_MAX_AGE_US,
+    LocalObservations,
     ObservedOutcome,
     PeerHealthReports,
     ReportedCondition,
 )
 from lemonridge.fleet.member_list import MemberList, key_of
-from lemonridge.fleet.quota_lending import SPAN_US, WHOLE, BudgetKind
-from lemonridge.fleet.usage_totals import WORTH_US, Counted, Counts
+from lemonridge.fleet.quota_lending import LOAN_DURATION_US, WHOLE_PARTS, BudgetKind
+from lemonridge.fleet.usage_totals import GROWTH_MAX_AGE_US, UsageKind, UsageTotals
 from lemonridge.lab.measure.membership import row
-from lemonridge.net.peer_transport import Keyed
+from lemonridge.net.peer_transport import KeyedDatagramSigner
 
 NOW = 1_800_000_000_000_000
-HEAD = Head(1, MemberState.UP, NOW // 1000, 3, 7, 99)
+HEAD = DatagramHeader(1, MemberState.UP, NOW // 1000, 3, 7, 99)
 
 
 class TheDatagram(unittest.TestCase):
     def test_every_item_comes_back_as_it_was(self) -> None:
-        for kind in KINDS:
+        for kind in ITEM_TYPES:
             fields = kind.LAYOUT.unpack(bytes(kind.LAYOUT.size))  # for the types and lengths of each
             item = kind(
                 *(
@@ -68,31 +68,31 @@
             self.assertEqual(decode(encode(HEAD, [item], 5), 5).items, (item,))
 
     def test_cut_or_flipped_anywhere_it_is_not_taken(self) -> None:
-        for tagger in (None, Keyed(b"a secret of the fleet")):
+        for signer in (None, KeyedDatagramSigner(b"a secret of the fleet")):
             items = [Ping(3, 1), LoanRequest(1, 2**63, 3, 77, 500_000, 1500), MembershipUpdate(2, 5, 1, 4)]
-            data = encode(HEAD, items, 12, tagger)
+            data = encode(HEAD, items, 12, signer)
             for place in range(len(data)):
                 spoilt = bytearray(data)
                 spoilt[place] ^= 1 << place % 8
                 for bad in (data[:place], bytes(spoilt)):
-                    with self.assertRaises(FlawError):
-                        decode(bad, 12, tagger)
+                    with self.assertRaises(DatagramError):
+                        decode(bad, 12, signer)
 
     def test_a_wrong_secret_another_roster_and_an_unknown_item_have_their_flaws(self) -> None:
-        data = encode(HEAD, [Ping(3, 1)], 12, Keyed(b"one secret, long enough"))
-        for told, tagger, mark, flaw in (
-            (data, Keyed(b"another secret, as long"), 12, Flaw.FORGED),
-            (encode(HEAD, [], 12), None, 13, Flaw.ROSTER),
-            (encode(HEAD, [], 12)[:10], None, 12, Flaw.SHORT),
+        data = encode(HEAD, [Ping(3, 1)], 12, KeyedDatagramSigner(b"one secret, long enough"))
+        for told, signer, fingerprint, fault in (
+            (data, KeyedDatagramSigner(b"another secret, as long"), 12, DatagramFault.FORGED),
+            (encode(HEAD, [], 12), None, 13, DatagramFault.ROSTER),
+            (encode(HEAD, [], 12)[:10], None, 12, DatagramFault.SHORT),
         ):
-            with self.assertRaises(FlawError) as caught:
-                decode(told, mark, tagger)
-            self.assertIs(caught.exception.flaw, flaw)
+            with self.assertRaises(DatagramError) as caught:
+                decode(told, fingerprint, signer)
+            self.assertIs(caught.exception.fault, fault)
 
     @settings(max_examples=300, deadline=None, derandomize=True)
     @given(st.binary(max_size=300))
     def test_no_bytes_do_harm(self, data: bytes) -> None:
-        with self.assertRaises(FlawError):
+        with self.assertRaises(DatagramError):
             decode(data, 12)
 
 
@@ -103,15 +103,15 @@
         self.now = NOW
         names = tuple(map(str, range(count)))
         self.fleets = [
-            FleetMember(MemberList(names, n), NOW // 1000 + n, n, self.now, Tuning(**tuning))  # type: ignore
+            FleetMember(MemberList(names, n), NOW // 1000 + n, n, self.now, MemberSettings(**tuning))  # type: ignore
             for n in range(count)
         ]
         self.wakes = [self.now] * count
         self.cut: set[tuple[int, int]] = set()
         self.down: set[int] = set()
-        self.slices: dict[tuple[int, BudgetKind, int], Sliced] = {}
-        self.judged: list[tuple[int, Judged]] = []
-        self.served: list[tuple[int, Served]] = []
+        self.slices: dict[tuple[int, BudgetKind, int], QuotaUpdated] = {}
+        self.judged: list[tuple[int, PeerHealthChanged]] = []
+        self.served: list[tuple[int, PeerUsageReceived]] = []
         self.sizes: list[tuple[int, int]] = []  # of questions and of the answers made to them
 
     def step(self, us: int = 10_000) -> None:
@@ -128,21 +128,21 @@
         for action in actions:
             if isinstance(action, SetTimer):
                 self.wakes[n] = action.at_us
-            elif isinstance(action, Sliced):
+            elif isinstance(action, QuotaUpdated):
                 self.slices[n, action.kind, action.key] = action
-            elif isinstance(action, Judged):
+            elif isinstance(action, PeerHealthChanged):
                 self.judged.append((n, action))
-            elif isinstance(action, Served):
+            elif isinstance(action, PeerUsageReceived):
                 self.served.append((n, action))
             elif (
                 isinstance(action, SendDatagram)
                 and (n, action.to) not in self.cut
                 and action.to not in self.down
             ):
-                told = self.fleets[action.to].handle(self.now, (Received(n, action.data),))
+                told = self.fleets[action.to].handle(self.now, (DatagramReceived(n, action.data),))
                 for answer in told:
                     if isinstance(answer, SendDatagram) and answer.to == n:
-                        items = decode(answer.data, self.fleets[n].roster.mark).items
+                        items = decode(answer.data, self.fleets[n].member_list.fingerprint).items
                         if not any(isinstance(item, (Ping, PingRequest, LoanRequest)) for item in items):
                             self.sizes.append((len(action.data), len(answer.data)))
                 self.act(action.to, told)
@@ -154,7 +154,9 @@
 
     def part(self, n: int, volume: int) -> float:
         told = self.slices[n, BudgetKind.LIMIT, volume].slice
-        return (told.parts if self.now < told.until_us or told.parts == told.after else told.after) / WHOLE
+        return (
+            told.parts if self.now < told.until_us or told.parts == told.after else told.after
+        ) / WHOLE_PARTS
 
 
 class OneBroker(unittest.TestCase):
@@ -194,27 +196,29 @@
         net.run(2.0)
         fleet = net.fleets[0]
         data = encode(
-            Head(1, MemberState.UP, net.fleets[1].members.life, 0, 10**6, net.now // 1000 % 2**32),
+            DatagramHeader(
+                1, MemberState.UP, net.fleets[1].members.incarnation, 0, 10**6, net.now // 1000 % 2**32
+            ),
             [Ping(1, 0)],
-            fleet.roster.mark,
+            fleet.member_list.fingerprint,
         )
-        for source, at, flaw in (
-            (None, 0, Flaw.ADDRESS),
-            (2, 0, Flaw.ADDRESS),
+        for source, at, fault in (
+            (None, 0, DatagramFault.ADDRESS),
+            (2, 0, DatagramFault.ADDRESS),
             (1, 0, None),
-            (1, 0, Flaw.REPLAYED),
-            (1, 6_000_000, Flaw.OLD),
+            (1, 0, DatagramFault.REPLAYED),
+            (1, 6_000_000, DatagramFault.OLD),
         ):
-            before = dict(fleet.flaws)
-            fleet.handle(net.now + at, (Received(source, data),))
-            grown = {name for name, n in fleet.flaws.items() if n != before.get(name, 0)}
-            self.assertEqual(grown, {flaw} - {None})
+            before = dict(fleet.faults)
+            fleet.handle(net.now + at, (DatagramReceived(source, data),))
+            grown = {name for name, n in fleet.faults.items() if n != before.get(name, 0)}
+            self.assertEqual(grown, {fault} - {None})
 
     def test_more_datagrams_than_are_read_in_a_second_are_counted_and_left(self) -> None:
         fleet = Net(2).fleets[0]
         for _ in range(600):
-            fleet.handle(NOW, (Received(1, b""),))
-        self.assertEqual((fleet.flaws[Flaw.SHORT], fleet.flaws[Flaw.OVERRUN]), (500, 100))
+            fleet.handle(NOW, (DatagramReceived(1, b""),))
+        self.assertEqual((fleet.faults[DatagramFault.SHORT], fleet.faults[DatagramFault.OVERRUN]), (500, 100))
 
     def test_a_node_that_several_found_down_is_told_and_one_lie_is_a_lone_voice(self) -> None:
         net = Net(4)
@@ -272,12 +276,14 @@
             net.step()
         self.assertGreater(net.slices[0, BudgetKind.COLD, 77].slice.parts, 10**7)
         self.assertFalse(
-            net.fleets[2].ledger.pools[int(BudgetKind.COLD), 77].borrowed
+            net.fleets[2].ledger.budgets[int(BudgetKind.COLD), 77].borrowed
         )  # it holds the node warmer
         for _ in range(160):  # by then the spell is over
             net.fleets[0].asked(4, 3.0, net.now)
             net.step()
-        self.assertEqual({one.ledger.pools[int(BudgetKind.COLD), 77].out(net.now) for one in net.fleets}, {0})
+        self.assertEqual(
+            {one.ledger.budgets[int(BudgetKind.COLD), 77].out(net.now) for one in net.fleets}, {0}
+        )
 
     def test_a_spell_that_begins_anew_uses_nothing_twice_of_what_is_lent_still(self) -> None:
         net = Net(3)
@@ -287,7 +293,7 @@
         for _ in range(60):
             net.fleets[0].asked(4, 3.0, net.now)
             net.step()
-        lent = net.fleets[1].ledger.pools[int(BudgetKind.COLD), 77].out(net.now)
+        lent = net.fleets[1].ledger.budgets[int(BudgetKind.COLD), 77].out(net.now)
         self.assertEqual(lent, 5 * 10**6)
         net.act(1, net.fleets[1].handle(net.now, (slow_start_began(net, net.now + 1),)))
         self.assertLessEqual(net.slices[1, BudgetKind.COLD, 77].slice.parts, 10**7 - lent)
@@ -304,12 +310,14 @@
             for n in users if turn < 10 else users[:1]:
                 net.want(n, 5)
             net.step()
-        self.assertEqual(net.fleets[3].ledger.pools[int(BudgetKind.LIMIT), 5].users & set(users), {11, 27})
+        self.assertEqual(net.fleets[3].ledger.budgets[int(BudgetKind.LIMIT), 5].users & set(users), {11, 27})
         self.assertGreater(net.part(3, 5), 0.9)
         places = set(net.fleets[3].places((int(BudgetKind.LIMIT), 5)))
-        knows = {n for n, one in enumerate(net.fleets) if (int(BudgetKind.LIMIT), 5) in one.ledger.pools}
+        knows = {n for n, one in enumerate(net.fleets) if (int(BudgetKind.LIMIT), 5) in one.ledger.budgets}
         self.assertLessEqual(len(knows - set(users) - places), 2 * 8)
-        named = {one.places((int(BudgetKind.LIMIT), 5)) for one in net.fleets if one.roster.me not in places}
+        named = {
+            one.places((int(BudgetKind.LIMIT), 5)) for one in net.fleets if one.member_list.me not in places
+        }
         self.assertEqual(len(named), 1)  # all but those themselves name the same two
 
     def test_one_that_leaves_gives_back_first(self) -> None:
@@ -318,8 +326,8 @@
         for _ in range(60):
             net.want(0, 5)
             net.step()
-        net.act(0, net.fleets[0].handle(net.now, (Leaving(),)))
-        self.assertFalse(net.fleets[1].ledger.pools[int(BudgetKind.LIMIT), 5].lent)
+        net.act(0, net.fleets[0].handle(net.now, (ShutdownBegan(),)))
+        self.assertFalse(net.fleets[1].ledger.budgets[int(BudgetKind.LIMIT), 5].lent)
         self.assertEqual(net.fleets[1].members.members[0].state, MemberState.LEAVING)
 
 
@@ -369,15 +377,15 @@
 class Told(unittest.TestCase):
     def test_old_words_and_own_words_decide_nothing(self) -> None:
         said = PeerHealthReports()
-        self.assertIsNone(said.told(1, 5, ReportedCondition.DOWN, 1, NOW - FRESH_US - 1, NOW))
+        self.assertIsNone(said.told(1, 5, ReportedCondition.DOWN, 1, NOW - REPORT_MAX_AGE_US - 1, NOW))
         self.assertIsNone(said.told(1, 5, 99, 1, NOW, NOW))
         self.assertFalse(said.told(1, 5, ReportedCondition.DOWN, 9, NOW, NOW).agreed)  # type: ignore[union-attr]
-        self.assertIsNone(said.told(1, 5, ReportedCondition.DOWN, 9, NOW, NOW))  # the same voice again
+        self.assertIsNone(said.told(1, 5, ReportedCondition.DOWN, 9, NOW, NOW))  # the same report again
         self.assertTrue(said.told(2, 5, ReportedCondition.SILENT, 1, NOW, NOW).agreed)  # type: ignore[union-attr]
-        self.assertIsNone(said.verdict(5, NOW + FRESH_US + 1))
+        self.assertIsNone(said.verdict(5, NOW + REPORT_MAX_AGE_US + 1))
 
     def test_evidence_is_what_was_seen_of_late(self) -> None:
-        seen = Evidence()
+        seen = LocalObservations()
         for _ in range(4):
             seen.ended(5, ObservedOutcome.ERROR, NOW)
         self.assertEqual([one.what for one in seen.observations(NOW)], [ReportedCondition.ERRORS])
@@ -392,17 +400,17 @@
     @settings(max_examples=100, deadline=None, derandomize=True)
     @given(st.integers(0, 2**32))
     def test_totals_twice_late_or_of_a_life_before_add_nothing(self, seed: int) -> None:
-        random, heard = Random(seed), Counts()
-        told = [(life, total) for life in (1, 2) for total in range(0, 50_000, 1000)]
-        heard.heard(1, 1, Counted.SERVED, 9, 0, NOW)
+        random, heard = Random(seed), UsageTotals()
+        told = [(incarnation, total) for incarnation in (1, 2) for total in range(0, 50_000, 1000)]
+        heard.heard(1, 1, UsageKind.SERVED, 9, 0, NOW)
         came = 0.0
-        for life, total in told:
+        for incarnation, total in told:
             for _ in range(random.randrange(1, 3)):
-                back = random.choice(told[: told.index((life, total)) + 1])
-                came += heard.heard(1, *back[:1], Counted.SERVED, 9, back[1], NOW)
-            came += heard.heard(1, life, Counted.SERVED, 9, total, NOW)
+                back = random.choice(told[: told.index((incarnation, total)) + 1])
+                came += heard.heard(1, *back[:1], UsageKind.SERVED, 9, back[1], NOW)
+            came += heard.heard(1, incarnation, UsageKind.SERVED, 9, total, NOW)
         self.assertEqual(came, 49 + 49)
-        self.assertEqual(heard.heard(1, 2, Counted.SERVED, 9, 99_000, NOW + WORTH_US + 1), 0.0)
+        self.assertEqual(heard.heard(1, 2, UsageKind.SERVED, 9, 99_000, NOW + GROWTH_MAX_AGE_US + 1), 0.0)
 
 
 class Grants(unittest.TestCase):
@@ -413,11 +421,13 @@
         ledger = net.fleets[0].ledger
         key = (int(BudgetKind.LIMIT), 5)
         before = ledger.slice(key, net.now)
-        self.assertFalse(ledger.lent_to_me(1, NOW, LoanGrant(*key, 12345, WHOLE, 1), net.now))
+        self.assertFalse(ledger.on_grant(1, NOW, LoanGrant(*key, 12345, WHOLE_PARTS, 1), net.now))
         self.assertEqual(ledger.slice(key, net.now), before)
         want = ledger.ask(key, net.now)
-        self.assertFalse(ledger.lent_to_me(1, NOW, LoanGrant(*key, want.ask, 1000, 1), net.now + SPAN_US))
+        self.assertFalse(
+            ledger.on_grant(1, NOW, LoanGrant(*key, want.ask, 1000, 1), net.now + LOAN_DURATION_US)
+        )
 
     def test_a_judgement_about_nodes_has_a_place_in_a_datagram(self) -> None:
-        items = [Judge(n, 1, 1, 0) for n in range(15)]
-        self.assertLessEqual(len(encode(HEAD, items, 1)), DATAGRAM_MAX)
+        items = [HealthReport(n, 1, 1, 0) for n in range(15)]
+        self.assertLessEqual(len(encode(HEAD, items, 1)), DATAGRAM_MAX_BYTES)
--- a/tests/fleet/test_fleet_recorded_actions.py
+++ b/tests/fleet/test_fleet_recorded_actions.py
@@ -17,19 +17,19 @@
 
 from lemonridge.fleet.datagrams import Check, Prepare
 from lemonridge.fleet.fleet_member import (
+    DatagramReceived,
     FleetMember,
-    Judged,
-    Leaving,
-    Passed,
-    Post,
-    Received,
+    MemberSettings,
+    PeerHealthChanged,
+    PeerUsageReceived,
+    QuotaUpdated,
+    RolloutItemReceived,
+    RolloutItemsQueued,
     SendDatagram,
-    Served,
     SetTimer,
-    Sliced,
+    ShutdownBegan,
     SlowStartBegan,
     TimerFired,
-    Tuning,
 )
 from lemonridge.fleet.health_gossip import ObservedOutcome
 from lemonridge.fleet.member_list import MemberList
@@ -41,15 +41,15 @@
     """An action as literals."""
     if isinstance(action, SendDatagram):
         return "datagram", (action.to, action.data.hex())
-    if isinstance(action, Sliced):
+    if isinstance(action, QuotaUpdated):
         part = action.slice
         return "quota", (int(action.kind), action.key, part.parts, part.until_us, part.after, action.base)
-    if isinstance(action, Judged):
+    if isinstance(action, PeerHealthChanged):
         one = action.verdict
         return "health", (one.endpoint_id, int(one.what), one.sources, one.at_us)
-    if isinstance(action, Passed):
-        return "rollout", (action.source, action.life, action.item.slot)
-    if isinstance(action, Served):
+    if isinstance(action, RolloutItemReceived):
+        return "rollout", (action.source, action.incarnation, action.item.slot)
+    if isinstance(action, PeerUsageReceived):
         return "usage", (action.volume, action.units)
     assert isinstance(action, SetTimer)
     return "timer", (action.at_us,)
@@ -59,7 +59,7 @@
     """Play one fleet; the number of actions of each kind and the digest of their values."""
     random, now = Random(seed), START_US
     names = tuple(f"b{n}" for n in range(count))
-    tuning = Tuning(bytes_s=3000.0, counts=count < 10, further=4.0)
+    tuning = MemberSettings(bytes_s=3000.0, counts=count < 10, further=4.0)
     members = [
         FleetMember(MemberList(names, n), now // 1000 + n, seed + n, now, tuning) for n in range(count)
     ]
@@ -81,9 +81,9 @@
                 wakes[n] = action.at_us
                 push(action.at_us, n, TimerFired())
             elif isinstance(action, SendDatagram) and random.random() > 0.1:
-                push(now + random.randrange(1000, 30_000), action.to, Received(n, action.data))
+                push(now + random.randrange(1000, 30_000), action.to, DatagramReceived(n, action.data))
                 if random.random() < 0.02:
-                    push(now + random.randrange(1000, 90_000), action.to, Received(n, action.data))
+                    push(now + random.randrange(1000, 90_000), action.to, DatagramReceived(n, action.data))
 
     for n, member in enumerate(members):
         act(n, member.handle(now, ()))
@@ -119,10 +119,15 @@
             act(n, member.handle(now, (began,)))
         elif draw < 0.06:
             items = ((lead, Prepare(random.randrange(9), 2)), ((n + 1) % count, Check(1, b"12345678")))
-            act(n, member.handle(now, (Post(items),)))
+            act(n, member.handle(now, (RolloutItemsQueued(items),)))
         elif draw < 0.08:
-            act(n, member.handle(now, (Received(None, b"x"), Received((n + 1) % count, b"y" * 40))))
-    act(0, members[0].handle(now, (Leaving(),)))
+            act(
+                n,
+                member.handle(
+                    now, (DatagramReceived(None, b"x"), DatagramReceived((n + 1) % count, b"y" * 40))
+                ),
+            )
+    act(0, members[0].handle(now, (ShutdownBegan(),)))
     return {kind: (counts[kind], digests[kind].hexdigest()[:16]) for kind in sorted(counts)}
 
 
--- a/tests/fleet/test_quota_ledger.py
+++ b/tests/fleet/test_quota_ledger.py
@@ -10,8 +10,14 @@
 from hypothesis import strategies as st
 
 import lemonridge.fleet.quota_lending as escrow_module
-from lemonridge.fleet.datagrams import Cleared, Item, LoanGrant, LoanRequest, Recall
-from lemonridge.fleet.quota_lending import FLOOR, SPAN_US, WHOLE, BudgetKind, QuotaLedger
+from lemonridge.fleet.datagrams import Item, LoanGrant, LoanRecall, LoanRecallAck, LoanRequest
+from lemonridge.fleet.quota_lending import (
+    FLOOR_DIVISOR,
+    LOAN_DURATION_US,
+    WHOLE_PARTS,
+    BudgetKind,
+    QuotaLedger,
+)
 from lemonridge.lab.checkers import escrow
 from lemonridge.lab.checkers.escrow import ALL_USE, MUTANTS, TWO_USE, Bounds, search, with_mutant
 
@@ -55,62 +61,66 @@
         error_us, now = 50_000, 1_000_000_000
         lags = [random.randrange(10**9) for _ in range(brokers)]  # clocks need not agree at all
         drift = [random.uniform(1 - 0.015, 1.015) for _ in range(brokers)]  # 3% of a span is the stated error
-        begun = now - 10 * SPAN_US
+        begun = now - 10 * LOAN_DURATION_US
 
         def clock(n: int) -> int:
             return lags[n] + int((now - begun) * drift[n])
 
-        def make(n: int, life: int) -> QuotaLedger:
-            made = QuotaLedger(n, life, random.randrange(1 << 20), error_us, clock(n))
+        def make(n: int, incarnation: int) -> QuotaLedger:
+            made = QuotaLedger(n, incarnation, random.randrange(1 << 20), error_us, clock(n))
             made.among(o for o in range(brokers) if o != n)
             if n in users:
-                made.own(key, WHOLE // hosts, hosts, True, clock(n))
+                made.own(key, WHOLE_PARTS // hosts, hosts, True, clock(n))
             return made
 
         key, most = (int(BudgetKind.LIMIT), 7), 0
         ledgers = [make(n, 1) for n in range(brokers)]
         flights: list[tuple[int, int, int, Item]] = []
-        now += 3 * SPAN_US
+        now += 3 * LOAN_DURATION_US
         for _ in range(400):
             now += random.choice((0, 1000, 50_000, 400_000))
             n = random.randrange(brokers)
             what = random.random()
             if what < 0.3 and n in users:
-                ledgers[n].pools[key].need = random.choice((0, WHOLE // 2, WHOLE))
+                ledgers[n].budgets[key].need = random.choice((0, WHOLE_PARTS // 2, WHOLE_PARTS))
                 want = ledgers[n].ask(key, clock(n))
-                flights += [(n, o, ledgers[n].life, want) for o in range(brokers) if o != n]
+                flights += [(n, o, ledgers[n].incarnation, want) for o in range(brokers) if o != n]
             elif what < 0.33 and n in users:
-                flights += [(n, to, ledgers[n].life, item) for to, item in ledgers[n].give_back(key)]
+                flights += [
+                    (n, to, ledgers[n].incarnation, item) for to, item in ledgers[n].return_loans(key)
+                ]
             elif what < 0.36:
-                ledgers[n] = make(n, ledgers[n].life + 1)
-            if clock(n) < ledgers[n].whole_us:
-                flights += [(n, o, ledgers[n].life, Recall()) for o in ledgers[n].unclear()]
+                ledgers[n] = make(n, ledgers[n].incarnation + 1)
+            if clock(n) < ledgers[n].floors_until_us:
+                flights += [
+                    (n, o, ledgers[n].incarnation, LoanRecall()) for o in ledgers[n].unacknowledged_peers()
+                ]
             for _ in range(random.randrange(8)):
                 if not flights:
                     break
                 place = random.randrange(len(flights))
-                by, to, life, item = flights[place]
+                by, to, incarnation, item = flights[place]
                 if random.random() < 0.8:
                     del flights[place]
                 if random.random() < 0.2:
                     continue
                 if isinstance(item, LoanRequest):
-                    grant = ledgers[to].asked(by, life, item, clock(to))
-                    flights.append((to, by, ledgers[to].life, grant))
-                elif isinstance(item, Recall):
-                    flights.append((to, by, ledgers[to].life, ledgers[to].recalled(by, life)))
-                elif isinstance(item, Cleared):
+                    grant = ledgers[to].asked(by, incarnation, item, clock(to))
+                    flights.append((to, by, ledgers[to].incarnation, grant))
+                elif isinstance(item, LoanRecall):
+                    flights.append((to, by, ledgers[to].incarnation, ledgers[to].recalled(by, incarnation)))
+                elif isinstance(item, LoanRecallAck):
                     ledgers[to].cleared(by, item, clock(to))
                 elif isinstance(item, LoanGrant):
-                    ledgers[to].lent_to_me(by, life, item, clock(to))
+                    ledgers[to].on_grant(by, incarnation, item, clock(to))
                 else:
-                    ledgers[to].returned(by, life, item)
+                    ledgers[to].returned(by, incarnation, item)
             del flights[:-40]
             parts = [ledgers[u].slice(key, clock(u)).parts for u in users]
             most = max(most, *parts)
-            self.assertLessEqual(sum(parts), WHOLE, parts)
+            self.assertLessEqual(sum(parts), WHOLE_PARTS, parts)
             for u in users:
-                self.assertGreaterEqual(parts[users.index(u)], WHOLE // hosts // FLOOR)
+                self.assertGreaterEqual(parts[users.index(u)], WHOLE_PARTS // hosts // FLOOR_DIVISOR)
 
 
 class OneLedger(unittest.TestCase):
@@ -119,44 +129,49 @@
     def pair(self, hosts: int = 2) -> tuple[QuotaLedger, QuotaLedger]:
         made = [escrow.ledger(n, 1, 0) for n in range(2)]
         for one in made:
-            one.own(TWO_USE, WHOLE // hosts, hosts, True, 0)
+            one.own(TWO_USE, WHOLE_PARTS // hosts, hosts, True, 0)
             one.error_us = 50_000
         return made[0], made[1]
 
     def test_a_fresh_start_lends_nothing_and_has_its_floor(self) -> None:
         a, b = self.pair()
-        self.assertEqual(a.slice(TWO_USE, 10).parts, WHOLE // 2 // FLOOR)
+        self.assertEqual(a.slice(TWO_USE, 10).parts, WHOLE_PARTS // 2 // FLOOR_DIVISOR)
         self.assertEqual(b.asked(0, 1, a.ask(TWO_USE, 10), 10).parts, 0)
-        self.assertEqual(a.slice(TWO_USE, a.whole_us).parts, WHOLE // 2)
+        self.assertEqual(a.slice(TWO_USE, a.floors_until_us).parts, WHOLE_PARTS // 2)
 
     def test_a_lender_keeps_what_it_needs_and_its_floor(self) -> None:
         a, b = self.pair()
-        now = a.whole_us
-        a.pools[TWO_USE].need = WHOLE
-        self.assertEqual(b.asked(0, 1, a.ask(TWO_USE, now), now).parts, WHOLE // 2 - WHOLE // 2 // FLOOR)
-        b.pools[TWO_USE].need = WHOLE // 4
-        self.assertEqual(b.asked(0, 1, a.ask(TWO_USE, now), now).parts, WHOLE // 4)
-        self.assertEqual(b.slice(TWO_USE, now).parts, WHOLE // 2 // FLOOR)  # the largest counts
+        now = a.floors_until_us
+        a.budgets[TWO_USE].need = WHOLE_PARTS
+        self.assertEqual(
+            b.asked(0, 1, a.ask(TWO_USE, now), now).parts,
+            WHOLE_PARTS // 2 - WHOLE_PARTS // 2 // FLOOR_DIVISOR,
+        )
+        b.budgets[TWO_USE].need = WHOLE_PARTS // 4
+        self.assertEqual(b.asked(0, 1, a.ask(TWO_USE, now), now).parts, WHOLE_PARTS // 4)
+        self.assertEqual(b.slice(TWO_USE, now).parts, WHOLE_PARTS // 2 // FLOOR_DIVISOR)  # the largest counts
 
     def test_a_question_with_other_hosts_changes_nothing_of_what_is_used(self) -> None:
         a, b = self.pair()
-        now = a.whole_us
-        told = b.asked(0, 1, LoanRequest(*TWO_USE, 200, 7, WHOLE, 1500), now)
-        self.assertEqual((told.parts, b.slice(TWO_USE, now).parts), (0, WHOLE // 2))
+        now = a.floors_until_us
+        told = b.asked(0, 1, LoanRequest(*TWO_USE, 200, 7, WHOLE_PARTS, 1500), now)
+        self.assertEqual((told.parts, b.slice(TWO_USE, now).parts), (0, WHOLE_PARTS // 2))
 
     def test_loans_beyond_a_number_count_as_the_largest_and_longest(self) -> None:
         a, b = self.pair()
-        now = a.whole_us
-        a.pools[TWO_USE].need = WHOLE
+        now = a.floors_until_us
+        a.budgets[TWO_USE].need = WHOLE_PARTS
         for step in range(40):
             b.asked(0, 1, a.ask(TWO_USE, now + step), now + step)
-        self.assertLessEqual(len(b.pools[TWO_USE].lent[0]), 9)
-        self.assertEqual(b.slice(TWO_USE, now + SPAN_US + 50_030).parts, WHOLE // 2 // FLOOR)
-        self.assertEqual(b.slice(TWO_USE, now + SPAN_US + 50_040).parts, WHOLE // 2)
+        self.assertLessEqual(len(b.budgets[TWO_USE].lent[0]), 9)
+        self.assertEqual(
+            b.slice(TWO_USE, now + LOAN_DURATION_US + 50_030).parts, WHOLE_PARTS // 2 // FLOOR_DIVISOR
+        )
+        self.assertEqual(b.slice(TWO_USE, now + LOAN_DURATION_US + 50_040).parts, WHOLE_PARTS // 2)
 
     def test_budgets_have_a_bound_and_the_idle_ones_go(self) -> None:
         a, _ = self.pair()
-        with unittest.mock.patch.object(escrow_module, "POOLS_MAX", 2):
+        with unittest.mock.patch.object(escrow_module, "BUDGETS_MAX", 2):
             self.assertIsNotNone(a.own(ALL_USE, 1, 3, True, 0))
             self.assertIsNone(a.own((1, 99), 1, 3, True, 0))
         self.assertEqual(a.refused, 1)
--- a/tests/integration/test_fleet_live.py
+++ b/tests/integration/test_fleet_live.py
@@ -9,7 +9,7 @@
 from typing import Any
 
 from lemonridge.config.platform import Address
-from lemonridge.fleet.datagrams import Head, LoanGrant, LoanRequest, MemberState, Ping, encode
+from lemonridge.fleet.datagrams import DatagramHeader, LoanGrant, LoanRequest, MemberState, Ping, encode
 from lemonridge.fleet.member_list import MemberList
 from lemonridge.lab.checkers.fleet import Findings, Limit, check, used
 from lemonridge.lab.drills import fleet as drill
@@ -97,11 +97,11 @@
         rig, found = asyncio.run(play(7.5, [hot(lambda t: int(t) % 3), hot(lambda t: 1, volume=2)], *faults))
         self.assertTrue(found.held, found.notes)
         self.assertGreater(share(rig, 4.0, 7.5, 2), 0.6)
-        flaws = [
+        faults = [
             sum(one.counts[-1].get(f"fleet.not_taken.{name}", 0) for one in rig.brokers)
             for name in ("replayed", "checksum")
         ]
-        self.assertTrue(all(flaws), flaws)
+        self.assertTrue(all(faults), faults)
 
     def test_a_broker_that_goes_on_after_five_seconds_of_stop_has_its_own_part_alone(self) -> None:
         stop = Fault(kind="stop", at_s=3.0, for_s=5.0, brokers=(0,))
@@ -145,14 +145,14 @@
     def test_a_rogue_sender_changes_nothing_and_is_counted(self) -> None:
         async def attack(rig: Rig) -> None:
             await asyncio.sleep(2.0)
-            mark = MemberList(("0", "1", "2"), 0).mark
+            fingerprint = MemberList(("0", "1", "2"), 0).fingerprint
             import time
 
             now = time.time_ns() // 1_000_000
             told = encode(
-                Head(1, MemberState.UP, now + 10**9, 9, 1, now),
+                DatagramHeader(1, MemberState.UP, now + 10**9, 9, 1, now),
                 [LoanRequest(1, 1, 3, 5, 900_000, 1500), LoanGrant(1, 1, 1, 900_000, 1), Ping(1, 0)],
-                mark,
+                fingerprint,
             )
             with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as rogue:
                 to = ("127.0.0.1", rig.network.ports[0])
--- a/tests/test_format_admin.py
+++ b/tests/test_format_admin.py
@@ -116,21 +116,23 @@
 def fleet() -> fleet_member.FleetMember:
     """Broker b1 of three: b0 is up, b2 was never heard of; a loan each way; every flaw counted."""
     made = fleet_member.FleetMember(
-        MemberList(("b0", "b1", "b2"), 1), 77, 1, NOW, fleet_member.Tuning(further=5.0)
+        MemberList(("b0", "b1", "b2"), 1), 77, 1, NOW, fleet_member.MemberSettings(further=5.0)
     )
     made.taken(9, 20.0, 3, 4.0, NOW)
     made.ended(key_of("s-1"), health_gossip.ObservedOutcome.CONNECT_FAILED, NOW)
-    head = datagrams.Head(0, datagrams.MemberState.UP, 5, 1, 1, NOW // 1000)
-    said = datagrams.encode(head, [datagrams.Judge(key_of("s-9"), 3, 6, 250)], made.roster.mark)
-    made.handle(NOW + 1000, (fleet_member.Received(0, said),))
-    pool = made.ledger.pools[quota_lending.BudgetKind.LIMIT, 9]
+    head = datagrams.DatagramHeader(0, datagrams.MemberState.UP, 5, 1, 1, NOW // 1000)
+    said = datagrams.encode(
+        head, [datagrams.HealthReport(key_of("s-9"), 3, 6, 250)], made.member_list.fingerprint
+    )
+    made.handle(NOW + 1000, (fleet_member.DatagramReceived(0, said),))
+    pool = made.ledger.budgets[quota_lending.BudgetKind.LIMIT, 9]
     pool.base, pool.need = 300_000, 400_000
-    pool.lent[2] = [quota_lending.Loan(3, 4, 50_000, NOW + 10**6)]
-    pool.borrowed[0] = quota_lending.Borrowed(5, 125_000, NOW + 10**6)
+    pool.lent[2] = [quota_lending.LoanOut(3, 4, 50_000, NOW + 10**6)]
+    pool.borrowed[0] = quota_lending.LoanIn(5, 125_000, NOW + 10**6)
     made.counts.clear()
     made.counts["datagrams.taken"] = 8
-    for number, flaw in enumerate(datagrams.Flaw, 1):
-        made.flaws[flaw] = number
+    for number, fault in enumerate(datagrams.DatagramFault, 1):
+        made.faults[fault] = number
     return made
 
 
@@ -181,17 +183,19 @@
 def test_every_number_between_brokers_has_its_word_in_a_view() -> None:
     """The words are derived from the enumerations' member names; the numbers are those of the datagrams."""
     made = fleet()
-    limit = made.ledger.pools[quota_lending.BudgetKind.LIMIT, 9]
-    made.ledger.pools = {(kind, 9): limit for kind in (1, 2, 3)}
+    limit = made.ledger.budgets[quota_lending.BudgetKind.LIMIT, 9]
+    made.ledger.budgets = {(kind, 9): limit for kind in (1, 2, 3)}
     states = []
 
     for number in range(7):
         made.members.members[0].state = datagrams.MemberState(number)
         states.append(report(made, NOW + 5000, {})["members"][0]["state"])
     for number in range(1, 5):
-        head = datagrams.Head(0, datagrams.MemberState.UP, 5, 1, 1 + number, NOW // 1000)
-        said = datagrams.encode(head, [datagrams.Judge(100 + number, number, 6, 250)], made.roster.mark)
-        made.handle(NOW + 2000, (fleet_member.Received(0, said),))
+        head = datagrams.DatagramHeader(0, datagrams.MemberState.UP, 5, 1, 1 + number, NOW // 1000)
+        said = datagrams.encode(
+            head, [datagrams.HealthReport(100 + number, number, 6, 250)], made.member_list.fingerprint
+        )
+        made.handle(NOW + 2000, (fleet_member.DatagramReceived(0, said),))
     view = report(made, NOW + 5000, {101: "one", 102: "two", 103: "three", 104: "four"})
     judged = [(row["node"], row["what"]) for row in view["judgements"] if row["by"] == "b0"]
 
@@ -314,7 +318,7 @@
     store.begin()
     loop = asyncio.get_running_loop()
     clock = SimpleNamespace(now_us=lambda: 10**9, loop_time=lambda at_us: loop.time() + 60)
-    peers = SimpleNamespace(life=77, post=lambda items: None, configure=lambda settings: None)
+    peers = SimpleNamespace(incarnation=77, post=lambda items: None, configure=lambda settings: None)
     decider = SimpleNamespace(look=lambda: None)
     here = Address("127.0.0.1", 1)
     plan = FleetConfig(
--- a/tests/test_format_datagrams.py
+++ b/tests/test_format_datagrams.py
@@ -1,7 +1,7 @@
 """The datagrams between brokers, byte for byte: two versions of the program speak to each other by them.
 
 The names of the code stand in the builders below; what follows are literals. An item's code is its place in
-`KINDS`, and its fields are packed in the order in which its class declares them (`__slots__`): to move a
+`ITEM_TYPES`, and its fields are packed in the order in which its class declares them (`__slots__`): to move a
 class or a field changes the bytes, to rename one does not.
 """
 
@@ -11,21 +11,21 @@
 
 from lemonridge.fleet import datagrams, health_gossip, quota_lending, usage_totals
 from lemonridge.fleet.member_list import MemberList, key_of
-from lemonridge.net.peer_transport import Keyed
+from lemonridge.net.peer_transport import KeyedDatagramSigner
 
-MARK = 0xBEEF
+FINGERPRINT = 0xBEEF
 STATE_NAME = b"\x01\x23\x45\x67\x89\xab\xcd\xef"
-TAGGER = Keyed(b"a secret of the fleet, fixed")
+SIGNER = KeyedDatagramSigner(b"a secret of the fleet, fixed")
 
-HEAD = datagrams.Head(
+HEAD = datagrams.DatagramHeader(
     sender=2,
     state=datagrams.MemberState.LEAVING,
-    life=0x0001020304050607,
+    incarnation=0x0001020304050607,
     round=5,
     number=0x0A0B0C0D,
     sent_ms=0x10203040,
 )
-FACT = datagrams.MembershipUpdate(who=6, life=0x0102030405060708, round=9, state=4)
+FACT = datagrams.MembershipUpdate(who=6, incarnation=0x0102030405060708, round=9, state=4)
 PING = datagrams.Ping(nonce=0x1122, who=3)
 ITEMS = {
     "ping": PING,
@@ -44,12 +44,12 @@
     "grant": datagrams.LoanGrant(
         kind=3, key=0x2122232425262728, ask=0x41424344, parts=250_000, holds=1, hint=8
     ),
-    "release": datagrams.Release(kind=1, key=0x3132333435363738, ask=0x51525354),
-    "recall": datagrams.Recall(),
-    "cleared": datagrams.Cleared(life=0x4142434445464748),
-    "count": datagrams.Count(kind=2, key=0x5152535455565758, total=0x0000616263646566),
-    "judge": datagrams.Judge(endpoint_id=0x7172737475767778, what=4, weight=9, age_ms=1234),
-    "presence": datagrams.Presence(),
+    "release": datagrams.LoanRelease(kind=1, key=0x3132333435363738, ask=0x51525354),
+    "recall": datagrams.LoanRecall(),
+    "cleared": datagrams.LoanRecallAck(incarnation=0x4142434445464748),
+    "count": datagrams.UsageTotal(kind=2, key=0x5152535455565758, total=0x0000616263646566),
+    "judge": datagrams.HealthReport(endpoint_id=0x7172737475767778, what=4, weight=9, age_ms=1234),
+    "presence": datagrams.Heartbeat(),
     "lease question": datagrams.LeaseAsk(ask=10, low=11, high=12, want=13, name=STATE_NAME),
     "lease": datagrams.Lease(ask=14, low=15, high=16, epoch=17, name=STATE_NAME, ident=0x0A0B0C0D0E0F1011),
     "prepare": datagrams.Prepare(slot=18, ballot=19),
@@ -107,7 +107,7 @@
 
 
 def test_every_item_that_is_known_is_pinned() -> None:
-    assert [type(item) for item in ITEMS.values()] == list(datagrams.KINDS)
+    assert [type(item) for item in ITEMS.values()] == list(datagrams.ITEM_TYPES)
     assert list(ITEMS) == list(WIRE)
 
 
@@ -116,17 +116,17 @@
     check, item = WIRE[what]
     data = bytes.fromhex(check + HEAD_HEX + item)
 
-    written = datagrams.encode(HEAD, [ITEMS[what]], MARK)
-    read = datagrams.decode(data, MARK)
+    written = datagrams.encode(HEAD, [ITEMS[what]], FINGERPRINT)
+    read = datagrams.decode(data, FINGERPRINT)
 
     assert written.hex() == data.hex()
     assert (read.head, read.items) == (HEAD, (ITEMS[what],))
 
 
 def test_a_head_alone_and_numbers_that_wrap() -> None:
-    alone = datagrams.encode(HEAD, [], MARK)
+    alone = datagrams.encode(HEAD, [], FINGERPRINT)
     wrapped = datagrams.encode(
-        datagrams.Head(2, datagrams.MemberState.UP, 7, 1, (1 << 32) + 3, (1 << 32) + 4), [], 1
+        datagrams.DatagramHeader(2, datagrams.MemberState.UP, 7, 1, (1 << 32) + 3, (1 << 32) + 4), [], 1
     )
 
     assert alone.hex() == "ab405155b203efbe02000706050403020100050d0c0b0a40302010"
@@ -149,15 +149,15 @@
 def test_the_keyed_tag_goes_behind_all_items(items: list[datagrams.Item], told: str) -> None:
     data = bytes.fromhex(told)
 
-    written = datagrams.encode(HEAD, items, MARK, TAGGER)
-    read = datagrams.decode(data, MARK, TAGGER)
+    written = datagrams.encode(HEAD, items, FINGERPRINT, SIGNER)
+    read = datagrams.decode(data, FINGERPRINT, SIGNER)
 
     assert written.hex() == told
     assert (read.head, read.items) == (HEAD, tuple(items))
 
 
 def test_the_roster_and_the_names_of_nodes_have_the_same_numbers_at_every_broker() -> None:
-    assert MemberList(("b0", "b1", "b2"), 1).mark == 26721
+    assert MemberList(("b0", "b1", "b2"), 1).fingerprint == 26721
     assert key_of("s-5be2a07c") == 5897176318865884699
 
 
@@ -180,11 +180,11 @@
         "ERRORS": 3,
         "COLD": 4,
     }
-    assert [one.value for one in usage_totals.Counted] == [1, 2]
+    assert [one.value for one in usage_totals.UsageKind] == [1, 2]
 
 
 def test_limits_of_a_datagram() -> None:
-    assert (datagrams.DATAGRAM_MAX, datagrams.VERSION, datagrams.TAG, datagrams.HEAD_BYTES) == (
+    assert (datagrams.DATAGRAM_MAX_BYTES, datagrams.VERSION, datagrams.TAG_BYTES, datagrams.HEADER_BYTES) == (
         256,
         0xB2,
         8,
