--- a/tests/test_rollout_live.py
+++ b/tests/test_rollout_live.py
@@ -19,7 +19,8 @@
 import orjson
 
 from lemonridge.cli import main
-from lemonridge.config.platform import Address, ConfigError
+from lemonridge.config.address import Address
+from lemonridge.config.errors import ConfigError
 from lemonridge.coordination import policy_coordinator
 from lemonridge.coordination.policy_coordinator import VoteStore, VoteStoreError
 from lemonridge.lab.checkers.policy import Findings, Proposed, check
@@ -357,7 +358,7 @@
         async def both() -> list[tuple[Rig, Clients]]:
             return await asyncio.gather(
                 *(
-                    _stand(apart, 3.0, "lemonridge.lab.fleet_mutants", f"fault={fault}")
+                    _stand(apart, 3.0, "lemonridge.cli.mutant", f"fleet-fault={fault}")
                     for fault in ("switches-at-once", "serves-on")
                 )
             )
