--- a/lemonridge/coordination/policy_coordinator.py
+++ b/lemonridge/coordination/policy_coordinator.py
@@ -22,7 +22,9 @@
 import msgspec
 import orjson
 
-from lemonridge.config.platform import ConfigError, FleetConfig
+from lemonridge.config.errors import ConfigError
+from lemonridge.config.fleet import FleetConfig
+from lemonridge.config.local_policy import LocalPolicy
 from lemonridge.core.clock import Clock
 from lemonridge.core.counters import Counters
 from lemonridge.core.decision_host import DecisionHost
@@ -41,7 +43,6 @@
     StoredVote,
 )
 from lemonridge.scheduling.settings import Settings, VolumePlan
-from lemonridge.service.service import LocalPolicy
 
 log = logging.getLogger(__name__)
 
@@ -175,7 +176,7 @@
             self.rollout = RolloutMember(
                 plan.me,
                 plan.names,
-                peers.life,
+                peers.incarnation,
                 genesis,
                 kept,
                 ident,
@@ -198,7 +199,7 @@
         self._keeping: asyncio.Future[None] | None = None
         self._stuck = False  # the disk takes nothing
         self._timer: asyncio.TimerHandle | None = None
-        peers.coordinator = decider.fence = self
+        peers.coordinator = decider.lease_guard = self
         self._flush()
         self._tick()
 
@@ -227,7 +228,7 @@
             self._queue.remove(next(one for one in self._queue if isinstance(one, SendMessage)))
         self._pump()
         if self._mode != self._now():
-            self._decider.look()
+            self._decider.recheck_lease()
         fresh = self.rollout.ended - self._shown
         for result in self.rollout.results[-fresh:] if fresh else ():
             log.info("change ended", extra={"end": result.end, "why": result.why, "epoch": result.epoch})
--- a/lemonridge/iscsi/mapped.py
+++ b/lemonridge/iscsi/mapped.py
@@ -6,7 +6,6 @@
 
 from collections.abc import Callable
 
-from lemonridge.config.operator_file import READ, WRITE, IscsiConfig, Lun
 from lemonridge.core.broker import Broker
 from lemonridge.core.counters import Counters
 from lemonridge.core.model import Answer, AnswerKind, Request
@@ -15,6 +14,7 @@
 from lemonridge.extents.router import Router
 from lemonridge.extents.routing import Cause, RouteError
 from lemonridge.iscsi import scsi
+from lemonridge.iscsi.config import READ, WRITE, IscsiConfig, Lun
 
 
 def _good(reply: object) -> bool:
@@ -27,7 +27,7 @@
     if answer.kind is AnswerKind.SERVED:
         assert isinstance(answer.reply, scsi.Reply)
         return answer.reply
-    return scsi.Reply(scsi.Status.BUSY) if answer.kind is AnswerKind.REFUSED else scsi.unreachable()
+    return scsi.Reply(scsi.Status.BUSY) if answer.kind is AnswerKind.REJECTED else scsi.unreachable()
 
 
 def request_of(
@@ -153,5 +153,5 @@
             assert answer is not None
             return reply_of(answer)
         return reply_of(
-            Answer(AnswerKind.REFUSED if joined.whole is JoinResult.REFUSED else AnswerKind.FAILED)
+            Answer(AnswerKind.REJECTED if joined.whole is JoinResult.REFUSED else AnswerKind.FAILED)
         )
--- a/lemonridge/lab/soak_mutants.py
+++ b/lemonridge/lab/soak_mutants.py
@@ -1,14 +1,9 @@
-"""The real program with one fault planted, for drills that have to find it.
-
-`python -m lemonridge.lab.soak_mutants NAME serve …` plants one of `MUTANTS` and runs the rest as a
-command line.
-"""
+"""Faults to plant in the real program, for the soak that has to find them; `cli/mutant.py` plants one."""
 
 from __future__ import annotations
 
 import asyncio
 import signal
-import sys
 from collections.abc import Callable
 
 from lemonridge.scheduling.actions import Reject, RejectReason
@@ -38,12 +33,12 @@
 def _sends_to_draining() -> None:
     from lemonridge.core.endpoint_registry import EndpointAddress, EndpointRegistry
 
-    real = EndpointRegistry._tell
+    real = EndpointRegistry._publish
 
-    def tell(self: EndpointRegistry, kind: EndpointListUpdate, listings: list[EndpointAddress]) -> None:
-        real(self, kind, [one for one in listings if one.entry.condition is EndpointState.ACTIVE])
+    def tell(self: EndpointRegistry, kind: EndpointListUpdate, changes: list[EndpointAddress]) -> None:
+        real(self, kind, [one for one in changes if one.endpoint.condition is EndpointState.ACTIVE])
 
-    EndpointRegistry._tell = tell  # type: ignore[method-assign]
+    EndpointRegistry._publish = tell  # type: ignore[method-assign]
 
 
 def _floods_cold_nodes() -> None:
@@ -64,13 +59,13 @@
     from lemonridge.core.model import Answer, Request
 
     async def serve(self: Broker, request: Request) -> Answer:
-        mailbox = self._decider.open(request)
-        life = asyncio.create_task(self.carry(mailbox))
-        self._lives.add(life)
+        mailbox = self._decision_host.open(request)
+        task = asyncio.create_task(self.run(mailbox))
+        self._tasks.add(task)
         return await asyncio.shield(mailbox.answer)
 
     Broker.serve = serve  # type: ignore[method-assign]
-    DecisionHost.begins = lambda self, mailbox, number: True  # type: ignore[method-assign]
+    DecisionHost.may_begin = lambda self, mailbox, number: True  # type: ignore[method-assign]
 
 
 def _tells_the_whole_deadline() -> None:
@@ -110,15 +105,3 @@
     "refuses-anything": (_refuses_anything, "bad_refusals"),
     "dies-of-a-signal": (_dies_of_a_signal, "crashes"),
 }
-
-
-def main(arguments: list[str]) -> int:
-    """Plant the fault, then run the command line with what is left."""
-    from lemonridge.cli.main import main as run
-
-    MUTANTS[arguments[0]][0]()
-    return run(arguments[1:])
-
-
-if __name__ == "__main__":
-    sys.exit(main(sys.argv[1:]))
--- a/lemonridge/net/discovery.py
+++ b/lemonridge/net/discovery.py
@@ -10,7 +10,8 @@
 import aiohttp
 import orjson
 
-from lemonridge.config.platform import Address, ConfigError
+from lemonridge.config.address import Address
+from lemonridge.config.errors import ConfigError
 from lemonridge.core.counters import Counters
 from lemonridge.core.endpoint_registry import EndpointAddress, EndpointRegistry
 from lemonridge.net.watch_stream import Backoff, client
@@ -250,7 +251,7 @@
             raise MalformedError(f"version {seq} after {self._seq}: discovery has begun anew")
         lines = listings(told, self._zones)
         self._counters["discovery.answers"] += 1
-        self._directory.heard()
+        self._directory.record_answer()
         if lines or whole:
-            self._directory.take(EndpointListUpdate.SNAPSHOT if whole else EndpointListUpdate.DELTA, lines)
+            self._directory.update(EndpointListUpdate.SNAPSHOT if whole else EndpointListUpdate.DELTA, lines)
         return seq
--- a/tests/test_format_admin.py
+++ b/tests/test_format_admin.py
@@ -22,13 +22,15 @@
 from conftest import SETTINGS
 
 from lemonridge.cli import main, policy_commands
-from lemonridge.config.platform import Address, FleetConfig, RolloutConfig
+from lemonridge.config.address import Address
+from lemonridge.config.fleet import FleetConfig, RolloutConfig
 from lemonridge.coordination.policy_coordinator import MAGIC, PolicyCoordinator, VoteStore
 from lemonridge.core.counters import Counters
 from lemonridge.fleet import datagrams, fleet_member, health_gossip, quota_lending
 from lemonridge.fleet.member_list import MemberList, key_of
 from lemonridge.fleet.status_report import report, table, whole
-from lemonridge.operate.admin_calls import AdminCall, AdminReply, AdminRequest, BadCallError, longest, parse
+from lemonridge.operate.admin_calls import AdminCall, AdminReply, AdminRequest, line_max, parse
+from lemonridge.operate.errors import BadCallError
 from lemonridge.operate.lifecycle import Phase
 from lemonridge.rollout import policy_document
 from lemonridge.rollout.rollout_member import StoredVote
@@ -105,9 +107,13 @@
 
 def test_replies_and_lengths() -> None:
     assert AdminReply(done=True).encode() == b"ACK\n"
-    assert AdminReply(done=True, why="out").encode() == b"ACK out\n"
-    assert AdminReply(done=False, why="zu fr\u00fch").encode() == b"NAK zu fr?h\n"
-    assert (longest(b"ready"), longest(b"policy-propose {"), longest(b"policy-force {")) == (512, 32768, 512)
+    assert AdminReply(done=True, text="out").encode() == b"ACK out\n"
+    assert AdminReply(done=False, text="zu fr\u00fch").encode() == b"NAK zu fr?h\n"
+    assert (line_max(b"ready"), line_max(b"policy-propose {"), line_max(b"policy-force {")) == (
+        512,
+        32768,
+        512,
+    )
 
 
 # The fleet
@@ -116,21 +122,23 @@
 def fleet() -> fleet_member.FleetMember:
     """Broker b1 of three: b0 is up, b2 was never heard of; a loan each way; every flaw counted."""
     made = fleet_member.FleetMember(
-        MemberList(("b0", "b1", "b2"), 1), 77, 1, NOW, fleet_member.Tuning(further=5.0)
+        MemberList(("b0", "b1", "b2"), 1), 77, 1, NOW, fleet_member.MemberSettings(further=5.0)
     )
     made.taken(9, 20.0, 3, 4.0, NOW)
     made.ended(key_of("s-1"), health_gossip.ObservedOutcome.CONNECT_FAILED, NOW)
-    head = datagrams.Head(0, datagrams.MemberState.UP, 5, 1, 1, NOW // 1000)
-    said = datagrams.encode(head, [datagrams.Judge(key_of("s-9"), 3, 6, 250)], made.roster.mark)
-    made.handle(NOW + 1000, (fleet_member.Received(0, said),))
-    pool = made.ledger.pools[quota_lending.BudgetKind.LIMIT, 9]
+    head = datagrams.DatagramHeader(0, datagrams.MemberState.UP, 5, 1, 1, NOW // 1000)
+    said = datagrams.encode(
+        head, [datagrams.HealthReport(key_of("s-9"), 3, 6, 250)], made.member_list.fingerprint
+    )
+    made.handle(NOW + 1000, (fleet_member.DatagramReceived(0, said),))
+    pool = made.ledger.budgets[quota_lending.BudgetKind.LIMIT, 9]
     pool.base, pool.need = 300_000, 400_000
-    pool.lent[2] = [quota_lending.Loan(3, 4, 50_000, NOW + 10**6)]
-    pool.borrowed[0] = quota_lending.Borrowed(5, 125_000, NOW + 10**6)
+    pool.lent[2] = [quota_lending.LoanOut(3, 4, 50_000, NOW + 10**6)]
+    pool.borrowed[0] = quota_lending.LoanIn(5, 125_000, NOW + 10**6)
     made.counts.clear()
     made.counts["datagrams.taken"] = 8
-    for number, flaw in enumerate(datagrams.Flaw, 1):
-        made.flaws[flaw] = number
+    for number, fault in enumerate(datagrams.DatagramFault, 1):
+        made.faults[fault] = number
     return made
 
 
@@ -181,17 +189,19 @@
 def test_every_number_between_brokers_has_its_word_in_a_view() -> None:
     """The words are derived from the enumerations' member names; the numbers are those of the datagrams."""
     made = fleet()
-    limit = made.ledger.pools[quota_lending.BudgetKind.LIMIT, 9]
-    made.ledger.pools = {(kind, 9): limit for kind in (1, 2, 3)}
+    limit = made.ledger.budgets[quota_lending.BudgetKind.LIMIT, 9]
+    made.ledger.budgets = {(kind, 9): limit for kind in (1, 2, 3)}
     states = []
 
     for number in range(7):
         made.members.members[0].state = datagrams.MemberState(number)
         states.append(report(made, NOW + 5000, {})["members"][0]["state"])
     for number in range(1, 5):
-        head = datagrams.Head(0, datagrams.MemberState.UP, 5, 1, 1 + number, NOW // 1000)
-        said = datagrams.encode(head, [datagrams.Judge(100 + number, number, 6, 250)], made.roster.mark)
-        made.handle(NOW + 2000, (fleet_member.Received(0, said),))
+        head = datagrams.DatagramHeader(0, datagrams.MemberState.UP, 5, 1, 1 + number, NOW // 1000)
+        said = datagrams.encode(
+            head, [datagrams.HealthReport(100 + number, number, 6, 250)], made.member_list.fingerprint
+        )
+        made.handle(NOW + 2000, (fleet_member.DatagramReceived(0, said),))
     view = report(made, NOW + 5000, {101: "one", 102: "two", 103: "three", 104: "four"})
     judged = [(row["node"], row["what"]) for row in view["judgements"] if row["by"] == "b0"]
 
@@ -314,8 +324,8 @@
     store.begin()
     loop = asyncio.get_running_loop()
     clock = SimpleNamespace(now_us=lambda: 10**9, loop_time=lambda at_us: loop.time() + 60)
-    peers = SimpleNamespace(life=77, post=lambda items: None, configure=lambda settings: None)
-    decider = SimpleNamespace(look=lambda: None)
+    peers = SimpleNamespace(incarnation=77, post=lambda items: None, configure=lambda settings: None)
+    decider = SimpleNamespace(recheck_lease=lambda: None)
     here = Address("127.0.0.1", 1)
     plan = FleetConfig(
         names=("b0", "b1"), me=0, listen=here, addresses=(here, here), rollout=RolloutConfig(str(path))
