--- a/lemonridge/config/scheduler_settings.py
+++ b/lemonridge/config/scheduler_settings.py
@@ -1,4 +1,8 @@
-"""The settings of a deployment, as the simulator's first message and a broker's configuration hold them."""
+"""The parser of a deployment's settings, in the simulator's first message and in a broker's configuration.
+
+The only place that knows the pages' keys: they are mapped to the fields of `lemonridge.scheduling.settings`,
+of which `docs/glossary.md` has the meaning. Keys that are not known are ignored.
+"""
 
 from __future__ import annotations
 
@@ -12,7 +16,7 @@
     VolumePlan,
 )
 
-SEMANTICS = {
+IDEMPOTENCY_KINDS = {
     "repeatable": IdempotencyKind.IDEMPOTENT,
     "by_key": IdempotencyKind.WITH_IDEMPOTENCY_KEY,
     "once": IdempotencyKind.NOT_IDEMPOTENT,
@@ -24,20 +28,19 @@
     "cell": DeduplicationScope.SHARD,
 }
 
-
-# The requests that a node holds, in the settings' words and in the protocol's.
-HELD = ("busy_reqs", "inflight")
+# The requests at an endpoint, in a load report: in the settings' words and in the protocol's.
+OUTSTANDING_FIELDS = ("busy_reqs", "inflight")
 
 
 class SettingsError(Exception):
-    """Settings that lack something; the text is fit to print."""
+    """Settings that lack something or have an unknown word; the message is one plain line."""
 
 
-def _part(facts: Any, name: str) -> dict[str, Any]:
-    part = facts.get(name) if isinstance(facts, dict) else None
-    if not isinstance(part, dict):
+def _table(facts: Any, name: str) -> dict[str, Any]:
+    table = facts.get(name) if isinstance(facts, dict) else None
+    if not isinstance(table, dict):
         raise SettingsError(f"settings lack the table '{name}'")
-    return part
+    return table
 
 
 def _number(table: dict[str, Any], name: str, path: str) -> Any:
@@ -54,21 +57,21 @@
     return rows
 
 
-def _class(row: dict[str, Any]) -> RequestClass:
-    semantics = SEMANTICS.get(row.get("semantics", ""))
-    if semantics is None:
+def _request_class(row: dict[str, Any]) -> RequestClass:
+    idempotency = IDEMPOTENCY_KINDS.get(row.get("semantics", ""))
+    if idempotency is None:
         raise SettingsError("settings lack a known 'classes.semantics'")
-    keyed = semantics is IdempotencyKind.WITH_IDEMPOTENCY_KEY
+    has_key = idempotency is IdempotencyKind.WITH_IDEMPOTENCY_KEY
     try:
-        group = DEDUPLICATION_SCOPES[row["group"]] if keyed else DeduplicationScope.ALL
+        scope = DEDUPLICATION_SCOPES[row["group"]] if has_key else DeduplicationScope.ALL
     except (KeyError, TypeError):
         raise SettingsError("settings lack a known 'classes.group'") from None
     return RequestClass(
         latency_objective_us=_number(row, "aim-us", "classes"),
         deadline_us=_number(row, "deadline-us", "classes"),
-        idempotency=semantics,
-        deduplication_scope=group,
-        deduplication_window_us=_number(row, "memory-span-us", "classes") if keyed else 0,
+        idempotency=idempotency,
+        deduplication_scope=scope,
+        deduplication_window_us=_number(row, "memory-span-us", "classes") if has_key else 0,
         sequential=bool(row.get("sequential", False)),
         priority_weight=row.get("gain") or 0.0,
     )
@@ -86,13 +89,23 @@
 
 
 def settings_from(facts: Any) -> Settings:
-    """The module's settings from the wire's; keys that are not known are ignored."""
-    rules, limits = _part(facts, "rules"), _part(facts, "limits")
-    family = _part(facts, "family-info")
+    """Parses the settings.
+
+    Args:
+        facts: The parsed JSON or TOML. A rule that it does not mention is not in force.
+
+    Returns:
+        The settings of the scheduler; `retry_rate` is 0, as only the operators' file has one.
+
+    Raises:
+        SettingsError: A table, a list, a number or a word is missing or unknown.
+    """
+    rules, limits = _table(facts, "rules"), _table(facts, "limits")
+    family = _table(facts, "family-info")
     clients = facts.get("clients")
     return Settings(
         hosts=_number(facts, "fleet-size", "facts"),
-        classes=tuple(map(_class, _rows(facts, "classes"))),
+        classes=tuple(map(_request_class, _rows(facts, "classes"))),
         plans=tuple(map(_plan, _rows(facts, "grades"))),
         polls_endpoint_list=facts.get("discovery") == "ask",
         largest_request_units=family.get("units-top") or 0.0,
@@ -120,18 +133,23 @@
 
 
 def held_field(facts: dict[str, Any]) -> str:
-    """The field of an answer's load report that says how many requests its node holds; empty where the
-    settings name none, or answers carry no reports.
+    """The field of a response's load report that says how many requests are at its endpoint.
+
+    Empty where the settings name none, or where responses carry no reports.
     """
     report = facts.get("load-info")
     if not isinstance(report, dict) or report.get("source") != "piggyback":
         return ""
     fields = report.get("names")
-    return next((one for one in fields if one in HELD), "") if isinstance(fields, list) else ""
+    return next((one for one in fields if one in OUTSTANDING_FIELDS), "") if isinstance(fields, list) else ""
 
 
 def names(facts: dict[str, Any], table: str) -> tuple[str, ...]:
-    """The names of the rows of a table, in the order of their numbers."""
+    """The names of a table's rows, in the order of their numbers.
+
+    Raises:
+        SettingsError: The table is missing, or a row has no name.
+    """
     rows = _rows(facts, table)
     if not all(isinstance(row.get("name"), str) for row in rows):
         raise SettingsError(f"settings lack a name in '{table}'")
--- a/tests/test_simhost.py
+++ b/tests/test_simhost.py
@@ -196,9 +196,9 @@
     host = simulator.Host()
     host.batch(line(*begin(), ASK))
     ended = ["completed", 3, "id-1", 0, "10.0.0.1:9000", 0, 900, True, None, None, report]
-    assert simulator._ended(ended).endpoint_outstanding == held
+    assert simulator.decode_attempt_ended(ended).endpoint_outstanding == held
     assert not [order for order in orders(host.batch(line(ended, now=8001000))) if order[0] == "fault"]
 
 
 def test_cancel_is_written_as_the_wire_wants_it() -> None:
-    assert simulator._order(3, Cancel("id-1", 2)) == ["undo-send", 3, "id-1", 2]
+    assert simulator.encode_actions(3, [Cancel("id-1", 2)]) == [["undo-send", 3, "id-1", 2]]
