--- a/tests/test_simhost.py
+++ b/tests/cli/test_simulator.py
@@ -15,7 +15,7 @@
 from lemonridge.config.scheduler_settings import SettingsError, settings_from
 from lemonridge.scheduling.actions import Action, Cancel
 
-ROOT = Path(__file__).resolve().parent.parent
+ROOT = Path(__file__).resolve().parents[2]
 FACTS = {
     "fleet-size": 2,
     "discovery": "push",
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -169,6 +169,23 @@
         return sends(self.actions)
 
 
+def arrive_many(rig: Rig, count: int, volume: int, **kw: object) -> list[str]:
+    """So many requests of one volume; returns their ids."""
+    return [rig.ask(volume, **kw) for _ in range(count)]
+
+
+def confirming_rig() -> Rig:
+    """A rig whose host confirms each first byte, with classes that are in no hurry; buckets are full."""
+    classes = tuple(
+        replace(cls, latency_objective_us=20_000_000, deadline_us=20_000_000) for cls in SETTINGS.classes
+    )
+    rig = Rig(replace(SETTINGS, hosts=1, classes=classes))
+    rig.policy.context.host_confirms_start = True
+    rig.listed(("a", 0), ("b", 1))
+    rig.now += 10_000_000
+    return rig
+
+
 def sends(actions: list[Action]) -> list[str]:
     return [a.request for a in actions if isinstance(a, Send)]
 
--- /dev/null
+++ b/tests/scheduling/test_endpoint_choice.py
@@ -0,0 +1,47 @@
+"""Which endpoint a request is sent to."""
+
+from __future__ import annotations
+
+from conftest import SETTINGS, Rig
+
+from lemonridge.scheduling.actions import Send
+from lemonridge.scheduling.events import (
+    EndpointListUpdate,
+)
+
+
+def endpoints_of_new_objects(endpoints: int, seed: int) -> set[str]:
+    """To which of so many nodes a host sends 2,000 new objects, one after another."""
+    rig = Rig(SETTINGS, seed)
+    rig.listed(*((f"n{number}", number) for number in range(endpoints)))
+    chosen = set()
+    for _ in range(2_000):
+        name = rig.ask(shard=-1)
+        (sent,) = [action for action in rig.actions if isinstance(action, Send)]
+        chosen.add(sent.endpoint_id)
+        rig.now += 5_000
+        rig.end(name, endpoint=sent.endpoint_id)
+    return chosen
+
+
+def test_new_object_is_sent_to_any_endpoint(rig: Rig) -> None:
+    assert rig.ask(shard=-1) in rig.sent()
+
+
+def test_all_of_few_endpoints_are_compared_and_some_of_many(make):
+    rig = make(hosts=1)
+    rig.listed(*((f"n{n}", n) for n in range(400)), kind=EndpointListUpdate.SNAPSHOT)
+    chosen = {rig.policy.health.pick(-1).id for _ in range(300)}
+    assert len(chosen) > 100
+    looked = list(rig.policy.endpoint_list.candidates())
+    assert len(looked) == 16
+    rig.listed(*((f"n{n}", n) for n in range(20)), kind=EndpointListUpdate.SNAPSHOT)
+    assert len(list(rig.policy.endpoint_list.candidates())) >= 20
+
+
+def test_new_objects_of_a_host_go_to_a_bounded_subset() -> None:
+    """STANDING, last table: 2.5 times the connections, plus 40, at sixteen times the nodes."""
+    few, many = endpoints_of_new_objects(200, 1), endpoints_of_new_objects(3_200, 1)
+    assert len(many) <= 2.5 * len(few) + 40
+    other = endpoints_of_new_objects(3_200, 2)
+    assert len(many & other) < len(many) / 2  # and hosts do not all meet at the same ones
--- /dev/null
+++ b/tests/scheduling/test_scheduler.py
@@ -0,0 +1,81 @@
+"""The scheduler as one state machine: sameness, memory, new settings."""
+
+from __future__ import annotations
+
+from dataclasses import replace
+
+from conftest import SETTINGS, Rig, arrive_many, sends
+
+from lemonridge.scheduling.events import (
+    AttemptResult,
+    EndpointListUpdate,
+    SettingsChanged,
+    TimerFired,
+)
+
+
+def test_nothing_is_left_behind_over_many_cycles(rig: Rig) -> None:
+    for turn in range(400):
+        rig.ask(turn, cls=turn % 3, plan=turn % 4, key=turn)
+        for request, attempt in list(rig.policy.open_attempts):
+            rig.tries[request] = attempt
+            rig.end(request, (AttemptResult.OK, AttemptResult.RESET, AttemptResult.QUEUE_FULL)[turn % 3])
+        rig.now += 20_000
+    rig.listed(("b", 1), kind=EndpointListUpdate.SNAPSHOT)
+    for request, attempt in list(rig.policy.open_attempts):
+        rig.tries[request] = attempt
+        rig.end(request)
+    rig.pass_time(70_000_000, step=100_000)
+    p = rig.policy
+    assert not (
+        p.requests
+        or p.open_attempts
+        or p.lifecycle.key_order._lines
+        or p.lifecycle.key_order._quarantined_until_us
+    )
+    assert not (p.queues.rotation_by_shard or p.context.timers.next_us() or p.limits.volumes)
+    assert list(p.endpoint_list.endpoints) == ["b"]
+
+
+def test_same_events_give_same_actions() -> None:
+    logs = []
+    for _ in range(2):
+        rig = Rig(SETTINGS, 7)
+        rig.listed(("a", 0), ("b", 1))
+        log = []
+        for turn in range(200):
+            rig.ask(turn % 9, shard=turn % 2, cls=turn % 3, key=turn % 5)
+            log += rig.actions
+            rig.now += 7_000
+            log += rig.do(TimerFired())
+        logs.append(log)
+    assert logs[0] == logs[1]
+
+
+def test_new_settings_apply_to_new_requests_and_keep_open_ones(rig: Rig) -> None:
+    """A reload may renumber classes and plans and change a limit, without a new start of the module."""
+    rig.now += 30_000_000
+    held = rig.ask(volume=2, cls=1)
+    arrive_many(rig, 1, 9, plan=1)  # the bucket of volume 9 is full: 40 units and 4 of slack
+    tight = replace(SETTINGS.plans[1], limit=2.0, burst=3.0, slack=0.0)
+    rig.do(SettingsChanged(replace(SETTINGS, classes=SETTINGS.classes[1::-1], plans=(tight,)), False))
+    taken = arrive_many(rig, 4, 9, cls=1, plan=0, left=1_500_000)
+    assert [name in rig.policy.requests for name in taken] == [True, True, True, False]
+    assert rig.policy.requests[held].request_class is SETTINGS.classes[1]
+    rig.end(held)
+    assert held not in rig.policy.requests
+
+
+def test_unchanged_plan_indices_apply_the_new_plans_at_once(rig: Rig) -> None:
+    rig.pass_time(60_000_000)  # the bucket is full
+    held = [rig.ask(1, plan=1) for _ in range(60)]
+    before = rig.policy.limits.volumes[1].bucket.refill(rig.now)
+    tight = replace(SETTINGS.plans[1], limit=1.0, burst=3.0, slack=0.0)
+    rig.do(SettingsChanged(replace(SETTINGS, plans=(SETTINGS.plans[0], tight, *SETTINGS.plans[2:])), True))
+    volume = rig.policy.limits.volumes[1]
+    assert volume.plan == tight and volume.bucket.refill(rig.now) <= min(before, 3.0)
+    sent = len(sends(rig.pass_time(2_000_000)))
+    assert sent <= 3 + 2, (sent, len(held))
+    wide = (SETTINGS.plans[0], replace(tight, limit=1000.0, burst=100.0), *SETTINGS.plans[2:])
+    rig.do(SettingsChanged(replace(SETTINGS, plans=wide), True))
+    assert not any(lane.suspended for lane in volume.queues.values())  # it waits for its old limit no more
