--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""A small hand for driving the module with scripted events, and the list of known failures."""
+"""A rig that drives the scheduler with scripted events, and the list of known failures."""
 
 from __future__ import annotations
 
@@ -95,31 +95,42 @@
 
 
 class Rig:
-    """One scheduler, a clock, and what it asked for."""
+    """One scheduler in virtual time, driven by scripted events.
+
+    Attributes:
+        scheduler: The scheduler.
+        now_us: The time of the next events.
+        request_count: How many requests have arrived; their ids are r1, r2, ...
+        attempts: How many attempts of each request have ended, by its id.
+        actions: The actions of the last call.
+    """
 
     def __init__(self, settings: Settings, seed: int = 1) -> None:
         self.settings = settings
-        self.policy = Scheduler(settings, seed)
-        self.now = START
-        self.count = 0
-        self.tries: dict[str, int] = {}
+        self.scheduler = Scheduler(settings, seed)
+        self.now_us = START
+        self.request_count = 0
+        self.attempts: dict[str, int] = {}
         self.actions: list[Action] = []
 
-    def do(self, *events: Event) -> list[Action]:
-        self.actions = self.policy.handle(self.now, events)
+    def handle(self, *events: Event) -> list[Action]:
+        """Hands events to the scheduler; returns its actions."""
+        self.actions = self.scheduler.handle(self.now_us, events)
         return self.actions
 
-    def listed(self, *endpoints: tuple, kind: EndpointListUpdate = EndpointListUpdate.CACHED) -> list[Action]:
-        """Nodes as (id, shard) or (id, shard, condition) or (id, shard, condition, start)."""
+    def update_list(
+        self, *endpoints: tuple, kind: EndpointListUpdate = EndpointListUpdate.CACHED
+    ) -> list[Action]:
+        """Changes the list; endpoints are (id, shard), and may have a state and a start time beside."""
         rows = []
         for endpoint in endpoints:
             name, shard = endpoint[:2]
-            condition = endpoint[2] if len(endpoint) > 2 else EndpointState.ACTIVE
-            start = endpoint[3] if len(endpoint) > 3 else 0
-            rows.append(Endpoint(name, shard, 0, condition, start))
-        return self.do(EndpointsChanged(kind, tuple(rows)))
+            state = endpoint[2] if len(endpoint) > 2 else EndpointState.ACTIVE
+            started_us = endpoint[3] if len(endpoint) > 3 else 0
+            rows.append(Endpoint(name, shard, 0, state, started_us))
+        return self.handle(EndpointsChanged(kind, tuple(rows)))
 
-    def ask(
+    def arrive(
         self,
         volume: int = 1,
         *,
@@ -129,49 +140,53 @@
         units: float = 1.0,
         key: int | None = None,
         hosts: int = 1,
-        left: int | None = None,
+        left_us: int | None = None,
     ) -> str:
-        """One arrival; returns its id."""
-        self.count += 1
-        name = f"r{self.count}"
-        if left is None:
-            left = self.settings.classes[cls].deadline_us
-        self.do(RequestArrived(name, shard, volume, self.now + left, key, cls, plan, units, hosts))
+        """Lets one request arrive, by default with the full time of its class left; returns its id."""
+        self.request_count += 1
+        name = f"r{self.request_count}"
+        if left_us is None:
+            left_us = self.settings.classes[cls].deadline_us
+        deadline_us = self.now_us + left_us
+        self.handle(RequestArrived(name, shard, volume, deadline_us, key, cls, plan, units, hosts))
         return name
 
-    def end(
+    def end_attempt(
         self,
         request: str,
         result: AttemptResult = AttemptResult.OK,
         *,
         endpoint: str = "a",
-        lag: int = 20_000,
+        latency_us: int = 20_000,
         finished: bool | None = None,
-        elsewhere: float | None = None,
-        held: float | None = None,
+        peer_units: float | None = None,
+        outstanding: float | None = None,
     ) -> list[Action]:
-        """The end of the request's last attempt."""
-        attempt = self.tries.get(request, 0)
-        self.tries[request] = attempt + 1
+        """Ends the next attempt of a request that has not ended; a good response finishes the request."""
+        attempt = self.attempts.get(request, 0)
+        self.attempts[request] = attempt + 1
         done = result is AttemptResult.OK if finished is None else finished
-        return self.do(AttemptEnded(request, attempt, endpoint, result, lag, done, None, elsewhere, held))
+        return self.handle(
+            AttemptEnded(request, attempt, endpoint, result, latency_us, done, None, peer_units, outstanding)
+        )
 
-    def pass_time(self, span: int, step: int = 10_000) -> list[Action]:
-        """Let timers fire for `span`, collecting every action."""
+    def advance(self, span_us: int, step: int = 10_000) -> list[Action]:
+        """Lets timers fire for `span_us`; returns all actions."""
         seen: list[Action] = []
-        end = self.now + span
-        while self.now < end:
-            self.now = min(end, self.now + step)
-            seen += self.do(TimerFired())
+        end_us = self.now_us + span_us
+        while self.now_us < end_us:
+            self.now_us = min(end_us, self.now_us + step)
+            seen += self.handle(TimerFired())
         return seen
 
-    def sent(self) -> list[str]:
+    def sent_requests(self) -> list[str]:
+        """The requests of which the last call has sent an attempt."""
         return sends(self.actions)
 
 
 def arrive_many(rig: Rig, count: int, volume: int, **kw: object) -> list[str]:
     """So many requests of one volume; returns their ids."""
-    return [rig.ask(volume, **kw) for _ in range(count)]
+    return [rig.arrive(volume, **kw) for _ in range(count)]
 
 
 def confirming_rig() -> Rig:
@@ -180,9 +195,9 @@
         replace(cls, latency_objective_us=20_000_000, deadline_us=20_000_000) for cls in SETTINGS.classes
     )
     rig = Rig(replace(SETTINGS, hosts=1, classes=classes))
-    rig.policy.context.host_confirms_start = True
-    rig.listed(("a", 0), ("b", 1))
-    rig.now += 10_000_000
+    rig.scheduler.context.host_confirms_start = True
+    rig.update_list(("a", 0), ("b", 1))
+    rig.now_us += 10_000_000
     return rig
 
 
@@ -197,7 +212,7 @@
 @pytest.fixture
 def rig() -> Rig:
     made = Rig(SETTINGS)
-    made.listed(("a", 0), ("b", 1))
+    made.update_list(("a", 0), ("b", 1))
     return made
 
 
@@ -205,7 +220,7 @@
 def make():
     def build(**changes: object) -> Rig:
         made = Rig(replace(SETTINGS, **changes))
-        made.listed(("a", 0), ("b", 1))
+        made.update_list(("a", 0), ("b", 1))
         return made
 
     return build
--- a/tests/scheduling/test_endpoint_choice.py
+++ b/tests/scheduling/test_endpoint_choice.py
@@ -13,30 +13,30 @@
 def endpoints_of_new_objects(endpoints: int, seed: int) -> set[str]:
     """To which of so many nodes a host sends 2,000 new objects, one after another."""
     rig = Rig(SETTINGS, seed)
-    rig.listed(*((f"n{number}", number) for number in range(endpoints)))
+    rig.update_list(*((f"n{number}", number) for number in range(endpoints)))
     chosen = set()
     for _ in range(2_000):
-        name = rig.ask(shard=-1)
+        name = rig.arrive(shard=-1)
         (sent,) = [action for action in rig.actions if isinstance(action, Send)]
         chosen.add(sent.endpoint_id)
-        rig.now += 5_000
-        rig.end(name, endpoint=sent.endpoint_id)
+        rig.now_us += 5_000
+        rig.end_attempt(name, endpoint=sent.endpoint_id)
     return chosen
 
 
 def test_new_object_is_sent_to_any_endpoint(rig: Rig) -> None:
-    assert rig.ask(shard=-1) in rig.sent()
+    assert rig.arrive(shard=-1) in rig.sent_requests()
 
 
 def test_all_of_few_endpoints_are_compared_and_some_of_many(make):
     rig = make(hosts=1)
-    rig.listed(*((f"n{n}", n) for n in range(400)), kind=EndpointListUpdate.SNAPSHOT)
-    chosen = {rig.policy.health.pick(-1).id for _ in range(300)}
+    rig.update_list(*((f"n{n}", n) for n in range(400)), kind=EndpointListUpdate.SNAPSHOT)
+    chosen = {rig.scheduler.health.pick(-1).id for _ in range(300)}
     assert len(chosen) > 100
-    looked = list(rig.policy.endpoint_list.candidates())
+    looked = list(rig.scheduler.endpoint_list.candidates())
     assert len(looked) == 16
-    rig.listed(*((f"n{n}", n) for n in range(20)), kind=EndpointListUpdate.SNAPSHOT)
-    assert len(list(rig.policy.endpoint_list.candidates())) >= 20
+    rig.update_list(*((f"n{n}", n) for n in range(20)), kind=EndpointListUpdate.SNAPSHOT)
+    assert len(list(rig.scheduler.endpoint_list.candidates())) >= 20
 
 
 def test_new_objects_of_a_host_go_to_a_bounded_subset() -> None:
--- a/tests/scheduling/test_scheduler.py
+++ b/tests/scheduling/test_scheduler.py
@@ -16,66 +16,72 @@
 
 def test_nothing_is_left_behind_over_many_cycles(rig: Rig) -> None:
     for turn in range(400):
-        rig.ask(turn, cls=turn % 3, plan=turn % 4, key=turn)
-        for request, attempt in list(rig.policy.open_attempts):
-            rig.tries[request] = attempt
-            rig.end(request, (AttemptResult.OK, AttemptResult.RESET, AttemptResult.QUEUE_FULL)[turn % 3])
-        rig.now += 20_000
-    rig.listed(("b", 1), kind=EndpointListUpdate.SNAPSHOT)
-    for request, attempt in list(rig.policy.open_attempts):
-        rig.tries[request] = attempt
-        rig.end(request)
-    rig.pass_time(70_000_000, step=100_000)
-    p = rig.policy
+        rig.arrive(turn, cls=turn % 3, plan=turn % 4, key=turn)
+        for request, attempt in list(rig.scheduler.open_attempts):
+            rig.attempts[request] = attempt
+            rig.end_attempt(
+                request, (AttemptResult.OK, AttemptResult.RESET, AttemptResult.QUEUE_FULL)[turn % 3]
+            )
+        rig.now_us += 20_000
+    rig.update_list(("b", 1), kind=EndpointListUpdate.SNAPSHOT)
+    for request, attempt in list(rig.scheduler.open_attempts):
+        rig.attempts[request] = attempt
+        rig.end_attempt(request)
+    rig.advance(70_000_000, step=100_000)
+    scheduler = rig.scheduler
     assert not (
-        p.requests
-        or p.open_attempts
-        or p.lifecycle.key_order._lines
-        or p.lifecycle.key_order._quarantined_until_us
+        scheduler.requests
+        or scheduler.open_attempts
+        or scheduler.lifecycle.key_order._lines
+        or scheduler.lifecycle.key_order._quarantined_until_us
     )
-    assert not (p.queues.rotation_by_shard or p.context.timers.next_us() or p.limits.volumes)
-    assert list(p.endpoint_list.endpoints) == ["b"]
+    assert not (
+        scheduler.queues.rotation_by_shard or scheduler.context.timers.next_us() or scheduler.limits.volumes
+    )
+    assert list(scheduler.endpoint_list.endpoints) == ["b"]
 
 
 def test_same_events_give_same_actions() -> None:
     logs = []
     for _ in range(2):
         rig = Rig(SETTINGS, 7)
-        rig.listed(("a", 0), ("b", 1))
+        rig.update_list(("a", 0), ("b", 1))
         log = []
         for turn in range(200):
-            rig.ask(turn % 9, shard=turn % 2, cls=turn % 3, key=turn % 5)
+            rig.arrive(turn % 9, shard=turn % 2, cls=turn % 3, key=turn % 5)
             log += rig.actions
-            rig.now += 7_000
-            log += rig.do(TimerFired())
+            rig.now_us += 7_000
+            log += rig.handle(TimerFired())
         logs.append(log)
     assert logs[0] == logs[1]
 
 
 def test_new_settings_apply_to_new_requests_and_keep_open_ones(rig: Rig) -> None:
     """A reload may renumber classes and plans and change a limit, without a new start of the module."""
-    rig.now += 30_000_000
-    held = rig.ask(volume=2, cls=1)
+    rig.now_us += 30_000_000
+    held = rig.arrive(volume=2, cls=1)
     arrive_many(rig, 1, 9, plan=1)  # the bucket of volume 9 is full: 40 units and 4 of slack
     tight = replace(SETTINGS.plans[1], limit=2.0, burst=3.0, slack=0.0)
-    rig.do(SettingsChanged(replace(SETTINGS, classes=SETTINGS.classes[1::-1], plans=(tight,)), False))
-    taken = arrive_many(rig, 4, 9, cls=1, plan=0, left=1_500_000)
-    assert [name in rig.policy.requests for name in taken] == [True, True, True, False]
-    assert rig.policy.requests[held].request_class is SETTINGS.classes[1]
-    rig.end(held)
-    assert held not in rig.policy.requests
+    rig.handle(SettingsChanged(replace(SETTINGS, classes=SETTINGS.classes[1::-1], plans=(tight,)), False))
+    taken = arrive_many(rig, 4, 9, cls=1, plan=0, left_us=1_500_000)
+    assert [name in rig.scheduler.requests for name in taken] == [True, True, True, False]
+    assert rig.scheduler.requests[held].request_class is SETTINGS.classes[1]
+    rig.end_attempt(held)
+    assert held not in rig.scheduler.requests
 
 
 def test_unchanged_plan_indices_apply_the_new_plans_at_once(rig: Rig) -> None:
-    rig.pass_time(60_000_000)  # the bucket is full
-    held = [rig.ask(1, plan=1) for _ in range(60)]
-    before = rig.policy.limits.volumes[1].bucket.refill(rig.now)
+    rig.advance(60_000_000)  # the bucket is full
+    held = [rig.arrive(1, plan=1) for _ in range(60)]
+    before = rig.scheduler.limits.volumes[1].bucket.refill(rig.now_us)
     tight = replace(SETTINGS.plans[1], limit=1.0, burst=3.0, slack=0.0)
-    rig.do(SettingsChanged(replace(SETTINGS, plans=(SETTINGS.plans[0], tight, *SETTINGS.plans[2:])), True))
-    volume = rig.policy.limits.volumes[1]
-    assert volume.plan == tight and volume.bucket.refill(rig.now) <= min(before, 3.0)
-    sent = len(sends(rig.pass_time(2_000_000)))
+    rig.handle(
+        SettingsChanged(replace(SETTINGS, plans=(SETTINGS.plans[0], tight, *SETTINGS.plans[2:])), True)
+    )
+    volume = rig.scheduler.limits.volumes[1]
+    assert volume.plan == tight and volume.bucket.refill(rig.now_us) <= min(before, 3.0)
+    sent = len(sends(rig.advance(2_000_000)))
     assert sent <= 3 + 2, (sent, len(held))
     wide = (SETTINGS.plans[0], replace(tight, limit=1000.0, burst=100.0), *SETTINGS.plans[2:])
-    rig.do(SettingsChanged(replace(SETTINGS, plans=wide), True))
+    rig.handle(SettingsChanged(replace(SETTINGS, plans=wide), True))
     assert not any(lane.suspended for lane in volume.queues.values())  # it waits for its old limit no more
