--- a/lemonridge/scheduling/actions.py
+++ b/lemonridge/scheduling/actions.py
@@ -12,7 +12,7 @@
 class RejectReason(Enum):
     """Why a request was rejected; the values are the words of the counters and of the log."""
 
-    LIMIT_REACHED = "limit"  # its volume's limit has no capacity in time
+    LIMIT_EXCEEDED = "limit"  # its volume's limit has no capacity in time
     SLOW_START = "cold"  # its endpoint is in slow start, and this host's part of that is used up
     OBJECTIVE_MISSED = "late"  # no endpoint had a free slot before its objective
     ATTEMPTS_EXHAUSTED = "spent"  # its class, its attempts, the budgets or its time allow no retry
--- a/lemonridge/scheduling/endpoint.py
+++ b/lemonridge/scheduling/endpoint.py
@@ -14,7 +14,7 @@
         state: What the endpoint list says.
         registered: It is in the endpoint list, under its shard.
         window: How many attempts may be open there; below 1 it is a pause after each response.
-        window_cut_us: When the window was last cut; results of earlier attempts cut it no more.
+        window_reduced_us: When the window was last cut; results of earlier attempts cut it no more.
         cooldown_until_us: Until when a window below 1 pauses.
         open_attempts: Attempts of this host that count against the window.
         expected_responses: Of these, those with time enough for their silence to say something.
@@ -42,7 +42,7 @@
         self.state = entry.condition
         self.registered = False
         self.window = window
-        self.window_cut_us = 0
+        self.window_reduced_us = 0
         self.cooldown_until_us = 0
         self.open_attempts = 0
         self.expected_responses = 0
--- a/lemonridge/scheduling/endpoint_health.py
+++ b/lemonridge/scheduling/endpoint_health.py
@@ -16,14 +16,14 @@
 SLOW_RESPONSE_FRACTION = 0.25  # of the tightest objective: a later response cuts the window
 EWMA_WEIGHT = 0.125  # of a new latency in the average
 SILENCE_MULTIPLE = 4.0  # of the usual latency: a longer silence makes an endpoint suspect
-MIN_USUAL_LATENCY_US = 4.0 * DISPATCH_CYCLE_US  # a shorter usual latency counts as this
-MIN_SILENCE_LIMIT_US = int(SILENCE_MULTIPLE * MIN_USUAL_LATENCY_US)
+MIN_EXPECTED_LATENCY_US = 4.0 * DISPATCH_CYCLE_US  # a shorter usual latency counts as this
+MIN_SILENCE_LIMIT_US = int(SILENCE_MULTIPLE * MIN_EXPECTED_LATENCY_US)
 PROBE_INTERVAL_US = 500_000  # between the probes of a suspect endpoint
 MAX_PROBE_COUNT = 16
 RESTART_AFTER_US = 1_000_000  # an endpoint not reached for this long has restarted
 CROWDED_LOAD_RATIO = 4.0  # requests at the endpoint for each of this host's: it has many senders
 CROWDED_RESTART_WINDOW = 1 / 16  # requests; the window after a crowded endpoint's first good response
-MAX_CROWDED_CUT = 16.0  # the window of a crowded endpoint is divided by this at most
+MAX_CROWDED_REDUCTION = 16.0  # the window of a crowded endpoint is divided by this at most
 PROBE_SLOTS = 0.5  # free slots of an endpoint that is tried with one request: less than of any other
 
 RESPONSES = frozenset(
@@ -87,10 +87,10 @@
 
         Before its first response the tightest objective stands for the latency.
         """
-        usual_us: float = self._context.tightest_objective_us
+        expected_us: float = self._context.tightest_objective_us
         if endpoint.latency_ewma_us:
-            usual_us = endpoint.expected_latency_us()
-        return int(SILENCE_MULTIPLE * endpoint.largest_open_size * max(usual_us, MIN_USUAL_LATENCY_US))
+            expected_us = endpoint.expected_latency_us()
+        return int(SILENCE_MULTIPLE * endpoint.largest_open_size * max(expected_us, MIN_EXPECTED_LATENCY_US))
 
     def expects_response(self, endpoint: TrackedEndpoint, request: Request) -> bool:
         """Whether a request's silence or rejection would say something of its endpoint.
@@ -147,9 +147,9 @@
         if event.agreed:
             endpoint.connect_failures = 1
             endpoint.unreachable_since_us = event.at_us
-        elif endpoint.window_cut_us < event.at_us and endpoint.window > MIN_WINDOW:
+        elif endpoint.window_reduced_us < event.at_us and endpoint.window > MIN_WINDOW:
             endpoint.window = max(MIN_WINDOW, endpoint.window / 2)
-            endpoint.window_cut_us = self._context.now_us
+            endpoint.window_reduced_us = self._context.now_us
 
     def observe(
         self,
@@ -190,7 +190,7 @@
 
     def _connect_failed(self, endpoint: TrackedEndpoint) -> None:
         """Makes an endpoint suspect until its next response."""
-        self._slow_start.usual_traffic[endpoint.shard].frozen = True
+        self._slow_start.baseline_traffic[endpoint.shard].frozen = True
         if not endpoint.connect_failures:
             endpoint.unreachable_since_us = self._context.now_us
         endpoint.connect_failures += 1
@@ -211,11 +211,11 @@
         """Learns from a good response; returns whether it came late enough to cut the window."""
         now_us, slow_start, settings = self._context.now_us, self._slow_start, self._context.settings
         if endpoint.slow_start_began_us is None and endpoint.state is EndpointState.ACTIVE:
-            usual = slow_start.usual_traffic[endpoint.shard]
-            usual.has_served = True
+            baseline = slow_start.baseline_traffic[endpoint.shard]
+            baseline.has_served = True
             weight = EWMA_WEIGHT / 4 if slow_start.warm_latency_us else 1.0
             slow_start.warm_latency_us += (latency_us - slow_start.warm_latency_us) * weight
-            usual.add(request.units, now_us)
+            baseline.add(request.units, now_us)
         error_us = latency_us - endpoint.latency_ewma_us
         endpoint.latency_ewma_us += error_us * (EWMA_WEIGHT if endpoint.latency_ewma_us else 1.0)
         endpoint.latency_deviation_us += (abs(error_us) - endpoint.latency_deviation_us) * EWMA_WEIGHT
@@ -258,14 +258,18 @@
         )
         large_fleet = self._context.settings.hosts > SMALL_FLEET_HOSTS
         crowded = overloaded and large_fleet and (many_senders or rejected or silent)
-        if overloaded and sent_us >= endpoint.window_cut_us and (crowded or endpoint.window > MIN_WINDOW):
+        if overloaded and sent_us >= endpoint.window_reduced_us and (crowded or endpoint.window > MIN_WINDOW):
             least, divisor = MIN_WINDOW, 2.0
             if crowded:
                 least = MIN_CROWDED_WINDOW
-                cut = MAX_CROWDED_CUT if rejected else min(MAX_CROWDED_CUT, latency_us * 2 / tightest_us)
-                divisor = max(2.0, cut)
+                reduction = (
+                    MAX_CROWDED_REDUCTION
+                    if rejected
+                    else min(MAX_CROWDED_REDUCTION, latency_us * 2 / tightest_us)
+                )
+                divisor = max(2.0, reduction)
             endpoint.window = max(least, endpoint.window / divisor)
-            endpoint.window_cut_us = now_us
+            endpoint.window_reduced_us = now_us
         elif result is AttemptResult.OK and not crowded and endpoint.window < MIN_WINDOW:
             endpoint.window = min(MIN_WINDOW, max(endpoint.window * 2, CROWDED_RESTART_WINDOW))
         if endpoint.window < MIN_WINDOW:
--- a/lemonridge/scheduling/endpoint_list.py
+++ b/lemonridge/scheduling/endpoint_list.py
@@ -88,7 +88,7 @@
         if fresh and (began_us is None or entry.started_us > began_us):
             self._slow_start.begin(endpoint, entry.started_us)
         if entry.condition is not EndpointState.ACTIVE:
-            self._slow_start.freeze_usual_traffic(endpoint.shard)
+            self._slow_start.freeze_baseline_traffic(endpoint.shard)
         self._register(endpoint, entry.shard)
         endpoint.zone, endpoint.state = entry.zone, entry.condition
         self.remove_if_idle(endpoint)
--- a/lemonridge/scheduling/rate_estimators.py
+++ b/lemonridge/scheduling/rate_estimators.py
@@ -5,7 +5,7 @@
 from collections import deque
 from math import exp
 
-USUAL_TRAFFIC_TIME_CONSTANT_US = 10_000_000
+BASELINE_TIME_CONSTANT_US = 10_000_000
 
 
 class SlidingWindow:
@@ -52,12 +52,12 @@
             capacity: How many units it holds at most.
 
         Returns:
-            The units taken, at most `units`.
+            The units within, at most `units`.
         """
         tokens = min(capacity, self._tokens + rate * (now_us - self._refilled_us) / 1e6)
-        taken = min(units, tokens)
-        self._tokens, self._refilled_us = tokens - taken, now_us
-        return taken
+        within = min(units, tokens)
+        self._tokens, self._refilled_us = tokens - within, now_us
+        return within
 
 
 class DecayingAverage:
@@ -83,9 +83,9 @@
         """Brings the average up to a time, unless it is later than that already."""
         if to_us > self._updated_us:
             if not self.frozen:
-                kept = exp((self._updated_us - to_us) / USUAL_TRAFFIC_TIME_CONSTANT_US)
+                kept = exp((self._updated_us - to_us) / BASELINE_TIME_CONSTANT_US)
                 self.units *= kept
-                self._span_us = self._span_us * kept + USUAL_TRAFFIC_TIME_CONSTANT_US * (1 - kept)
+                self._span_us = self._span_us * kept + BASELINE_TIME_CONSTANT_US * (1 - kept)
             self._updated_us = to_us
 
     def add(self, units: float, now_us: int) -> None:
@@ -96,4 +96,4 @@
 
     def rate(self) -> float:
         """The average, in units a microsecond; over a tenth of the time constant at least."""
-        return self.units / max(self._span_us, USUAL_TRAFFIC_TIME_CONSTANT_US / 10)
+        return self.units / max(self._span_us, BASELINE_TIME_CONSTANT_US / 10)
--- a/lemonridge/scheduling/request_lifecycle.py
+++ b/lemonridge/scheduling/request_lifecycle.py
@@ -66,7 +66,7 @@
     # Arrival
 
     def arrive(self, event: RequestArrived) -> None:
-        """Admits a request and queues it, or rejects it with LIMIT_REACHED."""
+        """Admits a request and queues it, or rejects it with LIMIT_EXCEEDED."""
         context = self._context
         now_us, request_class = context.now_us, context.settings.classes[event.cls]
         self._retries.record_request()
@@ -77,7 +77,7 @@
         context.set_timer(request.deadline_us, RequestDeadline(request))
         request.may_wait_until_us = self.queues.may_wait_until_us(request)
         if self.admission.exceeds_limit(request):
-            self.reject(request, RejectReason.LIMIT_REACHED)
+            self.reject(request, RejectReason.LIMIT_EXCEEDED)
             return
         volume.request_admitted(request)
         if self.key_order.add(request):
@@ -200,13 +200,13 @@
         if attempt is None:
             return
         context, request, endpoint = self._context, attempt.request, attempt.endpoint
-        usual_us = endpoint.expected_latency_us() * request.relative_size
-        if endpoint.last_response_us - attempt.sent_us > usual_us:
+        expected_us = endpoint.expected_latency_us() * request.relative_size
+        if endpoint.last_response_us - attempt.sent_us > expected_us:
             attempt.written_off = True
             endpoint.open_attempts -= 1
             endpoint.expected_responses -= request.response_expected
             endpoint.restart_silence(context.now_us)
-            if self._useful_to_cancel(request, endpoint, usual_us):
+            if self._useful_to_cancel(request, endpoint, expected_us):
                 context.actions.append(Cancel(request_id, number))
             context.mark_for_dispatch(endpoint.shard)
         else:
@@ -216,17 +216,17 @@
                 context.now_us + self._health.silence_limit_us(endpoint), AttemptOverdue(request_id, number)
             )
 
-    def _useful_to_cancel(self, request: Request, endpoint: TrackedEndpoint, usual_us: float) -> bool:
+    def _useful_to_cancel(self, request: Request, endpoint: TrackedEndpoint, expected_us: float) -> bool:
         """Whether to cancel a request's lost attempt: a retry is allowed and can meet the objective.
 
         Args:
             request: The request, whose attempt is still open.
             endpoint: Where the attempt was sent.
-            usual_us: How long an attempt of this size usually takes there.
+            expected_us: How long an attempt of this size usually takes there.
         """
         context = self._context
         return (
-            context.now_us + usual_us < request.objective_at_us
+            context.now_us + expected_us < request.objective_at_us
             and context.settings.may_cancel
             and request.request_class.idempotency is not IdempotencyKind.NOT_IDEMPOTENT
             and not request.done
@@ -265,22 +265,22 @@
             self.queues.dequeue(request)
             self.requests.pop(request.id, None)
             request.volume.request_finished(request, self._context.now_us)
-            self._record_usual_demand(request)
+            self._record_baseline_demand(request)
         self._start_next_of_key(request)
 
-    def _record_usual_demand(self, request: Request) -> None:
-        """Counts a finished request in its shard's usual traffic, up to its volume's base rate.
+    def _record_baseline_demand(self, request: Request) -> None:
+        """Counts a finished request in its shard's baseline traffic, up to its volume's base rate.
 
         Demand counts only where the shard has served this host nothing yet. It counts at the end of a
         request, so that none makes room for itself at an endpoint in slow start.
         """
         now_us, volume = self._context.now_us, request.volume
-        usual = self._slow_start.usual_traffic[request.shard]
+        baseline = self._slow_start.baseline_traffic[request.shard]
         rate = volume.plan.base_rate
         saved_units = volume.settings.largest_request_units + MAX_CREDIT_S * rate
         units = volume.in_rate_demand.take_within(request.units, now_us, rate, saved_units)
-        if not usual.has_served:
-            usual.add(units, now_us)
+        if not baseline.has_served:
+            baseline.add(units, now_us)
 
     def _start_next_of_key(self, request: Request) -> None:
         """Queues the next request with the same ordering key, if its turn has come."""
--- a/lemonridge/scheduling/requests.py
+++ b/lemonridge/scheduling/requests.py
@@ -260,9 +260,9 @@
         elif request.token_state is not TokenState.CONSUMED and request.open_endpoint is None:
             self._settle(request, True, now_us)
 
-    def _settle(self, request: Request, reached_endpoint: bool, now_us: int) -> None:
+    def _settle(self, request: Request, arrived: bool, now_us: int) -> None:
         """Takes a request's units out of flight: consumed, or returned and drawn anew at the next attempt."""
-        request.token_state = TokenState.CONSUMED if reached_endpoint else TokenState.NOT_DRAWN
-        if not reached_endpoint and not request.done:
+        request.token_state = TokenState.CONSUMED if arrived else TokenState.NOT_DRAWN
+        if not arrived and not request.done:
             self.units_not_drawn += request.units
-        self.bucket.settle(request.units, now_us, not reached_endpoint)
+        self.bucket.settle(request.units, now_us, not arrived)
--- a/lemonridge/scheduling/scheduler.py
+++ b/lemonridge/scheduling/scheduler.py
@@ -72,7 +72,7 @@
         )
         self.queues = self.lifecycle.queues
         self._list_polling = ListPolling(context)
-        self._next_wake_us: int | None = None  # the time of the last `SetTimer`, until it has passed
+        self._timer_set_for_us: int | None = None  # the time of the last `SetTimer`, until it has passed
         self._next_cycle_us = 0  # when the queues of all shards are dispatched next
         self._event_handlers: dict[type[Event], Callable[..., None]] = {
             RequestArrived: self.lifecycle.arrive,
@@ -125,8 +125,8 @@
             self._start(now_us)
         for event in events:
             self._event_handlers[type(event)](event)
-        if self._next_wake_us is not None and self._next_wake_us <= now_us:
-            self._next_wake_us = None
+        if self._timer_set_for_us is not None and self._timer_set_for_us <= now_us:
+            self._timer_set_for_us = None
         # Once in a cycle rather than at every timer, as each attempt has one.
         if self.queues.rotation_by_shard and now_us >= self._next_cycle_us:
             self._next_cycle_us = now_us + DISPATCH_CYCLE_US
@@ -137,7 +137,7 @@
             self.queues.dispatch(shard)
         context.shards_to_dispatch.clear()
         self.limits.sweep()
-        self._request_wake()
+        self._set_host_timer()
         return context.actions
 
     def begins(self, now_us: int, request: str, attempt: int) -> bool:
@@ -258,11 +258,11 @@
         if timer.queue.suspended:
             self.queues.resume(timer.queue)
 
-    def _request_wake(self) -> None:
+    def _set_host_timer(self) -> None:
         """Asks for one timer, for the earliest time at which something is due without an event."""
-        wake_us = self.context.timers.next_us()
-        if self.queues.rotation_by_shard and (wake_us is None or wake_us > self._next_cycle_us):
-            wake_us = self._next_cycle_us
-        if wake_us is not None and (self._next_wake_us is None or wake_us < self._next_wake_us):
-            self._next_wake_us = max(wake_us, self.context.now_us + 1)
-            self.context.actions.append(SetTimer(self._next_wake_us))
+        due_us = self.context.timers.next_us()
+        if self.queues.rotation_by_shard and (due_us is None or due_us > self._next_cycle_us):
+            due_us = self._next_cycle_us
+        if due_us is not None and (self._timer_set_for_us is None or due_us < self._timer_set_for_us):
+            self._timer_set_for_us = max(due_us, self.context.now_us + 1)
+            self.context.actions.append(SetTimer(self._timer_set_for_us))
--- a/lemonridge/scheduling/slow_start.py
+++ b/lemonridge/scheduling/slow_start.py
@@ -1,7 +1,7 @@
 """Slow start of an endpoint that has started anew: what this host may send to it (WIRE, rule 4).
 
 An endpoint in slow start fails under the load that all hosts send it together. Each host keeps to an even
-part of what any such endpoint bears, or to its own usual traffic there scaled by the slowest ramp that the
+part of what any such endpoint bears, or to its own baseline traffic there scaled by the slowest ramp that the
 settings allow. All hosts together were served within the endpoint's full capacity, so the parts add up to no
 more than it bears (the operators' notes).
 """
@@ -23,16 +23,16 @@
 
 
 class SlowStart:
-    """Each endpoint's slow start, and what paces it: this host's usual traffic to each shard.
+    """Each endpoint's slow start, and what paces it: this host's baseline traffic to each shard.
 
     Attributes:
-        usual_traffic: By shard, in units a microsecond.
+        baseline_traffic: By shard, in units a microsecond.
         warm_latency_us: The average latency of a request of mean size at warm endpoints; 0: not known.
     """
 
     def __init__(self, context: DecisionContext) -> None:
         self._context = context
-        self.usual_traffic: defaultdict[int, DecayingAverage] = defaultdict(
+        self.baseline_traffic: defaultdict[int, DecayingAverage] = defaultdict(
             lambda: DecayingAverage(context.started_us or 0)
         )
         self.warm_latency_us = 0.0
@@ -44,9 +44,9 @@
         that all have requests waiting would otherwise send their first ones together.
         """
         context, settings = self._context, self._context.settings
-        usual = self.usual_traffic[endpoint.shard]
-        usual.decay_to(min(context.now_us, began_us))
-        usual.frozen = True
+        baseline = self.baseline_traffic[endpoint.shard]
+        baseline.decay_to(min(context.now_us, began_us))
+        baseline.frozen = True
         endpoint.slow_start_began_us = began_us
         endpoint.slow_start_refilled_us = context.now_us
         endpoint.window = context.initial_window
@@ -65,11 +65,11 @@
             )
         )
 
-    def freeze_usual_traffic(self, shard: int) -> None:
-        """Keeps a shard's usual traffic as it is while its endpoint does not serve as usual."""
-        usual = self.usual_traffic[shard]
-        usual.decay_to(self._context.now_us)
-        usual.frozen = True
+    def freeze_baseline_traffic(self, shard: int) -> None:
+        """Keeps a shard's baseline traffic as it is while its endpoint does not serve as baseline."""
+        baseline = self.baseline_traffic[shard]
+        baseline.decay_to(self._context.now_us)
+        baseline.frozen = True
 
     def in_slow_start(self, endpoint: TrackedEndpoint) -> bool:
         """Whether an endpoint is in slow start; refills this host's bucket there.
@@ -139,11 +139,11 @@
     def _own_rate(self, endpoint: TrackedEndpoint) -> float:
         """What this host would send to the endpoint if it were warm, in units a microsecond.
 
-        Its usual traffic there, or an even part of half of what one core serves, for a host whose volumes
+        Its baseline traffic there, or an even part of half of what one core serves, for a host whose volumes
         have just been moved to it.
         """
         settings = self._context.settings
         even = 0.0
         if self.warm_latency_us:
             even = SLOW_START_FRACTION * settings.mean_request_units / self.warm_latency_us / settings.hosts
-        return max(self.usual_traffic[endpoint.shard].rate(), even)
+        return max(self.baseline_traffic[endpoint.shard].rate(), even)
--- a/lemonridge/scheduling/token_bucket.py
+++ b/lemonridge/scheduling/token_bucket.py
@@ -145,5 +145,5 @@
             return NEVER_US
         if before_change >= lacking:
             return int(lacking / (self.rate * quota.part)) + 1
-        rest = lacking - before_change
-        return max(0, quota.until_us - now_us) + int(rest / (self.rate * quota.after)) + 1
+        remaining = lacking - before_change
+        return max(0, quota.until_us - now_us) + int(remaining / (self.rate * quota.after)) + 1
--- a/tests/scheduling/test_endpoint_health.py
+++ b/tests/scheduling/test_endpoint_health.py
@@ -211,7 +211,7 @@
     """Four units take twice as long as the mean of two."""
     endpoint = rig.scheduler.endpoint_list.endpoints["a"]
     for units, window in ((4.0, 2.5), (1.0, 1.25)):
-        endpoint.window, endpoint.window_cut_us = 2.5, 0
+        endpoint.window, endpoint.window_reduced_us = 2.5, 0
         name = rig.arrive(units=units)
         rig.now_us += int(1.5 * 0.25 * rig.scheduler.context.tightest_objective_us)
         rig.end_attempt(name, latency_us=int(1.5 * 0.25 * rig.scheduler.context.tightest_objective_us))
--- a/tests/scheduling/test_recorded_trace.py
+++ b/tests/scheduling/test_recorded_trace.py
@@ -105,7 +105,7 @@
 }
 BUDGETS = {"limit": SharedBudget.LIMIT, "cold": SharedBudget.SLOW_START, "further": SharedBudget.RETRIES}
 REASONS = {
-    RejectReason.LIMIT_REACHED: "limit",
+    RejectReason.LIMIT_EXCEEDED: "limit",
     RejectReason.SLOW_START: "cold",
     RejectReason.OBJECTIVE_MISSED: "late",
     RejectReason.ATTEMPTS_EXHAUSTED: "spent",
--- a/tests/scheduling/test_slow_start.py
+++ b/tests/scheduling/test_slow_start.py
@@ -121,12 +121,12 @@
         rig.end_attempt(rig.arrive(units=2.0))
     last = rig.arrive(units=2.0)
     rig.update_list(("a", 0, EndpointState.DRAINING), kind=EndpointListUpdate.DELTA)
-    before = rig.scheduler.slow_start.usual_traffic[0].units
+    before = rig.scheduler.slow_start.baseline_traffic[0].units
     rig.now_us += 50_000
     rig.end_attempt(last)  # what was out still comes back, and must not start the fading again
     rig.now_us += 15_000_000
     rig.update_list(("c", 0, EndpointState.ACTIVE, rig.now_us), kind=EndpointListUpdate.DELTA)
-    assert rig.scheduler.slow_start.usual_traffic[0].units == before > 0
+    assert rig.scheduler.slow_start.baseline_traffic[0].units == before > 0
 
 
 def test_host_without_usual_traffic_has_an_even_part_of_a_slow_start() -> None:
--- a/tests/scheduling/test_slow_start_budget.py
+++ b/tests/scheduling/test_slow_start_budget.py
@@ -33,7 +33,7 @@
 
 RAMP_US, FALL_US, TIP, COLD_SHARE, MEAN = 6_000_000, 1_000_000, 2.5, 0.2, 2.0
 CORES, UNIT_US, QUEUE = 2, 5_000, 2  # a node does 400 units a second when it is warm, and holds few
-WARM_US = 2_500_000  # the day's part before the node restarts: brokers learn their usual traffic
+WARM_US = 2_500_000  # the day's part before the node restarts: brokers learn their baseline traffic
 BROKERS = (1, 2, 9, 200)
 
 
