--- a/lemonridge/lab/measure/decisions.py
+++ b/lemonridge/lab/measure/decisions.py
@@ -1,7 +1,7 @@
-"""CPU a decision against the number of nodes: the module alone, fed with what a broker of such a fleet sees.
+"""The CPU time of a decision by the number of endpoints: the scheduler alone, with the events of one broker.
 
-The load per node is held, so that a larger fleet brings more requests; the cost of each must not grow with
-it.
+The load of each endpoint is the same, so more endpoints bring more requests; the cost of each request must
+not grow with them.
 """
 
 from __future__ import annotations
@@ -12,6 +12,7 @@
 
 from lemonridge.scheduling import Scheduler
 from lemonridge.scheduling.actions import Send, SetTimer
+from lemonridge.scheduling.context import ANY_SHARD
 from lemonridge.scheduling.events import (
     AttemptEnded,
     AttemptResult,
@@ -31,7 +32,13 @@
     VolumePlan,
 )
 
-ROUNDS, PER_NODE = 3, 40
+ROUNDS = 3  # measurements of each size, by turns; the best one counts
+BROKERS = 8
+REQUESTS_PER_ENDPOINT_S = 25
+MIN_LATENCY_US = 20_000
+MAX_LATENCY_US = 60_000
+TIME_LEFT_US = 2_000_000  # of each request
+VOLUMES_PER_ENDPOINT = 5
 READ = RequestClass(300_000, 2_500_000, IdempotencyKind.IDEMPOTENT, DeduplicationScope.ALL, 0, False, 2.0)
 WRITE = RequestClass(
     400_000, 2_000_000, IdempotencyKind.NOT_IDEMPOTENT, DeduplicationScope.ALL, 0, False, 2.0
@@ -40,6 +47,7 @@
 
 
 def settings(brokers: int) -> Settings:
+    """The settings of a fleet of so many brokers."""
     return Settings(
         hosts=brokers,
         classes=(READ, WRITE),
@@ -68,50 +76,78 @@
     )
 
 
-def cost_us(nodes: int, seed: int, new_share: float = 0.3, requests: int = 20_000) -> float:
-    """Microseconds of `handle` a request: 25 requests a second a node, answered after 20 to 60 ms."""
-    random, scheduler = Random(seed), Scheduler(settings(8), seed)
-    now, spent, count = 1_000_000_000, 0.0, 0
-    due: list[tuple[int, int, AttemptEnded]] = []
-    entries = tuple(Endpoint(f"n{n}", n, 0, EndpointState.ACTIVE, 0) for n in range(nodes))
-    scheduler.handle(now, [EndpointsChanged(EndpointListUpdate.CACHED, entries)])
-    tries: dict[str, int] = {}
-    step = max(1, int(1_000_000 / (25 * nodes)))
-    wake: int | None = None
-    while count < requests:
-        now += step
-        count += 1
+class _Endpoints:
+    """Stand-ins that answer each attempt after a random latency, in virtual time."""
+
+    def __init__(self, random: Random) -> None:
+        self._random = random
+        self._due: list[tuple[int, int, AttemptEnded]] = []
+        self._attempts: dict[str, int] = {}  # by request
+
+    def send(self, send: Send, now_us: int) -> None:
+        """Takes an attempt, whose end follows."""
+        attempt = self._attempts.get(send.request, 0)
+        self._attempts[send.request] = attempt + 1
+        latency_us = self._random.randrange(MIN_LATENCY_US, MAX_LATENCY_US)
+        ended = AttemptEnded(
+            send.request, attempt, send.endpoint_id, AttemptResult.OK, latency_us, True, None, None, None
+        )
+        order = len(self._attempts) * 8 + attempt
+        heapq.heappush(self._due, (now_us + latency_us, order, ended))
+
+    def ended(self, now_us: int) -> list[Event]:
+        """The attempts that have ended by now."""
         events: list[Event] = []
-        while due and due[0][0] <= now:
-            events.append(heapq.heappop(due)[2])
-        if wake is not None and wake <= now:
+        while self._due and self._due[0][0] <= now_us:
+            events.append(heapq.heappop(self._due)[2])
+        return events
+
+
+def cost_us(nodes: int, seed: int, new_share: float = 0.3, requests: int = 20_000) -> float:
+    """Measures the time of `Scheduler.handle` for each request, in microseconds.
+
+    Args:
+        nodes: How many endpoints there are, each the only one of its shard.
+        seed: Of the requests and latencies.
+        new_share: The fraction of requests for new objects.
+        requests: How many requests arrive.
+    """
+    random, scheduler = Random(seed), Scheduler(settings(BROKERS), seed)
+    endpoints = _Endpoints(random)
+    now_us, spent_s = 1_000_000_000, 0.0
+    entries = tuple(Endpoint(f"n{number}", number, 0, EndpointState.ACTIVE, 0) for number in range(nodes))
+    scheduler.handle(now_us, [EndpointsChanged(EndpointListUpdate.CACHED, entries)])
+    gap_us = max(1, int(1_000_000 / (REQUESTS_PER_ENDPOINT_S * nodes)))
+    timer_us: int | None = None
+    for number in range(1, requests + 1):
+        now_us += gap_us
+        events = endpoints.ended(now_us)
+        if timer_us is not None and timer_us <= now_us:
             events.append(TimerFired())
-            wake = None
-        shard = -1 if random.random() < new_share else random.randrange(nodes)
-        plan = random.randrange(2)
-        volume = random.randrange(nodes * 5) * 2 + plan
-        events.append(
-            RequestArrived(f"r{count}", shard, volume, now + 2_000_000, None, int(shard < 0), plan, 2.0, 2)
-        )
-        began = time.perf_counter()
-        actions = scheduler.handle(now, events)
-        spent += time.perf_counter() - began
+            timer_us = None
+        events.append(_request(random, number, nodes, new_share, now_us))
+        began_s = time.perf_counter()
+        actions = scheduler.handle(now_us, events)
+        spent_s += time.perf_counter() - began_s
         for action in actions:
             if isinstance(action, Send):
-                number = tries.get(action.request, 0)
-                tries[action.request] = number + 1
-                lag = random.randrange(20_000, 60_000)
-                ended = AttemptEnded(
-                    action.request, number, action.endpoint_id, AttemptResult.OK, lag, True, None, None, None
-                )
-                heapq.heappush(due, (now + lag, len(tries) * 8 + number, ended))
+                endpoints.send(action, now_us)
             elif isinstance(action, SetTimer):
-                wake = action.at_us
-    return spent / requests * 1e6
+                timer_us = action.at_us
+    return spent_s / requests * 1e6
+
+
+def _request(random: Random, number: int, nodes: int, new_share: float, now_us: int) -> RequestArrived:
+    """Draws a request; one for a new object is of the class that may run once only."""
+    shard = ANY_SHARD if random.random() < new_share else random.randrange(nodes)
+    plan = random.randrange(len(PLANS))
+    volume = random.randrange(nodes * VOLUMES_PER_ENDPOINT) * len(PLANS) + plan
+    cls = int(shard == ANY_SHARD)
+    return RequestArrived(f"r{number}", shard, volume, now_us + TIME_LEFT_US, None, cls, plan, 2.0, 2)
 
 
 def ratio(seed: int, small: int = 8, large: int = 1000) -> dict[str, object]:
-    """The better of some rounds of each, by turns."""
+    """Compares the cost at two numbers of endpoints: the best of `ROUNDS` measurements of each, by turns."""
     fast, slow = [], []
     for number in range(ROUNDS):
         fast.append(cost_us(small, seed + number))
