--- a/tests/test_local_failures.py
+++ b/tests/integration/test_local_failures.py
@@ -6,7 +6,7 @@
 
 import test_iscsi_rude as rude
 from test_faults import FaultCase, IscsiFaultCase, pause
-from test_operate import OperatedCase, call
+from test_operators import OperatedCase, call
 
 FAILS_S = 0.3
 ACCEPT_ERRORS = ("ECONNABORTED", "ENFILE", "EMFILE", "ENOBUFS", "ENOMEM", "EPROTO")
@@ -15,7 +15,7 @@
 
 
 class OperatorsCalls(FaultCase, OperatedCase):
-    async def test_a_call_has_its_line_in_time_though_accept_fails_for_a_moment(self) -> None:
+    async def test_a_call_is_answered_in_time_though_accept_fails_for_a_moment(self) -> None:
         loop = asyncio.get_running_loop()
         for name in ACCEPT_ERRORS:
             with self.subTest(error=name):
@@ -47,7 +47,7 @@
                 self.assertLess(loop.time() - began, 2 * FAILS_S)
                 self.assertEqual(await self.read(peer), 4096)
 
-    async def test_a_connection_that_lacks_its_options_is_served(self) -> None:
+    async def test_a_connection_without_its_socket_options_is_served(self) -> None:
         self.faults.set(setsockopt="ENOBUFS", setsockopt_port=self.port)
         self.assertEqual(await self.read(await self.peer()), 4096)
 
--- a/tests/test_handover.py
+++ b/tests/integration/test_process_handover.py
@@ -1,19 +1,16 @@
-"""Two processes, one broker: a successor takes over under load, and what may go wrong meanwhile."""
+"""A successor takes over under load, and what may go wrong meanwhile."""
 
 from __future__ import annotations
 
 import asyncio
-import contextlib
 import json
 import os
 import signal
 import socket
 import sys
 import tempfile
-import unittest
 from pathlib import Path
 
-from conftest import LIMITED, SETTINGS, START, Rig
 from harness import (
     FACTS,
     PATIENCE_S,
@@ -28,196 +25,10 @@
     reply,
     serve_ok,
 )
-from hypothesis import given
-from hypothesis import strategies as st
 from test_faults import pause
-from test_operate import call
+from test_operators import call
 
-from lemonridge.operate.admin_calls import AdminCall, AdminRequest
-from lemonridge.operate.errors import BadMessageError
-from lemonridge.operate.handover import (
-    CallAcknowledged,
-    CallForwarded,
-    HandedOverEndpoint,
-    HandoverGranted,
-    HandoverRefused,
-    HandoverRequested,
-    HandoverState,
-    OpenIdsChanged,
-    StartTime,
-)
-from lemonridge.operate.handover_format import IDS_MAX, ROWS_MAX, decode, encode
-from lemonridge.operate.maintenance import ReturnedToService
-from lemonridge.scheduling.actions import Send
-from lemonridge.scheduling.events import (
-    AttemptEnded,
-    AttemptResult,
-    Endpoint,
-    EndpointListUpdate,
-    EndpointsChanged,
-    EndpointState,
-    LimitLevel,
-    RequestArrived,
-)
-
-STATE = HandoverState(
-    banned={"s-1": 5},
-    returned={"s-2": ReturnedToService(1, 4)},
-    drain_began_us=7,
-    limit_levels={2**64 - 1: LimitLevel(2.5, 3.0, 11)},
-    endpoints=(HandedOverEndpoint(Endpoint("s-1", 3, 1, EndpointState.DRAINING, 9), "127.0.0.1:1"),),
-    start_times={"s-1": StartTime(9, 8)},
-    open_ids=("a", "b"),
-    clock_base_us=3,
-)
-MESSAGES = (
-    HandoverRequested(),
-    HandoverRequested(wants_ids=True),
-    OpenIdsChanged(("a",), ("b", "c")),
-    HandoverRefused("so"),
-    HandoverGranted(STATE),
-    HandoverGranted(HandoverState()),
-    CallAcknowledged(3),
-    CallForwarded(4, AdminRequest(AdminCall.DISABLE, "s-1")),
-    CallForwarded(5, AdminRequest(AdminCall.DRAIN)),
-)
-
-
-class Messages(unittest.TestCase):
-    def test_each_message_comes_back_as_it_was(self) -> None:
-        for message in MESSAGES:
-            self.assertEqual(decode(encode(message)), message)
-
-    def test_times_are_spans_whatever_the_wall_clock_did_between_two_starts(self) -> None:
-        for step in (-3_600_000_000, -2_000_000, 2_000_000, 3_600_000_000):
-            base = 10**13
-            told = HandoverState(
-                banned={"a": base + 5},
-                returned={"b": ReturnedToService(base + 1, base + 4)},
-                drain_began_us=base + 7,
-                limit_levels={1: LimitLevel(2.0, 3.0, base + 8)},
-                start_times={"a": StartTime(123, base + 9)},
-                clock_base_us=base,
-            )
-            took = told.on_clock(base + step)
-            self.assertEqual(
-                (took.banned["a"], took.returned["b"]),
-                (base + step + 5, ReturnedToService(base + step + 1, base + step + 4)),
-            )
-            self.assertEqual(
-                (took.drain_began_us, took.start_times["a"]),
-                (base + step + 7, StartTime(123, base + step + 9)),
-            )
-            self.assertEqual(took.limit_levels[1], LimitLevel(2.0, 3.0, base + step + 8))
-
-    def test_what_a_process_of_an_earlier_version_does_not_tell_is_none(self) -> None:
-        told = json.loads(encode(HandoverGranted(STATE)))
-        for name in ("owed", "ids", "starts", "base_us"):
-            del told[name]
-        read = decode(json.dumps(told).encode())
-        assert isinstance(read, HandoverGranted)
-        self.assertEqual(read.state.limit_levels, {2**64 - 1: LimitLevel(2.5)})
-        self.assertEqual(
-            (read.state.open_ids, read.state.start_times, read.state.clock_base_us), (None, {}, 0)
-        )
-        self.assertEqual(decode(b'{"v":1,"say":"take"}\n'), HandoverRequested(wants_ids=False))
-
-    def test_half_a_message_or_another_versions_is_worth_nothing(self) -> None:
-        line = encode(HandoverGranted(STATE))
-        for end in range(len(line) - 1):
-            with self.assertRaises(BadMessageError):
-                decode(line[:end])
-        for change in (
-            {"v": 2},
-            {"v": None},
-            {"say": "give"},
-            {"out": [1]},
-            {"out": {"s": -1}},
-            {"levels": [[1, -1]]},
-            {"levels": [[1, True]]},
-            {"rows": [["s"]]},
-            {"ids": "a"},
-            {"ids": [1]},
-            {"ids": ["a"] * (IDS_MAX + 1)},
-            {"owed": [[1, -1, 2]]},
-            {"owed": [[1, 1]]},
-            {"owed": [[1, 1, 2]] * (ROWS_MAX + 1)},
-            {"rows": [["s", 1, 1, "odd", 0, ""]]},
-            {"back": {"s": [1]}},
-            {"drained_us": "x"},
-            {"levels": [[1, 1]] * (ROWS_MAX + 1)},
-        ):
-            with self.subTest(change=list(change)), self.assertRaises(BadMessageError):
-                decode(json.dumps({**json.loads(line), **change}).encode())
-
-    @given(
-        st.binary(max_size=200)
-        | st.recursive(
-            st.none() | st.integers() | st.text(max_size=5),
-            lambda inner: (
-                st.lists(inner, max_size=3)
-                | st.dictionaries(
-                    st.sampled_from(["v", "say", "out", "rows", "levels", "owed"]), inner, max_size=5
-                )
-            ),
-        ).map(lambda told: json.dumps(told).encode())
-    )
-    def test_whatever_comes_is_a_message_or_an_error(self, line: bytes) -> None:
-        with contextlib.suppress(BadMessageError):
-            decode(line)
-
-
-class Limits(unittest.TestCase):
-    def test_two_processes_draw_no_more_than_one_may(self) -> None:
-        """Guards the limit over a handover: what the one before saved up and what fills from then on must not
-        be there twice."""
-
-        def asked(rig: Rig, prefix: str, count: int) -> int:
-            events = [
-                RequestArrived(f"{prefix}{number}", 0, 9, rig.now + 1_400_000, None, 0, 1, 2.0, 1)
-                for number in range(count)
-            ]
-            actions, sent = rig.do(*events), 0
-            while sends := [one for one in actions if isinstance(one, Send)]:
-                sent += len(sends)
-                actions = rig.do(
-                    *(
-                        AttemptEnded(
-                            one.request, 0, one.endpoint_id, AttemptResult.OK, 1000, True, None, None, None
-                        )
-                        for one in sends
-                    )
-                )
-            return sent
-
-        node = Endpoint("s-1", 0, 0, EndpointState.ACTIVE, 0)
-        before, after = Rig(SETTINGS), Rig(SETTINGS)
-        for rig in (before, after):
-            rig.do(EndpointsChanged(EndpointListUpdate.SNAPSHOT, (node,)))
-        self.assertEqual(LIMITED.limit, 20.0)
-        before.now = after.now = START + 30_000_000  # its bucket is full, of 44 units
-        asked(before, "a", 1)
-        after.policy.import_limits(after.now, before.policy.export_limits())
-        sent = 0
-        for step in range(40):  # two seconds: 40 more units fill
-            before.now = after.now = START + 30_000_000 + step * 50_000
-            sent += asked(before, f"b{step}-", 4) + asked(after, f"c{step}-", 4)
-        self.assertLessEqual(sent * 2.0, 42 + 40)
-        self.assertGreater(sent * 2.0, 60)
-        before, after = Rig(SETTINGS), Rig(SETTINGS)
-        for rig in (before, after):
-            rig.do(EndpointsChanged(EndpointListUpdate.SNAPSHOT, (node,)))
-        before.now = after.now = START + 30_000_000
-        asked(before, "a", 1)
-        after.policy.import_limits(after.now, before.policy.export_limits())
-        after.now = before.now = START + 31_300_000  # one store would be full by now
-        self.assertLessEqual((asked(before, "e", 20) + asked(after, "f", 20)) * 2.0, 44)
-        before.policy.import_limits(before.now, {})  # the successor is gone
-        before.now += 3_000_000
-        self.assertGreater(asked(before, "d", 4), 0)
-
-
-LIMIT_UNITS = 8.0  # in a second, and at once
+LIMIT_UNITS = 8.0  # a second, and at once
 
 
 class ReplacementCase(PlatformCase):
@@ -261,7 +72,7 @@
 class Replaced(ReplacementCase):
     """What holds over a replacement, whatever goes wrong meanwhile."""
 
-    async def test_under_load_no_request_meets_a_closed_door(self) -> None:
+    async def test_under_load_no_request_finds_a_closed_listener(self) -> None:
         over, statuses = asyncio.Event(), []
 
         async def ask(client: Client) -> None:
@@ -447,7 +258,7 @@
 class ReplacedBesideALimit(ReplacementCase):
     facts = {"grades": [{**FACTS["grades"][0], "cap": LIMIT_UNITS, "burst": LIMIT_UNITS}]}
 
-    async def test_what_comes_late_from_the_process_before_counts_at_the_successor(self) -> None:
+    async def test_late_attempts_of_the_predecessor_count_at_the_successor(self) -> None:
         """A node that takes connections and reads nothing for 2 s, over a replacement; then all comes."""
         loop, units = asyncio.get_running_loop(), 6
         placement = f"units={units},shard=0,hosts=1"
--- a/tests/test_closing.py
+++ b/tests/net/test_connection_closing.py
@@ -110,7 +110,7 @@
         self.front._table._sweep()
         self.assertIn(b"200 OK", await self.read(client))
 
-    async def test_what_waits_at_the_door_when_it_closes_is_served(self) -> None:
+    async def test_a_connection_in_the_backlog_when_the_listener_closes_is_served(self) -> None:
         stopping = asyncio.create_task(self.front.stop())
         await asyncio.sleep(0)  # it has been told, and goes on with the end in the next turn
         client = self.knock()
@@ -121,7 +121,7 @@
         await stopping
         self.assertFalse(self.front.listener.listens)
 
-    async def test_a_request_that_is_half_read_at_the_end_becomes_whole(self) -> None:
+    async def test_a_request_that_is_half_read_at_the_end_is_completed(self) -> None:
         client, text = await self.resting(), self.text()
         client.send(text[:40])
         await asyncio.sleep(0)
@@ -134,7 +134,7 @@
         self.assertTrue(answer.endswith(b"data") and b"connection: close" in answer.lower())
         await stopping
 
-    async def test_a_request_that_never_becomes_whole_does_not_hold_up_the_end(self) -> None:
+    async def test_a_request_that_never_completes_does_not_delay_the_stop(self) -> None:
         client = await self.resting()
         client.send(self.text()[:40])
         async with asyncio.timeout(PATIENCE_S):
@@ -149,7 +149,7 @@
         client.send(self.text(Connection="close"))
         self.assertTrue((await self.read(client, b"")).endswith(b"data"))  # up to an orderly end
 
-    async def test_a_request_that_comes_behind_the_last_answer_is_not_sent_on(self) -> None:
+    async def test_a_request_that_comes_behind_the_last_answer_is_not_forwarded(self) -> None:
         client = self.knock()
         client.send(self.text(Connection="close"))
         await self.read(client)
@@ -171,13 +171,13 @@
                 await asyncio.sleep(0)
         return client
 
-    async def test_a_slow_client_has_its_last_answer_whole(self) -> None:
+    async def test_a_slow_client_gets_its_complete_last_answer(self) -> None:
         client = await self.slow(Connection="close")
         self.age(1.0)
         self.front._table._sweep()
         self.assertTrue((await self.read(client, b"")).endswith(b"data"))
 
-    async def test_a_client_that_never_reads_its_last_answer_is_given_up(self) -> None:
+    async def test_a_client_that_never_reads_its_last_answer_is_disconnected(self) -> None:
         client = await self.slow(Connection="close")
         for one in self.front._table._states[State.LEAVING]:
             one.left_at -= 60.0
--- /dev/null
+++ b/tests/operate/test_handover_messages.py
@@ -0,0 +1,137 @@
+"""The handover's messages: what is read back, and what is an error."""
+
+from __future__ import annotations
+
+import contextlib
+import json
+import unittest
+
+from hypothesis import given
+from hypothesis import strategies as st
+
+from lemonridge.operate.admin_calls import AdminCall, AdminRequest
+from lemonridge.operate.errors import BadMessageError
+from lemonridge.operate.handover import (
+    CallAcknowledged,
+    CallForwarded,
+    HandedOverEndpoint,
+    HandoverGranted,
+    HandoverRefused,
+    HandoverRequested,
+    HandoverState,
+    OpenIdsChanged,
+    StartTime,
+)
+from lemonridge.operate.handover_format import IDS_MAX, ROWS_MAX, decode, encode
+from lemonridge.operate.maintenance import ReturnedToService
+from lemonridge.scheduling.events import (
+    Endpoint,
+    EndpointState,
+    LimitLevel,
+)
+
+STATE = HandoverState(
+    banned={"s-1": 5},
+    returned={"s-2": ReturnedToService(1, 4)},
+    drain_began_us=7,
+    limit_levels={2**64 - 1: LimitLevel(2.5, 3.0, 11)},
+    endpoints=(HandedOverEndpoint(Endpoint("s-1", 3, 1, EndpointState.DRAINING, 9), "127.0.0.1:1"),),
+    start_times={"s-1": StartTime(9, 8)},
+    open_ids=("a", "b"),
+    clock_base_us=3,
+)
+MESSAGES = (
+    HandoverRequested(),
+    HandoverRequested(wants_ids=True),
+    OpenIdsChanged(("a",), ("b", "c")),
+    HandoverRefused("so"),
+    HandoverGranted(STATE),
+    HandoverGranted(HandoverState()),
+    CallAcknowledged(3),
+    CallForwarded(4, AdminRequest(AdminCall.DISABLE, "s-1")),
+    CallForwarded(5, AdminRequest(AdminCall.DRAIN)),
+)
+
+
+class Messages(unittest.TestCase):
+    def test_a_message_is_the_same_after_encode_and_decode(self) -> None:
+        for message in MESSAGES:
+            self.assertEqual(decode(encode(message)), message)
+
+    def test_times_shift_with_the_clock_whatever_the_wall_clock_did_between_two_starts(self) -> None:
+        for step in (-3_600_000_000, -2_000_000, 2_000_000, 3_600_000_000):
+            base = 10**13
+            told = HandoverState(
+                banned={"a": base + 5},
+                returned={"b": ReturnedToService(base + 1, base + 4)},
+                drain_began_us=base + 7,
+                limit_levels={1: LimitLevel(2.0, 3.0, base + 8)},
+                start_times={"a": StartTime(123, base + 9)},
+                clock_base_us=base,
+            )
+            took = told.on_clock(base + step)
+            self.assertEqual(
+                (took.banned["a"], took.returned["b"]),
+                (base + step + 5, ReturnedToService(base + step + 1, base + step + 4)),
+            )
+            self.assertEqual(
+                (took.drain_began_us, took.start_times["a"]),
+                (base + step + 7, StartTime(123, base + step + 9)),
+            )
+            self.assertEqual(took.limit_levels[1], LimitLevel(2.0, 3.0, base + step + 8))
+
+    def test_fields_that_an_earlier_version_does_not_send_are_none(self) -> None:
+        told = json.loads(encode(HandoverGranted(STATE)))
+        for name in ("owed", "ids", "starts", "base_us"):
+            del told[name]
+        read = decode(json.dumps(told).encode())
+        assert isinstance(read, HandoverGranted)
+        self.assertEqual(read.state.limit_levels, {2**64 - 1: LimitLevel(2.5)})
+        self.assertEqual(
+            (read.state.open_ids, read.state.start_times, read.state.clock_base_us), (None, {}, 0)
+        )
+        self.assertEqual(decode(b'{"v":1,"say":"take"}\n'), HandoverRequested(wants_ids=False))
+
+    def test_an_incomplete_message_or_another_versions_is_an_error(self) -> None:
+        line = encode(HandoverGranted(STATE))
+        for end in range(len(line) - 1):
+            with self.assertRaises(BadMessageError):
+                decode(line[:end])
+        for change in (
+            {"v": 2},
+            {"v": None},
+            {"say": "give"},
+            {"out": [1]},
+            {"out": {"s": -1}},
+            {"levels": [[1, -1]]},
+            {"levels": [[1, True]]},
+            {"rows": [["s"]]},
+            {"ids": "a"},
+            {"ids": [1]},
+            {"ids": ["a"] * (IDS_MAX + 1)},
+            {"owed": [[1, -1, 2]]},
+            {"owed": [[1, 1]]},
+            {"owed": [[1, 1, 2]] * (ROWS_MAX + 1)},
+            {"rows": [["s", 1, 1, "odd", 0, ""]]},
+            {"back": {"s": [1]}},
+            {"drained_us": "x"},
+            {"levels": [[1, 1]] * (ROWS_MAX + 1)},
+        ):
+            with self.subTest(change=list(change)), self.assertRaises(BadMessageError):
+                decode(json.dumps({**json.loads(line), **change}).encode())
+
+    @given(
+        st.binary(max_size=200)
+        | st.recursive(
+            st.none() | st.integers() | st.text(max_size=5),
+            lambda inner: (
+                st.lists(inner, max_size=3)
+                | st.dictionaries(
+                    st.sampled_from(["v", "say", "out", "rows", "levels", "owed"]), inner, max_size=5
+                )
+            ),
+        ).map(lambda told: json.dumps(told).encode())
+    )
+    def test_any_bytes_are_a_message_or_an_error(self, line: bytes) -> None:
+        with contextlib.suppress(BadMessageError):
+            decode(line)
