--- a/lemonridge/cli/fleet_commands.py
+++ b/lemonridge/cli/fleet_commands.py
@@ -25,7 +25,7 @@
 
     import orjson
 
-    from lemonridge.fleet.status_report import table, whole
+    from lemonridge.fleet.status_report import all_members_up, table
     from lemonridge.net.admin_client import views
 
     addresses = [Address.parse(one, "ADDR") for one in options.address]
@@ -36,4 +36,4 @@
         print(table(reports))
     for line in failures:
         print(f"lemonridge: {line}", file=sys.stderr)
-    return 0 if reports and not failures and whole(reports) else 1
+    return 0 if reports and not failures and all_members_up(reports) else 1
--- a/lemonridge/cli/simulator.py
+++ b/lemonridge/cli/simulator.py
@@ -11,7 +11,7 @@
 from typing import Any, TextIO
 
 from lemonridge.config.scheduler_settings import SettingsError, settings_from
-from lemonridge.fleet.fleet_member import SendDatagram
+from lemonridge.fleet.actions import SendDatagram
 from lemonridge.fleet.member_list import MEMBERS_MAX, MemberList
 from lemonridge.fleet.scheduler_bridge import SchedulerBridge, decide
 from lemonridge.scheduling import Scheduler
--- a/lemonridge/fleet/__init__.py
+++ b/lemonridge/fleet/__init__.py
@@ -1,6 +1,8 @@
-"""What the brokers of a fleet share, decided by pure machines: time and events in, actions out.
+"""What the brokers of a fleet share, as pure state machines: time and events in, actions out.
 
-`wire` is the datagram, `members` who is up, `escrow` the budgets that are dealt in slices, `demand` what is
-wanted of them, `counts` and `judgements` what is told of nodes, `machine` all of it for one broker.
-docs/fleet-state.md states what is promised, and the argument for it.
+`fleet_member` is one broker's part, in front of `membership` (who is up), `quota_ledger` and `quota_lending`
+(budgets and loans of them), `limit_registry` (who uses a limit), `gossip` with `health_gossip` and
+`usage_totals` (health of endpoints, usage), `datagram_receiver` and `datagram_sender`. `datagrams` is the
+format on the wire, `scheduler_bridge` connects a member with the scheduler, `status_report` is what operators
+are shown. docs/fleet-state.md states what is promised, and the argument for it.
 """
--- a/lemonridge/fleet/datagrams.py
+++ b/lemonridge/fleet/datagrams.py
@@ -1,36 +1,52 @@
-"""The datagram between brokers: at most 256 bytes, each standing alone, checked whole before it counts.
+"""The datagram between brokers: at most 256 bytes, read whole or rejected, each by itself.
 
-A head names the version, the roster, the sender with its incarnation, a number and the sender's time; items
-follow, of a fixed length each by their type. CRC32C (RFC 3720, B.4) covers all of it; where the operators
-gave a secret, a keyed tag (BLAKE2s, RFC 7693) goes behind, and without it nothing is believed. What cannot be
-read to its last byte is worth nothing.
+A header names the version, the member list, the sender with its incarnation, a sequence number and the
+sender's time; items follow, each of a fixed length by its type. CRC32C (RFC 3720, B.4) covers all of it.
+Where the operators gave a secret, a keyed tag (BLAKE2s, RFC 7693) follows, and a datagram without it is
+rejected.
+
+An item's code on the wire is its place in `ITEM_TYPES`, and its fields are packed in the order in which its
+class declares them: neither order may change.
 """
 
 from __future__ import annotations
 
 from collections.abc import Iterable
 from dataclasses import dataclass
-from enum import Enum, IntEnum
+from enum import IntEnum
 from struct import Struct
 from struct import error as StructError  # noqa: N812 - it is the module's name for it
 from typing import ClassVar, Protocol
 
 import crc32c
 
-DATAGRAM_MAX_BYTES = 256  # bytes: PROTOCOL, "Between brokers"
-VERSION = 0xB2  # of the layout below; another one is not read
-TAG_BYTES = 8  # bytes of the keyed tag
-_HEADER = Struct("<BBHHQBII")  # version, state, roster, sender, life, round, number, sent
-_CHECK = Struct("<I")
-HEADER_BYTES = _HEADER.size + _CHECK.size
-WRAP_MODULUS = 1 << 32  # of numbers and of times in milliseconds
+from lemonridge.fleet.errors import (
+    DatagramFault,
+    DatagramTooLongError,
+    MalformedDatagramError,
+    UntrustedDatagramError,
+)
+
+DATAGRAM_MAX_BYTES = 256  # PROTOCOL, "Between brokers"
+VERSION = 0xB2  # of the layout below; another one is rejected
+TAG_BYTES = 8  # of the keyed tag
+_HEADER = Struct(
+    "<BBHHQBII"
+)  # version, state, fingerprint, sender, incarnation, state version, sequence, sent
+_CHECKSUM = Struct("<I")
+HEADER_BYTES = _HEADER.size + _CHECKSUM.size
+WRAP_MODULUS = 1 << 32  # of sequence numbers and of times in milliseconds
 
 
 class MemberState(IntEnum):
-    """What a member is held to be. Of one incarnation and round, the higher one overrules."""
+    """A member's state as another member knows it (SWIM, section 4.2, with joining and leaving added).
 
-    ABSENT = 0  # never heard of
-    JOINING = 1  # up, and not yet in possession of all that is its own
+    Of one incarnation and state version the higher value overrides the lower one. The words of operators'
+    views (`fleet status`) are the names in lower case.
+    """
+
+    ABSENT = 0  # no datagram and no update about it received yet
+    JOINING = 1  # up, and restricted to its floors until loans of its previous incarnation have ended
     UP = 2
     LEAVING = 3
     SUSPECT = 4
@@ -38,107 +54,98 @@
     LEFT = 6
 
 
-class DatagramFault(Enum):
-    """Why a datagram was not taken."""
-
-    SHORT = "short"
-    VERSION = "version"
-    CHECKSUM = "checksum"
-    FORGED = "forged"  # no tag, or a wrong one
-    ROSTER = "roster"
-    ADDRESS = "address"  # it does not come from where its sender is
-    MALFORMED = "malformed"
-    OLD = "old"  # of an incarnation that is over, or sent too long ago
-    REPLAYED = "replayed"
-    OVERRUN = "overrun"  # more than are read in a second
-
-
 @dataclass(frozen=True, slots=True)
 class Ping:
-    """Are you there, `who`? `nonce` comes back. Filled up, so that an answer with a word on how its sender is
-    held is no longer than the question.
+    """A probe of member `member_id`; the answer carries `nonce` (SWIM, section 3.1).
+
+    Padded, so that an answer with an update about its sender is no longer than the probe.
     """
 
     LAYOUT: ClassVar[Struct] = Struct("<HH13x")
     nonce: int
-    who: int
+    member_id: int
 
 
 @dataclass(frozen=True, slots=True)
 class Ack:
-    """Member `who` is there."""
+    """Member `member_id` is up."""
 
     LAYOUT: ClassVar[Struct] = Struct("<HH")
     nonce: int
-    who: int
+    member_id: int
 
 
 @dataclass(frozen=True, slots=True)
 class PingRequest:
-    """Ask member `who` for me, and pass its answer on (SWIM, section 3.1: ping-req)."""
+    """Probe member `member_id` for the sender, and forward its answer (SWIM, section 3.1: ping-req)."""
 
     LAYOUT: ClassVar[Struct] = Struct("<HH")
     nonce: int
-    who: int
+    member_id: int
 
 
 @dataclass(frozen=True, slots=True)
 class MembershipUpdate:
-    """What the sender holds member `who` to be, of one incarnation."""
+    """The state of member `member_id` as the sender knows it, of one incarnation."""
 
     LAYOUT: ClassVar[Struct] = Struct("<HQBB")
-    who: int
+    member_id: int
     incarnation: int
-    round: int
+    state_version: int
     state: int
 
 
 @dataclass(frozen=True, slots=True)
 class LoanRequest:
-    """Lend me `parts` of budget `kind`/`key` for `span_ms` from when I sent this; `hosts` is how many share
-    it, `ask` this question's number, which is never used again by this incarnation. `born_ms` is when the
-    node's cold spell began by the sender's knowledge, in wrapping milliseconds; 0 for other budgets.
+    """Asks for a loan of `parts` of budget `kind`/`key` for `duration_ms`, counted from when this is sent.
+
+    `hosts` is the number of brokers that share the budget. `request_id` is never used again by this
+    incarnation. `slow_start_began_ms` is when the endpoint's slow start began by the sender's knowledge, in
+    wrapping milliseconds; 0 for other budgets.
     """
 
     LAYOUT: ClassVar[Struct] = Struct("<BQBIIHI")
     kind: int
     key: int
     hosts: int
-    ask: int
+    request_id: int
     parts: int
-    span_ms: int
-    born_ms: int = 0
+    duration_ms: int
+    slow_start_began_ms: int = 0
 
 
 @dataclass(frozen=True, slots=True)
 class LoanGrant:
-    """Lent for question `ask`: `parts`, perhaps 0. `holds` says whether the giver uses the budget itself, and
-    `hint`, less 1, is another that told it so; 0 is none.
+    """Grants a loan of `parts`, perhaps 0, for request `request_id`.
+
+    `lender_uses` says whether the lender uses the budget itself; `user_hint`, less 1, is another member that
+    said that it does (0: none known).
     """
 
     LAYOUT: ClassVar[Struct] = Struct("<BQIIBH")
     kind: int
     key: int
-    ask: int
+    request_id: int
     parts: int
-    holds: int
-    hint: int = 0
+    lender_uses: int
+    user_hint: int = 0
 
 
 @dataclass(frozen=True, slots=True)
 class LoanRelease:
-    """Nothing that was lent for questions up to `ask` is used any more, nor will be."""
+    """The sender uses nothing any more that was granted for its requests up to `request_id`."""
 
     LAYOUT: ClassVar[Struct] = Struct("<BQI")
     kind: int
     key: int
-    ask: int
+    request_id: int
 
 
 @dataclass(frozen=True, slots=True)
 class LoanRecall:
-    """This incarnation of mine has just begun: use nothing any more that one before lent you, and say so.
-    Filled up to the length of its answer.
+    """The sender's incarnation has just begun: stop using loans of its previous ones, and say so.
+
+    Padded to the length of its answer.
     """
 
     LAYOUT: ClassVar[Struct] = Struct("<8x")
@@ -146,7 +153,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LoanRecallAck:
-    """Nothing is used that an incarnation before `incarnation` lent, nor will be."""
+    """The sender uses no loan that the receiver granted before `incarnation`, and never will."""
 
     LAYOUT: ClassVar[Struct] = Struct("<Q")
     incarnation: int
@@ -154,7 +161,7 @@
 
 @dataclass(frozen=True, slots=True)
 class UsageTotal:
-    """All that the sender's incarnation has counted of `kind`/`key` so far, in thousandths."""
+    """The total that the sender's incarnation has counted of `kind`/`key`, in thousandths of a unit."""
 
     LAYOUT: ClassVar[Struct] = Struct("<BQQ")
     kind: int
@@ -164,29 +171,31 @@
 
 @dataclass(frozen=True, slots=True)
 class HealthReport:
-    """What the sender has seen itself of a node, `age_ms` ago, on `weight` observations."""
+    """An endpoint's condition as the sender observed it itself, `age_ms` ago, by `weight` observations."""
 
     LAYOUT: ClassVar[Struct] = Struct("<QBBH")
     endpoint_id: int
-    what: int
+    condition: int
     weight: int
     age_ms: int
 
 
 @dataclass(frozen=True, slots=True)
 class Heartbeat:
-    """Nothing but the head: the sender is there, and there was no more to tell."""
+    """Nothing but the header: the sender is up and has nothing to report."""
 
     LAYOUT: ClassVar[Struct] = Struct("")
 
 
-# A change of policy (lemonridge/rollout). Each question is filled up to the length of its answer.
+# Items of the policy rollout (lemonridge/rollout). Each question is padded to the length of its answer. A
+# state is named by the first 8 bytes of its hash; an epoch range is empty where `low` is above `high`.
 
 
 @dataclass(frozen=True, slots=True)
 class LeaseAsk:
-    """I decide by epochs `low` to `high` (above `high`: by none), and would go by `want`, whose state is
-    `name`, alone.
+    """Asks for a lease: the sender decides by epochs `low` to `high` and would decide by `want` alone.
+
+    `name` is that epoch's state, `ask` the question's number.
     """
 
     LAYOUT: ClassVar[Struct] = Struct("<IIII8s16x")
@@ -199,8 +208,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Lease:
-    """For question `ask`: go by `low` to `high` (above `high`: nothing is granted). The newest that I know to
-    be decided is `epoch`, state `name`; my store is `ident`.
+    """Answers question `ask`: the receiver may decide by epochs `low` to `high`; empty: no lease.
+
+    `epoch` with state `name` is the newest that the sender knows to be decided, `ident` names its store.
     """
 
     LAYOUT: ClassVar[Struct] = Struct("<IIII8sQ")
@@ -214,7 +224,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Prepare:
-    """Phase 1a of the slot's agreement."""
+    """Phase 1a of the slot's agreement (Paxos)."""
 
     LAYOUT: ClassVar[Struct] = Struct("<II20x")
     slot: int
@@ -223,7 +233,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Promise:
-    """Phase 1b: accepted so far at `took` (0: nothing), state `name`."""
+    """Phase 1b: state `name` was accepted so far, at ballot `took` (0: none), by the store `ident`."""
 
     LAYOUT: ClassVar[Struct] = Struct("<III8sQ")
     slot: int
@@ -255,7 +265,7 @@
 
 @dataclass(frozen=True, slots=True)
 class BallotRejected:
-    """Not promised or accepted: `ballot` was promised before."""
+    """Neither promised nor accepted: the higher `ballot` was promised before."""
 
     LAYOUT: ClassVar[Struct] = Struct("<II")
     slot: int
@@ -264,7 +274,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Check:
-    """Could you decide by state `name`, which I would put to the vote in `slot`?"""
+    """Asks whether the receiver could decide by state `name`, which is to be proposed in `slot`."""
 
     LAYOUT: ClassVar[Struct] = Struct("<I8s101x")
     slot: int
@@ -273,7 +283,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CheckResult:
-    """Whether this broker could, and in `why`, UTF-8 filled up with zeros, why not."""
+    """Whether the sender could decide by state `name`; `why` not is UTF-8, padded with zeros."""
 
     LAYOUT: ClassVar[Struct] = Struct("<I8sB100s")
     slot: int
@@ -284,7 +294,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ChunkRequest:
-    """Tell me piece `piece` of state `name`."""
+    """Asks for piece `piece` of state `name`."""
 
     LAYOUT: ClassVar[Struct] = Struct("<8sH179x")
     name: bytes
@@ -305,7 +315,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Chosen:
-    """Slot `slot` came to state `name`."""
+    """Slot `slot` is decided: state `name`."""
 
     LAYOUT: ClassVar[Struct] = Struct("<I8s")
     slot: int
@@ -364,123 +374,122 @@
     Piece,
     Chosen,
 )
-ROLLOUT_ITEM_TYPES: tuple[type[Item], ...] = ITEM_TYPES[12:]  # passed on to the machine that changes policies
+ROLLOUT_ITEM_TYPES: tuple[type[Item], ...] = ITEM_TYPES[12:]  # delivered to lemonridge/rollout
 _CODES = {kind: code for code, kind in enumerate(ITEM_TYPES, 1)}
 _FIELDS = {kind: tuple(kind.__slots__) for kind in ITEM_TYPES}
 
 
 def item_bytes(item: Item) -> int:
-    """Its bytes in a datagram."""
+    """The item's length in a datagram, in bytes."""
     return 1 + item.LAYOUT.size
 
 
 @dataclass(frozen=True, slots=True)
 class DatagramHeader:
-    """Who says it, and when, in milliseconds of its own clock."""
+    """The sender, its state, and when it sent the datagram, in milliseconds of its own clock."""
 
     sender: int
     state: MemberState
     incarnation: int
-    round: int
-    number: int
+    state_version: int
+    sequence: int
     sent_ms: int
 
 
 @dataclass(frozen=True, slots=True)
 class Datagram:
-    """One that was read whole."""
+    """A datagram that was read whole."""
 
-    head: DatagramHeader
+    header: DatagramHeader
     items: tuple[Item, ...]
 
 
-class DatagramError(Exception):
-    """A datagram that is not taken."""
-
-    def __init__(self, fault: DatagramFault) -> None:
-        super().__init__(fault.value)
-        self.fault = fault
-
-
 class DatagramSigner(Protocol):
-    """The keyed tag of some bytes, and whether a tag is that; both need a library that only an operator's
-    file loads.
-    """
+    """Makes and checks the keyed tag; its library is loaded only where an operator's file sets a secret."""
 
-    def tag(self, data: bytes) -> bytes: ...
+    def sign(self, data: bytes) -> bytes:
+        """The tag of some bytes, `TAG_BYTES` long."""
 
-    def holds(self, data: bytes, tag: bytes) -> bool: ...
+    def verify(self, data: bytes, tag: bytes) -> bool:
+        """Whether `tag` is the tag of `data`, compared in constant time."""
 
 
 def encode(
-    head: DatagramHeader, items: Iterable[Item], fingerprint: int, signer: DatagramSigner | None = None
+    header: DatagramHeader, items: Iterable[Item], fingerprint: int, signer: DatagramSigner | None = None
 ) -> bytes:
-    """The bytes; ValueError past DATAGRAM_MAX."""
+    """The bytes of a datagram.
+
+    Args:
+        header: written first.
+        items: written in their order.
+        fingerprint: `MemberList.fingerprint`.
+        signer: appends the keyed tag, where there is one.
+
+    Raises:
+        DatagramTooLongError: the result is longer than `DATAGRAM_MAX_BYTES`.
+    """
     parts = [
         _HEADER.pack(
             VERSION,
-            head.state,
+            header.state,
             fingerprint,
-            head.sender,
-            head.incarnation,
-            head.round,
-            head.number % WRAP_MODULUS,
-            head.sent_ms % WRAP_MODULUS,
+            header.sender,
+            header.incarnation,
+            header.state_version,
+            header.sequence % WRAP_MODULUS,
+            header.sent_ms % WRAP_MODULUS,
         )
     ]
     for item in items:
-        kind = type(item)
-        parts.append(bytes((_CODES[kind],)))
-        parts.append(item.LAYOUT.pack(*(getattr(item, name) for name in _FIELDS[kind])))
+        item_type = type(item)
+        parts.append(bytes((_CODES[item_type],)))
+        parts.append(item.LAYOUT.pack(*(getattr(item, name) for name in _FIELDS[item_type])))
     body = b"".join(parts)
-    data = _CHECK.pack(crc32c.crc32c(body)) + body
+    data = _CHECKSUM.pack(crc32c.crc32c(body)) + body
     if signer is not None:
-        data += signer.tag(data)
+        data += signer.sign(data)
     if len(data) > DATAGRAM_MAX_BYTES:
-        raise ValueError(f"a datagram of {len(data)} bytes")
+        raise DatagramTooLongError(len(data))
     return data
 
 
 def decode(data: bytes, fingerprint: int, signer: DatagramSigner | None = None) -> Datagram:
-    """The datagram of some bytes; FlawError says what is wrong with them. The checksum comes first: of bytes
-    that were spoilt on the way nothing else can be said.
+    """Read a datagram. The checksum is checked before anything that it covers is believed.
+
+    Raises:
+        MalformedDatagramError: length, version, checksum or an item is wrong.
+        UntrustedDatagramError: the tag is missing or wrong, or the member list is another one.
     """
-    tag = TAG_BYTES if signer is not None else 0
-    if not HEADER_BYTES + tag <= len(data) <= DATAGRAM_MAX_BYTES:
-        raise DatagramError(DatagramFault.SHORT)
-    if data[_CHECK.size] != VERSION:
-        raise DatagramError(DatagramFault.VERSION)
-    body = data[_CHECK.size : len(data) - tag]
-    if crc32c.crc32c(body) != _CHECK.unpack_from(data)[0]:
-        raise DatagramError(DatagramFault.CHECKSUM)
-    if signer is not None and not signer.holds(data[:-tag], data[-tag:]):
-        raise DatagramError(DatagramFault.FORGED)
-    _, state, told, sender, incarnation, turn, number, sent = _HEADER.unpack_from(body)
-    if told != fingerprint:
-        raise DatagramError(DatagramFault.ROSTER)
-    items: list[Item] = []
-    at = _HEADER.size
+    tag_bytes = TAG_BYTES if signer is not None else 0
+    if not HEADER_BYTES + tag_bytes <= len(data) <= DATAGRAM_MAX_BYTES:
+        raise MalformedDatagramError(DatagramFault.SHORT)
+    if data[_CHECKSUM.size] != VERSION:
+        raise MalformedDatagramError(DatagramFault.VERSION)
+    body = data[_CHECKSUM.size : len(data) - tag_bytes]
+    if crc32c.crc32c(body) != _CHECKSUM.unpack_from(data)[0]:
+        raise MalformedDatagramError(DatagramFault.CHECKSUM)
+    if signer is not None and not signer.verify(data[:-tag_bytes], data[-tag_bytes:]):
+        raise UntrustedDatagramError(DatagramFault.FORGED)
+    _, state, sender_fingerprint, sender, incarnation, state_version, sequence, sent_ms = _HEADER.unpack_from(
+        body
+    )
+    if sender_fingerprint != fingerprint:
+        raise UntrustedDatagramError(DatagramFault.ROSTER)
     try:
-        while at < len(body):
-            kind = ITEM_TYPES[body[at] - 1] if body[at] else None
-            if kind is None:
-                raise DatagramError(DatagramFault.MALFORMED)
-            items.append(kind(*kind.LAYOUT.unpack_from(body, at + 1)))
-            at += 1 + kind.LAYOUT.size
-        head = DatagramHeader(sender, MemberState(state), incarnation, turn, number, sent)
+        items = tuple(_read_items(body))
+        header = DatagramHeader(sender, MemberState(state), incarnation, state_version, sequence, sent_ms)
     except (IndexError, ValueError, StructError):
-        raise DatagramError(DatagramFault.MALFORMED) from None
-    return Datagram(head, tuple(items))
-
-
-def pack(items: Iterable[Item], room: int = DATAGRAM_MAX_BYTES - HEADER_BYTES) -> list[list[Item]]:
-    """Items in their order in as few datagrams as hold them, `room` bytes of items in each."""
-    made: list[list[Item]] = []
-    left = 0
-    for item in items:
-        if item_bytes(item) > left:
-            made.append([])
-            left = room
-        made[-1].append(item)
-        left -= item_bytes(item)
-    return made
+        raise MalformedDatagramError(DatagramFault.MALFORMED) from None
+    return Datagram(header, items)
+
+
+def _read_items(body: bytes) -> Iterable[Item]:
+    """The items behind the header; IndexError, ValueError or StructError where they cannot be read."""
+    offset = _HEADER.size
+    while offset < len(body):
+        code = body[offset]
+        if not code:
+            raise ValueError(code)
+        item_type = ITEM_TYPES[code - 1]
+        yield item_type(*item_type.LAYOUT.unpack_from(body, offset + 1))
+        offset += 1 + item_type.LAYOUT.size
--- a/lemonridge/fleet/health_gossip.py
+++ b/lemonridge/fleet/health_gossip.py
@@ -1,9 +1,9 @@
-"""Judgements on disk nodes: what this broker has seen itself, and what others say that they have seen. Pure.
+"""The health of endpoints: what this broker observed itself, and what other brokers report. Pure.
 
-Evidence is firsthand only: nobody tells on what it was told, so two voices are two observers. A voice has a
-source, an age and a weight, and is worth nothing once it is older than FRESH_US. One voice alone may make a
-broker careful; only AGREE of them, none of whom is this broker, are passed on as agreed. What the decisions
-make of either is theirs: their own later answer from the node goes before all voices.
+Reports are firsthand only: nobody forwards what it was told, so two reports are two observers. A report has a
+source, an age and a weight, and counts until it is older than REPORT_MAX_AGE_US. A single report may make a
+broker careful; AGREEMENT_MIN of them, none of which is this broker's own, are agreed. What the scheduler
+makes of either is its own rule: its own later answer from the endpoint overrides all reports.
 """
 
 from __future__ import annotations
@@ -13,186 +13,205 @@
 from dataclasses import dataclass, field
 from enum import IntEnum
 
-RESTART_AFTER_US = 1_000_000  # not reached for so long: it restarted, as the decisions have it
-REPORT_MAX_AGE_US = (
-    2_000_000  # a voice counts for so long: a node that came back must not be held dead by old words
-)
-OBSERVATION_WINDOW_US = 2_000_000  # own observations that count
-UNREACHABLE_AFTER = 1  # failed connects in a row: the decisions go by one of their own too
-UNRESPONSIVE_AFTER = 2  # requests in a row that were never answered
-ERRORS_MIN = 4  # errors within the window, and
+RESTART_AFTER_US = 1_000_000  # unreachable for so long: it restarted, as the scheduler has it
+REPORT_MAX_AGE_US = 2_000_000  # an endpoint that came back must not be taken for down by old reports
+OBSERVATION_WINDOW_US = 2_000_000
+UNREACHABLE_AFTER = 1  # failed connects in a row
+UNRESPONSIVE_AFTER = 2  # requests in a row without an answer
+ERRORS_MIN = 4  # within the window, and
 ERROR_FRACTION_MIN = 0.6  # of all answers within it
-AGREEMENT_MIN = 2  # voices that agree: one broker's lie or bad link is one voice
-NODES_MAX = 1024  # nodes that are remembered; past it the longest without news makes room
-REPORTS_PER_ENDPOINT_MAX = 16  # of one node
+AGREEMENT_MIN = 2  # reports: one broker's lie or bad link is one report
+WEIGHT_MAX = 255  # observations behind one report, as datagrams hold them
+ENDPOINTS_MAX = 1024  # remembered; past it the longest without news makes room
+REPORTS_PER_ENDPOINT_MAX = 16
 
 
 class ReportedCondition(IntEnum):
-    """What is said of a node."""
+    """An endpoint's condition in a report. The values are those of datagrams."""
 
-    DOWN = 1  # it cannot be reached
-    SILENT = 2  # it takes requests and says nothing
+    UNREACHABLE = 1  # connects fail
+    UNRESPONSIVE = 2  # it takes requests and does not answer
     ERRORS = 3  # it answers with errors
-    COLD = 4  # it was down and came back
+    RESTARTED = 4  # it was unreachable and came back
 
 
 class ObservedOutcome(IntEnum):
-    """How an attempt ended, as far as it says something of the node."""
+    """How an attempt ended, as far as it says something about the endpoint."""
 
     GOOD = 0
     ERROR = 1
     CONNECT_FAILED = 2
-    SILENT = 3
+    SILENT = 3  # no answer
 
 
 @dataclass(slots=True)
-class _Own:
-    """This broker's own observations of a node."""
-
-    missed: int = 0  # failed connects in a row
-    down_us: int = 0
-    silent: int = 0
-    cold_us: int = 0
-    ends: deque[tuple[int, bool]] = field(default_factory=deque)  # when, and whether it was an error
+class _EndpointObservations:
+    """This broker's own observations of an endpoint."""
+
+    failed_connects: int = 0  # in a row
+    unreachable_since_us: int = 0
+    unanswered: int = 0  # in a row
+    restarted_us: int = 0
+    answers: deque[tuple[int, bool]] = field(default_factory=deque)  # when, and whether it was an error
     last_us: int = 0
 
+    def errors(self, now_us: int) -> int:
+        """Errors within the window."""
+        return sum(error for at_us, error in self.answers if at_us >= now_us - OBSERVATION_WINDOW_US)
+
 
 @dataclass(frozen=True, slots=True)
 class HealthObservation:
-    """One judgement of this broker's own, with the number of observations behind it."""
+    """An endpoint's condition as this broker observed it, by `weight` observations, the last at `at_us`."""
 
     endpoint_id: int
-    what: ReportedCondition
+    condition: ReportedCondition
     weight: int
     at_us: int
 
 
 class LocalObservations:
-    """What this broker has seen itself."""
+    """What this broker observed itself, by endpoint key."""
 
     def __init__(self) -> None:
-        self._own: dict[int, _Own] = {}
-
-    def ended(self, endpoint: int, seen: ObservedOutcome, now_us: int) -> bool:
-        """An attempt at a node ended. Whether others should hear of it at once: it is a first failure."""
-        own = self._own.pop(endpoint, None) or _Own()
-        self._own[endpoint] = own  # the latest stands last
-        if len(self._own) > NODES_MAX:
-            del self._own[next(iter(self._own))]
-        own.last_us = now_us
-        if seen is ObservedOutcome.CONNECT_FAILED:
-            own.missed += 1
-            own.down_us = own.down_us or now_us
-            return own.missed == UNREACHABLE_AFTER
-        if seen is ObservedOutcome.SILENT:
-            own.silent += 1
-            return own.silent == UNRESPONSIVE_AFTER
-        if own.missed and now_us - own.down_us >= RESTART_AFTER_US:
-            own.cold_us = now_us
-        own.missed = own.down_us = own.silent = 0
-        own.ends.append((now_us, seen is ObservedOutcome.ERROR))
-        while own.ends[0][0] < now_us - OBSERVATION_WINDOW_US:
-            own.ends.popleft()
+        self._endpoints: dict[int, _EndpointObservations] = {}
+
+    def record(self, endpoint_key: int, outcome: ObservedOutcome, now_us: int) -> bool:
+        """An attempt at an endpoint ended.
+
+        Returns:
+            Whether to report it at once: the endpoint has just become unreachable or unresponsive.
+        """
+        seen = self._endpoints.pop(endpoint_key, None) or _EndpointObservations()
+        self._endpoints[endpoint_key] = seen  # the latest stands last
+        if len(self._endpoints) > ENDPOINTS_MAX:
+            del self._endpoints[next(iter(self._endpoints))]
+        seen.last_us = now_us
+        if outcome is ObservedOutcome.CONNECT_FAILED:
+            seen.failed_connects += 1
+            seen.unreachable_since_us = seen.unreachable_since_us or now_us
+            return seen.failed_connects == UNREACHABLE_AFTER
+        if outcome is ObservedOutcome.SILENT:
+            seen.unanswered += 1
+            return seen.unanswered == UNRESPONSIVE_AFTER
+        if seen.failed_connects and now_us - seen.unreachable_since_us >= RESTART_AFTER_US:
+            seen.restarted_us = now_us
+        seen.failed_connects = seen.unreachable_since_us = seen.unanswered = 0
+        seen.answers.append((now_us, outcome is ObservedOutcome.ERROR))
+        while seen.answers[0][0] < now_us - OBSERVATION_WINDOW_US:
+            seen.answers.popleft()
         return False
 
-    def observations(self, now_us: int) -> list[HealthObservation]:
-        """What may be told, the worst first; old observations say nothing any more."""
-        told = []
-        for endpoint, own in self._own.items():
-            if now_us - own.last_us > REPORT_MAX_AGE_US:
-                continue
-            errors = sum(bad for when, bad in own.ends if when >= now_us - OBSERVATION_WINDOW_US)
-            if own.missed >= UNREACHABLE_AFTER:
-                told.append(
-                    HealthObservation(endpoint, ReportedCondition.DOWN, min(255, own.missed), own.last_us)
-                )
-            elif own.silent >= UNRESPONSIVE_AFTER:
-                told.append(
-                    HealthObservation(endpoint, ReportedCondition.SILENT, min(255, own.silent), own.last_us)
-                )
-            elif errors >= ERRORS_MIN and errors >= ERROR_FRACTION_MIN * len(own.ends):
-                told.append(
-                    HealthObservation(endpoint, ReportedCondition.ERRORS, min(255, errors), own.last_us)
-                )
-            elif own.cold_us and now_us - own.cold_us <= REPORT_MAX_AGE_US:
-                told.append(HealthObservation(endpoint, ReportedCondition.COLD, 1, own.cold_us))
-        return sorted(told, key=lambda one: (one.what, -one.weight, one.endpoint_id))
+    def reportable(self, now_us: int) -> list[HealthObservation]:
+        """The endpoints that are not well, the worst first; observations past their age are left out."""
+        found = [
+            one
+            for endpoint_key, seen in self._endpoints.items()
+            if (one := _condition(endpoint_key, seen, now_us)) is not None
+        ]
+        return sorted(found, key=lambda one: (one.condition, -one.weight, one.endpoint_id))
+
+
+def _condition(endpoint_key: int, seen: _EndpointObservations, now_us: int) -> HealthObservation | None:
+    """The worst condition that the observations show; None: it is well, or they are too old."""
+    if now_us - seen.last_us > REPORT_MAX_AGE_US:
+        return None
+    errors = seen.errors(now_us)
+    if seen.failed_connects >= UNREACHABLE_AFTER:
+        condition, weight, at_us = ReportedCondition.UNREACHABLE, seen.failed_connects, seen.last_us
+    elif seen.unanswered >= UNRESPONSIVE_AFTER:
+        condition, weight, at_us = ReportedCondition.UNRESPONSIVE, seen.unanswered, seen.last_us
+    elif errors >= ERRORS_MIN and errors >= ERROR_FRACTION_MIN * len(seen.answers):
+        condition, weight, at_us = ReportedCondition.ERRORS, errors, seen.last_us
+    elif seen.restarted_us and now_us - seen.restarted_us <= REPORT_MAX_AGE_US:
+        condition, weight, at_us = ReportedCondition.RESTARTED, 1, seen.restarted_us
+    else:
+        return None
+    return HealthObservation(endpoint_key, condition, min(WEIGHT_MAX, weight), at_us)
 
 
 @dataclass(frozen=True, slots=True)
 class PeerHealthReport:
-    """What one other broker says that it has seen."""
+    """What one other broker observed, at `at_us` of this broker's clock."""
 
-    what: ReportedCondition
+    condition: ReportedCondition
     weight: int
-    at_us: int  # by this broker's clock
+    at_us: int
 
 
 @dataclass(frozen=True, slots=True)
 class PeerHealthSummary:
-    """What the voices on a node come to. `at_us` is the oldest of those that agree."""
+    """What most reports on an endpoint say; `at_us` is the oldest of those that agree."""
 
     endpoint_id: int
-    what: ReportedCondition
+    condition: ReportedCondition
     sources: int
     at_us: int
 
     @property
     def agreed(self) -> bool:
+        """Whether enough brokers say the same."""
         return self.sources >= AGREEMENT_MIN
 
 
 class PeerHealthReports:
-    """What others say, by node and source."""
+    """What other brokers report, by endpoint and source."""
 
     def __init__(self) -> None:
-        self._voices: dict[int, dict[int, PeerHealthReport]] = {}
+        self._reports: dict[int, dict[int, PeerHealthReport]] = {}
 
-    def told(
-        self, source: int, endpoint: int, what: int, weight: int, at_us: int, now_us: int
+    def record(
+        self, source: int, endpoint_key: int, condition: int, weight: int, at_us: int, now_us: int
     ) -> PeerHealthSummary | None:
-        """A voice came; the verdict as it is now, or None where it changes nothing."""
-        if (
-            what not in ReportedCondition._value2member_map_
-            or not weight
-            or now_us - at_us > REPORT_MAX_AGE_US
-        ):
+        """A report arrived.
+
+        Returns:
+            The endpoint's summary with it; None where the report is unknown, too old, repeated or late.
+        """
+        known = condition in ReportedCondition._value2member_map_
+        if not known or not weight or now_us - at_us > REPORT_MAX_AGE_US:
             return None
-        voices = self._voices.pop(endpoint, {})
-        self._voices[endpoint] = voices
-        if len(self._voices) > NODES_MAX:
-            del self._voices[next(iter(self._voices))]
-        before = voices.get(source)
+        reports = self._reports.pop(endpoint_key, {})
+        self._reports[endpoint_key] = reports  # the latest stands last
+        if len(self._reports) > ENDPOINTS_MAX:
+            del self._reports[next(iter(self._reports))]
+        before = reports.get(source)
         if before is not None and before.at_us >= at_us:
-            return None  # told twice, or late
-        voices[source] = PeerHealthReport(ReportedCondition(what), weight, at_us)
-        while len(voices) > REPORTS_PER_ENDPOINT_MAX:
-            del voices[min(voices, key=lambda who: voices[who].at_us)]
-        return self.verdict(endpoint, now_us)
-
-    def verdict(self, endpoint: int, now_us: int) -> PeerHealthSummary | None:
-        """What most of the fresh voices say of a node. That it is down and that it is silent agree: nothing
-        comes from it.
+            return None
+        reports[source] = PeerHealthReport(ReportedCondition(condition), weight, at_us)
+        while len(reports) > REPORTS_PER_ENDPOINT_MAX:
+            del reports[min(reports, key=lambda one: reports[one].at_us)]
+        return self.summary(endpoint_key, now_us)
+
+    def summary(self, endpoint_key: int, now_us: int) -> PeerHealthSummary | None:
+        """What most current reports on an endpoint say; None without any.
+
+        Unreachable and unresponsive agree: no answer comes from it either way.
         """
-        fresh = [
-            one for one in self._voices.get(endpoint, {}).values() if now_us - one.at_us <= REPORT_MAX_AGE_US
+        current = [
+            one
+            for one in self._reports.get(endpoint_key, {}).values()
+            if now_us - one.at_us <= REPORT_MAX_AGE_US
         ]
-        if not fresh:
+        if not current:
             return None
-        gone = [one for one in fresh if one.what in (ReportedCondition.DOWN, ReportedCondition.SILENT)]
-        groups: Iterable[list[PeerHealthReport]] = [gone] + [
-            [one for one in fresh if one.what is what]
-            for what in (ReportedCondition.ERRORS, ReportedCondition.COLD)
+        no_answer = (ReportedCondition.UNREACHABLE, ReportedCondition.UNRESPONSIVE)
+        groups: Iterable[list[PeerHealthReport]] = [
+            [one for one in current if one.condition in conditions]
+            for conditions in (no_answer, (ReportedCondition.ERRORS,), (ReportedCondition.RESTARTED,))
         ]
         most = max(groups, key=len)
-        return PeerHealthSummary(
-            endpoint, min(one.what for one in most), len(most), min(one.at_us for one in most)
-        )
+        worst, oldest_us = min(one.condition for one in most), min(one.at_us for one in most)
+        return PeerHealthSummary(endpoint_key, worst, len(most), oldest_us)
 
-    def voices(self, now_us: int) -> dict[int, dict[int, PeerHealthReport]]:
-        """All that is fresh, by node and source, to be shown."""
+    def current(self, now_us: int) -> dict[int, dict[int, PeerHealthReport]]:
+        """All reports that count, by endpoint and source."""
         return {
-            endpoint: kept
-            for endpoint, voices in self._voices.items()
-            if (kept := {who: one for who, one in voices.items() if now_us - one.at_us <= REPORT_MAX_AGE_US})
+            endpoint_key: current
+            for endpoint_key, reports in self._reports.items()
+            if (
+                current := {
+                    source: one for source, one in reports.items() if now_us - one.at_us <= REPORT_MAX_AGE_US
+                }
+            )
         }
--- a/lemonridge/fleet/member_list.py
+++ b/lemonridge/fleet/member_list.py
@@ -1,4 +1,4 @@
-"""The roster: which brokers there are, by number and name. It is what is configured; nothing adds to it."""
+"""The brokers of one fleet by number and name, as they are configured: nothing adds to them at run time."""
 
 from __future__ import annotations
 
@@ -11,27 +11,28 @@
 
 @dataclass(frozen=True, slots=True)
 class MemberList:
-    """The brokers of one tier in the order of their numbers; `me` is this one's."""
+    """The brokers of one fleet in the order of their numbers; `me` is this broker's number."""
 
     names: tuple[str, ...]
     me: int
 
     @property
     def size(self) -> int:
+        """The number of members, this one included."""
         return len(self.names)
 
     @property
     def others(self) -> tuple[int, ...]:
-        """The numbers of all but this one."""
+        """The numbers of all members but this one."""
         return tuple(number for number in range(self.size) if number != self.me)
 
     @property
     def fingerprint(self) -> int:
-        """Sixteen bits by which brokers of two rosters tell each other apart."""
+        """Sixteen bits of the names' checksum: members of two fleets tell each other apart by it."""
         return crc32c.crc32c("\n".join(self.names).encode()) & 0xFFFF
 
 
 def key_of(text: str) -> int:
-    """A 64-bit name of a node id, alike at every broker: two CRC32C of it, forth and back."""
-    told = text.encode()
-    return crc32c.crc32c(told) << 32 | crc32c.crc32c(told[::-1] + b"\x01")
+    """A 64-bit key of an endpoint's id, the same at every broker: CRC32C of it forwards and backwards."""
+    data = text.encode()
+    return crc32c.crc32c(data) << 32 | crc32c.crc32c(data[::-1] + b"\x01")
--- a/lemonridge/fleet/scheduler_bridge.py
+++ b/lemonridge/fleet/scheduler_bridge.py
@@ -1,34 +1,29 @@
-"""The fleet's machine beside one scheduler, whatever hosts both: what the decisions see goes in, what they
-are to be told comes out. Pure.
+"""Connects a fleet member with the scheduler beside it, whatever hosts both. Pure.
 
-The program on sockets, the simulator's adapter and the lab's model each feed it and take what it has.
+What the scheduler sees goes to the member, and what the member decides becomes events of the scheduler and
+datagrams. The process on sockets, the simulator's adapter and the lab's model each feed a bridge and take
+what it holds.
 """
 
 from __future__ import annotations
 
 from collections.abc import Callable, Iterable, Sequence
 
-from lemonridge.fleet import fleet_member
-from lemonridge.fleet.datagrams import DatagramSigner, Item
-from lemonridge.fleet.fleet_member import (
-    CLOCK_ERROR_US,
-    SEND_BUDGET_BYTES_S,
-    DatagramReceived,
-    FleetMember,
-    MemberSettings,
+from lemonridge.fleet import events as fleet_events
+from lemonridge.fleet.actions import (
     PeerHealthChanged,
     PeerUsageReceived,
     QuotaUpdated,
     RolloutItemReceived,
-    RolloutItemsQueued,
     SendDatagram,
     SetTimer,
-    ShutdownBegan,
-    TimerFired,
 )
+from lemonridge.fleet.datagrams import DatagramSigner, Item
+from lemonridge.fleet.fleet_member import FleetMember
 from lemonridge.fleet.health_gossip import ObservedOutcome, PeerHealthSummary, ReportedCondition
 from lemonridge.fleet.member_list import MemberList, key_of
-from lemonridge.fleet.quota_lending import WHOLE_PARTS, BudgetKind
+from lemonridge.fleet.quota_ledger import WHOLE_PARTS, BudgetKind
+from lemonridge.fleet.settings import CLOCK_ERROR_US, SEND_BUDGET_BYTES_S, MemberSettings
 from lemonridge.scheduling.actions import Action, SlowStartBegan
 from lemonridge.scheduling.events import (
     AttemptEnded,
@@ -44,14 +39,14 @@
 )
 from lemonridge.scheduling.settings import Settings
 
-NODES_MAX = 65536  # names that are kept for what comes by key
-MICRO = 1e12  # micro-units a second in a unit a microsecond
+ENDPOINTS_MAX = 65536  # names that are remembered for what arrives by key
+PARTS_PER_UNIT_US = 1e12  # micro-units a second in a unit a microsecond
 BUDGETS = {
     BudgetKind.LIMIT: SharedBudget.LIMIT,
-    BudgetKind.COLD: SharedBudget.SLOW_START,
-    BudgetKind.FURTHER: SharedBudget.RETRIES,
+    BudgetKind.SLOW_START: SharedBudget.SLOW_START,
+    BudgetKind.RETRIES: SharedBudget.RETRIES,
 }
-SEEN = {
+OUTCOMES = {
     AttemptResult.OK: ObservedOutcome.GOOD,
     AttemptResult.QUEUE_FULL: ObservedOutcome.GOOD,
     AttemptResult.ERROR: ObservedOutcome.ERROR,
@@ -60,12 +55,24 @@
 }
 
 
-Decide = Callable[[int, Iterable[Event]], list[Action]]  # a scheduler's `handle`
+HandleEvents = Callable[[int, Iterable[Event]], list[Action]]  # a scheduler's `handle`
 
 
 class SchedulerBridge:
-    """`events` and `tells` grow with each call, in the order in which they must go; the host takes them. The
-    events come before whatever else the decisions are told from then on.
+    """A fleet member beside one scheduler.
+
+    `events` and `datagrams` grow with each call, in the order in which they must be delivered; the host takes
+    them. The events go to the scheduler before anything else that it is told from then on.
+
+    Args:
+        member_list: the fleet.
+        incarnation: this start's number; a later start has a higher one.
+        seed: of the member's random draws.
+        now_us: the time of the start.
+        settings: the scheduler's, with the limits in force; the host replaces them when they change.
+        send_budget_bytes_s: bytes that may be sent within a second.
+        clock_error_us: by which two clocks may differ over the duration of a loan.
+        signer: makes and checks the keyed tag, where there is a secret.
     """
 
     def __init__(
@@ -75,30 +82,31 @@
         seed: int,
         now_us: int,
         settings: Settings,
-        bytes_s: float = SEND_BUDGET_BYTES_S,
-        error_us: int = CLOCK_ERROR_US,
+        send_budget_bytes_s: float = SEND_BUDGET_BYTES_S,
+        clock_error_us: int = CLOCK_ERROR_US,
         signer: DatagramSigner | None = None,
     ) -> None:
         self.settings = settings
-        tuning = MemberSettings(bytes_s, error_us, not settings.reports_peer_usage, settings.retry_rate)
-        self.fleet = FleetMember(member_list, incarnation, seed, now_us, tuning, signer)
+        shares_usage = not settings.reports_peer_usage
+        of_member = MemberSettings(send_budget_bytes_s, clock_error_us, shares_usage, settings.retry_rate)
+        self.fleet = FleetMember(member_list, incarnation, seed, now_us, of_member, signer)
         self.events: list[Event] = []
-        self.tells: list[SendDatagram] = []
-        self.passed: list[RolloutItemReceived] = []  # for the machine that changes policies
+        self.datagrams: list[SendDatagram] = []
+        self.rollout_items: list[RolloutItemReceived] = []
         self.next_timer_us = now_us
         self.endpoints: dict[int, str] = {}  # names by key
         self._handle(now_us)
 
-    def _handle(self, now_us: int, *events: fleet_member.Event) -> None:
+    def _handle(self, now_us: int, *events: fleet_events.Event) -> None:
         for action in self.fleet.handle(now_us, events):
             if isinstance(action, QuotaUpdated):
-                self._sliced(action, now_us)
+                self._on_quota_updated(action, now_us)
             elif isinstance(action, SendDatagram):
-                self.tells.append(action)
+                self.datagrams.append(action)
             elif isinstance(action, PeerHealthChanged):
-                self._judged(action.verdict)
+                self._on_peer_health(action.summary)
             elif isinstance(action, RolloutItemReceived):
-                self.passed.append(action)
+                self.rollout_items.append(action)
             elif isinstance(action, PeerUsageReceived):
                 self.events.append(PeerUsageReported(action.volume, action.units))
             elif isinstance(action, SetTimer):
@@ -106,59 +114,64 @@
 
     # Time and datagrams
 
-    def received(self, source: int | None, data: bytes, now_us: int) -> None:
-        """A datagram came, from member `source`'s address or from no member's."""
-        self._handle(now_us, DatagramReceived(source, data))
+    def on_datagram(self, source: int | None, data: bytes, now_us: int) -> None:
+        """A datagram arrived from member `source`'s address, or (None) from no member's."""
+        self._handle(now_us, fleet_events.DatagramReceived(source, data))
 
-    def woke(self, now_us: int) -> None:
-        self._handle(now_us, TimerFired())
+    def on_timer(self, now_us: int) -> None:
+        """`next_timer_us` has come."""
+        self._handle(now_us, fleet_events.TimerFired())
 
-    def post(self, items: Iterable[tuple[int, Item]], now_us: int) -> None:
-        """Send what the machine that changes policies has to say."""
-        self._handle(now_us, RolloutItemsQueued(tuple(items)))
+    def send_rollout_items(self, items: Iterable[tuple[int, Item]], now_us: int) -> None:
+        """Send items of the policy rollout, by receiver."""
+        self._handle(now_us, fleet_events.RolloutItemsQueued(tuple(items)))
 
-    def leave(self, now_us: int) -> None:
-        """This broker is about to end."""
-        self._handle(now_us, ShutdownBegan())
+    def shut_down(self, now_us: int) -> None:
+        """This broker is about to end: return what is borrowed."""
+        self._handle(now_us, fleet_events.ShutdownBegan())
 
-    # What the decisions see
+    # What the scheduler sees
 
-    def arrived(self, event: RequestArrived, now_us: int) -> None:
-        """A request, before the decisions are told of it."""
+    def on_request_arrived(self, event: RequestArrived, now_us: int) -> None:
+        """A request arrived; called before the scheduler is told of it."""
         plan = self.settings.plans[event.plan]
         if plan.limit:
-            sliced = self.fleet.taken(event.volume, plan.limit, event.hosts, event.units, now_us)
-            if sliced is not None:
-                self._sliced(sliced, now_us)
-        self.fleet.asked(event.shard, event.units, now_us)
-
-    def listed(self, entries: Iterable[Endpoint]) -> None:
-        """The node list, or a part of it."""
-        for entry in entries:
-            if len(self.endpoints) < NODES_MAX:
-                self.endpoints.setdefault(key_of(entry.endpoint_id), entry.endpoint_id)
-
-    def ended(self, event: AttemptEnded, now_us: int, volume: int = 0, units: float = 0.0) -> None:
-        """An attempt ended, of a request of that volume and size."""
-        seen = SEEN.get(event.result)
-        if seen is not None and self.fleet.ended(key_of(event.endpoint_id), seen, now_us):
-            self._handle(now_us, TimerFired())
+            updated = self.fleet.record_limit_demand(
+                event.volume, plan.limit, event.hosts, event.units, now_us
+            )
+            if updated is not None:
+                self._on_quota_updated(updated, now_us)
+        self.fleet.record_shard_demand(event.shard, event.units, now_us)
+
+    def on_endpoints_changed(self, endpoints: Iterable[Endpoint]) -> None:
+        """The endpoint list, or a part of it: remembers the names."""
+        for endpoint in endpoints:
+            if len(self.endpoints) < ENDPOINTS_MAX:
+                self.endpoints.setdefault(key_of(endpoint.endpoint_id), endpoint.endpoint_id)
+
+    def on_attempt_ended(self, event: AttemptEnded, now_us: int, volume: int = 0, units: float = 0.0) -> None:
+        """An attempt ended, of a request of that volume and size (0 units: not known)."""
+        outcome, endpoint_key = OUTCOMES.get(event.result), key_of(event.endpoint_id)
+        if outcome is not None and self.fleet.record_outcome(endpoint_key, outcome, now_us):
+            self._handle(now_us, fleet_events.TimerFired())
         if event.result is AttemptResult.OK and units:
-            self.fleet.served(volume, units)
+            self.fleet.record_served(volume, units)
         if not event.finished and event.result is not AttemptResult.NOT_SENT and self.settings.retry_rate:
-            self.fleet.tried(now_us)
+            self.fleet.record_retry_demand(now_us)
 
-    # What they decide
+    # What the scheduler decides
 
-    def sent(self, endpoint: str, units: float) -> None:
-        """An attempt was decided on."""
-        self.fleet.sent(key_of(endpoint), units)
+    def on_attempt_sent(self, endpoint_id: str, units: float) -> None:
+        """An attempt is sent."""
+        self.fleet.record_sent(key_of(endpoint_id), units)
 
-    def slow_start_began(self, action: SlowStartBegan, now_us: int) -> None:
-        """A cold spell began. Brokers may hold one start for two times (by the list, by their own eyes), so
-        its budget goes by the node's name, and the time goes with each question.
+    def on_slow_start_began(self, action: SlowStartBegan, now_us: int) -> None:
+        """An endpoint's slow start began.
+
+        Brokers may hold one start for two times (by the endpoint list, by their own attempts), so its budget
+        goes by the endpoint's name, and each loan request tells the time.
         """
-        began = fleet_member.SlowStartBegan(
+        began = fleet_events.SlowStartBegan(
             action.endpoint_id,
             key_of(action.endpoint_id),
             action.shard,
@@ -168,75 +181,92 @@
         )
         self._handle(now_us, began)
 
-    def renewed(self, now_us: int) -> None:
-        """The decisions began anew, with even slices: what is lent, or not this broker's own yet, is kept."""
-        for sliced in self.fleet.told():
-            self._sliced(sliced, now_us)
+    def on_scheduler_restarted(self, now_us: int) -> None:
+        """A new scheduler begins with even quotas: tell it what is lent, or not this broker's own yet."""
+        for updated in self.fleet.last_quotas():
+            self._on_quota_updated(updated, now_us)
 
-    # What they are told
+    # What the scheduler is told
 
-    def _sliced(self, told: QuotaUpdated, now_us: int) -> None:
-        name: int | str = told.key
-        own, whole = 0, float(WHOLE_PARTS)
-        if told.kind is BudgetKind.COLD:
-            if told.key not in self.endpoints:
+    def _on_quota_updated(self, updated: QuotaUpdated, now_us: int) -> None:
+        """Tell a quota: of the whole for limits and retries, as a difference to its own at an endpoint."""
+        name: int | str = updated.key
+        base, whole = 0, float(WHOLE_PARTS)
+        if updated.kind is BudgetKind.SLOW_START:
+            if updated.key not in self.endpoints:
                 return
-            name, own, whole = self.endpoints[told.key], told.base, MICRO
-        part = told.slice
+            name, base, whole = self.endpoints[updated.key], updated.owned, PARTS_PER_UNIT_US
+        quota = updated.quota
         self.events.append(
             QuotaChanged(
-                BUDGETS[told.kind],
+                BUDGETS[updated.kind],
                 name,
-                (part.parts - own) / whole,
-                part.until_us,
-                (part.after - own) / whole,
+                (quota.parts - base) / whole,
+                quota.until_us,
+                (quota.parts_after - base) / whole,
                 now_us,
             )
         )
 
-    def _judged(self, verdict: PeerHealthSummary) -> None:
-        """What others say of a node, if this broker knows it. That one came back cold is shown alone: an
-        answer, or the list, tells.
+    def _on_peer_health(self, summary: PeerHealthSummary) -> None:
+        """Tell what others report of an endpoint, if this broker knows it.
+
+        That it restarted is only shown to operators: an answer of its own or the endpoint list tells it.
         """
-        endpoint = self.endpoints.get(verdict.endpoint_id)
-        if endpoint is not None and verdict.what is not ReportedCondition.COLD:
-            self.events.append(PeerHealthReported(endpoint, verdict.sources, verdict.agreed, verdict.at_us))
+        endpoint = self.endpoints.get(summary.endpoint_id)
+        if endpoint is not None and summary.condition is not ReportedCondition.RESTARTED:
+            self.events.append(PeerHealthReported(endpoint, summary.sources, summary.agreed, summary.at_us))
 
 
 def decide(
-    handle: Decide,
+    handle: HandleEvents,
     bridge: SchedulerBridge,
     now_us: int,
     events: Sequence[Event],
-    heard: Iterable[tuple[int, bytes]],
+    received: Iterable[tuple[int, bytes]],
 ) -> tuple[list[Action], list[SendDatagram]]:
-    """One moment of a scheduler and its companion, for hosts whose events come in batches: the decisions, the
-    datagrams to send, and in `bridge.next_timer_us` when to come again at the latest. The decisions are told
-    of a slice before anything that came with or after it.
+    """Run one moment of a scheduler and its bridge, for hosts whose events come in batches.
+
+    The scheduler is told of a quota before anything that came with or after it.
+
+    Args:
+        handle: the scheduler's `handle`.
+        bridge: the bridge beside it; its `next_timer_us` says when to call again at the latest.
+        now_us: the time.
+        events: the scheduler's events.
+        received: datagrams, each with the number of its sender.
+
+    Returns:
+        The scheduler's actions, and the datagrams to send.
     """
-    told: list[Event] = []
+    pending: list[Event] = []
 
-    def take() -> list[Event]:
+    def take_events() -> list[Event]:
         taken, bridge.events = bridge.events, []
         return taken
 
-    for source, data in heard:
-        bridge.received(source, data, now_us)
+    for source, data in received:
+        bridge.on_datagram(source, data, now_us)
     for event in events:
-        if isinstance(event, RequestArrived):
-            bridge.arrived(event, now_us)
-        elif isinstance(event, EndpointsChanged):
-            bridge.listed(event.entries)
-        elif isinstance(event, AttemptEnded):
-            bridge.ended(event, now_us)
-        told += [*take(), event]
+        _show(bridge, event, now_us)
+        pending += [*take_events(), event]
     if now_us >= bridge.next_timer_us:
-        bridge.woke(now_us)
-    actions = handle(now_us, [*take(), *told])
+        bridge.on_timer(now_us)
+    actions = handle(now_us, [*take_events(), *pending])
     for action in list(actions):
         if isinstance(action, SlowStartBegan):
-            bridge.slow_start_began(action, now_us)
-    if later := take():
+            bridge.on_slow_start_began(action, now_us)
+    if later := take_events():
         actions += handle(now_us, later)
-    tells, bridge.tells = bridge.tells, []
-    return actions, tells
+    datagrams, bridge.datagrams = bridge.datagrams, []
+    return actions, datagrams
+
+
+def _show(bridge: SchedulerBridge, event: Event, now_us: int) -> None:
+    """Show the bridge an event of the scheduler's."""
+    if isinstance(event, RequestArrived):
+        bridge.on_request_arrived(event, now_us)
+    elif isinstance(event, EndpointsChanged):
+        bridge.on_endpoints_changed(event.entries)
+    elif isinstance(event, AttemptEnded):
+        bridge.on_attempt_ended(event, now_us)
--- a/lemonridge/fleet/status_report.py
+++ b/lemonridge/fleet/status_report.py
@@ -1,4 +1,8 @@
-"""What operators are shown of the fleet, as one broker sees it, and of several such views as one. Pure."""
+"""What operators are shown of the fleet: one broker's view as JSON, and several views as one text. Pure.
+
+The keys and the words are the operators' interface (docs/operate/fleet-state.md); the code's terms are mapped
+to them here.
+"""
 
 from __future__ import annotations
 
@@ -7,71 +11,82 @@
 
 from lemonridge.fleet.datagrams import MemberState
 from lemonridge.fleet.fleet_member import FleetMember
-from lemonridge.fleet.quota_lending import WHOLE_PARTS, BudgetKind
+from lemonridge.fleet.health_gossip import ReportedCondition
+from lemonridge.fleet.quota_ledger import WHOLE_PARTS, BudgetKind
 
-BUDGETS_MAX, JUDGEMENTS_MAX = 64, 64  # shown at a time: the most active
+BUDGETS_SHOWN_MAX = 64  # those used last
+HEALTH_REPORTS_SHOWN_MAX = 64
+STATE_WORDS = {state: state.name.lower() for state in MemberState}
+BUDGET_WORDS = {BudgetKind.LIMIT: "limit", BudgetKind.SLOW_START: "cold", BudgetKind.RETRIES: "further"}
+CONDITION_WORDS = {
+    ReportedCondition.UNREACHABLE: "down",
+    ReportedCondition.UNRESPONSIVE: "silent",
+    ReportedCondition.ERRORS: "errors",
+    ReportedCondition.RESTARTED: "cold",
+}
 
 
 def report(fleet: FleetMember, now_us: int, endpoints: Mapping[int, str]) -> dict[str, Any]:
-    """Members with their links, budgets, judgements and counters; ages in milliseconds, parts of the whole.
+    """One broker's view: members with their links, budgets, reports on endpoints, counters.
 
-    `nodes` are the names of nodes by their keys.
+    Ages are in milliseconds, parts of budgets are fractions of the whole. `endpoints` are names by key.
     """
+    membership = fleet.membership
+    faults = {f"not_taken.{fault.value}": count for fault, count in fleet.receiver.faults.items()}
     return {
         "name": fleet.member_list.names[fleet.member_list.me],
-        "state": fleet.members.state.name.lower(),
-        "life": fleet.members.incarnation,
-        "round": fleet.members.round,
-        "health": fleet.members.health,
-        "accused": fleet.members.accused,
-        "superseded": fleet.members.superseded,
+        "state": STATE_WORDS[membership.state],
+        "life": membership.incarnation,
+        "round": membership.state_version,
+        "health": membership.local_health,
+        "accused": membership.suspicions_of_self,
+        "superseded": membership.superseded,
         "floors_only_ms": max(0, fleet.ledger.floors_until_us - now_us) // 1000,
-        "members": [_member(fleet, who, now_us) for who in fleet.member_list.others],
-        "budgets": _budgets(fleet, now_us, endpoints),
-        "judgements": _judgements(fleet, now_us, endpoints),
-        "counters": {**fleet.counts, **{f"not_taken.{fault.value}": n for fault, n in fleet.faults.items()}},
+        "members": [_member(fleet, member_id, now_us) for member_id in fleet.member_list.others],
+        "budgets": _budgets(fleet, now_us),
+        "judgements": _health_reports(fleet, now_us, endpoints),
+        "counters": {**fleet.counts, **faults},
     }
 
 
-def _member(fleet: FleetMember, who: int, now_us: int) -> dict[str, Any]:
-    member, link = fleet.members.members[who], fleet.links()[who]
-    sent = link.top - link.first + 1
+def _member(fleet: FleetMember, member_id: int, now_us: int) -> dict[str, Any]:
+    member, window = fleet.membership.members[member_id], fleet.receiver.windows[member_id]
+    lost = window.lost_fraction()
     return {
-        "name": fleet.member_list.names[who],
-        "state": member.state.name.lower(),
+        "name": fleet.member_list.names[member_id],
+        "state": STATE_WORDS[member.state],
         "life": member.incarnation,
-        "for_ms": (now_us - member.since_us) // 1000,
-        "heard_ms": (now_us - member.heard_us) // 1000 if member.heard_us else None,
-        "lost": round(1 - link.came / sent, 3) if link.came and sent > 0 else None,
-        "clock_ms": link.behind_ms,
+        "for_ms": (now_us - member.state_since_us) // 1000,
+        "heard_ms": (now_us - member.last_received_us) // 1000 if member.last_received_us else None,
+        "lost": round(lost, 3) if lost is not None else None,
+        "clock_ms": window.min_age_ms,
         "deaths": member.deaths,
-        "wrongly": member.cleared,
+        "wrongly": member.refutations,
     }
 
 
-def _budgets(fleet: FleetMember, now_us: int, endpoints: Mapping[int, str]) -> list[dict[str, Any]]:
-    rows = []
-    active = sorted(fleet.ledger.budgets.items(), key=lambda one: -one[1].used_us)
-    for key, pool in active[:BUDGETS_MAX]:
-        told = fleet.ledger.slice(key, now_us)
-        whole = WHOLE_PARTS if key[0] != BudgetKind.COLD else max(1, pool.base)
+def _budgets(fleet: FleetMember, now_us: int) -> list[dict[str, Any]]:
+    rows, names = [], fleet.member_list.names
+    by_use = sorted(fleet.ledger.budgets.items(), key=lambda one: -one[1].used_us)
+    for key, budget in by_use[:BUDGETS_SHOWN_MAX]:
+        whole = WHOLE_PARTS if key.kind != BudgetKind.SLOW_START else max(1, budget.owned)
         rows.append(
             {
-                "kind": BudgetKind(key[0]).name.lower(),
-                "key": f"{key[1]:016x}",
-                "hosts": pool.hosts,
-                "uses": pool.holds,
-                "own": pool.base / whole,
-                "left": fleet.ledger.mine(pool, now_us) / whole,
-                "has": told.parts / whole,
-                "needs": min(1.0, pool.need / whole),
+                "kind": BUDGET_WORDS[BudgetKind(key.kind)],
+                "key": f"{key.key:016x}",
+                "hosts": budget.hosts,
+                "uses": budget.used_here,
+                "own": budget.owned / whole,
+                "left": fleet.ledger.own_left(budget, now_us) / whole,
+                "has": fleet.ledger.quota(key, now_us).parts / whole,
+                "needs": min(1.0, budget.demand / whole),
                 "lent": {
-                    fleet.member_list.names[who]: max(one.parts for one in loans) / whole
-                    for who, loans in pool.lent.items()
+                    names[borrower]: max(one.parts for one in loans) / whole
+                    for borrower, loans in budget.loans_out.items()
                 },
                 "borrowed": {
-                    fleet.member_list.names[who]: one.parts / whole
-                    for who, one in pool.borrowed.items()
+                    names[lender]: one.parts / whole
+                    for lender, one in budget.loans_in.items()
                     if one.end_us > now_us
                 },
             }
@@ -79,74 +94,83 @@
     return rows
 
 
-def _judgements(fleet: FleetMember, now_us: int, endpoints: Mapping[int, str]) -> list[dict[str, Any]]:
-    def name(endpoint: int) -> str:
-        return endpoints.get(endpoint, f"{endpoint:016x}")
+def _health_reports(fleet: FleetMember, now_us: int, endpoints: Mapping[int, str]) -> list[dict[str, Any]]:
+    """This broker's own observations first, then what others report."""
+    names, me = fleet.member_list.names, fleet.member_list.me
 
-    rows = [
-        {
-            "node": name(one.endpoint_id),
-            "what": one.what.name.lower(),
-            "by": fleet.member_list.names[fleet.member_list.me],
-            "weight": one.weight,
-            "age_ms": (now_us - one.at_us) // 1000,
+    def row(endpoint_key: int, condition: ReportedCondition, source: int, weight: int, at_us: int) -> Any:
+        return {
+            "node": endpoints.get(endpoint_key, f"{endpoint_key:016x}"),
+            "what": CONDITION_WORDS[condition],
+            "by": names[source],
+            "weight": weight,
+            "age_ms": (now_us - at_us) // 1000,
         }
-        for one in fleet.evidence.observations(now_us)
+
+    rows = [
+        row(one.endpoint_id, one.condition, me, one.weight, one.at_us)
+        for one in fleet.gossip.observations.reportable(now_us)
     ]
-    for endpoint, voices in fleet.peer_reports.voices(now_us).items():
-        rows += [
-            {
-                "node": name(endpoint),
-                "what": one.what.name.lower(),
-                "by": fleet.member_list.names[who],
-                "weight": one.weight,
-                "age_ms": (now_us - one.at_us) // 1000,
-            }
-            for who, one in voices.items()
-        ]
-    return rows[:JUDGEMENTS_MAX]
+    rows += [
+        row(endpoint_key, one.condition, source, one.weight, one.at_us)
+        for endpoint_key, reports in fleet.gossip.peer_reports.current(now_us).items()
+        for source, one in reports.items()
+    ]
+    return rows[:HEALTH_REPORTS_SHOWN_MAX]
 
 
 def table(views: Iterable[dict[str, Any]]) -> str:
-    """Several brokers' views as text: who sees whom how, what each budget comes to, what is said of nodes."""
+    """Several brokers' views as text: who sees whom in what state, all budgets, reports on endpoints."""
     views = list(views)
-    names = sorted({view["name"] for view in views} | {m["name"] for view in views for m in view["members"]})
+    names = sorted(
+        {view["name"] for view in views} | {one["name"] for view in views for one in view["members"]}
+    )
     lines = ["seen by ".ljust(12) + " ".join(name[:10].rjust(10) for name in names)]
     for view in views:
-        seen = {member["name"]: member for member in view["members"]}
-        cells = [
-            view["state"] if name == view["name"] else seen[name]["state"] if name in seen else "-"
-            for name in names
-        ]
-        lines.append(view["name"][:11].ljust(12) + " ".join(cell.rjust(10) for cell in cells))
-        lines.append("  heard ms  " + " ".join(_cell(seen.get(name), "heard_ms") for name in names))
-        lines.append("  lost      " + " ".join(_cell(seen.get(name), "lost") for name in names))
+        lines += _view_lines(view, names)
+    lines += _budget_lines(views)
+    own = [row for view in views for row in view["judgements"] if row["by"] == view["name"]]
+    if own:
+        lines += ["", "node".ljust(20) + "judgement"]
+    lines += [
+        f"{row['node'][:19]:20}{row['what']} by {row['by']}, {row['weight']} times, {row['age_ms']} ms ago"
+        for row in own
+    ]
+    return "\n".join(lines)
+
+
+def _view_lines(view: dict[str, Any], names: list[str]) -> list[str]:
+    members = {member["name"]: member for member in view["members"]}
+    cells = [
+        view["state"] if name == view["name"] else members[name]["state"] if name in members else "-"
+        for name in names
+    ]
+    return [
+        view["name"][:11].ljust(12) + " ".join(cell.rjust(10) for cell in cells),
+        "  heard ms  " + " ".join(_cell(members.get(name), "heard_ms") for name in names),
+        "  lost      " + " ".join(_cell(members.get(name), "lost") for name in names),
+    ]
+
+
+def _budget_lines(views: list[dict[str, Any]]) -> list[str]:
     budgets: dict[tuple[str, str], list[dict[str, Any]]] = {}
     for view in views:
         for row in view["budgets"]:
             budgets.setdefault((row["kind"], row["key"]), []).append({**row, "at": view["name"]})
-    if budgets:
-        lines += ["", "budget".ljust(30) + "in all  who has what"]
+    lines = ["", "budget".ljust(30) + "in all  who has what"] if budgets else []
     for (kind, key), rows in sorted(budgets.items()):
         using = [row for row in rows if row["uses"]]
         has = " ".join(f"{row['at']}={row['has']:.2f}" for row in using)
         lines.append(f"{kind} {key}".ljust(30) + f"{sum(row['has'] for row in using):6.2f}  {has}")
-    judged = [row for view in views for row in view["judgements"] if row["by"] == view["name"]]
-    if judged:
-        lines += ["", "node".ljust(20) + "judgement"]
-    lines += [
-        f"{row['node'][:19]:20}{row['what']} by {row['by']}, {row['weight']} times, {row['age_ms']} ms ago"
-        for row in judged
-    ]
-    return "\n".join(lines)
+    return lines
 
 
-def _cell(member: dict[str, Any] | None, what: str) -> str:
-    value = None if member is None else member[what]
+def _cell(member: dict[str, Any] | None, key: str) -> str:
+    value = None if member is None else member[key]
     return ("-" if value is None else str(value)).rjust(10)
 
 
-def whole(views: Iterable[dict[str, Any]]) -> bool:
-    """Whether every broker that was asked holds every other one up."""
-    up = {MemberState.UP.name.lower(), MemberState.JOINING.name.lower()}
+def all_members_up(views: Iterable[dict[str, Any]]) -> bool:
+    """Whether every broker that was asked holds every other one for up."""
+    up = {STATE_WORDS[MemberState.UP], STATE_WORDS[MemberState.JOINING]}
     return all(member["state"] in up for view in views for member in view["members"])
--- a/lemonridge/lab/checkers/escrow.py
+++ b/lemonridge/lab/checkers/escrow.py
@@ -13,12 +13,12 @@
 from dataclasses import dataclass, replace
 
 from lemonridge.fleet.datagrams import Item, LoanGrant, LoanRecall, LoanRecallAck, LoanRelease, LoanRequest
-from lemonridge.fleet.quota_lending import (
+from lemonridge.fleet.quota_ledger import (
     LOAN_DURATION_US,
     WHOLE_PARTS,
     Budget,
+    BudgetKey,
     BudgetKind,
-    Key,
     LoanIn,
     LoanOut,
     QuotaLedger,
@@ -28,7 +28,7 @@
 STEP_US = LOAN_DURATION_US // 3
 START_US = 1_000 * STEP_US
 BROKERS = 3
-ALL_USE, TWO_USE = (int(BudgetKind.LIMIT), 1), (int(BudgetKind.LIMIT), 2)
+ALL_USE, TWO_USE = BudgetKey(int(BudgetKind.LIMIT), 1), BudgetKey(int(BudgetKind.LIMIT), 2)
 HOSTS = {ALL_USE: 3, TWO_USE: 2}
 USERS = {ALL_USE: (0, 1, 2), TWO_USE: (0, 1)}
 
@@ -47,7 +47,7 @@
     crashes: int = 1
     lags: int = 1  # clocks that lose the stated error
     recalls: int = 2  # questions of a fresh start
-    budgets: tuple[Key, ...] = (ALL_USE, TWO_USE)
+    budgets: tuple[BudgetKey, ...] = (ALL_USE, TWO_USE)
 
 
 STATED = (
@@ -85,9 +85,11 @@
 
 def ledger(number: int, incarnation: int, now_us: int) -> QuotaLedger:
     """The real one; a clock may lose as much as a step."""
-    return QuotaLedger(number, incarnation, incarnation * 100, STEP_US, now_us).among(
-        n for n in range(BROKERS) if n != number
-    )
+    return QuotaLedger(number, incarnation, incarnation * 100, STEP_US, now_us, _others(number))
+
+
+def _others(number: int) -> tuple[int, ...]:
+    return tuple(n for n in range(BROKERS) if n != number)
 
 
 def search(bounds: Bounds, make: Make = ledger, states_max: int = 5_000_000) -> Found[State]:
@@ -114,7 +116,7 @@
     """Each user has had a request."""
     for key in bounds.budgets:
         if made.me in USERS[key]:
-            made.own(key, WHOLE_PARTS // HOSTS[key], HOSTS[key], True, now_us)
+            made.open_budget(key, WHOLE_PARTS // HOSTS[key], HOSTS[key], True, now_us)
     return made
 
 
@@ -125,7 +127,7 @@
 def _wrong(state: State) -> str:
     for key, users in USERS.items():
         parts = [
-            state.ledgers[n].slice(key, _clock(state, n)).parts
+            state.ledgers[n].quota(key, _clock(state, n)).parts
             for n in users
             if key in state.ledgers[n].budgets
         ]
@@ -150,8 +152,8 @@
         yield from _asks(state, number, bounds)
         yield from _recalls(state, number, bounds)
         for key in bounds.budgets:
-            pool = state.ledgers[number].budgets.get(key)
-            if pool is not None and pool.borrowed:
+            budget = state.ledgers[number].budgets.get(key)
+            if budget is not None and budget.loans_in:
                 made = clone(state.ledgers[number])
                 sent = [Message(number, to, made.incarnation, item) for to, item in made.return_loans(key)]
                 if len(state.flights) + len(sent) <= bounds.flights:
@@ -183,9 +185,9 @@
             if to == number:
                 continue
             made = clone(state.ledgers[number])
-            made.budgets[key].need = WHOLE_PARTS
-            want = made.ask(key, _clock(state, number))
-            made.budgets[key].need = 0  # nobody keeps more than its floor: the most is lent
+            made.budgets[key].demand = WHOLE_PARTS
+            want = made.make_request(key, _clock(state, number))
+            made.budgets[key].demand = 0  # nobody keeps more than its floor: the most is lent
             sent = Message(number, to, made.incarnation, want)
             yield (
                 f"{number} asks {to} for budget {key[1]}",
@@ -219,21 +221,21 @@
 def _deliver(state: State, message: Message, rest: tuple[Message, ...], bounds: Bounds) -> State | None:
     made, now_us = clone(state.ledgers[message.to]), _clock(state, message.to)
     if isinstance(message.item, LoanRequest):
-        grant = made.asked(message.source, message.incarnation, message.item, now_us)
+        grant = made.on_request(message.source, message.incarnation, message.item, now_us)
         if len(rest) >= bounds.flights:
             return None
         rest = _sorted((*rest, Message(message.to, message.source, made.incarnation, grant)))
     elif isinstance(message.item, LoanGrant):
         made.on_grant(message.source, message.incarnation, message.item, now_us)
     elif isinstance(message.item, LoanRecall):
-        said = made.recalled(message.source, message.incarnation)
+        said = made.on_recall(message.source, message.incarnation)
         if len(rest) >= bounds.flights:
             return None
         rest = _sorted((*rest, Message(message.to, message.source, made.incarnation, said)))
     elif isinstance(message.item, LoanRecallAck):
-        made.cleared(message.source, message.item, now_us)
+        made.on_recall_ack(message.source, message.item, now_us)
     elif isinstance(message.item, LoanRelease):
-        made.returned(message.source, message.incarnation, message.item)
+        made.on_release(message.source, message.incarnation, message.item)
     return replace(state, ledgers=_with(state, message.to, made), flights=rest)
 
 
@@ -251,21 +253,21 @@
     """A copy that shares nothing that changes; of the same class, faults included."""
     other = object.__new__(type(made))
     other.__dict__.update(made.__dict__)
-    other.active, other._recalled, other._clear = set(), dict(made._recalled), set(made._clear)
+    other.active, other._recalled, other._recall_acks = set(), dict(made._recalled), set(made._recall_acks)
     other.budgets = {
         key: Budget(
-            pool.base,
-            pool.hosts,
-            pool.holds,
-            pool.need,
-            {who: list(rows) for who, rows in pool.lent.items()},
-            dict(pool.borrowed),
-            set(pool.users),
-            asks=dict(pool.asks),
-            released=pool.released,
-            asked_us=pool.asked_us,
+            budget.owned,
+            budget.hosts,
+            budget.used_here,
+            budget.demand,
+            {who: list(rows) for who, rows in budget.loans_out.items()},
+            dict(budget.loans_in),
+            set(budget.users),
+            open_requests=dict(budget.open_requests),
+            released_up_to=budget.released_up_to,
+            requested_us=budget.requested_us,
         )
-        for key, pool in made.budgets.items()
+        for key, budget in made.budgets.items()
     }
     return other
 
@@ -288,48 +290,52 @@
     fresh = max(0, made.floors_until_us - now_us)
     return (
         made.incarnation,
-        made._ask,
+        made._last_request_id,
         fresh,
         tuple(sorted(made._recalled.items())),
-        tuple(sorted(made._clear)) if fresh else (),
+        tuple(sorted(made._recall_acks)) if fresh else (),
         tuple(
             (
                 key,
-                pool.base,
-                pool.holds,
-                pool.released,
-                tuple(sorted(pool.users)),
+                budget.owned,
+                budget.used_here,
+                budget.released_up_to,
+                tuple(sorted(budget.users)),
                 tuple(
                     sorted(
                         (who, _loan(row, now_us))
-                        for who, rows in pool.lent.items()
+                        for who, rows in budget.loans_out.items()
                         for row in rows
                         if row.end_us > now_us
                     )
                 ),
                 tuple(
                     sorted(
-                        (who, one.ask, one.parts, one.end_us - now_us)
-                        for who, one in pool.borrowed.items()
+                        (who, one.request_id, one.parts, one.end_us - now_us)
+                        for who, one in budget.loans_in.items()
                         if one.end_us > now_us
                     )
                 ),
-                tuple((ask, now_us - at) for ask, at in pool.asks.items() if now_us - at < LOAN_DURATION_US),
+                tuple(
+                    (ask, now_us - at)
+                    for ask, at in budget.open_requests.items()
+                    if now_us - at < LOAN_DURATION_US
+                ),
             )
-            for key, pool in sorted(made.budgets.items())
+            for key, budget in sorted(made.budgets.items())
         ),
     )
 
 
 def _loan(row: LoanOut, now_us: int) -> tuple[int, int, int, int]:
-    return row.incarnation, row.ask, row.parts, row.end_us - now_us
+    return row.incarnation, row.request_id, row.parts, row.end_us - now_us
 
 
 class GrantNotDeductedMutant(QuotaLedger):
     """Planted: what is lent stays in the lender's own slice."""
 
-    def mine(self, pool: Budget, now_us: int) -> int:
-        return pool.base
+    def own_left(self, budget: Budget, now_us: int) -> int:
+        return budget.owned
 
 
 class GrantNeverExpiresMutant(QuotaLedger):
@@ -337,10 +343,10 @@
 
     def on_grant(self, peer: int, incarnation: int, told: LoanGrant, now_us: int) -> bool:
         done = super().on_grant(peer, incarnation, told, now_us)
-        for pool in self.budgets.values():
-            pool.borrowed = {
-                who: LoanIn(one.ask, one.parts, one.end_us + 10 * LOAN_DURATION_US)
-                for who, one in pool.borrowed.items()
+        for budget in self.budgets.values():
+            budget.loans_in = {
+                who: LoanIn(one.request_id, one.parts, one.end_us + 10 * LOAN_DURATION_US)
+                for who, one in budget.loans_in.items()
             }
         return done
 
@@ -348,36 +354,44 @@
 class NoClockErrorMarginMutant(QuotaLedger):
     """Planted: the lender counts on equal clocks."""
 
-    def asked(self, peer: int, incarnation: int, told: LoanRequest, now_us: int) -> LoanGrant:
+    def on_request(self, peer: int, incarnation: int, told: LoanRequest, now_us: int) -> LoanGrant:
         self.error_us = 0
-        return super().asked(peer, incarnation, told, now_us)
+        return super().on_request(peer, incarnation, told, now_us)
 
 
 class ExpiryFromReceiptMutant(QuotaLedger):
     """Planted: the borrower counts a loan from when the answer came."""
 
     def on_grant(self, peer: int, incarnation: int, told: LoanGrant, now_us: int) -> bool:
-        pool = self.budgets.get((told.kind, told.key))
-        if pool is not None and told.ask in pool.asks:
-            pool.asks[told.ask] = now_us
+        budget = self.budgets.get(BudgetKey(told.kind, told.key))
+        if budget is not None and told.request_id in budget.open_requests:
+            budget.open_requests[told.request_id] = now_us
         return super().on_grant(peer, incarnation, told, now_us)
 
 
 class RestartForgetsGrantsMutant(QuotaLedger):
     """Planted: a fresh start believes that it has lent nothing."""
 
-    def __init__(self, me: int, incarnation: int, first_ask: int, error_us: int, now_us: int) -> None:
-        super().__init__(me, incarnation, first_ask, error_us, now_us)
+    def __init__(
+        self,
+        me: int,
+        incarnation: int,
+        first_request_id: int,
+        error_us: int,
+        now_us: int,
+        others: Iterable[int] = (),
+    ) -> None:
+        super().__init__(me, incarnation, first_request_id, error_us, now_us, others)
         self.floors_until_us = now_us
 
 
 class GrantAfterReleaseMutant(QuotaLedger):
     """Planted: an answer to a question is taken though its loan was given back."""
 
-    def return_loans(self, key: Key) -> list[tuple[int, Item]]:
-        asks = dict(self.budgets[key].asks)
+    def return_loans(self, key: BudgetKey) -> list[tuple[int, Item]]:
+        asks = dict(self.budgets[key].open_requests)
         sent = super().return_loans(key)
-        self.budgets[key].asks, self.budgets[key].released = asks, 0
+        self.budgets[key].open_requests, self.budgets[key].released_up_to = asks, 0
         return sent
 
 
@@ -391,16 +405,16 @@
 class SingleClearanceMutant(QuotaLedger):
     """Planted: a fresh start has all of its own once one other has answered."""
 
-    def cleared(self, peer: int, told: LoanRecallAck, now_us: int) -> bool:
-        self._clear.update(self._others)
-        return super().cleared(peer, told, now_us)
+    def on_recall_ack(self, peer: int, told: LoanRecallAck, now_us: int) -> bool:
+        self._recall_acks.update(self._others)
+        return super().on_recall_ack(peer, told, now_us)
 
 
 class UnusedGrantsCountedMutant(QuotaLedger):
     """Planted: loans of brokers that do not use the budget count like those of users."""
 
-    def extra(self, key: Key, pool: Budget, now_us: int) -> int:
-        return sum(one.parts for one in pool.borrowed.values() if one.end_us > now_us)
+    def borrowed_parts(self, key: BudgetKey, budget: Budget, now_us: int) -> int:
+        return sum(one.parts for one in budget.loans_in.values() if one.end_us > now_us)
 
 
 MUTANTS: tuple[type[QuotaLedger], ...] = (
@@ -419,5 +433,5 @@
 def with_mutant(kind: type[QuotaLedger]) -> Make:
     """Ledgers with a fault, for `search`."""
     return lambda number, incarnation, now_us: kind(
-        number, incarnation, incarnation * 100, STEP_US, now_us
-    ).among(n for n in range(BROKERS) if n != number)
+        number, incarnation, incarnation * 100, STEP_US, now_us, _others(number)
+    )
--- a/lemonridge/lab/fleet_mutants.py
+++ b/lemonridge/lab/fleet_mutants.py
@@ -6,7 +6,7 @@
 from __future__ import annotations
 
 import time
-from collections.abc import Callable
+from collections.abc import Callable, Iterable
 
 from lemonridge.scheduling.settings import Settings
 
@@ -19,44 +19,50 @@
 
 
 def _lends_unlowered() -> None:
-    from lemonridge.fleet.quota_lending import Budget, QuotaLedger
+    from lemonridge.fleet.quota_ledger import Budget, QuotaLedger
 
-    def mine(self: QuotaLedger, pool: Budget, now_us: int) -> int:
-        return pool.base
+    def own_left(self: QuotaLedger, budget: Budget, now_us: int) -> int:
+        return budget.owned
 
-    QuotaLedger.mine = mine  # type: ignore[method-assign]
+    QuotaLedger.own_left = own_left  # type: ignore[method-assign]
 
 
 def _keeps_for_ever() -> None:
-    from lemonridge.fleet import quota_lending
+    from lemonridge.fleet import quota_ledger
     from lemonridge.fleet.datagrams import LoanGrant
 
-    real = quota_lending.QuotaLedger.on_grant
+    real = quota_ledger.QuotaLedger.on_grant
 
-    def lent(
-        self: quota_lending.QuotaLedger, peer: int, incarnation: int, told: LoanGrant, now_us: int
+    def on_grant(
+        self: quota_ledger.QuotaLedger, lender: int, incarnation: int, grant: LoanGrant, now_us: int
     ) -> bool:
-        done = real(self, peer, incarnation, told, now_us)
-        for pool in self.budgets.values():
-            for one in pool.borrowed.values():
-                one.end_us = now_us + 3_600_000_000
-        return done
+        changed = real(self, lender, incarnation, grant, now_us)
+        for budget in self.budgets.values():
+            for loan in budget.loans_in.values():
+                loan.end_us = now_us + 3_600_000_000
+        return changed
 
-    quota_lending.QuotaLedger.on_grant = lent  # type: ignore[method-assign]
+    quota_ledger.QuotaLedger.on_grant = on_grant  # type: ignore[method-assign]
 
 
 def _forgets_its_loans() -> None:
-    from lemonridge.fleet import quota_lending
+    from lemonridge.fleet import quota_ledger
 
-    real = quota_lending.QuotaLedger.__init__
+    real = quota_ledger.QuotaLedger.__init__
 
     def begin(
-        self: quota_lending.QuotaLedger, me: int, incarnation: int, first_ask: int, error_us: int, now_us: int
+        self: quota_ledger.QuotaLedger,
+        me: int,
+        incarnation: int,
+        first_request_id: int,
+        error_us: int,
+        now_us: int,
+        others: Iterable[int] = (),
     ) -> None:
-        real(self, me, incarnation, first_ask, error_us, now_us)
+        real(self, me, incarnation, first_request_id, error_us, now_us, others)
         self.floors_until_us = now_us
 
-    quota_lending.QuotaLedger.__init__ = begin  # type: ignore[method-assign]
+    quota_ledger.QuotaLedger.__init__ = begin  # type: ignore[method-assign]
 
 
 def _spends_further() -> None:
@@ -81,18 +87,18 @@
 
 def _liar() -> None:
     """Says of every endpoint that it cannot be reached, all the time."""
-    from lemonridge.fleet import fleet_member, health_gossip
+    from lemonridge.fleet import gossip, health_gossip
 
-    real = fleet_member.FleetMember.ended
+    real = gossip.Gossip.record_outcome
 
-    def ended(
-        self: fleet_member.FleetMember, endpoint: int, seen: health_gossip.ObservedOutcome, now_us: int
+    def record_outcome(
+        self: gossip.Gossip, endpoint_key: int, outcome: health_gossip.ObservedOutcome, now_us: int
     ) -> bool:
-        real(self, endpoint, health_gossip.ObservedOutcome.CONNECT_FAILED, now_us)
-        self._told_us = now_us - fleet_member.REPORT_INTERVAL_US
+        real(self, endpoint_key, health_gossip.ObservedOutcome.CONNECT_FAILED, now_us)
+        self.reported_us = now_us - gossip.REPORT_INTERVAL_US
         return False
 
-    fleet_member.FleetMember.ended = ended  # type: ignore[method-assign]
+    gossip.Gossip.record_outcome = record_outcome  # type: ignore[method-assign]
 
 
 def _believes_one() -> None:
--- a/lemonridge/lab/measure/membership.py
+++ b/lemonridge/lab/measure/membership.py
@@ -13,18 +13,13 @@
 from statistics import median
 from typing import Protocol, TypeAlias
 
+from lemonridge.fleet.actions import FleetAction, SendDatagram, SetTimer
 from lemonridge.fleet.datagrams import HEADER_BYTES, MemberState
-from lemonridge.fleet.fleet_member import (
-    DatagramReceived,
-    FleetAction,
-    FleetMember,
-    MemberSettings,
-    SendDatagram,
-    SetTimer,
-    TimerFired,
-)
+from lemonridge.fleet.events import DatagramReceived, TimerFired
+from lemonridge.fleet.fleet_member import FleetMember
 from lemonridge.fleet.member_list import MemberList
 from lemonridge.fleet.membership import PROBE_PERIOD_US
+from lemonridge.fleet.settings import MemberSettings
 
 START_US = 1_800_000_000_000_000
 DELAY_MS = (1.4, 35.0)  # one way, as the site's messages take
@@ -56,7 +51,11 @@
     def start(self, now_us: int) -> list[FleetAction]:
         seed = self._seed * 1009 + self._member_list.me
         self.fleet = FleetMember(
-            self._member_list, now_us // 1000 + self._life, seed, now_us, MemberSettings(bytes_s=1e6)
+            self._member_list,
+            now_us // 1000 + self._life,
+            seed,
+            now_us,
+            MemberSettings(send_budget_bytes_s=1e6),
         )
         return self.fleet.handle(now_us, ())
 
@@ -68,7 +67,7 @@
 
     def dead(self) -> set[int]:
         return {
-            n for n in self._member_list.others if self.fleet.members.members[n].state is MemberState.DEAD
+            n for n in self._member_list.others if self.fleet.membership.members[n].state is MemberState.DEAD
         }
 
 
--- a/lemonridge/lab/model/world.py
+++ b/lemonridge/lab/model/world.py
@@ -16,7 +16,7 @@
 
 import simpy
 
-from lemonridge.fleet.fleet_member import SendDatagram
+from lemonridge.fleet.actions import SendDatagram
 from lemonridge.fleet.member_list import MemberList
 from lemonridge.fleet.scheduler_bridge import SchedulerBridge, decide
 from lemonridge.lab.model.baselines import make
--- a/lemonridge/net/peer_transport.py
+++ b/lemonridge/net/peer_transport.py
@@ -1,7 +1,7 @@
-"""The other brokers of the fleet: datagrams in and out, and the machine that decides on them, hosted.
+"""The other brokers of the fleet: hosts a fleet member on a UDP socket.
 
-The machine sees what the decisions see, as an observer of the decider; what it has for them goes to them as
-events of the same turn.
+The member sees what the scheduler sees, as an observer of the decision host. What it has for the scheduler is
+delivered as events of the same turn of the event loop, before its datagrams are sent.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 from lemonridge.core.counters import Counters
 from lemonridge.core.decision_host import DecisionHost
 from lemonridge.core.model import Request
-from lemonridge.fleet.datagrams import DatagramSigner, Item
+from lemonridge.fleet.datagrams import TAG_BYTES, Item
 from lemonridge.fleet.member_list import MemberList
 from lemonridge.fleet.scheduler_bridge import SchedulerBridge
 from lemonridge.fleet.status_report import report
@@ -29,189 +29,208 @@
 
 log = logging.getLogger(__name__)
 
-AGAIN_S = 0.5  # between tries to have the address: the process before this one may still hold it
+BIND_RETRY_S = 0.5  # the previous process of this broker may still hold the address
 
 
 class KeyedDatagramSigner:
-    """The tag of a datagram by a secret: BLAKE2s (RFC 7693), keyed."""
+    """Tags datagrams by a secret: keyed BLAKE2s (RFC 7693)."""
 
     def __init__(self, secret: bytes) -> None:
         import hashlib  # both load OpenSSL, which only an operator's file may
         import hmac
 
-        self._made, self._same = hashlib.blake2s, hmac.compare_digest
+        self._blake2s, self._equal = hashlib.blake2s, hmac.compare_digest
         self._key = hashlib.blake2s(secret).digest()
 
-    def tag(self, data: bytes) -> bytes:
-        return self._made(data, digest_size=8, key=self._key).digest()
+    def sign(self, data: bytes) -> bytes:
+        """The tag of some bytes."""
+        return self._blake2s(data, digest_size=TAG_BYTES, key=self._key).digest()
 
-    def holds(self, data: bytes, tag: bytes) -> bool:
-        return self._same(self.tag(data), tag)
+    def verify(self, data: bytes, tag: bytes) -> bool:
+        """Whether `tag` is the tag of `data`, compared in constant time."""
+        return self._equal(self.sign(data), tag)
 
 
 class RolloutItemHandler(Protocol):
-    """Whom what is said of policies is passed on to."""
+    """The policy rollout's host, to which its items are delivered."""
 
-    def heard(self, who: int, incarnation: int, item: Item) -> None: ...
+    def heard(self, who: int, incarnation: int, item: Item) -> None:
+        """An item arrived from member `who`'s incarnation."""
 
 
 class PeerTransport(asyncio.DatagramProtocol):
-    """This broker among its peers."""
+    """This broker among its peers.
+
+    Args:
+        config: the members' names and addresses, and which one this is.
+        decision_host: observed; it is given the member's events.
+        clock: of the process.
+        counters: of the process; the member's are added under `fleet.`.
+        seed: of the member's random draws.
+        settings: the scheduler's.
+    """
 
     def __init__(
         self,
-        plan: FleetConfig,
-        decider: DecisionHost,
+        config: FleetConfig,
+        decision_host: DecisionHost,
         clock: Clock,
         counters: Counters,
         seed: int,
         settings: Settings,
     ) -> None:
-        self.plan, self._decider, self._clock, self._counters = plan, decider, clock, counters
+        self.config, self._decision_host = config, decision_host
+        self._clock, self._counters = clock, counters
         self._loop = asyncio.get_running_loop()
         self._transport: asyncio.DatagramTransport | None = None
-        self._sources = {(one.host, one.port): number for number, one in enumerate(plan.addresses)}
+        self._members = {(one.host, one.port): number for number, one in enumerate(config.addresses)}
         self._timer: asyncio.TimerHandle | None = None
-        signer: DatagramSigner | None = KeyedDatagramSigner(plan.secret) if plan.secret else None
-        # Wall time, which goes on over restarts: a later start of a name has a higher one.
+        # Wall time goes on over restarts: a later start of a name has a higher incarnation.
         self._bridge = SchedulerBridge(
-            MemberList(plan.names, plan.me),
+            MemberList(config.names, config.me),
             time.time_ns() // 1_000_000,
             seed,
             clock.now_us(),
             settings,
-            plan.bytes_s,
-            plan.error_us,
-            signer,
+            config.bytes_s,
+            config.error_us,
+            KeyedDatagramSigner(config.secret) if config.secret else None,
         )
         self.coordinator: RolloutItemHandler | None = None
         self._flush()
-        decider.observer = self
+        decision_host.observer = self
 
     # Datagrams
 
     async def start(self) -> None:
-        """Have the address; where another process still has it, try on."""
+        """Bind the address; while another process holds it, try again every BIND_RETRY_S.
+
+        Raises:
+            OSError: the address cannot be bound for another reason.
+        """
+        listen = self.config.listen
         while self._transport is None:
             try:
                 await self._loop.create_datagram_endpoint(
-                    lambda: self,
-                    local_addr=(self.plan.listen.host, self.plan.listen.port),
-                    family=socket.AF_INET,
+                    lambda: self, local_addr=(listen.host, listen.port), family=socket.AF_INET
                 )
             except OSError as error:
                 if error.errno != errno.EADDRINUSE:
                     raise
-                await asyncio.sleep(AGAIN_S)
+                await asyncio.sleep(BIND_RETRY_S)
         log.info(
-            "peers at",
+            "fleet transport listening",
             extra={
-                "address": str(self.plan.listen),
-                "brokers": len(self.plan.names),
-                "me": self.plan.names[self.plan.me],
+                "address": str(listen),
+                "members": len(self.config.names),
+                "member": self.config.names[self.config.me],
+                "incarnation": self.incarnation,
             },
         )
 
     def connection_made(self, transport: Any) -> None:
+        """The socket is bound."""
         self._transport = transport
 
     def datagram_received(self, data: bytes, addr: tuple[str | Any, int]) -> None:
-        self._bridge.received(self._sources.get((addr[0], addr[1])), data, self._clock.now_us())
+        """A datagram arrived."""
+        self._bridge.on_datagram(self._members.get((addr[0], addr[1])), data, self._clock.now_us())
         self._flush()
 
     def error_received(self, exc: Exception) -> None:
-        self._counters["fleet.send_errors"] += 1  # a peer that is gone, as the system may tell of it
+        """The system reports an earlier datagram as not delivered: a peer is gone."""
+        self._counters["fleet.send_errors"] += 1
 
     def stop(self) -> None:
-        """Give back what is lent, and go."""
+        """Return what is borrowed and close the socket."""
         if self._transport is not None:
-            self._bridge.leave(self._clock.now_us())
+            self._bridge.shut_down(self._clock.now_us())
             self._flush()
             self._transport.close()
         if self._timer is not None:
             self._timer.cancel()
-        self._decider.observer = None
+        self._decision_host.observer = None
         self.count()
 
     def _flush(self) -> None:
-        """Take what the machine has: first what the decisions must go by, then what leaves."""
+        """Take what the bridge holds: first the scheduler's events, then the datagrams."""
         bridge = self._bridge
         events, bridge.events = bridge.events, []
         for event in events:
-            self._decider.deliver(event)
-        tells, bridge.tells = bridge.tells, []
-        for one in tells:
+            self._decision_host.deliver(event)
+        datagrams, bridge.datagrams = bridge.datagrams, []
+        for datagram in datagrams:
             if self._transport is not None:
-                peer = self.plan.addresses[one.to]
-                self._transport.sendto(one.data, (peer.host, peer.port))
+                peer = self.config.addresses[datagram.to]
+                self._transport.sendto(datagram.data, (peer.host, peer.port))
         if self._timer is not None:
             self._timer.cancel()
-        self._timer = self._loop.call_at(self._clock.loop_time(bridge.next_timer_us), self._woke)
-        passed, bridge.passed = bridge.passed, []
+        self._timer = self._loop.call_at(self._clock.loop_time(bridge.next_timer_us), self._on_timer)
+        rollout_items, bridge.rollout_items = bridge.rollout_items, []
         if self.coordinator is not None:
-            for told in passed:
-                self.coordinator.heard(told.source, told.incarnation, told.item)
+            for one in rollout_items:
+                self.coordinator.heard(one.source, one.incarnation, one.item)
 
     def post(self, items: Iterable[tuple[int, Item]]) -> None:
-        """Send what the machine that changes policies has to say."""
-        self._bridge.post(items, self._clock.now_us())
+        """Send items of the policy rollout, by receiver."""
+        self._bridge.send_rollout_items(items, self._clock.now_us())
         self._flush()
 
     @property
     def incarnation(self) -> int:
         """This start's number: a later start has a higher one."""
-        return self._bridge.fleet.members.incarnation
+        return self._bridge.fleet.membership.incarnation
 
-    def _woke(self) -> None:
-        self._bridge.woke(self._clock.now_us())
+    def _on_timer(self) -> None:
+        self._bridge.on_timer(self._clock.now_us())
         self._flush()
 
-    # What the decider shows
+    # What the decision host shows
 
     def on_request_arrived(self, event: RequestArrived) -> None:
-        """A request is about to be told to the decisions."""
-        self._bridge.arrived(event, self._clock.now_us())
+        """A request is about to be given to the scheduler."""
+        self._bridge.on_request_arrived(event, self._clock.now_us())
         if self._bridge.events:
             self._flush()
 
-    def on_endpoints_changed(self, entries: Iterable[Endpoint]) -> None:
-        """The node list, or a part of it."""
-        self._bridge.listed(entries)
+    def on_endpoints_changed(self, endpoints: Iterable[Endpoint]) -> None:
+        """Endpoints are about to be given to the scheduler."""
+        self._bridge.on_endpoints_changed(endpoints)
 
     def on_attempt_ended(self, event: AttemptEnded, request: Request | None) -> None:
-        """An attempt ended."""
+        """An attempt has ended; `request` is None where the request was closed before."""
         volume, units = (request.volume, request.units) if request is not None else (0, 0.0)
-        self._bridge.ended(event, self._clock.now_us(), volume, units)
-        if self._bridge.events or self._bridge.tells:
+        self._bridge.on_attempt_ended(event, self._clock.now_us(), volume, units)
+        if self._bridge.events or self._bridge.datagrams:
             self._flush()
 
-    def on_attempt_sent(self, endpoint: str, request: Request) -> None:
-        """An attempt was decided on."""
-        self._bridge.sent(endpoint, request.units)
+    def on_attempt_sent(self, endpoint_id: str, request: Request) -> None:
+        """The scheduler sends an attempt to an endpoint."""
+        self._bridge.on_attempt_sent(endpoint_id, request.units)
 
     def on_slow_start_began(self, action: SlowStartBegan) -> None:
         """The scheduler takes an endpoint for one that warms up."""
-        self._bridge.slow_start_began(action, self._clock.now_us())
+        self._bridge.on_slow_start_began(action, self._clock.now_us())
         self._flush()
 
     def on_scheduler_restarted(self) -> None:
-        """The decisions began anew, with even slices."""
-        self._bridge.renewed(self._clock.now_us())
+        """A new scheduler is in place of one that failed; it begins with even quotas."""
+        self._bridge.on_scheduler_restarted(self._clock.now_us())
         self._flush()
 
     def configure(self, settings: Settings) -> None:
-        """New settings, for what comes from now on."""
+        """Use new settings for what happens from now on."""
         self._bridge.settings = settings
 
     # For operators
 
     def report(self) -> dict[str, Any]:
-        """What operators are shown: see `fleet/report.py`."""
+        """What operators are shown: see `fleet/status_report.py`."""
         return report(self._bridge.fleet, self._clock.now_us(), self._bridge.endpoints)
 
     def count(self) -> None:
-        """Bring the counters up to date."""
+        """Bring the process's counters up to date."""
         for name, value in self._bridge.fleet.counts.items():
             self._counters[f"fleet.{name}"] = value
-        for fault, value in self._bridge.fleet.faults.items():
+        for fault, value in self._bridge.fleet.receiver.faults.items():
             self._counters[f"fleet.not_taken.{fault.value}"] = value
--- a/tests/fleet/test_fleet_member.py
+++ b/tests/fleet/test_fleet_member.py
@@ -8,11 +8,16 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
+from lemonridge.fleet.actions import (
+    PeerHealthChanged,
+    PeerUsageReceived,
+    QuotaUpdated,
+    SendDatagram,
+    SetTimer,
+)
 from lemonridge.fleet.datagrams import (
     DATAGRAM_MAX_BYTES,
     ITEM_TYPES,
-    DatagramError,
-    DatagramFault,
     DatagramHeader,
     HealthReport,
     LoanGrant,
@@ -24,19 +29,9 @@
     decode,
     encode,
 )
-from lemonridge.fleet.fleet_member import (
-    DatagramReceived,
-    FleetMember,
-    MemberSettings,
-    PeerHealthChanged,
-    PeerUsageReceived,
-    QuotaUpdated,
-    SendDatagram,
-    SetTimer,
-    ShutdownBegan,
-    SlowStartBegan,
-    TimerFired,
-)
+from lemonridge.fleet.errors import DatagramError, DatagramFault
+from lemonridge.fleet.events import DatagramReceived, ShutdownBegan, SlowStartBegan, TimerFired
+from lemonridge.fleet.fleet_member import FleetMember
 from lemonridge.fleet.health_gossip import (
     REPORT_MAX_AGE_US,
     LocalObservations,
@@ -45,12 +40,14 @@
     ReportedCondition,
 )
 from lemonridge.fleet.member_list import MemberList, key_of
-from lemonridge.fleet.quota_lending import LOAN_DURATION_US, WHOLE_PARTS, BudgetKind
-from lemonridge.fleet.usage_totals import GROWTH_MAX_AGE_US, UsageKind, UsageTotals
+from lemonridge.fleet.quota_ledger import LOAN_DURATION_US, WHOLE_PARTS, BudgetKey, BudgetKind
+from lemonridge.fleet.settings import MemberSettings
+from lemonridge.fleet.usage_totals import GROWTH_MAX_AGE_US, CounterKey, UsageKind, UsageTotals
 from lemonridge.lab.measure.membership import row
 from lemonridge.net.peer_transport import KeyedDatagramSigner
 
 NOW = 1_800_000_000_000_000
+SERVED = CounterKey(int(UsageKind.SERVED), 9)
 HEAD = DatagramHeader(1, MemberState.UP, NOW // 1000, 3, 7, 99)
 
 
@@ -148,14 +145,14 @@
                 self.act(action.to, told)
 
     def want(self, n: int, volume: int, hosts: int = 3) -> None:
-        told = self.fleets[n].taken(volume, 20.0, hosts, 4.0, self.now)
+        told = self.fleets[n].record_limit_demand(volume, 20.0, hosts, 4.0, self.now)
         if told is not None:
             self.slices[n, told.kind, told.key] = told
 
     def part(self, n: int, volume: int) -> float:
-        told = self.slices[n, BudgetKind.LIMIT, volume].slice
+        told = self.slices[n, BudgetKind.LIMIT, volume].quota
         return (
-            told.parts if self.now < told.until_us or told.parts == told.after else told.after
+            told.parts if self.now < told.until_us or told.parts == told.parts_after else told.parts_after
         ) / WHOLE_PARTS
 
 
@@ -183,7 +180,7 @@
         self.assertTrue(all(answer <= question for question, answer in net.sizes))
 
     def test_what_is_sent_stays_within_its_budget_of_bytes(self) -> None:
-        net = Net(8, bytes_s=1000.0)
+        net = Net(8, send_budget_bytes_s=1000.0)
         for turn in range(1000):
             net.want(0, turn % 50)
             net.step()
@@ -197,7 +194,7 @@
         fleet = net.fleets[0]
         data = encode(
             DatagramHeader(
-                1, MemberState.UP, net.fleets[1].members.incarnation, 0, 10**6, net.now // 1000 % 2**32
+                1, MemberState.UP, net.fleets[1].membership.incarnation, 0, 10**6, net.now // 1000 % 2**32
             ),
             [Ping(1, 0)],
             fleet.member_list.fingerprint,
@@ -209,42 +206,45 @@
             (1, 0, DatagramFault.REPLAYED),
             (1, 6_000_000, DatagramFault.OLD),
         ):
-            before = dict(fleet.faults)
+            before = dict(fleet.receiver.faults)
             fleet.handle(net.now + at, (DatagramReceived(source, data),))
-            grown = {name for name, n in fleet.faults.items() if n != before.get(name, 0)}
+            grown = {name for name, n in fleet.receiver.faults.items() if n != before.get(name, 0)}
             self.assertEqual(grown, {fault} - {None})
 
     def test_more_datagrams_than_are_read_in_a_second_are_counted_and_left(self) -> None:
         fleet = Net(2).fleets[0]
         for _ in range(600):
             fleet.handle(NOW, (DatagramReceived(1, b""),))
-        self.assertEqual((fleet.faults[DatagramFault.SHORT], fleet.faults[DatagramFault.OVERRUN]), (500, 100))
+        self.assertEqual(
+            (fleet.receiver.faults[DatagramFault.SHORT], fleet.receiver.faults[DatagramFault.OVERRUN]),
+            (500, 100),
+        )
 
     def test_a_node_that_several_found_down_is_told_and_one_lie_is_a_lone_voice(self) -> None:
         net = Net(4)
         net.run(1.0)
         endpoint = key_of("s-1")
-        self.assertTrue(net.fleets[1].ended(endpoint, ObservedOutcome.CONNECT_FAILED, net.now))
+        self.assertTrue(net.fleets[1].record_outcome(endpoint, ObservedOutcome.CONNECT_FAILED, net.now))
         net.act(1, net.fleets[1].handle(net.now, (TimerFired(),)))
-        self.assertEqual({one.verdict.agreed for _, one in net.judged}, {False})
-        net.fleets[2].ended(endpoint, ObservedOutcome.CONNECT_FAILED, net.now)
+        self.assertEqual({one.summary.agreed for _, one in net.judged}, {False})
+        net.fleets[2].record_outcome(endpoint, ObservedOutcome.CONNECT_FAILED, net.now)
         net.act(2, net.fleets[2].handle(net.now, (TimerFired(),)))
-        self.assertEqual({n for n, one in net.judged if one.verdict.agreed}, {0, 3})
+        self.assertEqual({n for n, one in net.judged if one.summary.agreed}, {0, 3})
 
     def test_counts_reach_the_others_once_and_only_while_all_are_heard(self) -> None:
-        net = Net(3, counts=True)
+        net = Net(3, shares_usage=True)
         net.run(3.0)
         for _ in range(4):
-            net.fleets[0].served(9, 2.5)
+            net.fleets[0].record_served(9, 2.5)
             net.run(0.6)
         units = sum(one.units for n, one in net.served if n == 1 and one.volume == 9)
         self.assertEqual(units, 7.5)  # the first telling is where counting begins
         net.cut |= {(2, 1)}
         for _ in range(3):  # 1 hears 2 no more: of what that one served it knows nothing
-            net.fleets[0].served(9, 2.5)
+            net.fleets[0].record_served(9, 2.5)
             net.run(0.6)
         before = len(net.served)
-        net.fleets[0].served(9, 2.5)
+        net.fleets[0].record_served(9, 2.5)
         net.run(0.6)
         self.assertEqual([n for n, _ in net.served[before:]], [2])
 
@@ -254,11 +254,11 @@
         for n in range(3):
             net.act(n, net.fleets[n].handle(net.now, (slow_start_began(net, net.now),)))
         for _ in range(150):
-            net.fleets[0].asked(4, 3.0, net.now)
+            net.fleets[0].record_shard_demand(4, 3.0, net.now)
             net.step()
             held = [
-                net.slices[n, BudgetKind.COLD, 77].slice.parts
-                if (n, BudgetKind.COLD, 77) in net.slices
+                net.slices[n, BudgetKind.SLOW_START, 77].quota.parts
+                if (n, BudgetKind.SLOW_START, 77) in net.slices
                 else 10**7
                 for n in range(3)
             ]
@@ -271,18 +271,18 @@
         for n, late in ((0, 900_000), (1, 0), (2, -3_000_000)):  # seen itself, listed, and the start before
             net.act(n, net.fleets[n].handle(net.now, (slow_start_began(net, net.now + late, 2.0),)))
         for _ in range(60):
-            net.fleets[0].asked(4, 3.0, net.now)
-            net.fleets[2].asked(4, 3.0, net.now)
+            net.fleets[0].record_shard_demand(4, 3.0, net.now)
+            net.fleets[2].record_shard_demand(4, 3.0, net.now)
             net.step()
-        self.assertGreater(net.slices[0, BudgetKind.COLD, 77].slice.parts, 10**7)
+        self.assertGreater(net.slices[0, BudgetKind.SLOW_START, 77].quota.parts, 10**7)
         self.assertFalse(
-            net.fleets[2].ledger.budgets[int(BudgetKind.COLD), 77].borrowed
+            net.fleets[2].ledger.budgets[int(BudgetKind.SLOW_START), 77].loans_in
         )  # it holds the node warmer
         for _ in range(160):  # by then the spell is over
-            net.fleets[0].asked(4, 3.0, net.now)
+            net.fleets[0].record_shard_demand(4, 3.0, net.now)
             net.step()
         self.assertEqual(
-            {one.ledger.budgets[int(BudgetKind.COLD), 77].out(net.now) for one in net.fleets}, {0}
+            {one.ledger.budgets[int(BudgetKind.SLOW_START), 77].lent(net.now) for one in net.fleets}, {0}
         )
 
     def test_a_spell_that_begins_anew_uses_nothing_twice_of_what_is_lent_still(self) -> None:
@@ -291,15 +291,15 @@
         for n in range(3):
             net.act(n, net.fleets[n].handle(net.now, (slow_start_began(net, net.now),)))
         for _ in range(60):
-            net.fleets[0].asked(4, 3.0, net.now)
+            net.fleets[0].record_shard_demand(4, 3.0, net.now)
             net.step()
-        lent = net.fleets[1].ledger.budgets[int(BudgetKind.COLD), 77].out(net.now)
+        lent = net.fleets[1].ledger.budgets[int(BudgetKind.SLOW_START), 77].lent(net.now)
         self.assertEqual(lent, 5 * 10**6)
         net.act(1, net.fleets[1].handle(net.now, (slow_start_began(net, net.now + 1),)))
-        self.assertLessEqual(net.slices[1, BudgetKind.COLD, 77].slice.parts, 10**7 - lent)
+        self.assertLessEqual(net.slices[1, BudgetKind.SLOW_START, 77].quota.parts, 10**7 - lent)
         net.act(0, net.fleets[0].handle(net.now, (slow_start_began(net, net.now + 2),)))
         self.assertEqual(
-            net.slices[0, BudgetKind.COLD, 77].slice.parts, 10**7
+            net.slices[0, BudgetKind.SLOW_START, 77].quota.parts, 10**7
         )  # what it had borrowed goes back
 
     def test_in_a_large_fleet_the_users_of_a_limit_find_each_other_and_no_one_else_is_asked(self) -> None:
@@ -312,11 +312,13 @@
             net.step()
         self.assertEqual(net.fleets[3].ledger.budgets[int(BudgetKind.LIMIT), 5].users & set(users), {11, 27})
         self.assertGreater(net.part(3, 5), 0.9)
-        places = set(net.fleets[3].places((int(BudgetKind.LIMIT), 5)))
+        places = set(net.fleets[3].registry.rendezvous_members(BudgetKey(int(BudgetKind.LIMIT), 5)))
         knows = {n for n, one in enumerate(net.fleets) if (int(BudgetKind.LIMIT), 5) in one.ledger.budgets}
         self.assertLessEqual(len(knows - set(users) - places), 2 * 8)
         named = {
-            one.places((int(BudgetKind.LIMIT), 5)) for one in net.fleets if one.member_list.me not in places
+            one.registry.rendezvous_members(BudgetKey(int(BudgetKind.LIMIT), 5))
+            for one in net.fleets
+            if one.member_list.me not in places
         }
         self.assertEqual(len(named), 1)  # all but those themselves name the same two
 
@@ -327,8 +329,8 @@
             net.want(0, 5)
             net.step()
         net.act(0, net.fleets[0].handle(net.now, (ShutdownBegan(),)))
-        self.assertFalse(net.fleets[1].ledger.budgets[int(BudgetKind.LIMIT), 5].lent)
-        self.assertEqual(net.fleets[1].members.members[0].state, MemberState.LEAVING)
+        self.assertFalse(net.fleets[1].ledger.budgets[int(BudgetKind.LIMIT), 5].loans_out)
+        self.assertEqual(net.fleets[1].membership.members[0].state, MemberState.LEAVING)
 
 
 def slow_start_began(net: Net, born_us: int, lasts_s: float = 10.0) -> SlowStartBegan:
@@ -348,69 +350,79 @@
         net.run(3.0)
         net.down.add(0)
         net.run(8.0)
-        self.assertEqual({net.fleets[n].members.members[0].state for n in (1, 2, 3)}, {MemberState.DEAD})
+        self.assertEqual({net.fleets[n].membership.members[0].state for n in (1, 2, 3)}, {MemberState.DEAD})
         net.down.clear()
         net.run(6.0)
-        self.assertEqual({net.fleets[n].members.members[0].state for n in (1, 2, 3)}, {MemberState.UP})
-        self.assertGreater(net.fleets[0].members.accused, 0)
-        self.assertGreater(net.fleets[0].members.round, 1)
-        self.assertEqual(net.fleets[0].members.members[1].deaths, 0)  # it blamed no one for its own stop
+        self.assertEqual({net.fleets[n].membership.members[0].state for n in (1, 2, 3)}, {MemberState.UP})
+        self.assertGreater(net.fleets[0].membership.suspicions_of_self, 0)
+        self.assertGreater(net.fleets[0].membership.state_version, 1)
+        self.assertEqual(net.fleets[0].membership.members[1].deaths, 0)  # it blamed no one for its own stop
 
     def test_two_halves_hold_each_other_dead_and_find_each_other_again(self) -> None:
         net = Net(6)
         net.run(3.0)
         net.cut = {(a, b) for a in range(6) for b in range(6) if (a < 3) != (b < 3)}
         net.run(12.0)
-        self.assertEqual(net.fleets[0].members.members[5].state, MemberState.DEAD)
-        self.assertEqual(net.fleets[0].members.members[1].state, MemberState.UP)
+        self.assertEqual(net.fleets[0].membership.members[5].state, MemberState.DEAD)
+        self.assertEqual(net.fleets[0].membership.members[1].state, MemberState.UP)
         net.cut.clear()
         net.run(8.0)
         for n, fleet in enumerate(net.fleets):
-            self.assertEqual({fleet.members.members[o].state for o in range(6) if o != n}, {MemberState.UP})
+            self.assertEqual(
+                {fleet.membership.members[o].state for o in range(6) if o != n}, {MemberState.UP}
+            )
 
     def test_a_later_incarnation_under_its_name_is_found_by_the_older_one(self) -> None:
         net = Net(3)
-        net.fleets[0].members.fact(1, MembershipUpdate(0, NOW // 1000 + 10**6, 0, MemberState.UP), net.now)
-        self.assertTrue(net.fleets[0].members.superseded)
+        net.fleets[0].membership.on_update(
+            1, MembershipUpdate(0, NOW // 1000 + 10**6, 0, MemberState.UP), net.now
+        )
+        self.assertTrue(net.fleets[0].membership.superseded)
 
 
 class Told(unittest.TestCase):
     def test_old_words_and_own_words_decide_nothing(self) -> None:
         said = PeerHealthReports()
-        self.assertIsNone(said.told(1, 5, ReportedCondition.DOWN, 1, NOW - REPORT_MAX_AGE_US - 1, NOW))
-        self.assertIsNone(said.told(1, 5, 99, 1, NOW, NOW))
-        self.assertFalse(said.told(1, 5, ReportedCondition.DOWN, 9, NOW, NOW).agreed)  # type: ignore[union-attr]
-        self.assertIsNone(said.told(1, 5, ReportedCondition.DOWN, 9, NOW, NOW))  # the same report again
-        self.assertTrue(said.told(2, 5, ReportedCondition.SILENT, 1, NOW, NOW).agreed)  # type: ignore[union-attr]
-        self.assertIsNone(said.verdict(5, NOW + REPORT_MAX_AGE_US + 1))
+        self.assertIsNone(
+            said.record(1, 5, ReportedCondition.UNREACHABLE, 1, NOW - REPORT_MAX_AGE_US - 1, NOW)
+        )
+        self.assertIsNone(said.record(1, 5, 99, 1, NOW, NOW))
+        self.assertFalse(said.record(1, 5, ReportedCondition.UNREACHABLE, 9, NOW, NOW).agreed)  # type: ignore[union-attr]
+        self.assertIsNone(
+            said.record(1, 5, ReportedCondition.UNREACHABLE, 9, NOW, NOW)
+        )  # the same report again
+        self.assertTrue(said.record(2, 5, ReportedCondition.UNRESPONSIVE, 1, NOW, NOW).agreed)  # type: ignore[union-attr]
+        self.assertIsNone(said.summary(5, NOW + REPORT_MAX_AGE_US + 1))
 
     def test_evidence_is_what_was_seen_of_late(self) -> None:
         seen = LocalObservations()
         for _ in range(4):
-            seen.ended(5, ObservedOutcome.ERROR, NOW)
-        self.assertEqual([one.what for one in seen.observations(NOW)], [ReportedCondition.ERRORS])
+            seen.record(5, ObservedOutcome.ERROR, NOW)
+        self.assertEqual([one.condition for one in seen.reportable(NOW)], [ReportedCondition.ERRORS])
         for _ in range(4):
-            seen.ended(5, ObservedOutcome.GOOD, NOW)
-        self.assertEqual(seen.observations(NOW), [])
-        seen.ended(5, ObservedOutcome.CONNECT_FAILED, NOW)
-        seen.ended(5, ObservedOutcome.GOOD, NOW + 1_500_000)
-        self.assertEqual([one.what for one in seen.observations(NOW + 1_500_000)], [ReportedCondition.COLD])
-        self.assertEqual(seen.observations(NOW + 9_000_000), [])
+            seen.record(5, ObservedOutcome.GOOD, NOW)
+        self.assertEqual(seen.reportable(NOW), [])
+        seen.record(5, ObservedOutcome.CONNECT_FAILED, NOW)
+        seen.record(5, ObservedOutcome.GOOD, NOW + 1_500_000)
+        self.assertEqual(
+            [one.condition for one in seen.reportable(NOW + 1_500_000)], [ReportedCondition.RESTARTED]
+        )
+        self.assertEqual(seen.reportable(NOW + 9_000_000), [])
 
     @settings(max_examples=100, deadline=None, derandomize=True)
     @given(st.integers(0, 2**32))
     def test_totals_twice_late_or_of_a_life_before_add_nothing(self, seed: int) -> None:
         random, heard = Random(seed), UsageTotals()
         told = [(incarnation, total) for incarnation in (1, 2) for total in range(0, 50_000, 1000)]
-        heard.heard(1, 1, UsageKind.SERVED, 9, 0, NOW)
+        heard.on_total(1, 1, SERVED, 0, NOW)
         came = 0.0
         for incarnation, total in told:
             for _ in range(random.randrange(1, 3)):
                 back = random.choice(told[: told.index((incarnation, total)) + 1])
-                came += heard.heard(1, *back[:1], UsageKind.SERVED, 9, back[1], NOW)
-            came += heard.heard(1, incarnation, UsageKind.SERVED, 9, total, NOW)
+                came += heard.on_total(1, back[0], SERVED, back[1], NOW)
+            came += heard.on_total(1, incarnation, SERVED, total, NOW)
         self.assertEqual(came, 49 + 49)
-        self.assertEqual(heard.heard(1, 2, UsageKind.SERVED, 9, 99_000, NOW + GROWTH_MAX_AGE_US + 1), 0.0)
+        self.assertEqual(heard.on_total(1, 2, SERVED, 99_000, NOW + GROWTH_MAX_AGE_US + 1), 0.0)
 
 
 class Grants(unittest.TestCase):
@@ -419,13 +431,13 @@
         net.run(2.0)
         net.want(0, 5)
         ledger = net.fleets[0].ledger
-        key = (int(BudgetKind.LIMIT), 5)
-        before = ledger.slice(key, net.now)
+        key = BudgetKey(int(BudgetKind.LIMIT), 5)
+        before = ledger.quota(key, net.now)
         self.assertFalse(ledger.on_grant(1, NOW, LoanGrant(*key, 12345, WHOLE_PARTS, 1), net.now))
-        self.assertEqual(ledger.slice(key, net.now), before)
-        want = ledger.ask(key, net.now)
+        self.assertEqual(ledger.quota(key, net.now), before)
+        want = ledger.make_request(key, net.now)
         self.assertFalse(
-            ledger.on_grant(1, NOW, LoanGrant(*key, want.ask, 1000, 1), net.now + LOAN_DURATION_US)
+            ledger.on_grant(1, NOW, LoanGrant(*key, want.request_id, 1000, 1), net.now + LOAN_DURATION_US)
         )
 
     def test_a_judgement_about_nodes_has_a_place_in_a_datagram(self) -> None:
--- a/tests/fleet/test_fleet_recorded_actions.py
+++ b/tests/fleet/test_fleet_recorded_actions.py
@@ -15,24 +15,26 @@
 
 import pytest
 
-from lemonridge.fleet.datagrams import Check, Prepare
-from lemonridge.fleet.fleet_member import (
-    DatagramReceived,
-    FleetMember,
-    MemberSettings,
+from lemonridge.fleet.actions import (
     PeerHealthChanged,
     PeerUsageReceived,
     QuotaUpdated,
     RolloutItemReceived,
-    RolloutItemsQueued,
     SendDatagram,
     SetTimer,
+)
+from lemonridge.fleet.datagrams import Check, Prepare
+from lemonridge.fleet.events import (
+    DatagramReceived,
+    RolloutItemsQueued,
     ShutdownBegan,
     SlowStartBegan,
     TimerFired,
 )
+from lemonridge.fleet.fleet_member import FleetMember
 from lemonridge.fleet.health_gossip import ObservedOutcome
 from lemonridge.fleet.member_list import MemberList
+from lemonridge.fleet.settings import MemberSettings
 
 START_US = 1_800_000_000_000_000
 
@@ -42,11 +44,18 @@
     if isinstance(action, SendDatagram):
         return "datagram", (action.to, action.data.hex())
     if isinstance(action, QuotaUpdated):
-        part = action.slice
-        return "quota", (int(action.kind), action.key, part.parts, part.until_us, part.after, action.base)
+        part = action.quota
+        return "quota", (
+            int(action.kind),
+            action.key,
+            part.parts,
+            part.until_us,
+            part.parts_after,
+            action.owned,
+        )
     if isinstance(action, PeerHealthChanged):
-        one = action.verdict
-        return "health", (one.endpoint_id, int(one.what), one.sources, one.at_us)
+        one = action.summary
+        return "health", (one.endpoint_id, int(one.condition), one.sources, one.at_us)
     if isinstance(action, RolloutItemReceived):
         return "rollout", (action.source, action.incarnation, action.item.slot)
     if isinstance(action, PeerUsageReceived):
@@ -59,7 +68,7 @@
     """Play one fleet; the number of actions of each kind and the digest of their values."""
     random, now = Random(seed), START_US
     names = tuple(f"b{n}" for n in range(count))
-    tuning = MemberSettings(bytes_s=3000.0, counts=count < 10, further=4.0)
+    tuning = MemberSettings(send_budget_bytes_s=3000.0, shares_usage=count < 10, retry_rate=4.0)
     members = [
         FleetMember(MemberList(names, n), now // 1000 + n, seed + n, now, tuning) for n in range(count)
     ]
@@ -104,14 +113,14 @@
             continue
         lead = (now - START_US) // 2_000_000 % count
         volume = random.randrange(6)
-        told = members[lead].taken(volume, 20.0, 2 + volume % 3, 1.0 + volume, now)
+        told = members[lead].record_limit_demand(volume, 20.0, 2 + volume % 3, 1.0 + volume, now)
         act(lead, [told] if told is not None else [])
-        member.asked(3, 2.0, now)
-        member.tried(now)
-        member.sent(volume, 1.0)
-        member.served(volume, 2.5)
+        member.record_shard_demand(3, 2.0, now)
+        member.record_retry_demand(now)
+        member.record_sent(volume, 1.0)
+        member.record_served(volume, 2.5)
         outcome = random.choice(list(ObservedOutcome))
-        if member.ended(random.randrange(5), outcome, now):
+        if member.record_outcome(random.randrange(5), outcome, now):
             act(n, member.handle(now, (TimerFired(),)))
         draw = random.random()
         if draw < 0.02:
--- a/tests/fleet/test_quota_ledger.py
+++ b/tests/fleet/test_quota_ledger.py
@@ -9,12 +9,13 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-import lemonridge.fleet.quota_lending as escrow_module
+import lemonridge.fleet.quota_ledger as ledger_module
 from lemonridge.fleet.datagrams import Item, LoanGrant, LoanRecall, LoanRecallAck, LoanRequest
-from lemonridge.fleet.quota_lending import (
+from lemonridge.fleet.quota_ledger import (
     FLOOR_DIVISOR,
     LOAN_DURATION_US,
     WHOLE_PARTS,
+    BudgetKey,
     BudgetKind,
     QuotaLedger,
 )
@@ -67,13 +68,13 @@
             return lags[n] + int((now - begun) * drift[n])
 
         def make(n: int, incarnation: int) -> QuotaLedger:
-            made = QuotaLedger(n, incarnation, random.randrange(1 << 20), error_us, clock(n))
-            made.among(o for o in range(brokers) if o != n)
+            others = [o for o in range(brokers) if o != n]
+            made = QuotaLedger(n, incarnation, random.randrange(1 << 20), error_us, clock(n), others)
             if n in users:
-                made.own(key, WHOLE_PARTS // hosts, hosts, True, clock(n))
+                made.open_budget(key, WHOLE_PARTS // hosts, hosts, True, clock(n))
             return made
 
-        key, most = (int(BudgetKind.LIMIT), 7), 0
+        key, most = BudgetKey(int(BudgetKind.LIMIT), 7), 0
         ledgers = [make(n, 1) for n in range(brokers)]
         flights: list[tuple[int, int, int, Item]] = []
         now += 3 * LOAN_DURATION_US
@@ -82,8 +83,8 @@
             n = random.randrange(brokers)
             what = random.random()
             if what < 0.3 and n in users:
-                ledgers[n].budgets[key].need = random.choice((0, WHOLE_PARTS // 2, WHOLE_PARTS))
-                want = ledgers[n].ask(key, clock(n))
+                ledgers[n].budgets[key].demand = random.choice((0, WHOLE_PARTS // 2, WHOLE_PARTS))
+                want = ledgers[n].make_request(key, clock(n))
                 flights += [(n, o, ledgers[n].incarnation, want) for o in range(brokers) if o != n]
             elif what < 0.33 and n in users:
                 flights += [
@@ -105,18 +106,18 @@
                 if random.random() < 0.2:
                     continue
                 if isinstance(item, LoanRequest):
-                    grant = ledgers[to].asked(by, incarnation, item, clock(to))
+                    grant = ledgers[to].on_request(by, incarnation, item, clock(to))
                     flights.append((to, by, ledgers[to].incarnation, grant))
                 elif isinstance(item, LoanRecall):
-                    flights.append((to, by, ledgers[to].incarnation, ledgers[to].recalled(by, incarnation)))
+                    flights.append((to, by, ledgers[to].incarnation, ledgers[to].on_recall(by, incarnation)))
                 elif isinstance(item, LoanRecallAck):
-                    ledgers[to].cleared(by, item, clock(to))
+                    ledgers[to].on_recall_ack(by, item, clock(to))
                 elif isinstance(item, LoanGrant):
                     ledgers[to].on_grant(by, incarnation, item, clock(to))
                 else:
-                    ledgers[to].returned(by, incarnation, item)
+                    ledgers[to].on_release(by, incarnation, item)
             del flights[:-40]
-            parts = [ledgers[u].slice(key, clock(u)).parts for u in users]
+            parts = [ledgers[u].quota(key, clock(u)).parts for u in users]
             most = max(most, *parts)
             self.assertLessEqual(sum(parts), WHOLE_PARTS, parts)
             for u in users:
@@ -129,50 +130,50 @@
     def pair(self, hosts: int = 2) -> tuple[QuotaLedger, QuotaLedger]:
         made = [escrow.ledger(n, 1, 0) for n in range(2)]
         for one in made:
-            one.own(TWO_USE, WHOLE_PARTS // hosts, hosts, True, 0)
+            one.open_budget(TWO_USE, WHOLE_PARTS // hosts, hosts, True, 0)
             one.error_us = 50_000
         return made[0], made[1]
 
     def test_a_fresh_start_lends_nothing_and_has_its_floor(self) -> None:
         a, b = self.pair()
-        self.assertEqual(a.slice(TWO_USE, 10).parts, WHOLE_PARTS // 2 // FLOOR_DIVISOR)
-        self.assertEqual(b.asked(0, 1, a.ask(TWO_USE, 10), 10).parts, 0)
-        self.assertEqual(a.slice(TWO_USE, a.floors_until_us).parts, WHOLE_PARTS // 2)
+        self.assertEqual(a.quota(TWO_USE, 10).parts, WHOLE_PARTS // 2 // FLOOR_DIVISOR)
+        self.assertEqual(b.on_request(0, 1, a.make_request(TWO_USE, 10), 10).parts, 0)
+        self.assertEqual(a.quota(TWO_USE, a.floors_until_us).parts, WHOLE_PARTS // 2)
 
     def test_a_lender_keeps_what_it_needs_and_its_floor(self) -> None:
         a, b = self.pair()
         now = a.floors_until_us
-        a.budgets[TWO_USE].need = WHOLE_PARTS
+        a.budgets[TWO_USE].demand = WHOLE_PARTS
         self.assertEqual(
-            b.asked(0, 1, a.ask(TWO_USE, now), now).parts,
+            b.on_request(0, 1, a.make_request(TWO_USE, now), now).parts,
             WHOLE_PARTS // 2 - WHOLE_PARTS // 2 // FLOOR_DIVISOR,
         )
-        b.budgets[TWO_USE].need = WHOLE_PARTS // 4
-        self.assertEqual(b.asked(0, 1, a.ask(TWO_USE, now), now).parts, WHOLE_PARTS // 4)
-        self.assertEqual(b.slice(TWO_USE, now).parts, WHOLE_PARTS // 2 // FLOOR_DIVISOR)  # the largest counts
+        b.budgets[TWO_USE].demand = WHOLE_PARTS // 4
+        self.assertEqual(b.on_request(0, 1, a.make_request(TWO_USE, now), now).parts, WHOLE_PARTS // 4)
+        self.assertEqual(b.quota(TWO_USE, now).parts, WHOLE_PARTS // 2 // FLOOR_DIVISOR)  # the largest counts
 
     def test_a_question_with_other_hosts_changes_nothing_of_what_is_used(self) -> None:
         a, b = self.pair()
         now = a.floors_until_us
-        told = b.asked(0, 1, LoanRequest(*TWO_USE, 200, 7, WHOLE_PARTS, 1500), now)
-        self.assertEqual((told.parts, b.slice(TWO_USE, now).parts), (0, WHOLE_PARTS // 2))
+        told = b.on_request(0, 1, LoanRequest(*TWO_USE, 200, 7, WHOLE_PARTS, 1500), now)
+        self.assertEqual((told.parts, b.quota(TWO_USE, now).parts), (0, WHOLE_PARTS // 2))
 
     def test_loans_beyond_a_number_count_as_the_largest_and_longest(self) -> None:
         a, b = self.pair()
         now = a.floors_until_us
-        a.budgets[TWO_USE].need = WHOLE_PARTS
+        a.budgets[TWO_USE].demand = WHOLE_PARTS
         for step in range(40):
-            b.asked(0, 1, a.ask(TWO_USE, now + step), now + step)
-        self.assertLessEqual(len(b.budgets[TWO_USE].lent[0]), 9)
+            b.on_request(0, 1, a.make_request(TWO_USE, now + step), now + step)
+        self.assertLessEqual(len(b.budgets[TWO_USE].loans_out[0]), 9)
         self.assertEqual(
-            b.slice(TWO_USE, now + LOAN_DURATION_US + 50_030).parts, WHOLE_PARTS // 2 // FLOOR_DIVISOR
+            b.quota(TWO_USE, now + LOAN_DURATION_US + 50_030).parts, WHOLE_PARTS // 2 // FLOOR_DIVISOR
         )
-        self.assertEqual(b.slice(TWO_USE, now + LOAN_DURATION_US + 50_040).parts, WHOLE_PARTS // 2)
+        self.assertEqual(b.quota(TWO_USE, now + LOAN_DURATION_US + 50_040).parts, WHOLE_PARTS // 2)
 
     def test_budgets_have_a_bound_and_the_idle_ones_go(self) -> None:
         a, _ = self.pair()
-        with unittest.mock.patch.object(escrow_module, "BUDGETS_MAX", 2):
-            self.assertIsNotNone(a.own(ALL_USE, 1, 3, True, 0))
-            self.assertIsNone(a.own((1, 99), 1, 3, True, 0))
-        self.assertEqual(a.refused, 1)
-        self.assertEqual(sorted(a.sweep(100, 50)), [ALL_USE, TWO_USE])
+        with unittest.mock.patch.object(ledger_module, "BUDGETS_MAX", 2):
+            self.assertIsNotNone(a.open_budget(ALL_USE, 1, 3, True, 0))
+            self.assertIsNone(a.open_budget(BudgetKey(1, 99), 1, 3, True, 0))
+        self.assertEqual(a.budgets_refused, 1)
+        self.assertEqual(sorted(a.drop_idle(100, 50)), [ALL_USE, TWO_USE])
--- a/tests/test_fleet_config.py
+++ b/tests/test_fleet_config.py
@@ -18,7 +18,7 @@
 from lemonridge.config.errors import ConfigError
 from lemonridge.config.fleet import FleetConfig
 from lemonridge.config.operator_file import fleet_config, load
-from lemonridge.fleet.status_report import table, whole
+from lemonridge.fleet.status_report import all_members_up, table
 from lemonridge.lab.rig import Broker, Rig, Site
 from lemonridge.net.admin_client import CallError, call, views
 
@@ -100,7 +100,7 @@
         self.assertEqual(states["b0"], {"b1": "up", "b2": "absent"})
         self.assertEqual(states["b2"], {"b0": "absent", "b1": "absent"})
         self.assertGreater(told[0]["counters"]["not_taken.forged"], 0)
-        self.assertFalse(whole(told))
+        self.assertFalse(all_members_up(told))
         self.assertEqual([m["lost"] for m in told[0]["members"]], [0.0, None])
         self.assertIn("seen by", lines)
         self.assertRegex(lines, r"further +0+ +\d\.\d\d +b0=0\.33")
--- a/tests/test_format_admin.py
+++ b/tests/test_format_admin.py
@@ -1,11 +1,11 @@
 """The operators' calls and their replies, byte for byte: a command line speaks to brokers of other versions.
 
-The names of the code stand in the builders below; what follows are literals. Derived from names of the code,
-so that a rename needs `rename=` or a table of words, are: the words of states, budgets and judgements of a
-fleet (the members of `State`, `Kind` and `ReportedCondition` in lower case), and every key of a policy (the
-fields of `policy_document.Policy`, `Plan`, `Class`, `Rules`, and of `State`, the value of a vote), of which
-only `class` has its word already. The keys of a vote on disk are the fields of `StoredVote`. All else are
-literals.
+The names of the code stand in the builders below; what follows are literals. The words of states, budgets and
+reports of a fleet are tables of the encoder (`fleet/status_report.py`). Derived from names of the code, so
+that a rename needs `rename=` or a table of words, are: the words of members' states, and every key of a
+policy (the fields of `policy_document.Policy`, `Plan`, `Class`, `Rules`, and of `State`, the value of a
+vote), of which only `class` has its word already. The keys of a vote on disk are the fields of `StoredVote`.
+All else are literals.
 """
 
 from __future__ import annotations
@@ -26,9 +26,12 @@
 from lemonridge.config.fleet import FleetConfig, RolloutConfig
 from lemonridge.coordination.policy_coordinator import MAGIC, PolicyCoordinator, VoteStore
 from lemonridge.core.counters import Counters
-from lemonridge.fleet import datagrams, fleet_member, health_gossip, quota_lending
+from lemonridge.fleet import datagrams, fleet_member, health_gossip, quota_ledger
+from lemonridge.fleet.errors import DatagramFault
+from lemonridge.fleet.events import DatagramReceived
 from lemonridge.fleet.member_list import MemberList, key_of
-from lemonridge.fleet.status_report import report, table, whole
+from lemonridge.fleet.settings import MemberSettings
+from lemonridge.fleet.status_report import all_members_up, report, table
 from lemonridge.operate.admin_calls import AdminCall, AdminReply, AdminRequest, line_max, parse
 from lemonridge.operate.errors import BadCallError
 from lemonridge.operate.lifecycle import Phase
@@ -122,23 +125,23 @@
 def fleet() -> fleet_member.FleetMember:
     """Broker b1 of three: b0 is up, b2 was never heard of; a loan each way; every flaw counted."""
     made = fleet_member.FleetMember(
-        MemberList(("b0", "b1", "b2"), 1), 77, 1, NOW, fleet_member.MemberSettings(further=5.0)
+        MemberList(("b0", "b1", "b2"), 1), 77, 1, NOW, MemberSettings(retry_rate=5.0)
     )
-    made.taken(9, 20.0, 3, 4.0, NOW)
-    made.ended(key_of("s-1"), health_gossip.ObservedOutcome.CONNECT_FAILED, NOW)
+    made.record_limit_demand(9, 20.0, 3, 4.0, NOW)
+    made.record_outcome(key_of("s-1"), health_gossip.ObservedOutcome.CONNECT_FAILED, NOW)
     head = datagrams.DatagramHeader(0, datagrams.MemberState.UP, 5, 1, 1, NOW // 1000)
     said = datagrams.encode(
         head, [datagrams.HealthReport(key_of("s-9"), 3, 6, 250)], made.member_list.fingerprint
     )
-    made.handle(NOW + 1000, (fleet_member.DatagramReceived(0, said),))
-    pool = made.ledger.budgets[quota_lending.BudgetKind.LIMIT, 9]
-    pool.base, pool.need = 300_000, 400_000
-    pool.lent[2] = [quota_lending.LoanOut(3, 4, 50_000, NOW + 10**6)]
-    pool.borrowed[0] = quota_lending.LoanIn(5, 125_000, NOW + 10**6)
+    made.handle(NOW + 1000, (DatagramReceived(0, said),))
+    budget = made.ledger.budgets[quota_ledger.BudgetKind.LIMIT, 9]
+    budget.owned, budget.demand = 300_000, 400_000
+    budget.loans_out[2] = [quota_ledger.LoanOut(3, 4, 50_000, NOW + 10**6)]
+    budget.loans_in[0] = quota_ledger.LoanIn(5, 125_000, NOW + 10**6)
     made.counts.clear()
     made.counts["datagrams.taken"] = 8
-    for number, fault in enumerate(datagrams.DatagramFault, 1):
-        made.faults[fault] = number
+    for number, fault in enumerate(DatagramFault, 1):
+        made.receiver.faults[fault] = number
     return made
 
 
@@ -187,21 +190,21 @@
 
 
 def test_every_number_between_brokers_has_its_word_in_a_view() -> None:
-    """The words are derived from the enumerations' member names; the numbers are those of the datagrams."""
+    """The words are the encoder's tables; the numbers are those of the datagrams."""
     made = fleet()
-    limit = made.ledger.budgets[quota_lending.BudgetKind.LIMIT, 9]
-    made.ledger.budgets = {(kind, 9): limit for kind in (1, 2, 3)}
+    limit = made.ledger.budgets[quota_ledger.BudgetKind.LIMIT, 9]
+    made.ledger.budgets = {quota_ledger.BudgetKey(kind, 9): limit for kind in (1, 2, 3)}
     states = []
 
     for number in range(7):
-        made.members.members[0].state = datagrams.MemberState(number)
+        made.membership.members[0].state = datagrams.MemberState(number)
         states.append(report(made, NOW + 5000, {})["members"][0]["state"])
     for number in range(1, 5):
         head = datagrams.DatagramHeader(0, datagrams.MemberState.UP, 5, 1, 1 + number, NOW // 1000)
         said = datagrams.encode(
             head, [datagrams.HealthReport(100 + number, number, 6, 250)], made.member_list.fingerprint
         )
-        made.handle(NOW + 2000, (fleet_member.DatagramReceived(0, said),))
+        made.handle(NOW + 2000, (DatagramReceived(0, said),))
     view = report(made, NOW + 5000, {101: "one", 102: "two", 103: "three", 104: "four"})
     judged = [(row["node"], row["what"]) for row in view["judgements"] if row["by"] == "b0"]
 
@@ -214,10 +217,10 @@
     view = orjson.loads(VIEW)
 
     assert table([view]) == TABLE
-    assert whole([view]) is False
+    assert all_members_up([view]) is False
     for member in view["members"]:
         member["state"] = "joining"
-    assert whole([view]) is True
+    assert all_members_up([view]) is True
 
 
 def test_fleet_status_prints_all_views(
--- a/tests/test_format_datagrams.py
+++ b/tests/test_format_datagrams.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from lemonridge.fleet import datagrams, health_gossip, quota_lending, usage_totals
+from lemonridge.fleet import datagrams, health_gossip, quota_ledger, status_report, usage_totals
 from lemonridge.fleet.member_list import MemberList, key_of
 from lemonridge.net.peer_transport import KeyedDatagramSigner
 
@@ -21,34 +21,34 @@
     sender=2,
     state=datagrams.MemberState.LEAVING,
     incarnation=0x0001020304050607,
-    round=5,
-    number=0x0A0B0C0D,
+    state_version=5,
+    sequence=0x0A0B0C0D,
     sent_ms=0x10203040,
 )
-FACT = datagrams.MembershipUpdate(who=6, incarnation=0x0102030405060708, round=9, state=4)
-PING = datagrams.Ping(nonce=0x1122, who=3)
+FACT = datagrams.MembershipUpdate(member_id=6, incarnation=0x0102030405060708, state_version=9, state=4)
+PING = datagrams.Ping(nonce=0x1122, member_id=3)
 ITEMS = {
     "ping": PING,
-    "ack": datagrams.Ack(nonce=0x3344, who=4),
-    "ping request": datagrams.PingRequest(nonce=0x5566, who=5),
+    "ack": datagrams.Ack(nonce=0x3344, member_id=4),
+    "ping request": datagrams.PingRequest(nonce=0x5566, member_id=5),
     "fact": FACT,
     "want": datagrams.LoanRequest(
         kind=2,
         key=0x1112131415161718,
         hosts=7,
-        ask=0x21222324,
+        request_id=0x21222324,
         parts=500_000,
-        span_ms=1500,
-        born_ms=0x31323334,
+        duration_ms=1500,
+        slow_start_began_ms=0x31323334,
     ),
     "grant": datagrams.LoanGrant(
-        kind=3, key=0x2122232425262728, ask=0x41424344, parts=250_000, holds=1, hint=8
+        kind=3, key=0x2122232425262728, request_id=0x41424344, parts=250_000, lender_uses=1, user_hint=8
     ),
-    "release": datagrams.LoanRelease(kind=1, key=0x3132333435363738, ask=0x51525354),
+    "release": datagrams.LoanRelease(kind=1, key=0x3132333435363738, request_id=0x51525354),
     "recall": datagrams.LoanRecall(),
     "cleared": datagrams.LoanRecallAck(incarnation=0x4142434445464748),
     "count": datagrams.UsageTotal(kind=2, key=0x5152535455565758, total=0x0000616263646566),
-    "judge": datagrams.HealthReport(endpoint_id=0x7172737475767778, what=4, weight=9, age_ms=1234),
+    "judge": datagrams.HealthReport(endpoint_id=0x7172737475767778, condition=4, weight=9, age_ms=1234),
     "presence": datagrams.Heartbeat(),
     "lease question": datagrams.LeaseAsk(ask=10, low=11, high=12, want=13, name=STATE_NAME),
     "lease": datagrams.Lease(ask=14, low=15, high=16, epoch=17, name=STATE_NAME, ident=0x0A0B0C0D0E0F1011),
@@ -120,7 +120,7 @@
     read = datagrams.decode(data, FINGERPRINT)
 
     assert written.hex() == data.hex()
-    assert (read.head, read.items) == (HEAD, (ITEMS[what],))
+    assert (read.header, read.items) == (HEAD, (ITEMS[what],))
 
 
 def test_a_head_alone_and_numbers_that_wrap() -> None:
@@ -153,7 +153,7 @@
     read = datagrams.decode(data, FINGERPRINT, SIGNER)
 
     assert written.hex() == told
-    assert (read.head, read.items) == (HEAD, tuple(items))
+    assert (read.header, read.items) == (HEAD, tuple(items))
 
 
 def test_the_roster_and_the_names_of_nodes_have_the_same_numbers_at_every_broker() -> None:
@@ -162,9 +162,8 @@
 
 
 def test_the_numbers_that_stand_for_words() -> None:
-    """The numbers go between brokers; the names in lower case go to operators (`fleet status`), derived from
-    the members' names: a rename of a member needs a table of words there."""
-    assert {one.name: one.value for one in datagrams.MemberState} == {
+    """The numbers go between brokers; the words, in lower case, go to operators (`fleet status`)."""
+    assert {status_report.STATE_WORDS[one].upper(): one.value for one in datagrams.MemberState} == {
         "ABSENT": 0,
         "JOINING": 1,
         "UP": 2,
@@ -173,8 +172,14 @@
         "DEAD": 5,
         "LEFT": 6,
     }
-    assert {one.name: one.value for one in quota_lending.BudgetKind} == {"LIMIT": 1, "COLD": 2, "FURTHER": 3}
-    assert {one.name: one.value for one in health_gossip.ReportedCondition} == {
+    assert {status_report.BUDGET_WORDS[one].upper(): one.value for one in quota_ledger.BudgetKind} == {
+        "LIMIT": 1,
+        "COLD": 2,
+        "FURTHER": 3,
+    }
+    assert {
+        status_report.CONDITION_WORDS[one].upper(): one.value for one in health_gossip.ReportedCondition
+    } == {
         "DOWN": 1,
         "SILENT": 2,
         "ERRORS": 3,
