--- /dev/null
+++ b/lemonridge/fleet/failure_detector.py
@@ -0,0 +1,196 @@
+"""Finds members that do not answer, by probes (SWIM: Das, Gupta, Motivala, 2002). Pure.
+
+Each period one member is probed, in a shuffled order (section 4.3), through others if it does not answer
+(3.1). A broker whose local health is bad waits longer (Lifeguard: Dadgar, Phillips, Currey, 2018, IV-A). What
+follows from a missing answer is `membership.py`'s.
+"""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+from random import Random
+from typing import NamedTuple
+
+from lemonridge.fleet.datagrams import Ack, Item, MemberState, Ping, PingRequest
+from lemonridge.fleet.member_list import MemberList
+from lemonridge.fleet.membership import ALIVE_STATES, PROBE_PERIOD_US, Membership
+
+PING_REPEAT_FRACTION = 0.2  # of a period without an answer, after which a ping is repeated
+INDIRECT_PROBE_FRACTION = 0.4  # of a period, until others are asked to probe, and between two such requests
+INDIRECT_PROBERS = 3  # SWIM's k
+DEAD_PROBE_PERIODS = 4  # every so many periods a dead member is probed
+STALL_PERIODS = 2.0  # a timer that fires so many periods late says that this process did not run
+RELAYS_MAX = 64  # probes for others at a time
+NONCES = 1 << 16
+PROBED_STATES = (MemberState.JOINING, MemberState.UP, MemberState.LEAVING, MemberState.SUSPECT)
+
+
+@dataclass(slots=True)
+class _Probe:
+    """A probe that is not answered yet."""
+
+    nonce: int
+    member_id: int
+    began_us: int
+    repeat_us: int
+    indirect_us: int
+    end_us: int
+
+
+class _Relay(NamedTuple):
+    """A probe for another member."""
+
+    requester: int
+    requester_nonce: int
+    until_us: int
+
+
+class FailureDetector:
+    """Probes the members one after the other. Its `on_...` methods return the items to send, by member.
+
+    Args:
+        member_list: the fleet.
+        membership: is told of members that do not answer.
+        seed: of the random draws.
+        now_us: the time of the start.
+    """
+
+    def __init__(self, member_list: MemberList, membership: Membership, seed: int, now_us: int) -> None:
+        self._member_list, self._membership = member_list, membership
+        self._random = Random(f"{seed}/members")
+        self._probe_order: list[int] = []
+        self._probe: _Probe | None = None
+        self._relays: dict[int, _Relay] = {}  # by the nonce of this broker's own ping
+        self._nonce = self._random.randrange(NONCES)
+        # Brokers that start together must not probe together.
+        self._next_probe_us = now_us + int(PROBE_PERIOD_US * self._random.uniform(0.5, 1.5))
+        self._period = 0
+
+    def on_ping(self, sender: int, ping: Ping) -> list[tuple[int, Item]]:
+        """Answer a probe of this broker."""
+        if ping.member_id != self._member_list.me:
+            return []
+        return [(sender, Ack(ping.nonce, self._member_list.me))]
+
+    def on_ping_request(self, sender: int, request: PingRequest, now_us: int) -> list[tuple[int, Item]]:
+        """Probe a member for another one."""
+        known = 0 <= request.member_id < self._member_list.size
+        if request.member_id == self._member_list.me or not known or len(self._relays) >= RELAYS_MAX:
+            return []
+        nonce = self._next_nonce()
+        self._relays[nonce] = _Relay(sender, request.nonce, now_us + 2 * PROBE_PERIOD_US)
+        return [(request.member_id, Ping(nonce, request.member_id))]
+
+    def on_ack(self, sender: int, ack: Ack) -> list[tuple[int, Item]]:
+        """An answer arrived, to this broker's own probe or to one that it made for another member."""
+        relay = self._relays.pop(ack.nonce, None) if ack.member_id == sender else None
+        if relay is not None:
+            return [(relay.requester, Ack(relay.requester_nonce, sender))]
+        probe = self._probe
+        if probe is not None and (ack.nonce, ack.member_id) == (probe.nonce, probe.member_id):
+            self._probe = None
+            self._membership.lower_local_health()
+        return []
+
+    def on_timer(self, now_us: int) -> list[tuple[int, Item]]:
+        """End suspicions, repeat or end the probe, begin the next one."""
+        if now_us - self._next_probe_us > STALL_PERIODS * PROBE_PERIOD_US:
+            self.on_stall(now_us)
+        self._membership.end_suspicions(now_us)
+        items = self._follow_probe(now_us)
+        self._relays = {nonce: one for nonce, one in self._relays.items() if one.until_us > now_us}
+        if now_us >= self._next_probe_us:
+            self._next_probe_us = now_us + int(PROBE_PERIOD_US * self._random.uniform(0.9, 1.1))
+            if self._probe is None:
+                items += self._begin_probe(now_us)
+        return items
+
+    def next_timer_us(self) -> int:
+        """When `on_timer` has something to do next."""
+        times_us = [self._next_probe_us]
+        if self._probe is not None:
+            times_us += [self._probe.end_us, self._probe.repeat_us, self._probe.indirect_us]
+        times_us += self._membership.suspicion_ends_us()
+        return min(times_us)
+
+    def on_stall(self, now_us: int) -> None:
+        """This process did not run for a while: what it did not receive meanwhile says nothing of others."""
+        self._probe = None
+        self._membership.raise_local_health()
+        self._membership.extend_suspicions(now_us + 2 * PROBE_PERIOD_US)
+
+    def _begin_probe(self, now_us: int) -> list[tuple[int, Item]]:
+        member_id = self._next_probed()
+        if member_id is None:
+            return []
+        slowness = 1 + self._membership.local_health
+        self._probe = _Probe(
+            self._next_nonce(),
+            member_id,
+            began_us=now_us,
+            repeat_us=now_us + int(PING_REPEAT_FRACTION * PROBE_PERIOD_US),
+            indirect_us=now_us + int(INDIRECT_PROBE_FRACTION * PROBE_PERIOD_US * slowness),
+            end_us=now_us + PROBE_PERIOD_US * slowness,
+        )
+        return [(member_id, Ping(self._probe.nonce, member_id))]
+
+    def _follow_probe(self, now_us: int) -> list[tuple[int, Item]]:
+        """Have others probe and repeat the ping when their time has come; end the probe at its end."""
+        items: list[tuple[int, Item]] = []
+        probe = self._probe
+        if probe is None:
+            return items
+        if now_us >= probe.end_us:
+            self._on_probe_failed(probe, now_us)
+            return items
+        if now_us >= probe.indirect_us:
+            pause_us = int(INDIRECT_PROBE_FRACTION * PROBE_PERIOD_US * (1 + self._membership.local_health))
+            probe.indirect_us = now_us + pause_us
+            request = PingRequest(probe.nonce, probe.member_id)
+            items += [(prober, request) for prober in self._indirect_probers(probe.member_id)]
+        if now_us >= probe.repeat_us:
+            probe.repeat_us = now_us + int(PING_REPEAT_FRACTION * PROBE_PERIOD_US)
+            items.append((probe.member_id, Ping(probe.nonce, probe.member_id)))
+        return items
+
+    def _next_probed(self) -> int | None:
+        """The next member of the shuffled order (SWIM, section 4.3), or now and then one that is dead."""
+        self._period += 1
+        gone = [n for n in self._member_list.others if self._membership.members[n].state not in PROBED_STATES]
+        all_gone = len(gone) == self._member_list.size - 1
+        if (gone and self._period % DEAD_PROBE_PERIODS == 0) or all_gone:
+            return self._random.choice(gone) if gone else None
+        for _ in range(2):
+            while self._probe_order:
+                member_id = self._probe_order.pop()
+                if self._membership.members[member_id].state in PROBED_STATES:
+                    return member_id
+            self._probe_order = list(self._member_list.others)
+            self._random.shuffle(self._probe_order)
+        return None
+
+    def _indirect_probers(self, probed: int) -> list[int]:
+        able = [
+            n
+            for n in self._member_list.others
+            if n != probed and self._membership.members[n].state in ALIVE_STATES
+        ]
+        return self._random.sample(able, min(INDIRECT_PROBERS, len(able)))
+
+    def _on_probe_failed(self, probe: _Probe, now_us: int) -> None:
+        """The probe ended without an answer, through others either."""
+        self._probe = None
+        member, me = self._membership.members[probe.member_id], self._member_list.me
+        if member.state in ALIVE_STATES:
+            self._membership.raise_local_health()
+            # Any datagram of it since the probe began says that it is up, whatever became of the answer.
+            if member.last_received_us < probe.began_us:
+                self._membership.suspect(
+                    probe.member_id, member.incarnation, member.state_version, me, now_us
+                )
+        elif member.state is MemberState.SUSPECT:
+            self._membership.confirm_suspicion(member, me)
+
+    def _next_nonce(self) -> int:
+        self._nonce = (self._nonce + 1) % NONCES
+        return self._nonce
--- a/lemonridge/fleet/fleet_member.py
+++ b/lemonridge/fleet/fleet_member.py
@@ -4,9 +4,9 @@
 is lowered before the datagram that lends a part of it is sent. Three hosts run it: the process on sockets
 (`net/peer_transport.py`), the simulator's adapter, and the lab's model.
 
-The parts: `membership.py` (who is up), `quota_ledger.py` and `quota_lending.py` (budgets),
-`limit_registry.py` (who uses a limit), `gossip.py` (health of endpoints, usage), `datagram_receiver.py`,
-`datagram_sender.py`.
+The parts: `membership.py` and `failure_detector.py` (who is up), `quota_ledger.py` and `quota_lending.py`
+(budgets), `limit_registry.py` (who uses a limit), `gossip.py` (health of endpoints, usage),
+`datagram_receiver.py`, `datagram_sender.py`.
 """
 
 from __future__ import annotations
@@ -29,6 +29,7 @@
     SlowStartBegan,
     TimerFired,
 )
+from lemonridge.fleet.failure_detector import FailureDetector
 from lemonridge.fleet.gossip import REPORT_INTERVAL_US, Gossip
 from lemonridge.fleet.health_gossip import ObservedOutcome
 from lemonridge.fleet.limit_registry import FANOUT, LimitRegistry
@@ -71,7 +72,8 @@
         random = Random(f"{seed}/fleet")
         self.member_list, self._settings = member_list, settings
         self.counts = Counters(int)
-        self.membership = Membership(member_list, incarnation, seed, now_us)
+        self.membership = Membership(member_list, incarnation, now_us)
+        self._failure_detector = FailureDetector(member_list, self.membership, seed, now_us)
         self.ledger = QuotaLedger(
             member_list.me,
             incarnation,
@@ -91,13 +93,18 @@
         )
         self._next_tick_us = now_us
         self._timer_us: int | None = None
-        self._event_handlers: dict[type[Event], Callable[[Any, int], Iterable[FleetAction]]] = {
+        self._event_handlers, self._item_handlers = self._event_table(), self._item_table()
+
+    def _event_table(self) -> dict[type[Event], Callable[[Any, int], Iterable[FleetAction]]]:
+        return {
             DatagramReceived: self._handle_datagram,
             TimerFired: self._handle_timer,
             SlowStartBegan: self._handle_slow_start,
             ShutdownBegan: self._handle_shutdown,
             RolloutItemsQueued: self._handle_rollout_items,
         }
+
+    def _item_table(self) -> dict[type[Item], Callable[[DatagramHeader, Any, int], Iterable[FleetAction]]]:
         handlers: dict[type[Item], Callable[[DatagramHeader, Any, int], Iterable[FleetAction]]] = {
             datagrams.Ping: self._handle_ping,
             datagrams.Ack: self._handle_ack,
@@ -112,7 +119,7 @@
             datagrams.HealthReport: self._handle_health_report,
             datagrams.Heartbeat: self._handle_heartbeat,
         }
-        self._item_handlers = handlers | dict.fromkeys(ROLLOUT_ITEM_TYPES, self._handle_rollout_item)
+        return handlers | dict.fromkeys(ROLLOUT_ITEM_TYPES, self._handle_rollout_item)
 
     # What happens in this broker, between events
 
@@ -156,10 +163,10 @@
         actions: list[FleetAction] = []
         if self._timer_us is not None and now_us - self._timer_us > STALL_THRESHOLD_US:
             self.counts[counters.STALLS] += 1
-            self.membership.on_stall(now_us)
+            self._failure_detector.on_stall(now_us)
         for event in events:
             actions += self._event_handlers[type(event)](event, now_us)
-        self._sender.queue(self.membership.on_timer(now_us))
+        self._sender.queue(self._failure_detector.on_timer(now_us))
         if now_us >= self._next_tick_us:
             self._next_tick_us = now_us + TICK_INTERVAL_US
             self._tick(now_us)
@@ -168,7 +175,7 @@
         actions += self._sender.flush(now_us)
         idle_tick_us = now_us + IDLE_TICK_INTERVAL_US
         tick_us = self._next_tick_us if self._is_busy() else idle_tick_us
-        self._timer_us = max(now_us + TIMER_MIN_US, min(self.membership.next_timer_us(), tick_us))
+        self._timer_us = max(now_us + TIMER_MIN_US, min(self._failure_detector.next_timer_us(), tick_us))
         actions.append(SetTimer(self._timer_us))
         return actions
 
@@ -236,17 +243,17 @@
     def _handle_ping(
         self, header: DatagramHeader, item: datagrams.Ping, now_us: int
     ) -> Iterable[FleetAction]:
-        self._sender.queue(self.membership.on_ping(header.sender, item))
+        self._sender.queue(self._failure_detector.on_ping(header.sender, item))
         return ()
 
     def _handle_ack(self, header: DatagramHeader, item: datagrams.Ack, now_us: int) -> Iterable[FleetAction]:
-        self._sender.queue(self.membership.on_ack(header.sender, item))
+        self._sender.queue(self._failure_detector.on_ack(header.sender, item))
         return ()
 
     def _handle_ping_request(
         self, header: DatagramHeader, item: datagrams.PingRequest, now_us: int
     ) -> Iterable[FleetAction]:
-        self._sender.queue(self.membership.on_ping_request(header.sender, item, now_us))
+        self._sender.queue(self._failure_detector.on_ping_request(header.sender, item, now_us))
         return ()
 
     def _handle_membership_update(
