--- a/lemonridge/fleet/datagrams.py
+++ b/lemonridge/fleet/datagrams.py
@@ -39,16 +39,16 @@
 
 
 class MemberState(IntEnum):
-    """A member's state as another member knows it (SWIM, section 4.2, with joining and leaving added).
+    """A member's state as another member knows it (SWIM, section 4.2, with joining and draining added).
 
     Of one incarnation and state version the higher value overrides the lower one. The words of operators'
-    views (`fleet status`) are the names in lower case.
+    views (`fleet status`) are a table of `status_report.py`.
     """
 
     ABSENT = 0  # no datagram and no update about it received yet
     JOINING = 1  # up, and restricted to its floors until loans of its previous incarnation have ended
     UP = 2
-    LEAVING = 3
+    DRAINING = 3  # it has begun its graceful shutdown
     SUSPECT = 4
     DEAD = 5
     LEFT = 6
--- a/lemonridge/fleet/failure_detector.py
+++ b/lemonridge/fleet/failure_detector.py
@@ -22,7 +22,7 @@
 STALL_PERIODS = 2.0  # a timer that fires so many periods late says that this process did not run
 RELAYS_MAX = 64  # probes for others at a time
 NONCES = 1 << 16
-PROBED_STATES = (MemberState.JOINING, MemberState.UP, MemberState.LEAVING, MemberState.SUSPECT)
+PROBED_STATES = (MemberState.JOINING, MemberState.UP, MemberState.DRAINING, MemberState.SUSPECT)
 
 
 @dataclass(slots=True)
--- a/lemonridge/fleet/fleet_member.py
+++ b/lemonridge/fleet/fleet_member.py
@@ -204,7 +204,7 @@
 
     def _handle_shutdown(self, event: ShutdownBegan, now_us: int) -> Iterable[FleetAction]:
         """Return what is borrowed, and tell some members, who tell the others."""
-        self.membership.announce(MemberState.LEAVING)
+        self.membership.announce(MemberState.DRAINING)
         self._sender.queue(self.lending.return_all())
         heartbeat = datagrams.Heartbeat()
         self._sender.queue((member_id, heartbeat) for member_id in self.membership.not_dead()[:FANOUT])
--- a/lemonridge/fleet/membership.py
+++ b/lemonridge/fleet/membership.py
@@ -30,7 +30,7 @@
 UPDATES_PER_DATAGRAM_MAX = 6
 STATE_VERSION_MAX = 255
 FULLY_DISSEMINATED = 1 << 30  # a number of transmissions after which an update is not sent any more
-ALIVE_STATES = (MemberState.JOINING, MemberState.UP, MemberState.LEAVING)
+ALIVE_STATES = (MemberState.JOINING, MemberState.UP, MemberState.DRAINING)
 
 
 @dataclass(slots=True)
--- a/lemonridge/fleet/status_report.py
+++ b/lemonridge/fleet/status_report.py
@@ -16,7 +16,15 @@
 
 BUDGETS_SHOWN_MAX = 64  # those used last
 HEALTH_REPORTS_SHOWN_MAX = 64
-STATE_WORDS = {state: state.name.lower() for state in MemberState}
+STATE_WORDS = {
+    MemberState.ABSENT: "absent",
+    MemberState.JOINING: "joining",
+    MemberState.UP: "up",
+    MemberState.DRAINING: "leaving",
+    MemberState.SUSPECT: "suspect",
+    MemberState.DEAD: "dead",
+    MemberState.LEFT: "left",
+}
 BUDGET_WORDS = {BudgetKind.LIMIT: "limit", BudgetKind.SLOW_START: "cold", BudgetKind.RETRIES: "further"}
 CONDITION_WORDS = {
     ReportedCondition.UNREACHABLE: "down",
--- a/tests/fleet/test_fleet_member.py
+++ b/tests/fleet/test_fleet_member.py
@@ -330,7 +330,7 @@
             net.step()
         net.act(0, net.fleets[0].handle(net.now, (ShutdownBegan(),)))
         self.assertFalse(net.fleets[1].ledger.budgets[int(BudgetKind.LIMIT), 5].loans_out)
-        self.assertEqual(net.fleets[1].membership.members[0].state, MemberState.LEAVING)
+        self.assertEqual(net.fleets[1].membership.members[0].state, MemberState.DRAINING)
 
 
 def slow_start_began(net: Net, born_us: int, lasts_s: float = 10.0) -> SlowStartBegan:
--- a/tests/test_format_datagrams.py
+++ b/tests/test_format_datagrams.py
@@ -19,7 +19,7 @@
 
 HEAD = datagrams.DatagramHeader(
     sender=2,
-    state=datagrams.MemberState.LEAVING,
+    state=datagrams.MemberState.DRAINING,
     incarnation=0x0001020304050607,
     state_version=5,
     sequence=0x0A0B0C0D,
