--- a/tests/test_format_admin.py
+++ b/tests/test_format_admin.py
@@ -3,8 +3,9 @@
 The names of the code stand in the builders below; what follows are literals. The words of states, budgets and
 reports of a fleet are tables of the encoder (`fleet/status_report.py`). Derived from names of the code, so
 that a rename needs `rename=` or a table of words, is every key of a policy (the fields of
-`policy_document.Policy`, `Plan`, `Class`, `Rules`, and of `State`, the value of a vote), of which only `class`
-has its word already. The keys of a vote on disk are the fields of `StoredVote`. All else are literals.
+`policy_document.Policy`, `Plan`, `Class`, `Rules`, and of `State`, the value of a vote), of which only
+`class` has its word already. The keys of a vote on disk are the fields of `StoredVote`. All else are
+literals.
 """
 
 from __future__ import annotations
