--- a/lemonridge/coordination/etcd.py
+++ b/lemonridge/coordination/etcd.py
@@ -278,9 +278,10 @@
 
 
 class PlansFeed:
-    """The contracts: `plans/NAME`. Where the fleet has one policy they are a wish, told to `changed`; else
-    the module is told its contracts once, at its start, and a later change waits for the next. A plan that
-    is gone stays as it was.
+    """The contracts: `plans/NAME`.
+
+    Where the fleet has one policy they are a wish, told to `changed`; else the module is told its contracts
+    once, at its start, and a later change waits for the next. A plan that is gone stays as it was.
     """
 
     KIND = "plans/"
--- a/lemonridge/lab/checkers/rollout.py
+++ b/lemonridge/lab/checkers/rollout.py
@@ -15,8 +15,16 @@
 from typing import Any, NamedTuple
 
 from lemonridge.lab.checkers.exhaust import Found, explore
-from lemonridge.rollout.leases import NOTHING, Grant, Holder, Interval, LeaseGrantor, _Asked, common
-from lemonridge.rollout.paxos import NONE, Accepted, Promised, Proposer, Voter
+from lemonridge.rollout.leases import (
+    NO_EPOCHS,
+    EpochInterval,
+    Grant,
+    LeaseGrantor,
+    LeaseHolder,
+    SentRequest,
+    share_epoch,
+)
+from lemonridge.rollout.paxos import NO_VALUE, Accepted, Acceptor, Promised, Proposer
 
 MEMBERS = 3
 VALUES = (b"policy-a", b"policy-b")
@@ -53,7 +61,7 @@
     turn: int
     alive: bool
     promises: tuple[tuple[int, int, bytes], ...] = ()  # voter, took, value
-    value: bytes = NONE
+    value: bytes = NO_VALUE
     accepts: tuple[int, ...] = ()
     chosen: bool = False
 
@@ -79,12 +87,14 @@
 
     def proposer(one: Ballot) -> Proposer:
         made = Proposer(one.who, 1, VALUES[one.who], config, one.turn)
-        made._promises = {voter: Promised(1, made.number, took, value) for voter, took, value in one.promises}
+        made._promises = {voter: Promised(1, made.ballot, took, value) for voter, took, value in one.promises}
         made.value, made._accepts, made.chosen = one.value, set(one.accepts), one.chosen
         return made
 
     def noted(one: Ballot, made: Proposer) -> Ballot:
-        rows = tuple(sorted((n, told.took, told.value) for n, told in made._promises.items()))
+        rows = tuple(
+            sorted((n, told.accepted_ballot, told.accepted_value) for n, told in made._promises.items())
+        )
         return one._replace(
             promises=rows, value=made.value, accepts=tuple(sorted(made._accepts)), chosen=made.chosen
         )
@@ -103,7 +113,7 @@
                 )
         for place, one in enumerate(room.rounds):
             for number, row in enumerate(room.voters):
-                yield from heard(room, place, one, number, Voter(row[0], 1, *row[1:]))
+                yield from heard(room, place, one, number, Acceptor(row[0], 1, *row[1:]))
             if one.alive and room.crashes:
                 gone = _put(room.rounds, place, one._replace(alive=False))
                 yield f"{one.who} dies", room._replace(rounds=gone, crashes=room.crashes - 1)
@@ -112,35 +122,41 @@
                 yield (
                     f"{number} is wiped",
                     room._replace(
-                        voters=_put(room.voters, number, (wipe(row[0]), 0, 0, NONE)), wipes=room.wipes - 1
+                        voters=_put(room.voters, number, (wipe(row[0]), 0, 0, NO_VALUE)), wipes=room.wipes - 1
                     ),
                 )
 
-    def heard(room: Room, place: int, one: Ballot, number: int, voter: Voter) -> Iterator[tuple[str, Room]]:
+    def heard(
+        room: Room, place: int, one: Ballot, number: int, voter: Acceptor
+    ) -> Iterator[tuple[str, Room]]:
         made = proposer(one)
-        kinds = ["prepare"] if one.value == NONE else ["prepare", "accept"]
+        kinds = ["prepare"] if one.value == NO_VALUE else ["prepare", "accept"]
         for kind in kinds:
             voting = replace(voter)
-            if voting.ident != config[number]:
+            if voting.store_id != config[number]:
                 return  # a new store does not vote in this slot
             told = (
-                voting.prepare(1, made.number)
+                voting.prepare(1, made.ballot)
                 if kind == "prepare"
-                else voting.accept(1, made.number, one.value)
+                else voting.accept(1, made.ballot, one.value)
             )
             if not isinstance(told, (Promised, Accepted)):
                 continue
-            voters = _put(room.voters, number, (voting.ident, voting.promised, voting.took, voting.value))
-            yield f"{number} gets {kind} {made.number}, answer lost", room._replace(voters=voters)
+            voters = _put(
+                room.voters,
+                number,
+                (voting.store_id, voting.promised_ballot, voting.accepted_ballot, voting.accepted_value),
+            )
+            yield f"{number} gets {kind} {made.ballot}, answer lost", room._replace(voters=voters)
             if not one.alive:
                 continue
             made = proposer(one)
             if isinstance(told, Promised):
-                made.promise(number, voting.ident, told)
+                made.on_promise(number, voting.store_id, told)
             else:
-                made.accept(number, voting.ident, told)
+                made.on_accepted(number, voting.store_id, told)
             yield (
-                f"{number} answers {kind} {made.number}",
+                f"{number} answers {kind} {made.ballot}",
                 room._replace(voters=voters, rounds=_put(room.rounds, place, noted(one, made))),
             )
 
@@ -148,7 +164,7 @@
         chosen = {one.value for one in room.rounds if one.chosen}
         return "" if len(chosen) < 2 else f"two values were chosen: {sorted(chosen)}"
 
-    start = Room(((0, 0, 0, NONE),) * MEMBERS, (), bounds.tries, bounds.wipes, bounds.crashes)
+    start = Room(((0, 0, 0, NO_VALUE),) * MEMBERS, (), bounds.tries, bounds.wipes, bounds.crashes)
     return explore(start, _alike, moves, wrong, states_max)
 
 
@@ -192,7 +208,7 @@
 
 def _lessor(rows: tuple[Any, ...]) -> LeaseGrantor:
     made = LeaseGrantor(SPAN, ERROR, 0)
-    made.quiet_us = rows[0]
+    made.grants_from_us = rows[0]
     for who, life, *grant in rows[1:]:
         made.grants.setdefault(who, {})[life] = Grant(*grant)
     return made
@@ -201,27 +217,29 @@
 def _lessor_rows(made: LeaseGrantor, now: int) -> tuple[Any, ...]:
     """What it knows; how long ago something ended is nothing to anyone."""
     rows = sorted(
-        (who, life, one.low, one.high, max(one.end_us, now), one.ask)
+        (who, life, one.low, one.high, max(one.end_us, now), one.request_id)
         for who, lives in made.grants.items()
         for life, one in lives.items()
     )
-    return (max(made.quiet_us, now), *rows)
+    return (max(made.grants_from_us, now), *rows)
 
 
-def _holder(row: tuple[Any, ...], bounds: Bounds) -> Holder:
+def _holder(row: tuple[Any, ...], bounds: Bounds) -> LeaseHolder:
     uses, want, ask, asks, grants = row
-    made = Holder(SPAN, bounds.voters(want), uses, want, bounds.voters(want - 1) if want else (), ask)
-    made._asks = {number: _Asked(*told) for number, *told in asks}
+    made = LeaseHolder(SPAN, bounds.voters(want), uses, want, bounds.voters(want - 1) if want else (), ask)
+    made._requests = {number: SentRequest(*told) for number, *told in asks}
     made._grants = {voter: (told, end) for voter, told, end in grants}
     return made
 
 
-def _holder_row(made: Holder, now: int) -> tuple[Any, ...]:
+def _holder_row(made: LeaseHolder, now: int) -> tuple[Any, ...]:
     asks = tuple(
-        (n, one.sent_us, one.uses, one.want) for n, one in made._asks.items() if one.sent_us + SPAN > now
+        (n, one.sent_us, one.in_use, one.wanted)
+        for n, one in made._requests.items()
+        if one.sent_us + SPAN > now
     )
     grants = tuple(sorted((voter, told, end) for voter, (told, end) in made._grants.items() if end > now))
-    return made.uses, made.want, made._ask, asks, grants
+    return made.in_use, made.wanted, made._request_id, asks, grants
 
 
 def leases(bounds: Bounds, states_max: int = 2_000_000) -> Found[Fleet]:
@@ -296,31 +314,31 @@
         """With a message under way."""
         return fleet._replace(sent=tuple(sorted((*fleet.sent, message))))
 
-    def with_holder(fleet: Fleet, n: int, made: Holder) -> Fleet:
+    def with_holder(fleet: Fleet, n: int, made: LeaseHolder) -> Fleet:
         return fleet._replace(holders=_put(fleet.holders, n, _holder_row(made, clock(fleet, n))))
 
     def vote(
-        fleet: Fleet, voter: int, n: int, life: int, ask: int, uses: Interval, want: int
-    ) -> tuple[Fleet, Interval]:
+        fleet: Fleet, voter: int, n: int, life: int, ask: int, uses: EpochInterval, want: int
+    ) -> tuple[Fleet, EpochInterval]:
         if voter not in bounds.voters(fleet.holders[voter][1]):
-            return fleet, NOTHING
+            return fleet, NO_EPOCHS
         made = _lessor(fleet.lessors[voter])
-        told = made.asked(n, life, ask, uses, want, fleet.newest[voter], fleet.at)
+        told = made.grant(n, life, ask, uses, want, fleet.newest[voter], fleet.at)
         return fleet._replace(lessors=_put(fleet.lessors, voter, _lessor_rows(made, fleet.at))), told
 
     def asking(fleet: Fleet, n: int) -> Iterator[tuple[str, Fleet]]:
         made = _holder(fleet.holders[n], bounds)
-        ask, uses, want = made.ask(clock(fleet, n))
+        ask, uses, want = made.new_request(clock(fleet, n))
         after, told = vote(
             fleet._replace(asks=_put(fleet.asks, n, fleet.asks[n] - 1)), n, n, fleet.lives[n], ask, uses, want
         )  # its own vote needs no message
-        made.granted(n, ask, told, clock(fleet, n))
+        made.record_grant(n, ask, told, clock(fleet, n))
         after = with_holder(after, n, made)
-        for name, one in answered(after, n, ask, uses, want, [v for v in made.lenders() if v != n]):
+        for name, one in answered(after, n, ask, uses, want, [v for v in made.grantors() if v != n]):
             yield f"{n} asks{name}", one
 
     def answered(
-        fleet: Fleet, n: int, ask: int, uses: Interval, want: int, voters: list[int]
+        fleet: Fleet, n: int, ask: int, uses: EpochInterval, want: int, voters: list[int]
     ) -> Iterator[tuple[str, Fleet]]:
         """Each voter is asked and answers at once, or its question is under way, or lost."""
         if not voters:
@@ -334,7 +352,7 @@
                 yield f", {voter} later{name}", posted(one, message)
             after, told = vote(one, voter, n, one.lives[n], ask, uses, want)
             made = _holder(after.holders[n], bounds)
-            made.granted(voter, ask, told, clock(after, n))
+            made.record_grant(voter, ask, told, clock(after, n))
             yield f", {voter} answers{name}", with_holder(after, n, made)
 
     def coming(fleet: Fleet, message: tuple[Any, ...]) -> Iterator[tuple[str, Fleet]]:
@@ -345,11 +363,11 @@
         if kind == "ask":
             after, told = vote(fleet, voter, n, life, ask, message[5], message[6])
             yield f"comes {message}", after  # its answer is lost, or there is none
-            if told != NOTHING and len(after.sent) < bounds.flights:
+            if told != NO_EPOCHS and len(after.sent) < bounds.flights:
                 yield f"comes {message}", posted(after, ("grant", voter, n, life, ask, told))
         elif life == fleet.lives[n]:
             made = _holder(fleet.holders[n], bounds)
-            made.granted(voter, ask, message[5], clock(fleet, n))
+            made.record_grant(voter, ask, message[5], clock(fleet, n))
             yield f"comes {message}", with_holder(fleet, n, made)
 
     def moves(fleet: Fleet) -> Iterator[tuple[str, Fleet]]:
@@ -360,8 +378,8 @@
             alone = (fleet.chosen, fleet.chosen)
             if (
                 fleet.proposed == fleet.chosen < bounds.epochs
-                and made.uses == alone
-                and made.valid(clock(fleet, n))
+                and made.in_use == alone
+                and made.is_valid(clock(fleet, n))
             ):
                 yield f"{n} proposes", fleet._replace(proposed=fleet.chosen + 1)
             voters = bounds.voters(fleet.chosen)
@@ -369,8 +387,8 @@
                 newest = _put(fleet.newest, n, fleet.chosen + 1)
                 more = sum(newest[one] > fleet.chosen for one in voters) > len(voters) // 2
                 yield f"{n} accepts", fleet._replace(newest=newest, chosen=fleet.chosen + more)
-            if made.want < fleet.chosen:
-                made.learnt(fleet.chosen, bounds.voters(fleet.chosen), clock(fleet, n))
+            if made.wanted < fleet.chosen:
+                made.on_epoch(fleet.chosen, bounds.voters(fleet.chosen), clock(fleet, n))
                 known = _put(fleet.newest, n, max(fleet.newest[n], fleet.chosen))
                 yield f"{n} learns {fleet.chosen}", with_holder(fleet._replace(newest=known), n, made)
             if fleet.lags:
@@ -385,7 +403,7 @@
                     fleet._replace(
                         lives=_put(fleet.lives, n, fleet.lives[n] + 1),
                         restarts=fleet.restarts - 1,
-                        holders=_put(fleet.holders, n, (NOTHING, made.want, 0, (), ())),
+                        holders=_put(fleet.holders, n, (NO_EPOCHS, made.wanted, 0, (), ())),
                         lessors=_put(fleet.lessors, n, quiet),
                     ),
                 )
@@ -398,16 +416,16 @@
 
     def wrong(fleet: Fleet) -> str:
         held = [_holder(row, bounds) for row in fleet.holders]
-        used = [one.uses if one.valid(clock(fleet, n)) else NOTHING for n, one in enumerate(held)]
-        return "" if common(used) else f"they go by {used}"
+        used = [one.in_use if one.is_valid(clock(fleet, n)) else NO_EPOCHS for n, one in enumerate(held)]
+        return "" if share_epoch(used) else f"they go by {used}"
 
     everyone, voters = range(MEMBERS), bounds.voters(0)
     lessors, holders = [LeaseGrantor(SPAN, ERROR, 0) for _ in everyone], []
     for n in everyone:  # all go by epoch 0 at first, by leases as good as new
-        made = Holder(SPAN, voters)
-        ask, uses, want = made.ask(10)
+        made = LeaseHolder(SPAN, voters)
+        ask, uses, want = made.new_request(10)
         for voter in bounds.granted[n] if bounds.granted else voters:
-            made.granted(voter, ask, lessors[voter].asked(n, 1, ask, uses, want, 0, 10), 10)
+            made.record_grant(voter, ask, lessors[voter].grant(n, 1, ask, uses, want, 0, 10), 10)
         holders.append(_holder_row(made, 10))
     start = Fleet(
         tuple(_lessor_rows(one, 10) for one in lessors),
--- a/lemonridge/lab/drills/policy.py
+++ b/lemonridge/lab/drills/policy.py
@@ -146,7 +146,9 @@
             )
             aim = 1000.0 if sound else rig.site.deadline_ms - 50.0  # the short one's requests end before
             classes = tuple(
-                msgspec.structs.replace(row, aim_ms=aim if row.name == "read" else row.aim_ms)
+                msgspec.structs.replace(
+                    row, latency_objective_ms=aim if row.name == "read" else row.latency_objective_ms
+                )
                 for row in policy.classes
             )
             told = Proposed(note, limit, broker.number, self.now(), sound, self._whole(broker))
--- a/lemonridge/lab/fleet_mutants.py
+++ b/lemonridge/lab/fleet_mutants.py
@@ -110,24 +110,26 @@
     """Goes on by what it once had a lease for, whether it has ended or not."""
     from lemonridge.rollout import leases
 
-    def valid(self: leases.Holder, now_us: int) -> bool:
-        return self.uses != leases.NOTHING
+    def is_valid(self: leases.LeaseHolder, now_us: int) -> bool:
+        return self.in_use != leases.NO_EPOCHS
 
-    leases.Holder.valid = valid  # type: ignore[method-assign]
+    leases.LeaseHolder.is_valid = is_valid  # type: ignore[method-assign]
 
 
 def _switches_at_once() -> None:
     """Goes by a new policy alone as soon as it is known, and says so to nobody."""
     from lemonridge.rollout import leases
 
-    real = leases.Holder.learnt
+    real = leases.LeaseHolder.on_epoch
 
-    def learnt(self: leases.Holder, epoch: int, voters: tuple[int, ...], now_us: int) -> None:
+    def on_epoch(self: leases.LeaseHolder, epoch: int, voters: tuple[int, ...], now_us: int) -> None:
         real(self, epoch, voters, now_us)
-        self.uses = (epoch, epoch)
+        self.in_use = (epoch, epoch)
 
-    leases.Holder.learnt = learnt  # type: ignore[method-assign]
-    leases.Holder.valid = lambda self, now_us: self.uses != leases.NOTHING  # type: ignore[method-assign]
+    leases.LeaseHolder.on_epoch = on_epoch  # type: ignore[method-assign]
+    leases.LeaseHolder.is_valid = (  # type: ignore[method-assign]
+        lambda self, now_us: self.in_use != leases.NO_EPOCHS
+    )
 
 
 FAULTS: dict[str, Callable[[], None]] = {
--- a/lemonridge/lab/measure/rollout.py
+++ b/lemonridge/lab/measure/rollout.py
@@ -13,25 +13,48 @@
 import msgspec
 
 from lemonridge.fleet.datagrams import HEAD_BYTES, Item, size
-from lemonridge.rollout import leases, policy_document, rollout_member
-from lemonridge.rollout.leases import NOTHING, common
+from lemonridge.rollout import leases, policy_document
+from lemonridge.rollout.errors import PolicyError, RolloutError
+from lemonridge.rollout.lease_exchange import CLOCK_ERROR_US, LEASE_US
+from lemonridge.rollout.leases import NO_EPOCHS, share_epoch
+from lemonridge.rollout.member_context import PersistVote, SendMessage
 from lemonridge.rollout.policy_document import Class, Plan, Policy, Rules
-from lemonridge.rollout.rollout_member import PersistVote, RolloutMember, SendMessage
+from lemonridge.rollout.rollout_member import RolloutMember
+from lemonridge.rollout.state_check import ValidatePolicy
+from lemonridge.rollout.vote_log import StoredVote
 
 STEP_US = 10_000
 DELAY_US = (500, 25_000)
 
 
-def policy(limit: float = 24.0, aim_ms: float = 300.0, attempts: int = 4) -> Policy:
+def policy(limit: float = 24.0, latency_objective_ms: float = 300.0, attempts: int = 4) -> Policy:
     basic = Plan(name="basic", limit=limit, burst=12.0, slack=2.0)
     return Policy(
         plan=(basic, Plan(name="gold", reserve=40.0)),
-        classes=(Class(name="read", aim_ms=aim_ms),),
+        classes=(Class(name="read", latency_objective_ms=latency_objective_ms),),
         rules=Rules(max_attempts=attempts),
     )
 
 
-def judge(_: Policy) -> str:
+def valid(_: Policy) -> None:
+    """A broker that can decide by any policy."""
+
+
+def invalid(reason: str) -> ValidatePolicy:
+    """A broker that can decide by none, for a reason."""
+
+    def validate(_: Policy) -> None:
+        raise PolicyError(reason)
+
+    return validate
+
+
+def rejection(call: Callable[..., None], *arguments: object) -> str:
+    """The reason for which a call is rejected, or nothing."""
+    try:
+        call(*arguments)
+    except RolloutError as error:
+        return str(error)
     return ""
 
 
@@ -42,8 +65,8 @@
         self,
         size: int = 5,
         seed: int = 1,
-        error_us: int = rollout_member.ERROR_US,
-        span_us: int = rollout_member.SPAN_US,
+        error_us: int = CLOCK_ERROR_US,
+        span_us: int = LEASE_US,
     ) -> None:
         self.span_us, self.bytes = span_us, 0
         self.extra, self.slow, self.error_us = [0] * size, [1.0] * size, error_us
@@ -51,19 +74,19 @@
         self.names = tuple(f"b{n}" for n in range(size))
         self.genesis = policy_document.PolicyState(
             epoch=0,
-            prior="",
+            previous_digest="",
             voters=dict.fromkeys(self.names[:5], 0),
             policy=policy(),
             floor=policy_document.floor(policy(), 0.25),
         )
-        kept = rollout_member.StoredVote(0, policy_document.encode(self.genesis))
+        kept = StoredVote(0, policy_document.encode(self.genesis))
         self.disks: list[bytes | None] = [msgspec.msgpack.encode(kept)] * size
         self.lives = [0] * size
         self.brokers: list[RolloutMember | None] = [None] * size
         self.stopped: set[int] = set()
         self.cut: set[tuple[int, int]] = set()
         self.loss = self.copies = 0.0
-        self.judges: list[Callable[[Policy], str]] = [judge] * size
+        self.validators: list[ValidatePolicy] = [valid] * size
         self.flying: list[tuple[int, int, int, int, Item]] = []  # when, to, from, its life, what
         self.decided: dict[int, str] = {}
         for n in range(size):
@@ -79,11 +102,11 @@
             self.genesis,
             self.disks[n],
             ident,
-            lambda told, n=n: self.judges[n](told),  # type: ignore[misc]
+            lambda policy, n=n: self.validators[n](policy),  # type: ignore[misc]
             n,
             self.at(n),
-            span_us=self.span_us,
-            error_us=self.error_us,
+            lease_us=self.span_us,
+            clock_error_us=self.error_us,
         )
         self.take(n)
 
@@ -98,17 +121,14 @@
 
     def spares(self, n: int) -> bool:
         """Whether a store may be lost: a majority of the voters would have theirs, nothing is voted on."""
-        kept = [
-            msgspec.msgpack.decode(disk, type=rollout_member.StoredVote) if disk else None
-            for disk in self.disks
-        ]
+        kept = [msgspec.msgpack.decode(disk, type=StoredVote) if disk else None for disk in self.disks]
         states = [policy_document.decode(one.state) for one in kept if one and one.state]
         newest = max(states, key=lambda one: one.epoch)
         left = sum(
-            one is not None and m != n and newest.voters.get(self.names[m]) == one.ident
+            one is not None and m != n and newest.voters.get(self.names[m]) == one.store_id
             for m, one in enumerate(kept)
         )
-        return left > len(newest.voters) // 2 and not any(one and one.took for one in kept)
+        return left > len(newest.voters) // 2 and not any(one and one.accepted_ballot for one in kept)
 
     def broker(self, n: int) -> RolloutMember:
         made = self.brokers[n]
@@ -118,8 +138,7 @@
     def take(self, n: int, most: int | None = None) -> None:
         """Do what a broker wants done, in its order; it may die after `most` things of it."""
         made = self.broker(n)
-        out, made.out = made.out, []
-        for action in out[:most]:
+        for action in made.take_actions()[:most]:
             if isinstance(action, PersistVote):
                 self.disks[n] = action.data
                 continue
@@ -136,7 +155,7 @@
         self.flying = [one for one in self.flying if one not in due]
         for _, to, source, life, item in due:
             if self.brokers[to] is not None:
-                self.broker(to).heard(source, life, item, self.at(to))
+                self.broker(to).handle(source, life, item, self.at(to))
                 self.take(to)
         for n, made in enumerate(self.brokers):
             if made is not None and n not in self.stopped:
@@ -151,16 +170,16 @@
     def check(self) -> None:
         """No two go by policies without a common epoch, and an epoch is one state everywhere."""
         modes = self.modes()
-        assert common(modes.values()), modes
+        assert share_epoch(modes.values()), modes
         for made in self.brokers:
             if made is not None:
-                told = self.decided.setdefault(made.state.epoch, made.name.hex())
-                assert told == made.name.hex(), (made.state.epoch, told, made.name.hex())
+                told = self.decided.setdefault(made.state.epoch, made.log.digest.hex())
+                assert told == made.log.digest.hex(), (made.state.epoch, told, made.log.digest.hex())
 
-    def modes(self) -> dict[int, leases.Interval]:
+    def modes(self) -> dict[int, leases.EpochInterval]:
         """By what each decides; one that is stopped sends nothing."""
         return {
-            n: made.mode(self.at(n))
+            n: made.epochs_in_use(self.at(n))
             for n, made in enumerate(self.brokers)
             if made is not None and n not in self.stopped
         }
@@ -185,9 +204,9 @@
     size: int,
     loss: float,
     seed: int,
-    span_us: int = rollout_member.SPAN_US,
+    span_us: int = LEASE_US,
     dead: bool = False,
-    error_us: int = rollout_member.ERROR_US,
+    error_us: int = CLOCK_ERROR_US,
     prepared: Callable[[Net], None] = lambda net: None,
 ) -> tuple[float, float]:
     """Seconds from a proposal until all that are up go by the new policy alone, and the longest rest (by the
@@ -199,17 +218,17 @@
     net.loss = loss
     if dead:
         net.kill(size - 1)
-    while net.broker(0).propose(policy(12), "half", net.now):
+    while rejection(net.broker(0).propose, policy(12), "half", net.now):
         net.step()  # it had no lease at that moment
     rested = dict.fromkeys(range(size), 0)
     begun = net.now
     while not net.everywhere(1) and net.now - begun < 60_000_000:
         net.step()
         for n, mode in net.modes().items():
-            rested[n] += STEP_US if mode == NOTHING else 0
+            rested[n] += STEP_US if mode == NO_EPOCHS else 0
         made = net.broker(0)
         if made.change is None and made.state.epoch == 0:
-            made.propose(policy(12), "again", net.now)  # no majority was heard in time
+            rejection(made.propose, policy(12), "again", net.now)  # no majority was heard in time
     return (net.now - begun) / 1e6, max(rested.values()) / 1e6
 
 
@@ -240,7 +259,7 @@
     until = net.now + int(seconds * 1e6)
     while net.now < until:
         net.step()
-        steps, floors = steps + 1, floors + (net.modes()[0] == NOTHING)
+        steps, floors = steps + 1, floors + (net.modes()[0] == NO_EPOCHS)
     return floors / steps
 
 
--- a/lemonridge/lab/rig.py
+++ b/lemonridge/lab/rig.py
@@ -18,7 +18,7 @@
 from tempfile import TemporaryDirectory
 from typing import Any
 
-from lemonridge.coordination.policy_coordinator import VoteStore
+from lemonridge.coordination.vote_store import VoteStore
 from lemonridge.lab.links.datagrams import Network, Stretch, kept_port
 from lemonridge.lab.links.schedule import LINKS, Fault, Schedule
 from lemonridge.lab.load.http import ready
@@ -278,7 +278,7 @@
             for n, at in enumerate(self.network.told(number))
         )
         if self.site.lease_ms:
-            VoteStore(str(self.store(number))).begin()
+            VoteStore(str(self.store(number))).create()
             members = (
                 f'[fleet.policy]\nstore = "{self.store(number)}"\nlease_ms = {self.site.lease_ms}\n'
                 f"floor = {self.site.floor}\n{members}"
--- /dev/null
+++ b/lemonridge/rollout/ballot_acceptor.py
@@ -0,0 +1,73 @@
+"""One member as an acceptor: its answers to the proposers' messages of the open slot."""
+
+from __future__ import annotations
+
+from lemonridge.fleet.datagrams import Accept, AcceptReply, BallotRejected, Prepare, Promise
+from lemonridge.rollout.member_context import MemberContext
+from lemonridge.rollout.paxos import Accepted, Promised, Rejected, round_of
+from lemonridge.rollout.state_transfer import StateTransfer
+from lemonridge.rollout.vote_log import VoteLog
+
+TAKE_OVER_US = 700_000  # a value that was accepted and not decided is proposed anew after 1 to 2 times this
+
+
+class BallotAcceptor:
+    """Answers `Prepare` and `Accept`. A vote is persisted before its answer is sent."""
+
+    def __init__(self, context: MemberContext, log: VoteLog, transfer: StateTransfer, now_us: int) -> None:
+        self._context, self._log, self._transfer = context, log, transfer
+        self.highest_round = 0  # of any ballot seen
+        self._accepted_us = now_us
+
+    def observe(self, ballot: int) -> None:
+        """Remembers the round of a ballot: the next proposal has a higher one."""
+        self.highest_round = max(self.highest_round, round_of(ballot))
+
+    def next_round(self) -> int:
+        """A round higher than any seen or promised."""
+        promised = round_of(self._log.acceptor.promised_ballot)
+        self.highest_round = max(self.highest_round, promised) + 1
+        return self.highest_round
+
+    def on_prepare(self, message: Prepare) -> Promise | BallotRejected | None:
+        """The answer of phase 1b; None where there is none to give."""
+        self.observe(message.ballot)
+        answer = self._log.acceptor.prepare(message.slot, message.ballot)
+        if answer is None or not self._log.is_voter:
+            return None
+        if isinstance(answer, Rejected):
+            return BallotRejected(answer.slot, answer.ballot)
+        self._log.persist()
+        return _promise(answer, self._log.store_id)
+
+    def on_accept(self, member: int, message: Accept, now_us: int) -> AcceptReply | BallotRejected | None:
+        """The answer of phase 2b; None where there is none to give, or the value has to be got first."""
+        self.observe(message.ballot)
+        is_held = message.name in self._log.documents
+        if not is_held or not self._log.is_voter:
+            if message.slot == self._log.acceptor.slot and not is_held:
+                self._transfer.begin(message.name, 0, member, now_us)
+            return None
+        answer = self._log.acceptor.accept(message.slot, message.ballot, message.name)
+        self._accepted_us = now_us
+        if answer is None:
+            return None
+        if isinstance(answer, Rejected):
+            return BallotRejected(answer.slot, answer.ballot)
+        self._log.persist()
+        return _accept_reply(answer, self._log.store_id)
+
+    def take_over_due(self, now_us: int) -> bool:
+        """Whether nobody has finished, for long, what this member accepted; the wait begins anew then."""
+        if now_us - self._accepted_us <= TAKE_OVER_US * self._context.random.uniform(1.0, 2.0):
+            return False
+        self._accepted_us = now_us
+        return True
+
+
+def _promise(answer: Promised, store_id: int) -> Promise:
+    return Promise(answer.slot, answer.ballot, answer.accepted_ballot, answer.accepted_value, store_id)
+
+
+def _accept_reply(answer: Accepted, store_id: int) -> AcceptReply:
+    return AcceptReply(answer.slot, answer.ballot, store_id)
--- /dev/null
+++ b/lemonridge/rollout/emergency.py
@@ -0,0 +1,63 @@
+"""The emergency call: a state that no majority decides, for when most voters are lost for good."""
+
+from __future__ import annotations
+
+from collections.abc import Collection
+
+from lemonridge.rollout import policy_document
+from lemonridge.rollout.errors import EmergencyRejectedError
+from lemonridge.rollout.lease_exchange import EMERGENCY_EPOCH_STEP, LeaseExchange, MemberHeard
+from lemonridge.rollout.member_context import MemberContext
+from lemonridge.rollout.paxos import is_quorum
+from lemonridge.rollout.policy_document import PolicyState
+from lemonridge.rollout.vote_log import VoteLog
+
+SILENCE_LEASES = 2  # leases without a message, after which a voter may be declared lost
+
+
+class EmergencyCall:
+    """The conditions of the call at one member, which has listened since `started_us`."""
+
+    def __init__(self, context: MemberContext, log: VoteLog, leases: LeaseExchange, started_us: int) -> None:
+        self._context, self._log, self._leases = context, log, leases
+        self._started_us = started_us
+
+    def next_state(self, lost: Collection[str], note: str, now_us: int) -> PolicyState:
+        """The state without the lost voters: with those that are left, or this member where none is.
+
+        Raises:
+            EmergencyRejectedError: A majority is heard or left, or a voter is heard that is declared lost,
+                or not heard that is not.
+        """
+        state, name = self._log.state, self._context.name
+        if self._leases.holder.is_valid(now_us):
+            raise EmergencyRejectedError(
+                "a majority of the voters is heard: change the policy, or retire a voter"
+            )
+        if unknown := sorted(set(lost) - set(state.voters)):
+            raise EmergencyRejectedError(f"'{unknown[0]}' does not vote")
+        left = {voter: store_id for voter, store_id in state.voters.items() if voter not in lost}
+        if is_quorum(len(left), len(state.voters)):
+            raise EmergencyRejectedError("a majority of the voters is left: wait until it is heard")
+        if name in lost:
+            raise EmergencyRejectedError("this broker is not lost")
+        self._check_silence(lost, now_us)
+        if not left or name in left:
+            left[name] = self._log.store_id
+        epoch = (state.epoch // EMERGENCY_EPOCH_STEP + 1) * EMERGENCY_EPOCH_STEP + self._context.number
+        return policy_document.emergency_state(state, epoch, left, name, note)
+
+    def _check_silence(self, lost: Collection[str], now_us: int) -> None:
+        """Checks that the lost voters, and no others, have not been heard for `SILENCE_LEASES`."""
+        silence_us = SILENCE_LEASES * self._leases.lease_us
+        if now_us - self._started_us < silence_us:
+            raise EmergencyRejectedError(f"this broker has listened for less than {silence_us / 1e6:g} s")
+        numbers = {name: number for number, name in enumerate(self._context.names)}
+        never = MemberHeard(0, now_us - silence_us)
+        for voter in self._log.state.voters:
+            age_us = now_us - self._leases.heard.get(numbers.get(voter, -1), never).at_us
+            is_heard = voter == self._context.name or age_us < silence_us
+            if voter in lost and is_heard:
+                raise EmergencyRejectedError(f"'{voter}' was heard {age_us / 1e6:.1f} s ago: it is not lost")
+            if voter not in lost and not is_heard:
+                raise EmergencyRejectedError(f"'{voter}' is not heard: bring it up, or call it lost")
--- a/lemonridge/rollout/leases.py
+++ b/lemonridge/rollout/leases.py
@@ -1,20 +1,21 @@
 """Who may decide by which policy, and for how long: leases of epochs from a majority of the voters. Pure.
 
 A broker decides by epoch E only while a majority of the voters hold a grant of E for it that has not ended
-by its own clock, counted from when it asked (Gray and Cheriton, 1989, section 3: the voter counts from when
-that came, and longer by the stated error, so only the rates of two clocks matter). Once E+1 is known, a
-broker goes on by the stricter of both, [E, E+1], under the grants that it has, until it has E+1 alone.
+by its own clock, counted from when it sent the request (Gray and Cheriton, 1989, section 3: the grantor
+counts from when the request came, and longer by the stated clock error, so only the rates of two clocks
+matter). Once E+1 is known, a broker goes on by the stricter of both, [E, E+1], under the grants that it has,
+until it has E+1 alone.
 
-What a broker goes by is an interval of epochs, [E, E] or [E, E+1]; it keeps to the strictest of the interval,
-so it keeps every one in it. A voter grants an interval only if it meets those of all other grants that have
-not ended. Two majorities share a voter, hence:
+The epochs in use at a broker are an interval, [E, E] or [E, E+1]; it keeps to the strictest of the interval,
+so it keeps every one in it. A grantor grants an interval only if it overlaps those of all other grants that
+have not ended. Two majorities share a voter, hence:
 
-Invariant, at any moment: the intervals of all brokers that hold leases meet pairwise, and so, being
+Invariant, at any moment: the intervals of all brokers that hold leases overlap pairwise, and so, being
 intervals, in one common epoch (Helly, 1923), whose limits all of them keep. None decides by E while another
 decides by E+2, or by E+1 alone.
 
-A voter that took a value in slot E+1, or knows that E+1 is decided, renews no lease that ends at E. So once
-E+1 is chosen no lease of E outlives SPAN: each needs a voter of the majority that chose.
+A voter that accepted a value in slot E+1, or knows that E+1 is decided, renews no lease that ends at E. So
+once E+1 is chosen no lease of E outlives the lease's length: each needs a voter of the majority that chose.
 
 Who votes may change with an epoch, by one voter at a time. Majorities of n and of n+1 voters of which n are
 alike share one, so the argument holds between neighbours; for an interval of two epochs a majority of each
@@ -26,200 +27,233 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
-LIVES_MAX = 4  # of one member whose grants are kept; past it the two that end first are one
-ASKS_MAX = 16  # questions remembered by who asks
+from lemonridge.rollout.paxos import is_quorum
 
-Interval = tuple[int, int]
-NOTHING: Interval = (-1, -1)  # no epoch at all
+INCARNATIONS_MAX = 4  # of one member whose grants are kept; past it the two that end first are merged
+REQUESTS_MAX = 16  # lease requests that a holder remembers
 
+EpochInterval = tuple[int, int]
+NO_EPOCHS: EpochInterval = (-1, -1)  # no lease: the floor
 
-def meet(one: Interval, other: Interval) -> bool:
+
+def overlap(one: EpochInterval, other: EpochInterval) -> bool:
     """Whether two intervals have an epoch in common."""
     return max(one[0], other[0]) <= min(one[1], other[1])
 
 
 @dataclass(slots=True)
 class Grant:
-    """What one incarnation of a member may go by, until `end_us` of the voter's clock."""
+    """The epochs that one incarnation of a member may use, until `end_us` of the grantor's clock."""
 
     low: int
     high: int
     end_us: int
-    ask: int  # the question that it answers; earlier ones that come late mean nothing
+    request_id: int  # of the request that it answers; older ones that arrive later are ignored
 
     @property
-    def interval(self) -> Interval:
+    def interval(self) -> EpochInterval:
+        """The epochs granted."""
         return self.low, self.high
 
 
 class LeaseGrantor:
-    """The grants of one voter. They are not durable: after a start it grants nothing until all that it may
-    have granted before must be over.
-    """
+    """The grants of one voter.
 
-    def __init__(self, span_us: int, error_us: int, now_us: int) -> None:
-        self.span_us, self.error_us = span_us, error_us
-        self.quiet_us = now_us + span_us + error_us
-        self.grants: dict[int, dict[int, Grant]] = {}  # by member and life
+    They are not durable: after a start it grants nothing until all that it may have granted before must have
+    ended.
 
-    def asked(
-        self, who: int, life: int, ask: int, uses: Interval, want: int, newest: int, now_us: int
-    ) -> Interval:
-        """The answer to "I go by `uses`, and would go by `want` alone"; NOTHING where neither can be granted.
+    Args of the constructor: the lease's length and the stated clock error over it, both in microseconds.
+    """
 
-        `newest` is the highest epoch that this voter knows decided or has accepted. From its question on
-        the member goes by `uses` or what is granted here, and by nothing before it.
+    def __init__(self, lease_us: int, clock_error_us: int, now_us: int) -> None:
+        self.lease_us, self.clock_error_us = lease_us, clock_error_us
+        self.grants_from_us = now_us + lease_us + clock_error_us
+        self.grants: dict[int, dict[int, Grant]] = {}  # by member and incarnation
+
+    def grant(
+        self,
+        member: int,
+        incarnation: int,
+        request_id: int,
+        in_use: EpochInterval,
+        wanted: int,
+        newest: int,
+        now_us: int,
+    ) -> EpochInterval:
+        """Answers a lease request: "I use `in_use`, and would use `wanted` alone".
+
+        `newest` is the highest epoch that this voter knows decided or has accepted. From its request on the
+        member uses `in_use` or what is granted here, and nothing from before it. NO_EPOCHS where neither can
+        be granted.
         """
-        lives = self.grants.setdefault(who, {})
-        before = lives.get(life)
-        if before is not None and ask <= before.ask:
-            return NOTHING
-        granted = NOTHING
-        if now_us >= self.quiet_us:
+        incarnations = self.grants.setdefault(member, {})
+        previous = incarnations.get(incarnation)
+        if previous is not None and request_id <= previous.request_id:
+            return NO_EPOCHS
+        granted = NO_EPOCHS
+        if now_us >= self.grants_from_us:
             others = [
                 one.interval
-                for member, kept in self.grants.items()
-                for one in kept.values()
-                if one.end_us > now_us and one is not before
+                for grants in self.grants.values()
+                for one in grants.values()
+                if one.end_us > now_us and one is not previous
             ]
-            for wish in ((want, want), uses):
-                if wish[1] >= newest and wish[0] >= 0 and all(meet(wish, one) for one in others):
-                    granted = wish
+            for candidate in ((wanted, wanted), in_use):
+                renewable = candidate[1] >= newest and candidate[0] >= 0
+                if renewable and all(overlap(candidate, one) for one in others):
+                    granted = candidate
                     break
-        if granted != NOTHING:
-            lives[life] = Grant(*granted, now_us + self.span_us + self.error_us, ask)
-            self._bound(lives)
-        elif before is not None:  # what was granted stands until it ends: its answer may be under way still
-            before.ask = ask
+        if granted != NO_EPOCHS:
+            end_us = now_us + self.lease_us + self.clock_error_us
+            incarnations[incarnation] = Grant(*granted, end_us, request_id)
+            self._limit_incarnations(incarnations)
+        elif previous is not None:  # what was granted stands until it ends: its answer may be in flight
+            previous.request_id = request_id
         return granted
 
-    def _bound(self, lives: dict[int, Grant]) -> None:
-        """Few lives of one member: of more, those that are over go, then the ones that end first are one."""
-        if len(lives) <= LIVES_MAX:
+    def _limit_incarnations(self, incarnations: dict[int, Grant]) -> None:
+        """Keeps few incarnations of one member: ended grants go first, then the two that end first merge."""
+        if len(incarnations) <= INCARNATIONS_MAX:
             return
-        first, second = sorted(lives, key=lambda life: (lives[life].end_us, life))[:2]
-        gone, kept = lives.pop(first), lives[second]
-        if gone.end_us and kept.end_us:  # both may be in use: what meets the two is granted beside them
-            low, high = max(gone.low, kept.low), min(gone.high, kept.high)
+        first, second = sorted(incarnations, key=lambda one: (incarnations[one].end_us, one))[:2]
+        removed, kept = incarnations.pop(first), incarnations[second]
+        if removed.end_us and kept.end_us:  # both may be in use: what overlaps both is granted beside them
+            low, high = max(removed.low, kept.low), min(removed.high, kept.high)
             if low <= high:
-                lives[second] = Grant(low, high, max(gone.end_us, kept.end_us), max(gone.ask, kept.ask))
+                incarnations[second] = Grant(
+                    low,
+                    high,
+                    max(removed.end_us, kept.end_us),
+                    max(removed.request_id, kept.request_id),
+                )
             else:
-                lives[first] = gone
+                incarnations[first] = removed
 
-    def out(self, now_us: int) -> dict[int, list[Grant]]:
+    def outstanding(self, now_us: int) -> dict[int, list[Grant]]:
         """Grants that have not ended, by member."""
         return {
-            who: kept
-            for who, lives in self.grants.items()
-            if (kept := [one for one in lives.values() if one.end_us > now_us])
+            member: current
+            for member, incarnations in self.grants.items()
+            if (current := [one for one in incarnations.values() if one.end_us > now_us])
         }
 
 
 @dataclass(slots=True)
-class _Asked:
+class SentRequest:
+    """A lease request that was sent: when, and what it asked for."""
+
     sent_us: int
-    uses: Interval
-    want: int
+    in_use: EpochInterval
+    wanted: int
 
 
 @dataclass(slots=True)
-class Holder:
-    """What one incarnation of a broker may go by."""
-
-    span_us: int
-    voters: tuple[int, ...]  # of `want`
-    uses: Interval = NOTHING  # what it goes by while it has grants for that
-    want: int = 0  # the newest epoch that it holds whole
-    before: tuple[int, ...] = ()  # voters of the epoch before `want`, while that is gone by too
-    _ask: int = 0
-    _asks: dict[int, _Asked] = field(default_factory=dict)
-    _grants: dict[int, tuple[Interval, int]] = field(default_factory=dict)  # by voter: of what, until when
-
-    def learnt(self, epoch: int, voters: tuple[int, ...], now_us: int) -> None:
-        """An epoch is decided and held whole, and who votes on the next. Who goes by the one before goes by
-        both; who missed one in between goes by nothing until it has the new one.
+class LeaseHolder:
+    """The epochs that one incarnation of a broker may use, by the grants that it holds."""
+
+    lease_us: int
+    voters: tuple[int, ...]  # of `wanted`
+    in_use: EpochInterval = NO_EPOCHS  # used while there are grants for it
+    wanted: int = 0  # the newest epoch whose state is held complete
+    previous_voters: tuple[int, ...] = ()  # of the epoch before `wanted`, while that is in use too
+    _request_id: int = 0
+    _requests: dict[int, SentRequest] = field(default_factory=dict)  # by request id
+    _grants: dict[int, tuple[EpochInterval, int]] = field(default_factory=dict)  # by voter: epochs, end
+
+    def on_epoch(self, epoch: int, voters: tuple[int, ...], now_us: int) -> None:
+        """An epoch is decided and its state held complete; `voters` vote on the next.
+
+        Whoever uses the epoch before uses both; whoever missed one in between uses none until it has the new
+        one.
         """
-        if epoch <= self.want and self.uses != NOTHING:
+        if epoch <= self.wanted and self.in_use != NO_EPOCHS:
             return
-        follows = self.uses != NOTHING and self.uses[0] == self.uses[1] == epoch - 1 and self.valid(now_us)
-        if epoch > self.want:
-            self.want, self.before, self.voters = epoch, self.voters, voters
+        follows = self.in_use == (epoch - 1, epoch - 1) and self.is_valid(now_us)
+        if epoch > self.wanted:
+            self.wanted, self.previous_voters, self.voters = epoch, self.voters, voters
         if follows:
-            self.uses = (epoch - 1, epoch)
-        elif self.uses != (epoch, epoch):
-            self.uses = NOTHING
-
-    def lenders(self) -> tuple[int, ...]:
-        """Whose grants count for what is gone by and for what is wanted."""
-        two = self.uses != NOTHING and self.uses[0] < self.want
-        return tuple(sorted({*self.voters, *self.before})) if two else self.voters
-
-    def ask(self, now_us: int) -> tuple[int, Interval, int]:
-        """A question to all voters, to leave at once: its number, what is gone by, what is wanted."""
-        if self.uses != NOTHING and not self.valid(now_us):
-            self.uses = NOTHING  # the lease has ended: it is not gone by again, whatever comes late
-        self._ask += 1
-        self._asks[self._ask] = _Asked(now_us, self.uses, self.want)
-        while len(self._asks) > ASKS_MAX:
-            del self._asks[next(iter(self._asks))]
-        return self._ask, self.uses, self.want
-
-    def granted(self, voter: int, ask: int, told: Interval, now_us: int) -> bool:
-        """An answer. Whether what may be gone by is another thing now."""
-        asked = self._asks.get(ask)
-        if asked is None or voter not in self.lenders() or told == NOTHING:
+            self.in_use = (epoch - 1, epoch)
+        elif self.in_use != (epoch, epoch):
+            self.in_use = NO_EPOCHS
+
+    def grantors(self) -> tuple[int, ...]:
+        """Whose grants count for the epochs in use and for the one wanted."""
+        switching = self.in_use != NO_EPOCHS and self.in_use[0] < self.wanted
+        return tuple(sorted({*self.voters, *self.previous_voters})) if switching else self.voters
+
+    def new_request(self, now_us: int) -> tuple[int, EpochInterval, int]:
+        """A request to all grantors, to be sent at once: its id, the epochs in use, the epoch wanted."""
+        if self.in_use != NO_EPOCHS and not self.is_valid(now_us):
+            self.in_use = NO_EPOCHS  # the lease has ended: a late answer does not bring it back
+        self._request_id += 1
+        self._requests[self._request_id] = SentRequest(now_us, self.in_use, self.wanted)
+        while len(self._requests) > REQUESTS_MAX:
+            del self._requests[next(iter(self._requests))]
+        return self._request_id, self.in_use, self.wanted
+
+    def record_grant(self, voter: int, request_id: int, granted: EpochInterval, now_us: int) -> bool:
+        """Records an answer. True where the epochs in use are others now."""
+        request = self._requests.get(request_id)
+        if request is None or voter not in self.grantors() or granted == NO_EPOCHS:
             return False
-        if told not in ((asked.want, asked.want), asked.uses):
+        if granted not in ((request.wanted, request.wanted), request.in_use):
             return False
-        end_us = asked.sent_us + self.span_us
-        before = self._grants.get(voter)
-        if end_us <= now_us or (before is not None and before[1] >= end_us):
+        end_us = request.sent_us + self.lease_us
+        previous = self._grants.get(voter)
+        if end_us <= now_us or (previous is not None and previous[1] >= end_us):
             return False
-        self._grants[voter] = told, end_us
-        if self.uses != (self.want, self.want) and self._count((self.want, self.want), now_us):
-            self.uses = self.want, self.want
+        self._grants[voter] = granted, end_us
+        if self.in_use != (self.wanted, self.wanted) and self._has_majority(
+            (self.wanted, self.wanted), now_us
+        ):
+            self.in_use = self.wanted, self.wanted
             return True
         return False
 
-    def _count(self, interval: Interval, now_us: int) -> bool:
+    def _has_majority(self, interval: EpochInterval, now_us: int) -> bool:
         """Whether a majority, of each epoch's voters, grants what keeps all others off this interval."""
         low, high = interval
-        grants = [
-            who
-            for who, (told, end_us) in self._grants.items()
-            if low <= told[0] and told[1] <= high and end_us > now_us
+        granting = [
+            member
+            for member, (granted, end_us) in self._grants.items()
+            if low <= granted[0] and granted[1] <= high and end_us > now_us
         ]
-        return all(sum(who in voters for who in grants) > len(voters) // 2 for voters in self._sets(interval))
+        return all(
+            is_quorum(sum(member in voters for member in granting), len(voters))
+            for voters in self._voters_by_epoch(interval)
+        )
 
-    def _sets(self, interval: Interval) -> list[tuple[int, ...]]:
+    def _voters_by_epoch(self, interval: EpochInterval) -> list[tuple[int, ...]]:
         """The voters of each of its epochs."""
-        return [self.voters if epoch == self.want else self.before for epoch in sorted(set(interval))]
+        return [
+            self.voters if epoch == self.wanted else self.previous_voters for epoch in sorted(set(interval))
+        ]
 
-    def valid(self, now_us: int) -> bool:
-        """Whether it may go by `uses` at this moment."""
-        return self.uses != NOTHING and self._count(self.uses, now_us)
+    def is_valid(self, now_us: int) -> bool:
+        """Whether `in_use` may be used at this moment."""
+        return self.in_use != NO_EPOCHS and self._has_majority(self.in_use, now_us)
 
-    def until_us(self) -> int:
-        """When the lease ends if no more is heard; 0 where there is none."""
-        if self.uses == NOTHING:
+    def expires_us(self) -> int:
+        """When the lease ends if no further grant arrives; 0 where there is none."""
+        if self.in_use == NO_EPOCHS:
             return 0
-        low, high = self.uses
-        least = []
-        for voters in self._sets(self.uses):
-            ends = sorted(
+        low, high = self.in_use
+        ends_us = []
+        for voters in self._voters_by_epoch(self.in_use):
+            latest_first = sorted(
                 (
-                    end
-                    for who, (told, end) in self._grants.items()
-                    if who in voters and low <= told[0] and told[1] <= high
+                    end_us
+                    for member, (granted, end_us) in self._grants.items()
+                    if member in voters and low <= granted[0] and granted[1] <= high
                 ),
                 reverse=True,
             )
-            need = len(voters) // 2 + 1
-            least.append(ends[need - 1] if len(ends) >= need else 0)
-        return min(least)
+            quorum = len(voters) // 2 + 1
+            ends_us.append(latest_first[quorum - 1] if len(latest_first) >= quorum else 0)
+        return min(ends_us)
 
 
-def common(intervals: Iterable[Interval]) -> bool:
-    """Whether all that are gone by have one epoch in common."""
-    told = [one for one in intervals if one != NOTHING]
-    return not told or max(one[0] for one in told) <= min(one[1] for one in told)
+def share_epoch(intervals: Iterable[EpochInterval]) -> bool:
+    """Whether all intervals but NO_EPOCHS have one epoch in common."""
+    used = [one for one in intervals if one != NO_EPOCHS]
+    return not used or max(one[0] for one in used) <= min(one[1] for one in used)
--- a/lemonridge/rollout/paxos.py
+++ b/lemonridge/rollout/paxos.py
@@ -1,14 +1,14 @@
-"""One decision for each number: single-decree Paxos, slot by slot. Pure, and without any time.
+"""One decision for each slot: single-decree Paxos, slot by slot. Pure, and without any time.
 
-Lamport, "Paxos Made Simple" (2001), section 2.2: a voter promises and accepts by ballots, a proposer that has
-the promises of a majority takes the value of the highest ballot that any of them accepted, and a value that a
-majority accepted at one ballot is chosen. A slot begins only when the one before is decided, so all who take
+Lamport, "Paxos Made Simple" (2001), section 2.2: an acceptor promises and accepts by ballots, a proposer that
+has the promises of a quorum takes the value of the highest ballot that any of them accepted, and a value that
+a quorum accepted at one ballot is chosen. A slot opens only when the one before is decided, so all who take
 part in it know who votes.
 
-A vote is worth nothing before it is on disk, and nothing after the disk is lost: each voter has an identity
-that was drawn when its store was made, a slot counts the identities that the decision before it names, and a
-new store has a new one. So what a lost disk promised is never mistaken for a promise of the one after it; the
-member votes again from the slot after a decision that names its new identity (a roster change through the
+A vote counts only once it is on disk, and no longer once the disk is lost: each acceptor has a store id that
+was drawn when its store was made, a slot counts the store ids that the decision before it names, and a new
+store has a new id. So what a lost disk promised is never mistaken for a promise of the one after it; the
+member votes again from the slot after a decision that names its new store id (a roster change through the
 same log).
 """
 
@@ -17,28 +17,36 @@
 from collections.abc import Mapping
 from dataclasses import dataclass, field
 
-NONE = bytes(8)  # the hash of no value
-WHO_BITS = 8  # of a ballot: its proposer; the rest is its round
+NO_VALUE = bytes(8)  # the digest that stands for no value
+MEMBER_BITS = 8  # the low bits of a ballot: its proposer; the rest is its round
 
 
-def ballot(turn: int, who: int) -> int:
+def make_ballot(round_number: int, member: int) -> int:
     """The ballot of a proposer's round: no two proposers have one in common."""
-    return turn << WHO_BITS | who
+    return round_number << MEMBER_BITS | member
 
 
-def turn_of(number: int) -> int:
+def round_of(ballot: int) -> int:
     """The round of a ballot."""
-    return number >> WHO_BITS
+    return ballot >> MEMBER_BITS
+
+
+def is_quorum(count: int, voters: int) -> bool:
+    """Whether `count` of `voters` are a majority."""
+    return count > voters // 2
 
 
 @dataclass(frozen=True, slots=True)
 class Promised:
-    """No ballot under `ballot` is accepted any more in `slot`; `value` was, at `took`, if `took` is not 0."""
+    """No ballot under `ballot` is accepted any more in `slot`.
+
+    `accepted_value` was accepted before, at `accepted_ballot`; 0: nothing was.
+    """
 
     slot: int
     ballot: int
-    took: int
-    value: bytes
+    accepted_ballot: int
+    accepted_value: bytes
 
 
 @dataclass(frozen=True, slots=True)
@@ -50,101 +58,104 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Refused:
-    """Not done in `slot`: `ballot` was promised already."""
+class Rejected:
+    """Neither promised nor accepted in `slot`: `ballot` was promised already."""
 
     slot: int
     ballot: int
 
 
 @dataclass(slots=True)
-class Voter:
-    """What one member has promised and accepted in the slot that is open to it. All of it is durable."""
+class Acceptor:
+    """What one member has promised and accepted in the open slot. All of it is durable."""
 
-    ident: int
+    store_id: int
     slot: int
-    promised: int = 0
-    took: int = 0
-    value: bytes = NONE
+    promised_ballot: int = 0
+    accepted_ballot: int = 0  # 0: nothing accepted
+    accepted_value: bytes = NO_VALUE
 
-    def prepare(self, slot: int, number: int) -> Promised | Refused | None:
+    def prepare(self, slot: int, ballot: int) -> Promised | Rejected | None:
         """Phase 1b; None where the slot is not the open one, which has to be learnt first."""
         if slot != self.slot:
             return None
-        if number < self.promised:
-            return Refused(slot, self.promised)
-        self.promised = number
-        return Promised(slot, number, self.took, self.value)
+        if ballot < self.promised_ballot:
+            return Rejected(slot, self.promised_ballot)
+        self.promised_ballot = ballot
+        return Promised(slot, ballot, self.accepted_ballot, self.accepted_value)
 
-    def accept(self, slot: int, number: int, value: bytes) -> Accepted | Refused | None:
-        """Phase 2b. Only a value that this member holds whole and finds good may be given."""
+    def accept(self, slot: int, ballot: int, value: bytes) -> Accepted | Rejected | None:
+        """Phase 2b. Only a value that this member holds complete and has checked may be given."""
         if slot != self.slot:
             return None
-        if number < self.promised:
-            return Refused(slot, self.promised)
-        self.promised = self.took = number
-        self.value = value
-        return Accepted(slot, number)
-
-    def decided(self, slot: int) -> bool:
-        """What a slot came to is known: the one after it is open. Whether this was news."""
+        if ballot < self.promised_ballot:
+            return Rejected(slot, self.promised_ballot)
+        self.promised_ballot = self.accepted_ballot = ballot
+        self.accepted_value = value
+        return Accepted(slot, ballot)
+
+    def close_slot(self, slot: int) -> bool:
+        """The decision of a slot is known: the one after it is open. False where that was known before."""
         if slot < self.slot:
             return False
-        self.slot, self.promised, self.took, self.value = slot + 1, 0, 0, NONE
+        self.slot, self.promised_ballot, self.accepted_ballot, self.accepted_value = slot + 1, 0, 0, NO_VALUE
         return True
 
 
 @dataclass(slots=True)
 class Proposer:
-    """One member's try at one slot. Nothing of it is durable: a new try has a higher round.
+    """One member's round in one slot. Nothing of it is durable: a new attempt has a higher round.
 
-    `voters` are the identities by member that count in this slot.
+    `voters` are the store ids, by member, that count in this slot; `own_value` is what is proposed unless an
+    acceptor reports another value.
     """
 
-    me: int
+    member: int
     slot: int
-    wanted: bytes
+    own_value: bytes
     voters: Mapping[int, int]
-    turn: int
+    round_number: int
     _promises: dict[int, Promised] = field(default_factory=dict)
     _accepts: set[int] = field(default_factory=set)
-    value: bytes = NONE  # that is put to the vote, once a majority has promised
+    value: bytes = NO_VALUE  # of phase 2, once a quorum has promised
     chosen: bool = False
 
     @property
-    def number(self) -> int:
-        return ballot(self.turn, self.me)
+    def ballot(self) -> int:
+        """The ballot of this round."""
+        return make_ballot(self.round_number, self.member)
 
     @property
     def quorum(self) -> int:
+        """How many voters are a majority."""
         return len(self.voters) // 2 + 1
 
-    def promise(self, who: int, ident: int, told: Promised) -> bool:
-        """Phase 2a: whether the value is settled now and is to be put to the vote."""
-        if self.value != NONE or told.slot != self.slot or told.ballot != self.number:
+    def on_promise(self, member: int, store_id: int, promised: Promised) -> bool:
+        """Records a promise. True once the value is settled, so that phase 2a begins."""
+        if self.value != NO_VALUE or promised.slot != self.slot or promised.ballot != self.ballot:
             return False
-        if self.voters.get(who) != ident:
+        if self.voters.get(member) != store_id:
             return False
-        self._promises[who] = told
+        self._promises[member] = promised
         if len(self._promises) < self.quorum:
             return False
-        before = max(self._promises.values(), key=lambda one: one.took)
-        self.value = before.value if before.took else self.wanted
+        highest = max(self._promises.values(), key=lambda one: one.accepted_ballot)
+        self.value = highest.accepted_value if highest.accepted_ballot else self.own_value
         return True
 
-    def accept(self, who: int, ident: int, told: Accepted) -> bool:
-        """Whether the value is chosen now."""
-        if self.value == NONE or told.slot != self.slot or told.ballot != self.number:
+    def on_accepted(self, member: int, store_id: int, accepted: Accepted) -> bool:
+        """Records an acceptance. True at the one that makes the value chosen."""
+        if self.value == NO_VALUE or accepted.slot != self.slot or accepted.ballot != self.ballot:
             return False
-        if self.voters.get(who) != ident:
+        if self.voters.get(member) != store_id:
             return False
-        self._accepts.add(who)
+        self._accepts.add(member)
         if self.chosen or len(self._accepts) < self.quorum:
             return False
         self.chosen = True
         return True
 
-    def missing(self) -> tuple[int, ...]:
-        """Who has not answered in the phase that is under way."""
-        done = self._accepts if self.value != NONE else self._promises
-        return tuple(who for who in self.voters if who not in done)
+    def unanswered(self) -> tuple[int, ...]:
+        """The voters that have not answered in the phase under way."""
+        answered = self._accepts if self.value != NO_VALUE else self._promises
+        return tuple(member for member in self.voters if member not in answered)
--- a/lemonridge/rollout/policy_document.py
+++ b/lemonridge/rollout/policy_document.py
@@ -1,9 +1,11 @@
-"""The policy as a thing: a numbered, hashed, self-contained document, whole checks, and what differs. Pure.
+"""The fleet's policy as a numbered, hashed, self-contained document; its checks; what differs. Pure.
 
-Policy is what all brokers of a fleet must decide by alike: the plans with their limits and shares, the
-classes' aims and worths, and the rules on attempts. Where a broker listens, its nodes, its limits on memory
-and sockets are the machine's own. The document is JSON in one form only (sorted keys, no spaces), so that
-equal policies have equal bytes; its name is the BLAKE2s of those.
+Policy is what all brokers of a fleet must decide by alike: the plans with their limits and quotas, the
+classes' latency objectives and priority weights, and the rules on attempts. Where a broker listens, its
+endpoints, its limits on memory and sockets are the machine's own. The document is JSON in one canonical form
+(sorted keys, no spaces), so that equal policies have equal bytes; its digest is the BLAKE2s of those.
+
+The keys of the document are the operators' words; a field with another name maps it by `rename`.
 """
 
 from __future__ import annotations
@@ -16,20 +18,23 @@
 import msgspec
 from msgspec import Meta, Struct
 
-from lemonridge.scheduling.settings import Settings, VolumePlan
+from lemonridge.rollout.errors import FloorError, PolicyError, VoterChangeError
+from lemonridge.scheduling.settings import RequestClass, Settings, VolumePlan
 
-VALUE_MAX = 24_576  # bytes of a state: what is voted on, told and kept
+STATE_BYTES_MAX = 24_576  # of an encoded state, which is voted on, transferred and stored
 PLANS_MAX, CLASSES_MAX = 64, 32
-VOTERS_MAX = 5  # more make no change safer against two that die
-HISTORY_MAX = 16  # changes that are remembered by a line each
-NOTE_MAX = 120  # characters
+VOTERS_MAX = 5  # tolerates two failures, and more voters only slow a decision
+HISTORY_MAX = 16  # changes that are kept, a line each
+NOTE_CHARACTERS_MAX = 120
+HISTORY_PREFIX_CHARACTERS_MAX = 60  # of a line before its note
+FIGURE_TOLERANCE = 1e-9  # a figure under the floor by less is a rounding error
 
 Figure = Annotated[float, Meta(ge=0, lt=1e9)]
 Name = Annotated[str, Meta(min_length=1, max_length=40)]
 
 
 class Plan(Struct, forbid_unknown_fields=True, frozen=True, kw_only=True):
-    """One plan, in units (a second) of a volume over all brokers; a limit of 0 is none."""
+    """The limits of a plan's volumes over all brokers, in request units (a second); a limit of 0 is none."""
 
     name: Name
     base_rate: Figure = 0.0
@@ -45,72 +50,85 @@
     forbid_unknown_fields=True,
     frozen=True,
     kw_only=True,
-    rename={"priority_weight": "worth"},
+    rename={"latency_objective_ms": "aim_ms", "priority_weight": "worth"},
 ):
-    """One class: when an answer is wanted, and what a unit of it is worth."""
+    """One class: its latency objective, and the priority weight of a request unit."""
 
     name: Name
-    aim_ms: Annotated[float, Meta(gt=0, le=3_600_000)]
+    latency_objective_ms: Annotated[float, Meta(gt=0, le=3_600_000)]
     priority_weight: Figure = 1.0
 
 
-class Rules(Struct, forbid_unknown_fields=True, frozen=True, kw_only=True):
-    """What holds for all requests; `further_attempts` are a second, of all brokers, 0 where not counted."""
+class Rules(
+    Struct, forbid_unknown_fields=True, frozen=True, kw_only=True, rename={"retry_rate": "further_attempts"}
+):
+    """The rules for all requests; `retry_rate` is a second, of all brokers, 0 where there is no budget."""
 
     max_attempts: Annotated[int, Meta(ge=1, le=4)] = 4
-    further_attempts: Figure = 0.0
+    retry_rate: Figure = 0.0
 
 
 class Policy(Struct, forbid_unknown_fields=True, frozen=True, kw_only=True, rename={"classes": "class"}):
-    """What all brokers decide by."""
+    """What all brokers decide by: plans, classes and rules."""
 
     plan: Annotated[tuple[Plan, ...], Meta(min_length=1, max_length=PLANS_MAX)]
     classes: Annotated[tuple[Class, ...], Meta(min_length=1, max_length=CLASSES_MAX)]
     rules: Rules = Rules()
 
     def __post_init__(self) -> None:
-        for what, rows in (("plan", self.plan), ("class", self.classes)):
-            told = [row.name for row in rows]
-            if len(set(told)) != len(told):
-                raise ValueError(f"two of '{what}' have one name")
+        for table, rows in (("plan", self.plan), ("class", self.classes)):
+            names = [row.name for row in rows]
+            if len(set(names)) != len(names):
+                raise ValueError(f"two of '{table}' have one name")
 
 
-class PolicyState(Struct, forbid_unknown_fields=True, frozen=True, kw_only=True):
-    """What is decided at an epoch, all of it: so the newest alone has to be kept and learnt.
+class PolicyState(
+    Struct,
+    forbid_unknown_fields=True,
+    frozen=True,
+    kw_only=True,
+    rename={"previous_digest": "prior", "author": "by"},
+):
+    """All that is decided at an epoch, so that the newest state alone has to be stored and transferred.
 
-    `prior` names the state before it; `voters` are the identities of those who vote on the next.
+    `previous_digest` is that of the state before it, in hexadecimal; `voters` are the store ids, by member
+    name, of those who vote on the next.
     """
 
     epoch: Annotated[int, Meta(ge=0, lt=2**31)]
-    prior: str
+    previous_digest: str
     voters: dict[str, int]
     policy: Policy
-    floor: Policy  # what a broker without a lease goes by: every policy contains it
-    by: str = ""
-    note: Annotated[str, Meta(max_length=NOTE_MAX)] = ""
+    floor: Policy  # decided by without a lease: every policy contains it
+    author: str = ""
+    note: Annotated[str, Meta(max_length=NOTE_CHARACTERS_MAX)] = ""
     kind: Literal["policy", "voter", "emergency"] = "policy"
     history: tuple[str, ...] = ()
 
 
-class PolicyError(ValueError):
-    """A policy or a state that cannot be used; the text is fit to print."""
-
-
 def encode(state: PolicyState) -> bytes:
-    """The bytes that are voted on; PolicyError where they are too many, or break the schema."""
-    try:  # read back once: a whole number where a figure stands is another form of the same
-        again = msgspec.json.decode(msgspec.json.encode(state), type=PolicyState)
-        data = msgspec.json.encode(again, order="sorted")
+    """The bytes that are voted on, in the canonical form.
+
+    Raises:
+        PolicyError: They are too many, or break the schema.
+    """
+    try:  # decoded once: a whole number in place of a float would be another form of the same state
+        canonical = msgspec.json.decode(msgspec.json.encode(state), type=PolicyState)
+        data = msgspec.json.encode(canonical, order="sorted")
     except (msgspec.DecodeError, ValueError) as error:
         raise PolicyError(str(error)) from None
-    if len(data) > VALUE_MAX:
-        raise PolicyError(f"the policy takes {len(data)} bytes, {VALUE_MAX} are allowed")
+    if len(data) > STATE_BYTES_MAX:
+        raise PolicyError(f"the policy takes {len(data)} bytes, {STATE_BYTES_MAX} are allowed")
     return data
 
 
 def decode(data: bytes) -> PolicyState:
-    """The state of some bytes, which must be in the one form."""
-    if len(data) > VALUE_MAX:
+    """The state of some bytes.
+
+    Raises:
+        PolicyError: They are too many, break the schema, or are not in the canonical form.
+    """
+    if len(data) > STATE_BYTES_MAX:
         raise PolicyError("too long")
     try:
         state = msgspec.json.decode(data, type=PolicyState)
@@ -121,78 +139,84 @@
     return state
 
 
-def name(data: bytes) -> bytes:
-    """Eight bytes by which a state is known: BLAKE2s (RFC 7693) of it."""
+def digest(data: bytes) -> bytes:
+    """The eight bytes that identify an encoded state: its BLAKE2s (RFC 7693)."""
     return hashlib.blake2s(data, digest_size=8).digest()
 
 
-def policy_of(values: Any) -> Policy:
-    """The policy of a TOML file's tables; PolicyError names the key."""
+def parse_policy(tables: Any) -> Policy:
+    """The policy of a TOML file's tables, or of an operators' call.
+
+    Raises:
+        PolicyError: It breaks the schema; the text names the key.
+    """
     try:
-        return msgspec.convert(values, Policy, strict=False)
+        return msgspec.convert(tables, Policy, strict=False)
     except (msgspec.ValidationError, ValueError) as error:
         raise PolicyError(str(error)) from None
 
 
-def successor(before: PolicyState, policy: Policy, by: str, note: str) -> PolicyState:
+def next_state(before: PolicyState, policy: Policy, author: str, note: str) -> PolicyState:
     """The state after a change of policy."""
-    line = f"{before.epoch + 1} {by}: {note}"[: NOTE_MAX + 60]
+    line = f"{before.epoch + 1} {author}: {note}"[: NOTE_CHARACTERS_MAX + HISTORY_PREFIX_CHARACTERS_MAX]
     return PolicyState(
         epoch=before.epoch + 1,
-        prior=name(encode(before)).hex(),
+        previous_digest=digest(encode(before)).hex(),
         voters=before.voters,
         policy=policy,
         floor=before.floor,
-        by=by,
-        note=note[:NOTE_MAX],
+        author=author,
+        note=note[:NOTE_CHARACTERS_MAX],
         history=(*before.history, line)[-HISTORY_MAX:],
     )
 
 
-def admitted(before: PolicyState, voter: str, ident: int, by: str) -> PolicyState:
-    """The state after a member was let in, for the first time or with a new store: it votes from the next
-    change on.
+def state_with_voter(before: PolicyState, voter: str, store_id: int, author: str) -> PolicyState:
+    """The state after a member was admitted, for the first time or with a new store.
+
+    It votes from the next change on.
     """
     how = "with a new store" if voter in before.voters else "from now on"
-    made = successor(before, before.policy, by, f"{voter} votes {how}")
-    return msgspec.structs.replace(made, voters={**before.voters, voter: ident}, kind="voter")
+    state = next_state(before, before.policy, author, f"{voter} votes {how}")
+    return msgspec.structs.replace(state, voters={**before.voters, voter: store_id}, kind="voter")
 
 
-def retired(before: PolicyState, voter: str, by: str) -> PolicyState:
-    """The state after a voter votes no longer."""
-    made = successor(before, before.policy, by, f"{voter} votes no longer")
-    voters = {told: ident for told, ident in before.voters.items() if told != voter}
-    return msgspec.structs.replace(made, voters=voters, kind="voter")
+def state_without_voter(before: PolicyState, voter: str, author: str) -> PolicyState:
+    """The state after a voter was retired."""
+    state = next_state(before, before.policy, author, f"{voter} votes no longer")
+    voters = {name: store_id for name, store_id in before.voters.items() if name != voter}
+    return msgspec.structs.replace(state, voters=voters, kind="voter")
 
 
-def forced(before: PolicyState, epoch: int, voters: dict[str, int], by: str, note: str) -> PolicyState:
+def emergency_state(
+    before: PolicyState, epoch: int, voters: dict[str, int], author: str, note: str
+) -> PolicyState:
     """The state of an emergency call: the policy as it was, with other voters, which no majority decided."""
-    made = successor(before, before.policy, by, note)
-    line = f"{epoch} {by}: EMERGENCY, only {', '.join(voters)}: {note}"[: NOTE_MAX + 60]
+    state = next_state(before, before.policy, author, note)
+    line = f"{epoch} {author}: EMERGENCY, only {', '.join(voters)}: {note}"
+    line = line[: NOTE_CHARACTERS_MAX + HISTORY_PREFIX_CHARACTERS_MAX]
     return msgspec.structs.replace(
-        made, epoch=epoch, voters=voters, kind="emergency", history=(*before.history, line)[-HISTORY_MAX:]
+        state, epoch=epoch, voters=voters, kind="emergency", history=(*before.history, line)[-HISTORY_MAX:]
     )
 
 
-def stepped(before: PolicyState, after: PolicyState, members: Iterable[str]) -> str:
-    """Why who votes may not change so, or nothing: by one voter at a time, who is a member, and never to
-    none.
+def check_voter_change(before: PolicyState, after: PolicyState, members: Iterable[str]) -> None:
+    """Checks that the voters change by one at a time, who is a member, and never to none.
+
+    Raises:
+        VoterChangeError: They do not.
     """
     pairs = set(before.voters.items()) ^ set(after.voters.items())
-    if len({told for told, _ in pairs}) > 1:
-        return "more than one voter changes at once"
+    if len({voter for voter, _ in pairs}) > 1:
+        raise VoterChangeError("more than one voter changes at once")
     if not after.voters or len(after.voters) > VOTERS_MAX:
-        return f"1 to {VOTERS_MAX} vote"
-    if strange := sorted(set(after.voters) - set(members)):
-        return f"'{strange[0]}' is no member here"
-    return ""
-
-
-# What a broker's own file says, and what it makes of a policy
+        raise VoterChangeError(f"1 to {VOTERS_MAX} vote")
+    if unknown := sorted(set(after.voters) - set(members)):
+        raise VoterChangeError(f"'{unknown[0]}' is no member here")
 
 
 def plan_of(name: str, row: VolumePlan) -> Plan:
-    """A plan as the decisions know it."""
+    """A plan of the scheduler's settings as one of the document."""
     return Plan(
         name=name,
         base_rate=row.base_rate,
@@ -205,145 +229,149 @@
 
 
 def policy_from(settings: Settings, plans: Iterable[str], classes: Iterable[str]) -> Policy:
-    """The policy in a broker's settings."""
+    """The policy in a broker's settings, whose plans and classes have these names, in order."""
     return Policy(
         plan=tuple(map(plan_of, plans, settings.plans)),
         classes=tuple(
             Class(
                 name=label,
-                aim_ms=row.latency_objective_us / 1000,
+                latency_objective_ms=row.latency_objective_us / 1000,
                 priority_weight=row.priority_weight,
             )
             for label, row in zip(classes, settings.classes, strict=True)
         ),
-        rules=Rules(max_attempts=settings.max_attempts, further_attempts=settings.retry_rate),
+        rules=Rules(max_attempts=settings.max_attempts, retry_rate=settings.retry_rate),
     )
 
 
 def apply(policy: Policy, own: Settings, plans: Iterable[str], classes: Iterable[str]) -> Settings:
-    """A broker's settings with a policy in force; PolicyError says why this broker cannot serve by it.
+    """A broker's own settings with a policy put in.
+
+    The names of plans and classes and their order are the machine's own, since requests name them by number.
 
-    The names and their order are the machine's own, since requests come by them.
+    Raises:
+        PolicyError: This broker cannot serve by the policy.
     """
     plans, classes = tuple(plans), tuple(classes)
-    told_plans = {row.name: row for row in policy.plan}
-    told_classes = {row.name: row for row in policy.classes}
-    for what, mine, told in (("plan", plans, told_plans), ("class", classes, told_classes)):
-        if missing := sorted(set(mine) - set(told)):
-            raise PolicyError(f"{what} '{missing[0]}' is served here and not in the policy")
-        if unknown := sorted(set(told) - set(mine)):
-            raise PolicyError(f"{what} '{unknown[0]}' is not served here")
-    made_classes = []
-    for label, row in zip(classes, own.classes, strict=True):
-        latency_objective_us = int(told_classes[label].aim_ms * 1000)
-        if latency_objective_us > row.deadline_us:
-            raise PolicyError(f"class '{label}' has an aim past its time of {row.deadline_us // 1000} ms")
-        made_classes.append(
-            replace(
-                row,
-                latency_objective_us=latency_objective_us,
-                priority_weight=told_classes[label].priority_weight,
-            )
-        )
-    made_plans = tuple(
-        VolumePlan(one.base_rate, one.reserve, one.weight, one.limit, one.burst, one.slack)
-        for one in (told_plans[label] for label in plans)
-    )
-    for label, plan in zip(plans, made_plans, strict=True):
-        if plan.limit and plan.burst + plan.slack < own.largest_request_units:
-            raise PolicyError(
-                f"plan '{label}' could never send a request of {own.largest_request_units:g} units"
-            )
+    policy_plans = {row.name: row for row in policy.plan}
+    policy_classes = {row.name: row for row in policy.classes}
+    _check_names("plan", plans, policy_plans)
+    _check_names("class", classes, policy_classes)
     return replace(
         own,
-        classes=tuple(made_classes),
-        plans=made_plans,
+        classes=tuple(
+            _apply_class(policy_classes[name], row) for name, row in zip(classes, own.classes, strict=True)
+        ),
+        plans=tuple(_apply_plan(policy_plans[name], own.largest_request_units) for name in plans),
         max_attempts=policy.rules.max_attempts,
-        retry_rate=policy.rules.further_attempts,
+        retry_rate=policy.rules.retry_rate,
     )
 
 
-def _least(one: float, other: float) -> float:
-    """The stricter of two figures of which 0 is none."""
+def _check_names(table: str, own: Iterable[str], in_policy: Iterable[str]) -> None:
+    if missing := sorted(set(own) - set(in_policy)):
+        raise PolicyError(f"{table} '{missing[0]}' is served here and not in the policy")
+    if unknown := sorted(set(in_policy) - set(own)):
+        raise PolicyError(f"{table} '{unknown[0]}' is not served here")
+
+
+def _apply_class(row: Class, own: RequestClass) -> RequestClass:
+    latency_objective_us = int(row.latency_objective_ms * 1000)
+    if latency_objective_us > own.deadline_us:
+        raise PolicyError(f"class '{row.name}' has an aim past its time of {own.deadline_us // 1000} ms")
+    return replace(own, latency_objective_us=latency_objective_us, priority_weight=row.priority_weight)
+
+
+def _apply_plan(row: Plan, largest_request_units: float) -> VolumePlan:
+    if row.limit and row.burst + row.slack < largest_request_units:
+        raise PolicyError(f"plan '{row.name}' could never send a request of {largest_request_units:g} units")
+    return VolumePlan(row.base_rate, row.reserve, row.weight, row.limit, row.burst, row.slack)
+
+
+def _stricter_limit(one: float, other: float) -> float:
+    """The lower of two limits of which 0 is none."""
     return min(one, other) if one and other else one or other
 
 
 def stricter(one: Policy, other: Policy) -> Policy:
     """A policy that keeps to both in everything that adds up over brokers; the rest is `other`'s."""
-    before = {row.name: row for row in one.plan}
+    rows = {row.name: row for row in one.plan}
     plans = []
     for row in other.plan:
-        old = before.get(row.name, row)
-        limit = _least(old.limit, row.limit)
-        lower = [plan for plan in (old, row) if plan.limit]
+        old = rows.get(row.name, row)
+        limited = [plan for plan in (old, row) if plan.limit]
         plans.append(
             msgspec.structs.replace(
                 row,
-                limit=limit,
+                limit=_stricter_limit(old.limit, row.limit),
                 reserve=min(old.reserve, row.reserve),
-                burst=min((plan.burst for plan in lower), default=0.0),
-                slack=min((plan.slack for plan in lower), default=0.0),
+                burst=min((plan.burst for plan in limited), default=0.0),
+                slack=min((plan.slack for plan in limited), default=0.0),
             )
         )
     rules = Rules(
         max_attempts=min(one.rules.max_attempts, other.rules.max_attempts),
-        further_attempts=_least(one.rules.further_attempts, other.rules.further_attempts),
+        retry_rate=_stricter_limit(one.rules.retry_rate, other.rules.retry_rate),
     )
     return msgspec.structs.replace(other, plan=tuple(plans), rules=rules)
 
 
-def floor(own: Policy, part: float) -> Policy:
-    """What a broker without a lease may go by: a part of what its file allows, which every policy contains
-    (`contains`).
+def floor(own: Policy, fraction: float) -> Policy:
+    """What a broker without a lease may decide by.
+
+    A fraction of its own file's limits, which every policy contains (`check_floor`).
     """
-    plans = tuple(msgspec.structs.replace(row, limit=row.limit * part, reserve=0.0) for row in own.plan)
-    rules = Rules(max_attempts=1, further_attempts=own.rules.further_attempts * part)
+    plans = tuple(msgspec.structs.replace(row, limit=row.limit * fraction, reserve=0.0) for row in own.plan)
+    rules = Rules(max_attempts=1, retry_rate=own.rules.retry_rate * fraction)
     return msgspec.structs.replace(own, plan=plans, rules=rules)
 
 
-def contains(policy: Policy, least: Policy) -> str:
-    """Why a policy allows less than a floor, or nothing. A plan without a limit in the floor may have none
-    in any policy: a broker that is cut off would else go past it.
+def check_floor(policy: Policy, floor_policy: Policy) -> None:
+    """Checks that a policy allows no less than a floor.
+
+    A plan without a limit in the floor may have none in any policy: a broker that is cut off would otherwise
+    exceed it.
+
+    Raises:
+        FloorError: The first figure that is under the floor.
     """
-    told = {row.name: row for row in policy.plan}
-    for row in least.plan:
-        other = told.get(row.name)
+    rows = {row.name: row for row in policy.plan}
+    for row in floor_policy.plan:
+        other = rows.get(row.name)
         if other is None or not other.limit:
             continue
         if not row.limit:
-            return f"plan '{row.name}' has no limit in the brokers' own file, so none can be set"
-        for what in ("limit", "burst", "slack"):
-            if getattr(other, what) < getattr(row, what) - 1e-9:
-                return (
-                    f"plan '{row.name}': {what} {getattr(other, what):g} is under the floor of "
-                    f"{getattr(row, what):g}"
+            raise FloorError(f"plan '{row.name}' has no limit in the brokers' own file, so none can be set")
+        for key in ("limit", "burst", "slack"):
+            if getattr(other, key) < getattr(row, key) - FIGURE_TOLERANCE:
+                raise FloorError(
+                    f"plan '{row.name}': {key} {getattr(other, key):g} is under the floor of "
+                    f"{getattr(row, key):g}"
                 )
-    further = policy.rules.further_attempts
-    if further and not least.rules.further_attempts:
-        return "further_attempts have no budget in the brokers' own file, so none can be set"
-    if further and further < least.rules.further_attempts - 1e-9:
-        return f"further_attempts {further:g} are under the floor of {least.rules.further_attempts:g}"
-    return ""
+    rate, floor_rate = policy.rules.retry_rate, floor_policy.rules.retry_rate
+    if rate and not floor_rate:
+        raise FloorError("further_attempts have no budget in the brokers' own file, so none can be set")
+    if rate and rate < floor_rate - FIGURE_TOLERANCE:
+        raise FloorError(f"further_attempts {rate:g} are under the floor of {floor_rate:g}")
 
 
 def difference(before: Policy, after: Policy) -> list[str]:
-    """What differs, a line each, as people read it."""
+    """What differs, a line each, by the names of the document's keys."""
     lines = []
-    for what, old, new in (("plan", before.plan, after.plan), ("class", before.classes, after.classes)):
-        olds: dict[str, Any] = {row.name: row for row in old}
-        news: dict[str, Any] = {row.name: row for row in new}
-        lines += [f"{what} {told}: gone" for told in olds if told not in news]
-        lines += [f"{what} {told}: new" for told in news if told not in olds]
-        for told in (told for told in news if told in olds):
-            fields = zip(news[told].__struct_fields__, news[told].__struct_encode_fields__, strict=True)
-            lines += [
-                f"{what} {told}: {label} {getattr(olds[told], key):g} -> {getattr(news[told], key):g}"
-                for key, label in fields
-                if key != "name" and getattr(olds[told], key) != getattr(news[told], key)
-            ]
-    lines += [
-        f"rules: {key} {getattr(before.rules, key):g} -> {getattr(after.rules, key):g}"
-        for key in after.rules.__struct_fields__
-        if getattr(before.rules, key) != getattr(after.rules, key)
+    for table, old, new in (("plan", before.plan, after.plan), ("class", before.classes, after.classes)):
+        old_rows: dict[str, Struct] = {row.name: row for row in old}
+        new_rows: dict[str, Struct] = {row.name: row for row in new}
+        lines += [f"{table} {row}: gone" for row in old_rows if row not in new_rows]
+        lines += [f"{table} {row}: new" for row in new_rows if row not in old_rows]
+        for row in (row for row in new_rows if row in old_rows):
+            lines += _changed_figures(f"{table} {row}", old_rows[row], new_rows[row])
+    return lines + _changed_figures("rules", before.rules, after.rules)
+
+
+def _changed_figures(where: str, old: Struct, new: Struct) -> list[str]:
+    fields = zip(new.__struct_fields__, new.__struct_encode_fields__, strict=True)
+    return [
+        f"{where}: {key} {getattr(old, field):g} -> {getattr(new, field):g}"
+        for field, key in fields
+        if key != "name" and getattr(old, field) != getattr(new, field)
     ]
-    return lines
--- a/lemonridge/service/assembly.py
+++ b/lemonridge/service/assembly.py
@@ -111,12 +111,11 @@
 
         rollout = platform.fleet.rollout
         if rollout is not None:
-            from lemonridge.coordination.policy_coordinator import (  # only an operator's file sets it up
-                PolicyCoordinator,
-                held_store,
-            )
+            # Only an operator's file sets it up.
+            from lemonridge.coordination.policy_coordinator import PolicyCoordinator
+            from lemonridge.coordination.vote_store import open_vote_store
 
-            store, kept = await held_store(rollout.store)
+            store, record = await open_vote_store(rollout.store)
         made.speak(
             PeerTransport(platform.fleet, made.decider, made.clock, made.counters, platform.seed, settings)
         )
@@ -132,9 +131,9 @@
                 made.clock,
                 made.counters,
                 store,
-                kept,
+                record,
             )
-            endpoints.epoch, front.has_lease = coordinator.epoch, coordinator.has_lease
+            endpoints.epoch, front.has_lease = coordinator.lease_guard.epoch, coordinator.has_lease
             made.endings.insert(0, coordinator.stop)
     front.bind(platform.listen, platform.passed)
     admin = AdminService(made, front, lifecycle)
--- a/lemonridge/service/iscsi.py
+++ b/lemonridge/service/iscsi.py
@@ -66,12 +66,11 @@
         router.resized = lambda luns: front.device.tell(CAPACITY_CHANGED, luns)
     rollout = plan.rollout if plan is not None else None
     if rollout is not None:
-        from lemonridge.coordination.policy_coordinator import (  # only an operator's file sets it up
-            PolicyCoordinator,
-            held_store,
-        )
+        # Only an operator's file sets it up.
+        from lemonridge.coordination.policy_coordinator import PolicyCoordinator
+        from lemonridge.coordination.vote_store import open_vote_store
 
-        store, kept = await held_store(rollout.store)
+        store, record = await open_vote_store(rollout.store)
     if plan is not None:
         made.speak(
             PeerTransport(plan, made.decider, made.clock, counters, secrets.randbits(64), config.settings)
@@ -79,11 +78,11 @@
     if plan is not None and rollout is not None:
         assert made.peers is not None
         made.coordinator = coordinator = PolicyCoordinator(
-            plan, config, secrets.randbits(64), made.peers, made.decider, made.clock, counters, store, kept
+            plan, config, secrets.randbits(64), made.peers, made.decider, made.clock, counters, store, record
         )
         made.endings.insert(0, coordinator.stop)
         if source is not None:
-            source.follow(coordinator.source_proposal)
+            source.follow(coordinator.propose_plans)
     await front.start(config.listen)
     return made
 
--- a/lemonridge/service/service.py
+++ b/lemonridge/service/service.py
@@ -46,7 +46,7 @@
 
 
 class PolicyCoordination(Protocol):
-    """The policy of the fleet at this broker; see `governance.py`."""
+    """The policy of the fleet at this broker; see `coordination/policy_coordinator.py`."""
 
     def configure(self, own: LocalPolicy) -> Settings: ...
 
--- a/tests/test_format_admin.py
+++ b/tests/test_format_admin.py
@@ -23,7 +23,8 @@
 
 from lemonridge.cli import main, policy_commands
 from lemonridge.config.platform import Address, FleetConfig, RolloutConfig
-from lemonridge.coordination.policy_coordinator import MAGIC, PolicyCoordinator, VoteStore
+from lemonridge.coordination.policy_coordinator import PolicyCoordinator
+from lemonridge.coordination.vote_store import MAGIC, VoteStore
 from lemonridge.core.counters import Counters
 from lemonridge.fleet import datagrams, fleet_member, health_gossip, quota_lending
 from lemonridge.fleet.member_list import MemberList, key_of
@@ -31,7 +32,7 @@
 from lemonridge.operate.admin_calls import AdminCall, AdminReply, AdminRequest, BadCallError, longest, parse
 from lemonridge.operate.lifecycle import Phase
 from lemonridge.rollout import policy_document
-from lemonridge.rollout.rollout_member import StoredVote
+from lemonridge.rollout.vote_log import StoredVote
 from lemonridge.scheduling.settings import DeduplicationScope, IdempotencyKind, RequestClass, VolumePlan
 
 NOW = 1_800_000_000_000_000
@@ -240,19 +241,19 @@
                 name="basic", base_rate=1.0, reserve=2.0, weight=3.0, limit=limit, burst=12.0, slack=4.0
             ),
         ),
-        classes=(policy_document.Class(name="read", aim_ms=300.0, priority_weight=5.0),),
-        rules=policy_document.Rules(max_attempts=3, further_attempts=6.0),
+        classes=(policy_document.Class(name="read", latency_objective_ms=300.0, priority_weight=5.0),),
+        rules=policy_document.Rules(max_attempts=3, retry_rate=6.0),
     )
 
 
 def state() -> policy_document.PolicyState:
     return policy_document.PolicyState(
         epoch=7,
-        prior="0123456789abcdef",
+        previous_digest="0123456789abcdef",
         voters={"b0": 11, "b1": 12},
         policy=policy(),
         floor=policy(6.0),
-        by="b1",
+        author="b1",
         note="half",
         kind="voter",
         history=("7 b1: half",),
@@ -277,13 +278,13 @@
     """Brokers compare its hash, so one byte less is another state. The keys are the fields' names."""
     assert policy_document.encode(state()) == STATE
     assert policy_document.decode(STATE) == state()
-    assert policy_document.name(STATE).hex() == "7aa62f6c9314e4b7"
-    assert policy_document.policy_of(orjson.loads(POLICY)) == policy()
+    assert policy_document.digest(STATE).hex() == "7aa62f6c9314e4b7"
+    assert policy_document.parse_policy(orjson.loads(POLICY)) == policy()
 
 
 def test_the_votes_on_disk_byte_for_byte(tmp_path: Path) -> None:
     """The keys are the fields' names, and so is their order: msgspec writes a map."""
-    kept = StoredVote(ident=1, state=b"st", promised=2, took=3, taken=b"tk")
+    kept = StoredVote(store_id=1, state=b"st", promised_ballot=2, accepted_ballot=3, accepted_state=b"tk")
     body = b"\x85\xa5ident\x01\xa5state\xc4\x02st\xa8promised\x02\xa4took\x03\xa5taken\xc4\x02tk"
     store = VoteStore(str(tmp_path / "votes"))
 
@@ -311,7 +312,7 @@
 async def calls(path: Path, lines: list[bytes]) -> list[bytes]:
     """What a broker that is alone answers to calls about its policy."""
     store = VoteStore(str(path))
-    store.begin()
+    store.create()
     loop = asyncio.get_running_loop()
     clock = SimpleNamespace(now_us=lambda: 10**9, loop_time=lambda at_us: loop.time() + 60)
     peers = SimpleNamespace(life=77, post=lambda items: None, configure=lambda settings: None)
--- a/tests/test_format_votes.py
+++ b/tests/test_format_votes.py
@@ -12,12 +12,16 @@
 
 import msgspec
 
-from lemonridge.cli.policy_commands import written
-from lemonridge.coordination.policy_coordinator import VoteStore, VoteStoreError
+from lemonridge.cli.policy_commands import to_toml
+from lemonridge.coordination.errors import VoteStoreError
+from lemonridge.coordination.vote_store import VoteStore
 from lemonridge.fleet.datagrams import Prepare
 from lemonridge.rollout import policy_document
-from lemonridge.rollout.policy_document import Class, Plan, Policy, PolicyError, PolicyState, Rules
-from lemonridge.rollout.rollout_member import PersistVote, RolloutMember, StoredVote
+from lemonridge.rollout.errors import PolicyError
+from lemonridge.rollout.member_context import PersistVote
+from lemonridge.rollout.policy_document import Class, Plan, Policy, PolicyState, Rules
+from lemonridge.rollout.rollout_member import RolloutMember
+from lemonridge.rollout.vote_log import StoredVote
 
 
 def policy() -> Policy:
@@ -29,25 +33,30 @@
             ),
             Plan(name="basic"),
         ),
-        classes=(Class(name="read", aim_ms=300.0, priority_weight=2.0), Class(name="write", aim_ms=400.5)),
-        rules=Rules(max_attempts=3, further_attempts=4.0),
+        classes=(
+            Class(name="read", latency_objective_ms=300.0, priority_weight=2.0),
+            Class(name="write", latency_objective_ms=400.5),
+        ),
+        rules=Rules(max_attempts=3, retry_rate=4.0),
     )
 
 
 def least() -> Policy:
     """The floor of it."""
-    return Policy(plan=(Plan(name="standard", limit=30),), classes=(Class(name="read", aim_ms=300),))
+    return Policy(
+        plan=(Plan(name="standard", limit=30),), classes=(Class(name="read", latency_objective_ms=300),)
+    )
 
 
 def full_state() -> PolicyState:
     """A state with every field set."""
     return PolicyState(
         epoch=7,
-        prior="0011223344556677",
+        previous_digest="0011223344556677",
         voters={"b": 5, "a": 9},
         policy=policy(),
         floor=least(),
-        by="a",
+        author="a",
         note="half",
         kind="voter",
         history=("6 a: x", "7 a: half"),
@@ -56,8 +65,8 @@
 
 def small_state() -> PolicyState:
     """A state with every default."""
-    one = Policy(plan=(Plan(name="p"),), classes=(Class(name="r", aim_ms=1),))
-    return PolicyState(epoch=0, prior="", voters={"a": 0}, policy=one, floor=one)
+    one = Policy(plan=(Plan(name="p"),), classes=(Class(name="r", latency_objective_ms=1),))
+    return PolicyState(epoch=0, previous_digest="", voters={"a": 0}, policy=one, floor=one)
 
 
 def vote() -> StoredVote:
@@ -72,7 +81,7 @@
 
 def broker(kept: bytes | None) -> RolloutMember:
     """Broker `a` of two, whose files say the small state."""
-    return RolloutMember(0, ("a", "b"), 1, small_state(), kept, 0x0102030405060708, lambda policy: "", 1, 0)
+    return RolloutMember(0, ("a", "b"), 1, small_state(), kept, 0x0102030405060708, lambda policy: None, 1, 0)
 
 
 # Every key is derived from a field's name (`PolicyState`, `Policy`, `Plan`, `Class`, `Rules`), but for
@@ -189,8 +198,10 @@
         self.assertEqual(policy_document.decode(SMALL_STATE), small_state())
 
     def test_a_state_is_called_by_eight_bytes(self) -> None:
-        self.assertEqual(policy_document.name(SMALL_STATE).hex(), SMALL_NAME)
-        self.assertEqual(policy_document.successor(small_state(), policy(), "a", "n").prior, SMALL_NAME)
+        self.assertEqual(policy_document.digest(SMALL_STATE).hex(), SMALL_NAME)
+        self.assertEqual(
+            policy_document.next_state(small_state(), policy(), "a", "n").previous_digest, SMALL_NAME
+        )
 
     def test_every_kind_of_a_state_is_read(self) -> None:
         for kind in ("policy", "voter", "emergency"):
@@ -198,11 +209,11 @@
             self.assertEqual(policy_document.decode(data).kind, kind)
 
     def test_the_lines_of_the_history_and_the_kinds_are_written_so(self) -> None:
-        changed = policy_document.successor(small_state(), policy(), "a", "half")
-        let_in = policy_document.admitted(changed, "b", 5, "b")
-        again = policy_document.admitted(let_in, "b", 6, "b")
-        left = policy_document.retired(again, "b", "a")
-        alone = policy_document.forced(left, 65536, {"a": 0}, "a", "fire")
+        changed = policy_document.next_state(small_state(), policy(), "a", "half")
+        let_in = policy_document.state_with_voter(changed, "b", 5, "b")
+        again = policy_document.state_with_voter(let_in, "b", 6, "b")
+        left = policy_document.state_without_voter(again, "b", "a")
+        alone = policy_document.emergency_state(left, 65536, {"a": 0}, "a", "fire")
 
         self.assertEqual(
             [one.kind for one in (changed, let_in, again, left, alone)],
@@ -225,8 +236,8 @@
         self.assertEqual(str(caught.exception), "Object contains unknown field `odd`")
 
     def test_the_operators_policy_is_written_and_read_so(self) -> None:
-        self.assertEqual(written(policy()), POLICY_TOML)
-        self.assertEqual(policy_document.policy_of(POLICY_VALUES), policy())
+        self.assertEqual(to_toml(policy()), POLICY_TOML)
+        self.assertEqual(policy_document.parse_policy(POLICY_VALUES), policy())
         self.assertEqual(msgspec.json.decode(msgspec.json.encode(policy())), POLICY_VALUES)
 
     def test_differences_name_the_keys(self) -> None:
@@ -260,7 +271,7 @@
         )
 
     def test_a_new_store_keeps_its_identity_and_the_state(self) -> None:
-        told = broker(None).out
+        told = broker(None).take_actions()
         self.assertEqual(len(SMALL_STATE), 0x01F9)
         self.assertEqual(
             told,
@@ -275,9 +286,9 @@
 
     def test_a_promise_is_kept_so(self) -> None:
         one = broker(FIRST)
-        one.heard(1, 1, Prepare(1, 0x0301), 0)
+        one.handle(1, 1, Prepare(1, 0x0301), 0)
         self.assertEqual(
-            one.out[0],
+            one.take_actions()[0],
             PersistVote(
                 b"\x85\xa5ident\x00\xa5state\xc5\x01\xf9"
                 + SMALL_STATE
@@ -297,11 +308,13 @@
 
         one = broker(kept)
 
-        self.assertEqual((one.voter.ident, one.voter.slot), (9, 1))
-        self.assertEqual((one.voter.promised, one.voter.took), (0x0301, 0x0201))
-        self.assertEqual(one.states[one.voter.value], FULL_STATE)
+        self.assertEqual((one.log.store_id, one.log.acceptor.slot), (9, 1))
+        self.assertEqual(
+            (one.log.acceptor.promised_ballot, one.log.acceptor.accepted_ballot), (0x0301, 0x0201)
+        )
+        self.assertEqual(one.log.documents[one.log.acceptor.accepted_value], FULL_STATE)
         self.assertEqual(one.state, small_state())
-        self.assertEqual(one.out, [])  # nothing is written anew
+        self.assertEqual(one.take_actions(), [])  # nothing is written anew
 
 
 class TheStore(unittest.TestCase):
@@ -312,7 +325,7 @@
         self.store = VoteStore(str(self.path))
 
     def test_a_file_is_written_so(self) -> None:
-        self.store.begin()
+        self.store.create()
         self.assertEqual(self.path.read_bytes(), FIRST_FILE)
         self.store.write(VOTE)
         self.assertEqual(self.path.read_bytes(), VOTE_FILE)
@@ -324,7 +337,7 @@
             self.assertEqual(self.store.read(), record)
 
     def test_the_lock_lies_beside_it(self) -> None:
-        self.store.hold()
+        self.store.lock()
         self.assertEqual([one.name for one in self.path.parent.iterdir()], ["votes.lock"])
 
     def test_another_header_or_checksum_is_refused(self) -> None:
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -12,16 +12,19 @@
 
 from lemonridge.fleet import datagrams
 from lemonridge.lab.checkers import rollout as checker
-from lemonridge.lab.measure.rollout import Net, policy
-from lemonridge.rollout import leases, paxos, policy_document, rollout_member
-from lemonridge.rollout.leases import NOTHING
-from lemonridge.rollout.policy_document import Class, Plan, Policy, PolicyError
+from lemonridge.lab.measure.rollout import Net, invalid, policy, rejection
+from lemonridge.rollout import leases, paxos, policy_document
+from lemonridge.rollout.change_proposal import ChangeOutcome
+from lemonridge.rollout.errors import PolicyError
+from lemonridge.rollout.lease_exchange import EMERGENCY_EPOCH_STEP
+from lemonridge.rollout.leases import NO_EPOCHS
+from lemonridge.rollout.policy_document import Class, Plan, Policy
 
 
 class Documents(unittest.TestCase):
     def test_equal_policies_have_equal_bytes_and_other_forms_are_refused(self) -> None:
         state = policy_document.PolicyState(
-            epoch=1, prior="", voters={"a": 0}, policy=policy(), floor=policy()
+            epoch=1, previous_digest="", voters={"a": 0}, policy=policy(), floor=policy()
         )
         data = policy_document.encode(state)
         self.assertEqual(policy_document.decode(data), state)
@@ -30,25 +33,25 @@
                 policy_document.decode(other)
         big = policy().plan[0]
         many = tuple(policy_document.Plan(name=f"{n:040}", limit=big.limit) for n in range(64))
-        rows = tuple(Class(name=f"{n:040}", aim_ms=1.0) for n in range(32))
+        rows = tuple(Class(name=f"{n:040}", latency_objective_ms=1.0) for n in range(32))
         self.assertLess(
             len(
                 policy_document.encode(
                     policy_document.PolicyState(
                         epoch=1,
-                        prior="0" * 16,
+                        previous_digest="0" * 16,
                         voters={},
                         floor=policy(),
                         policy=Policy(plan=many, classes=rows),
                     )
                 )
             ),
-            policy_document.VALUE_MAX,
+            policy_document.STATE_BYTES_MAX,
         )
 
     def test_a_file_is_checked_whole_and_names_its_key(self) -> None:
         good = {"plan": [{"name": "basic", "limit": 5}], "class": [{"name": "read", "aim_ms": 100}]}
-        self.assertEqual(policy_document.policy_of(good).plan[0].limit, 5.0)
+        self.assertEqual(policy_document.parse_policy(good).plan[0].limit, 5.0)
         for change, word in (
             ({"rules": {"max_attempts": 5}}, "max_attempts"),
             ({"plans": []}, "plans"),
@@ -57,7 +60,7 @@
             ({"plan": [{"name": "a", "limit": -1}]}, "limit"),
         ):
             with self.assertRaises(PolicyError) as caught:
-                policy_document.policy_of({**good, **change})
+                policy_document.parse_policy({**good, **change})
             self.assertIn(word, str(caught.exception))
 
     @given(st.floats(0, 100), st.floats(0, 100), st.integers(1, 4), st.integers(1, 4))
@@ -70,7 +73,7 @@
             self.assertTrue(not told.plan[0].limit or 0 < both.plan[0].limit <= told.plan[0].limit)
             self.assertLessEqual(both.rules.max_attempts, told.rules.max_attempts)
         least = policy_document.floor(policy(), 0.25)
-        self.assertEqual(bool(policy_document.contains(one, least)), 0 < a < 6.0)
+        self.assertEqual(bool(rejection(policy_document.check_floor, one, least)), 0 < a < 6.0)
 
     def test_what_differs_is_told_in_lines(self) -> None:
         self.assertEqual(
@@ -96,16 +99,16 @@
 
     def test_with_all_up_it_is_in_force_everywhere_within_two_seconds_and_nobody_rests(self) -> None:
         net = Net().steady()
-        self.assertEqual(net.broker(1).propose(policy(12), "half", net.now), "")
-        rested: list[leases.Interval] = []
+        self.assertEqual(rejection(net.broker(1).propose, policy(12), "half", net.now), "")
+        rested: list[leases.EpochInterval] = []
         begun = net.now
         while not net.everywhere(1):
             self.assertLess(net.now - begun, 2_000_000)
             net.step()
-            rested += [mode for mode in net.modes().values() if mode == NOTHING]
+            rested += [mode for mode in net.modes().values() if mode == NO_EPOCHS]
         self.assertFalse(rested)  # the stricter of both meanwhile, never the floor
-        self.assertEqual(net.broker(1).results[-1].end, "in force")
-        self.assertEqual(net.broker(3).policy((1, 1)), policy(12))
+        self.assertEqual(net.broker(1).results[-1].outcome, ChangeOutcome.IN_FORCE)
+        self.assertEqual(net.broker(3).policy_for((1, 1)), policy(12))
 
     def test_with_one_dead_it_waits_for_its_lease_and_no_longer(self) -> None:
         net = Net().steady()
@@ -118,11 +121,11 @@
 
     def test_one_that_cannot_makes_it_nowhere_and_says_why(self) -> None:
         net = Net().steady()
-        net.judges[3] = lambda told: "class 'read' is not served here"
+        net.validators[3] = invalid("class 'read' is not served here")
         net.broker(0).propose(policy(12), "half", net.now)
         net.run(3.0)
-        self.assertEqual(net.broker(0).results[-1].end, "nowhere")
-        self.assertIn("b3: class 'read'", net.broker(0).results[-1].why)
+        self.assertEqual(net.broker(0).results[-1].outcome, ChangeOutcome.NOWHERE)
+        self.assertIn("b3: class 'read'", net.broker(0).results[-1].reason)
         self.assertTrue(net.everywhere(0))
 
     def test_one_that_was_down_and_cannot_goes_by_the_floor_and_says_why(self) -> None:
@@ -130,14 +133,14 @@
         net.kill(3)
         net.broker(0).propose(policy(12), "half", net.now)
         net.run(4.0)
-        net.judges[3] = lambda told: "too little memory"
+        net.validators[3] = invalid("too little memory")
         net.start(3)
         net.run(4.0)
-        self.assertEqual((net.modes()[3], net.broker(3).fault), (NOTHING, "too little memory"))
+        self.assertEqual((net.modes()[3], str(net.broker(3).policy_error)), (NO_EPOCHS, "too little memory"))
         net.kill(3)
         net.start(3)  # with the state on its disk
         net.run(4.0)
-        self.assertEqual((net.modes()[3], net.broker(3).fault), (NOTHING, "too little memory"))
+        self.assertEqual((net.modes()[3], str(net.broker(3).policy_error)), (NO_EPOCHS, "too little memory"))
 
     def test_a_coordinator_that_dies_at_any_step_leaves_it_in_force_everywhere_or_nowhere(self) -> None:
         ends = set()
@@ -162,7 +165,7 @@
             net = Net(seed=most).steady()
             net.broker(0).propose(policy(12), "half", net.now)
             net.run(0.1)
-            net.broker(1).heard(0, 1, rollout_member.Prepare(1, paxos.ballot(7, 0)), net.now)
+            net.broker(1).handle(0, 1, datagrams.Prepare(1, paxos.make_ballot(7, 0)), net.now)
             net.take(1, most)
             net.kill(1)
             net.start(1)
@@ -175,17 +178,19 @@
             net.broker(0).propose(policy(12), "half", net.now)
             net.broker(4).propose(policy(48), "double", net.now)
             net.run(6.0)
-            ends = sorted(net.broker(n).results[-1].end for n in (0, 4))
-            self.assertEqual(ends.count("in force"), 1, ends)
+            ends = [net.broker(n).results[-1].outcome for n in (0, 4)]
+            self.assertEqual(ends.count(ChangeOutcome.IN_FORCE), 1, ends)
             self.assertTrue(net.everywhere(1))
 
     def test_a_minority_that_is_cut_off_keeps_its_lease_and_then_the_floor_until_it_heals(self) -> None:
         net = Net().steady()
         net.cut = {(a, b) for a in (0, 1) for b in (2, 3, 4)} | {(b, a) for a in (0, 1) for b in (2, 3, 4)}
         net.run(2.5)
-        self.assertEqual({n: m for n, m in net.modes().items() if n < 2}, {0: NOTHING, 1: NOTHING})
-        self.assertTrue(net.broker(0).propose(policy(12), "half", net.now))  # it may not know the newest
-        self.assertEqual(net.broker(3).propose(policy(12), "half", net.now), "")
+        self.assertEqual({n: m for n, m in net.modes().items() if n < 2}, {0: NO_EPOCHS, 1: NO_EPOCHS})
+        self.assertTrue(
+            rejection(net.broker(0).propose, policy(12), "half", net.now)
+        )  # it may not know the newest
+        self.assertEqual(rejection(net.broker(3).propose, policy(12), "half", net.now), "")
         net.run(2.0)
         self.assertEqual(net.modes()[3], (1, 1))
         net.cut = set()
@@ -197,7 +202,9 @@
         net.broker(0).propose(policy(12), "half", net.now)
         net.run(5.0)
         net.stopped = set()
-        self.assertEqual(net.broker(2).mode(net.now), NOTHING)  # before its timer, by the clock alone
+        self.assertEqual(
+            net.broker(2).epochs_in_use(net.now), NO_EPOCHS
+        )  # before its timer, by the clock alone
         net.until(lambda: net.everywhere(1), 1.0)
 
     def test_a_wiped_disk_does_not_vote_until_the_others_decided_so(self) -> None:
@@ -206,14 +213,14 @@
         net.until(lambda: net.everywhere(1), 2.0)
         net.kill(3, wiped=True)
         net.start(3)
-        self.assertFalse(net.broker(3).votes)
-        net.until(lambda: net.broker(3).votes and net.everywhere(2), 8.0)
+        self.assertFalse(net.broker(3).is_voter)
+        net.until(lambda: net.broker(3).is_voter and net.everywhere(2), 8.0)
         self.assertEqual(net.broker(0).state.policy, policy(12))
 
     def test_a_state_of_many_pieces_comes_over_a_bad_network(self) -> None:
         net = Net().steady()
         net.loss = net.copies = 0.2
-        rows = tuple(Class(name=f"class {n}", aim_ms=100.0) for n in range(30))
+        rows = tuple(Class(name=f"class {n}", latency_objective_ms=100.0) for n in range(30))
         plans = (*policy().plan, *(Plan(name=f"plan {n}", weight=float(n)) for n in range(30)))
         net.broker(1).propose(Policy(plan=plans, classes=rows), "large", net.now)
         net.until(lambda: net.everywhere(1), 8.0)
@@ -225,8 +232,8 @@
         net.broker(1).propose(Policy(plan=plans, classes=policy().classes), "large", net.now)
         net.until(lambda: net.everywhere(1), 5.0)
         net.start(4)
-        net.until(lambda: bool(net.broker(4)._fetches), 2.0)
-        source = next(iter(net.broker(4)._fetches.values())).source
+        net.until(lambda: bool(net.broker(4).transfer.transfers), 2.0)
+        source = next(iter(net.broker(4).transfer.transfers.values())).source
         net.kill(source)
         self.assertLess(net.until(lambda: net.modes().get(4) == (1, 1), 5.0), 2.0)
 
@@ -242,12 +249,14 @@
             what = random.randrange(10)
             if what >= 8 and net.brokers[n] is not None:  # one voter more, or one less
                 voters = sorted(net.broker(n).state.voters)
-                if net.broker(n).votes and len(voters) > 2:
-                    net.broker(n).retire(random.choice(voters), net.now)
-                elif not net.broker(n).votes:
-                    net.broker(n).admit(net.now)
+                if net.broker(n).is_voter and len(voters) > 2:
+                    rejection(net.broker(n).retire, random.choice(voters), net.now)
+                elif not net.broker(n).is_voter:
+                    rejection(net.broker(n).admit, net.now)
             elif what < 3 and net.brokers[n] is not None:
-                net.broker(n).propose(policy(float(random.randrange(6, 60))), f"turn {turn}", net.now)
+                rejection(
+                    net.broker(n).propose, policy(float(random.randrange(6, 60))), f"turn {turn}", net.now
+                )
             elif what == 3 and net.brokers[n] is not None and net.brokers.count(None) < size // 2:
                 net.kill(n, random.random() < 0.3 and net.spares(n))
             elif what == 4:
@@ -277,41 +286,43 @@
 
     def test_a_voter_is_retired_and_another_let_in_and_then_decides(self) -> None:
         net = Net(6).steady()
-        self.assertIn("5 vote", net.broker(5).admit(net.now))
+        self.assertIn("5 vote", rejection(net.broker(5).admit, net.now))
         net.kill(4)  # for good
-        self.assertEqual(net.broker(0).retire("b4", net.now), "")
+        self.assertEqual(rejection(net.broker(0).retire, "b4", net.now), "")
         net.until(lambda: net.everywhere(1), 4.5)
-        self.assertEqual(net.broker(5).admit(net.now), "")
+        self.assertEqual(rejection(net.broker(5).admit, net.now), "")
         net.until(lambda: net.everywhere(2), 2.0)
-        self.assertTrue(net.broker(5).votes)
+        self.assertTrue(net.broker(5).is_voter)
         net.kill(0)
         net.kill(1)  # two of five: the new one is needed
-        net.until(lambda: net.broker(2).propose(policy(12), "half", net.now) == "", 2.0)
+        net.until(lambda: rejection(net.broker(2).propose, policy(12), "half", net.now) == "", 2.0)
         net.until(lambda: net.everywhere(3), 6.0)
         self.assertEqual(net.broker(5).state.policy, policy(12))
         net.start(4)  # the retired one comes back: it goes by the policy and does not vote
         net.until(lambda: net.everywhere(3), 4.0)
-        self.assertFalse(net.broker(4).votes)
+        self.assertFalse(net.broker(4).is_voter)
 
     def test_a_vote_is_not_taken_away_where_too_few_would_be_left_to_decide(self) -> None:
         net = Net(3).steady()
         net.kill(2, wiped=True)
-        self.assertEqual(net.broker(0).retire("b1", net.now), "")  # of b0 and b2 both would be needed
+        self.assertEqual(
+            rejection(net.broker(0).retire, "b1", net.now), ""
+        )  # of b0 and b2 both would be needed
         net.run(7.0)
-        self.assertEqual(net.broker(0).results[-1].end, "nowhere")
+        self.assertEqual(net.broker(0).results[-1].outcome, ChangeOutcome.NOWHERE)
         net.start(2)
-        net.until(lambda: net.broker(2).votes and net.everywhere(net.broker(0).state.epoch), 8.0)
+        net.until(lambda: net.broker(2).is_voter and net.everywhere(net.broker(0).state.epoch), 8.0)
 
     def test_what_may_not_be_asked_gets_a_reason(self) -> None:
         net = Net(3).steady()
-        self.assertEqual(net.broker(0).admit(net.now), "it votes already")
-        self.assertEqual(net.broker(0).retire("nobody", net.now), "'nobody' does not vote")
-        self.assertEqual(net.broker(0).retire("b2", net.now), "")
-        self.assertEqual(net.broker(0).retire("b1", net.now), "a change is under way")
+        self.assertEqual(rejection(net.broker(0).admit, net.now), "it votes already")
+        self.assertEqual(rejection(net.broker(0).retire, "nobody", net.now), "'nobody' does not vote")
+        self.assertEqual(rejection(net.broker(0).retire, "b2", net.now), "")
+        self.assertEqual(rejection(net.broker(0).retire, "b1", net.now), "a change is under way")
         net.until(lambda: net.everywhere(1), 2.0)
         net.cut = {(0, 1), (1, 0)}
         net.run(2.5)
-        self.assertIn("no lease", net.broker(0).retire("b1", net.now))
+        self.assertIn("no lease", rejection(net.broker(0).retire, "b1", net.now))
 
     def test_a_state_that_changes_two_voters_or_names_a_stranger_is_refused(self) -> None:
         before = Net(3).genesis
@@ -321,10 +332,13 @@
             ({"b0": 5, "b1": 0}, "more than one"),
             ({"b0": 0, "b1": 0}, ""),
         ):
-            after = policy_document.successor(before, before.policy, "b0", "")
+            after = policy_document.next_state(before, before.policy, "b0", "")
             after = policy_document.msgspec.structs.replace(after, voters=voters)
             self.assertEqual(
-                bool(word), bool(told := policy_document.stepped(before, after, ("b0", "b1", "b2")))
+                bool(word),
+                bool(
+                    told := rejection(policy_document.check_voter_change, before, after, ("b0", "b1", "b2"))
+                ),
             )
             self.assertIn(word, told)
 
@@ -336,10 +350,12 @@
         two = replace(kinds[0], sets=(kinds[0].sets[0], (0,)))
         self.assertIn("they go by", checker.leases(two).broken)  # two voters at a time
 
-        def earlier(made: leases.Holder, interval: leases.Interval) -> list[tuple[int, ...]]:
-            return [made.voters if interval[0] == made.want else made.before]
+        def earlier(made: leases.LeaseHolder, interval: leases.EpochInterval) -> list[tuple[int, ...]]:
+            return [made.voters if interval[0] == made.wanted else made.previous_voters]
 
-        with mock.patch.object(leases.Holder, "_sets", earlier):  # of two epochs the first one's voters alone
+        with mock.patch.object(
+            leases.LeaseHolder, "_voters_by_epoch", earlier
+        ):  # of two epochs the first one's voters alone
             self.assertIn("they go by", checker.leases(kinds[2]).broken)
 
     def test_who_is_which_counts_once_where_all_begin_alike(self) -> None:
@@ -363,29 +379,31 @@
         for n in (2, 3, 4):
             net.kill(n)
         net.run(5.0)
-        self.assertEqual(set(net.modes().values()), {NOTHING})
+        self.assertEqual(set(net.modes().values()), {NO_EPOCHS})
         return net
 
     def test_those_who_are_left_go_on_and_change_the_policy_again(self) -> None:
         net = self.lost()
-        self.assertEqual(net.broker(0).force(("b2", "b3", "b4"), "fire in hall a", net.now), "")
+        self.assertEqual(rejection(net.broker(0).force, ("b2", "b3", "b4"), "fire in hall a", net.now), "")
         epoch = net.broker(0).state.epoch
-        self.assertEqual(epoch, rollout_member.ERA)
+        self.assertEqual(epoch, EMERGENCY_EPOCH_STEP)
         net.until(lambda: net.everywhere(epoch), 4.0)
         self.assertEqual(net.broker(1).state.policy, policy(12))  # what was in force, not the files'
         self.assertIn("EMERGENCY, only b0, b1: fire", net.broker(1).state.history[-1])
-        self.assertEqual(net.broker(1).propose(policy(48), "double", net.now), "")
+        self.assertEqual(rejection(net.broker(1).propose, policy(48), "double", net.now), "")
         net.until(lambda: net.everywhere(epoch + 1), 3.0)
         net.start(3)  # one that was called lost is back: it takes what is in force, without a vote
         net.until(lambda: net.everywhere(epoch + 1), 4.0)
-        self.assertFalse(net.broker(3).votes)
-        self.assertEqual(net.broker(3).admit(net.now), "")
-        net.until(lambda: net.everywhere(epoch + 2) and net.broker(3).votes, 3.0)
+        self.assertFalse(net.broker(3).is_voter)
+        self.assertEqual(rejection(net.broker(3).admit, net.now), "")
+        net.until(lambda: net.everywhere(epoch + 2) and net.broker(3).is_voter, 3.0)
 
     def test_it_is_refused_while_it_is_not_one(self) -> None:
         net = Net().steady()
         everyone = ("b2", "b3", "b4")
-        self.assertIn("a majority of the voters is heard", net.broker(0).force(everyone, "", net.now))
+        self.assertIn(
+            "a majority of the voters is heard", rejection(net.broker(0).force, everyone, "", net.now)
+        )
         net = self.lost()
         for lost, word in (
             (("b3", "b4"), "a majority of the voters is left"),
@@ -393,31 +411,31 @@
             ((*everyone, "b1"), "'b1' was"),
             ((*everyone, "b0"), "not lost"),
         ):
-            self.assertIn(word, net.broker(0).force(lost, "", net.now))
+            self.assertIn(word, rejection(net.broker(0).force, lost, "", net.now))
         net.kill(1)
         net.run(5.0)
-        self.assertIn("'b1' is not heard", net.broker(0).force(everyone, "", net.now))
+        self.assertIn("'b1' is not heard", rejection(net.broker(0).force, everyone, "", net.now))
         net.kill(0)
         net.start(0)
-        self.assertIn("has listened for less", net.broker(0).force((*everyone, "b1"), "", net.now))
+        self.assertIn("has listened for less", rejection(net.broker(0).force, (*everyone, "b1"), "", net.now))
         net.run(5.0)
-        self.assertEqual(net.broker(0).force((*everyone, "b1"), "", net.now), "")
-        net.until(lambda: net.modes()[0][0] >= rollout_member.ERA, 4.0)
+        self.assertEqual(rejection(net.broker(0).force, (*everyone, "b1"), "", net.now), "")
+        net.until(lambda: net.modes()[0][0] >= EMERGENCY_EPOCH_STEP, 4.0)
 
     def test_its_price_what_the_others_decided_meanwhile_is_void_once_they_hear_of_it(self) -> None:
         net = Net().steady()
         net.cut = {(a, b) for a in (0, 1) for b in (2, 3, 4)} | {(b, a) for a in (0, 1) for b in (2, 3, 4)}
         net.run(5.0)
         net.decided.clear()
-        self.assertEqual(net.broker(1).force(("b2", "b3", "b4"), "they seemed lost", net.now), "")
-        self.assertEqual(net.broker(3).propose(policy(48), "double", net.now), "")
+        self.assertEqual(rejection(net.broker(1).force, ("b2", "b3", "b4"), "they seemed lost", net.now), "")
+        self.assertEqual(rejection(net.broker(3).propose, policy(48), "double", net.now), "")
         with self.assertRaises(AssertionError):  # two policies at one moment: this is the price
             net.run(6.0)
         net.check = lambda: None  # type: ignore[method-assign]
         net.run(1.0)
         net.cut = set()
         epoch = net.broker(1).state.epoch
-        self.assertEqual(epoch, rollout_member.ERA + 1)
+        self.assertEqual(epoch, EMERGENCY_EPOCH_STEP + 1)
         net.until(lambda: net.everywhere(epoch), 6.0)
         self.assertEqual(net.broker(3).state.policy, policy())
         self.assertEqual(sorted(net.broker(3).state.voters), ["b0", "b1"])
@@ -428,11 +446,11 @@
         net.run(5.0)
         net.check = lambda: None  # type: ignore[method-assign]
         everyone = ("b2", "b3", "b4")
-        self.assertEqual(net.broker(0).force((*everyone, "b1"), "", net.now), "")
-        self.assertEqual(net.broker(1).force((*everyone, "b0"), "", net.now), "")
+        self.assertEqual(rejection(net.broker(0).force, (*everyone, "b1"), "", net.now), "")
+        self.assertEqual(rejection(net.broker(1).force, (*everyone, "b0"), "", net.now), "")
         net.run(3.0)
         net.cut = set()
-        net.until(lambda: net.everywhere(rollout_member.ERA + 1), 4.0)
+        net.until(lambda: net.everywhere(EMERGENCY_EPOCH_STEP + 1), 4.0)
         self.assertEqual(net.broker(0).state.voters, {"b1": 0})
 
 
@@ -452,17 +470,17 @@
     def test_planted_faults_of_the_agreement_are_found(self) -> None:
         def deaf(made: paxos.Proposer, who: int, ident: int, told: paxos.Promised) -> bool:
             """Puts what it wants, whatever was accepted before."""
-            return real_promise(made, who, ident, paxos.Promised(told.slot, told.ballot, 0, paxos.NONE))
+            return real_promise(made, who, ident, paxos.Promised(told.slot, told.ballot, 0, paxos.NO_VALUE))
 
-        def hasty(made: paxos.Voter, slot: int, number: int, value: bytes) -> paxos.Accepted:
+        def hasty(made: paxos.Acceptor, slot: int, number: int, value: bytes) -> paxos.Accepted:
             """Accepts what is under its promise."""
-            made.took, made.value = number, value
+            made.accepted_ballot, made.accepted_value = number, value
             return paxos.Accepted(slot, number)
 
-        real_promise = paxos.Proposer.promise
+        real_promise = paxos.Proposer.on_promise
         for what, plant in (
-            ("promise", mock.patch.object(paxos.Proposer, "promise", deaf)),
-            ("accept", mock.patch.object(paxos.Voter, "accept", hasty)),
+            ("promise", mock.patch.object(paxos.Proposer, "on_promise", deaf)),
+            ("accept", mock.patch.object(paxos.Acceptor, "accept", hasty)),
             ("quorum", mock.patch.object(paxos.Proposer, "quorum", 1)),
         ):
             with self.subTest(what), plant:
@@ -472,7 +490,7 @@
 
     def test_a_switch_that_does_not_wait_is_found(self) -> None:
         self.assertEqual(checker.wander(checker.WIDE, 1, 60), "")
-        with mock.patch.object(leases, "meet", lambda *_: True):
+        with mock.patch.object(leases, "overlap", lambda *_: True):
             self.assertIn("they go by", checker.leases(checker.Bounds(flights=0, ticks=2)).broken)
 
 
@@ -508,20 +526,25 @@
         for n in (1, 2):
             net.kill(n)
             net.start(n)
-        net.until(lambda: net.broker(1).propose(policy(12), "half", net.now) == "", 5.0)
+        net.until(lambda: rejection(net.broker(1).propose, policy(12), "half", net.now) == "", 5.0)
         net.run(3.0)
         assert net.modes()[1] == (1, 1)
 
     def test_a_lease_that_counts_from_its_answer_is_found(self) -> None:
-        def from_now(made: leases.Holder, voter: int, ask: int, told: leases.Interval, now: int) -> bool:
-            asked = made._asks.get(ask)
+        def from_now(
+            made: leases.LeaseHolder, voter: int, ask: int, told: leases.EpochInterval, now: int
+        ) -> bool:
+            asked = made._requests.get(ask)
             if asked is not None:
                 asked.sent_us = now
             return real(made, voter, ask, told, now)
 
-        real = leases.Holder.granted
+        real = leases.LeaseHolder.record_grant
         self.late_answers()
-        with mock.patch.object(leases.Holder, "granted", from_now), self.assertRaises(AssertionError) as told:
+        with (
+            mock.patch.object(leases.LeaseHolder, "record_grant", from_now),
+            self.assertRaises(AssertionError) as told,
+        ):
             self.late_answers()
         self.assertIn("(0, 0)", str(told.exception))
 
@@ -534,7 +557,7 @@
     def test_a_voter_that_grants_at_once_after_its_start_is_found(self) -> None:
         def at_once(made: leases.LeaseGrantor, span: int, error: int, now: int) -> None:
             real(made, span, error, now)
-            made.quiet_us = now
+            made.grants_from_us = now
 
         real = leases.LeaseGrantor.__init__
         self.restarts()
--- a/tests/test_rollout_iscsi.py
+++ b/tests/test_rollout_iscsi.py
@@ -11,17 +11,17 @@
 from typing import Any
 
 import orjson
+from harness import PATIENCE_S, ROOT, Initiator, Program, Target
 
 from lemonridge.config.platform import Address
-from lemonridge.coordination.policy_coordinator import VoteStore
+from lemonridge.coordination.vote_store import VoteStore
 from lemonridge.lab.links.datagrams import Network, kept_port
-from lemonridge.lab.measure.rollout import policy
+from lemonridge.lab.measure.rollout import policy, rejection
 from lemonridge.lab.standins.etcd import Etcd
 from lemonridge.net.admin_client import CallError, call
 from lemonridge.rollout import policy_document
-from lemonridge.rollout.proposals import AGAIN_US, STAGGER_US, SourceProposal
+from lemonridge.rollout.source_proposal import RETRY_US, STAGGER_US, SourceProposal
 from lemonridge.scheduling.settings import VolumePlan
-from tests.harness import PATIENCE_S, ROOT, Initiator, Program, Target
 
 LEASE_MS, BROKERS = 1000, 3
 
@@ -32,25 +32,25 @@
         proposals = [SourceProposal(me) for me in range(3)]
         for proposal in proposals:
             proposal.set({"basic": after.plan[0], "unknown": after.plan[1]})
-            self.assertIn("plan 'basic' comes from etcd", proposal.against(before))
-            self.assertEqual(proposal.against(after), "")
+            self.assertIn("plan 'basic' comes from etcd", rejection(proposal.check_agrees, before))
+            self.assertEqual(rejection(proposal.check_agrees, after), "")
         self.assertEqual([proposal.due(before, 0) == after for proposal in proposals], [True, False, False])
         self.assertEqual(proposals[2].due(before, 2 * STAGGER_US), after)
         self.assertIsNone(proposals[0].due(after, 5))
         self.assertIsNone(proposals[1].due(before, 1))  # what it saw met begins anew
 
-    def test_what_came_to_nothing_rests_unless_the_wish_changes(self) -> None:
+    def test_what_on_rejected_rests_unless_the_wish_changes(self) -> None:
         proposal, before = SourceProposal(0), policy(24.0)
         proposal.set({"basic": policy(36.0).plan[0]})
         self.assertIsNotNone(proposal.due(before, 0))
-        proposal.came_to_nothing(0)
-        self.assertIsNone(proposal.due(before, AGAIN_US - 1))
+        proposal.on_rejected(0)
+        self.assertIsNone(proposal.due(before, RETRY_US - 1))
         proposal.set({"basic": policy(36.0).plan[0]})  # said again
-        self.assertIsNone(proposal.due(before, AGAIN_US - 1))
-        self.assertIsNotNone(proposal.due(before, AGAIN_US))
-        proposal.came_to_nothing(AGAIN_US)
+        self.assertIsNone(proposal.due(before, RETRY_US - 1))
+        self.assertIsNotNone(proposal.due(before, RETRY_US))
+        proposal.on_rejected(RETRY_US)
         proposal.set({"basic": policy(30.0).plan[0]})
-        self.assertIsNotNone(proposal.due(before, AGAIN_US))
+        self.assertIsNotNone(proposal.due(before, RETRY_US))
 
     def test_a_plan_of_the_decisions_is_the_plan_of_the_document(self) -> None:
         row = VolumePlan(1.0, 2.0, 3.0, 4.0, 5.0, 6.0)
@@ -97,7 +97,7 @@
         self.programs: list[Program] = []
         self.ports = [0] * BROKERS
         for number in range(BROKERS):
-            VoteStore(str(self.folder / f"votes{number}")).begin()
+            VoteStore(str(self.folder / f"votes{number}")).create()
             self.programs.append(await self.start(number))
 
     def file(self, number: int) -> Path:
@@ -155,7 +155,7 @@
         self.assertIn("contracts of etcd", (await self.seen(2))["history"][-1])
         # Less than the floor that every policy contains: nowhere, with a reason, and it rests.
         self.etcd.put("/lr/plans/basic", {**row, "limit": before / 100})
-        line = await self.programs[0].line("proposed=False")
+        line = await self.programs[0].line("plans of etcd rejected")
         self.assertIn("under the floor", line)
         # Who contradicts etcd is told so, since it would be changed back.
         told = await self.seen(0)
--- a/tests/test_rollout_live.py
+++ b/tests/test_rollout_live.py
@@ -20,15 +20,15 @@
 
 from lemonridge.cli import main
 from lemonridge.config.platform import Address, ConfigError
-from lemonridge.coordination import policy_coordinator
-from lemonridge.coordination.policy_coordinator import VoteStore, VoteStoreError
+from lemonridge.coordination.errors import VoteStoreError
+from lemonridge.coordination.vote_store import VoteStore, open_vote_store
 from lemonridge.lab.checkers.policy import Findings, Proposed, check
 from lemonridge.lab.drills import policy as drill
 from lemonridge.lab.load.fleet import Asker, Clients
 from lemonridge.lab.rig import Rig, Site, standing
 from lemonridge.net.admin_client import CallError, call
+from lemonridge.rollout.lease_exchange import EMERGENCY_EPOCH_STEP
 from lemonridge.rollout.policy_document import Policy
-from lemonridge.rollout.rollout_member import ERA
 
 SITE = Site(lease_ms=1000.0, short=2)
 Scene = Callable[[Rig], Awaitable[None]]
@@ -44,7 +44,7 @@
     rows = tuple(
         msgspec.structs.replace(row, limit=limit) if row.name == "basic" else row for row in policy.plan
     )
-    classes = tuple(msgspec.structs.replace(row, aim_ms=aim_ms) for row in policy.classes)
+    classes = tuple(msgspec.structs.replace(row, latency_objective_ms=aim_ms) for row in policy.classes)
     told = {
         "policy": msgspec.to_builtins(msgspec.structs.replace(policy, plan=rows, classes=classes)),
         "note": note,
@@ -90,7 +90,14 @@
 
 def judged(rig: Rig) -> Findings:
     came = [one for node in rig.nodes for one in node.came]
-    limits = {0: 24.0, 1: 48.0, 2: 48.0, ERA: 24.0, ERA + 1: 48.0, ERA + 2: 48.0}
+    limits = {
+        0: 24.0,
+        1: 48.0,
+        2: 48.0,
+        EMERGENCY_EPOCH_STEP: 24.0,
+        EMERGENCY_EPOCH_STEP + 1: 48.0,
+        EMERGENCY_EPOCH_STEP + 2: 48.0,
+    }
     return check(came, [], [], limits, 6.0, (1,), SITE.burst, SITE.slack, 1.5)
 
 
@@ -212,12 +219,12 @@
         with tempfile.TemporaryDirectory() as folder:
             store = VoteStore(f"{folder}/votes")
             self.assertIsNone(store.read())
-            store.begin()
+            store.create()
             with self.assertRaises(VoteStoreError):
-                store.begin()
-            store.hold()
+                store.create()
+            store.lock()
             with self.assertRaises(VoteStoreError):
-                VoteStore(f"{folder}/votes").hold()  # one process at a time
+                VoteStore(f"{folder}/votes").lock()  # one process at a time
             store.write(b"a vote" * 20)
             whole = store.path.read_bytes()
             self.assertEqual(store.read(), b"a vote" * 20)
@@ -248,10 +255,10 @@
                 return plain(path)
 
             with patch.object(Path, "read_bytes", failing), self.assertLogs(level="ERROR") as logged:
-                store, kept = await policy_coordinator.held_store(f"{folder}/votes")
+                store, kept = await open_vote_store(f"{folder}/votes")
             self.assertEqual((kept, failures, len(logged.output)), (b"a vote", [], 1))
             with self.assertRaises(ConfigError):  # it is held
-                await policy_coordinator.held_store(f"{folder}/votes")
+                await open_vote_store(f"{folder}/votes")
             self.assertEqual(store.read(), b"a vote")
 
 
@@ -294,7 +301,7 @@
             assert program is not None
 
             def hear(_: float, line: dict[str, str]) -> None:
-                if line.get("event") == "emergency":
+                if line.get("event") == "policy epoch forced by an emergency call":
                     told.append(line)
 
             program.heard.append(hear)
@@ -324,21 +331,22 @@
                 return (await ask(*lost, "--note", "both burnt", "--accept-two-policies"))[0] == 0
 
             await until(forced, 4.0)  # they count as heard for two leases
-            await until(lambda: by(rig, 0, ERA), 3.0)
+            await until(lambda: by(rig, 0, EMERGENCY_EPOCH_STEP), 3.0)
             await propose(rig, 0, 48.0)  # and what is changed from now on is in force
-            await until(lambda: by(rig, 0, ERA + 1), 3.0)
+            await until(lambda: by(rig, 0, EMERGENCY_EPOCH_STEP + 1), 3.0)
             for one in rig.brokers[1:]:
                 await one.start()
                 await one.ready()
                 one.down.append((begun, asyncio.get_running_loop().time()))
-            await until(lambda: everywhere(rig, ERA + 1), 3.0)
+            await until(lambda: everywhere(rig, EMERGENCY_EPOCH_STEP + 1), 3.0)
             self.assertEqual((await ask("admit", at[1], "--wait", "4"))[0], 0)
             self.assertEqual((await seen(rig, 0))["voters"], ["b0", "b1"])
 
         told: list[dict[str, str]] = []
         play(self, scene, seconds=16.0)
         self.assertEqual(
-            [(one["level"], one["lost"], one["epoch"]) for one in told], [("critical", "b1,b2", str(ERA))]
+            [(one["level"], one["lost"], one["epoch"]) for one in told],
+            [("critical", "b1,b2", str(EMERGENCY_EPOCH_STEP))],
         )  # loud, and once
 
 
