--- a/lemonridge/cli/policy_commands.py
+++ b/lemonridge/cli/policy_commands.py
@@ -18,7 +18,8 @@
 import msgspec
 import orjson
 
-from lemonridge.config.platform import Address, ConfigError
+from lemonridge.config.address import Address
+from lemonridge.config.errors import ConfigError
 from lemonridge.coordination.errors import VoteStoreError
 from lemonridge.coordination.vote_store import VoteStore
 from lemonridge.net.admin_client import CallError, call
@@ -30,8 +31,8 @@
 EXIT_REJECTED, EXIT_UNKNOWN = 1, 3
 POLL_INTERVAL_S = 0.1  # between two looks at a change that is waited for
 METAVARS = {"file": "FILE", "address": "ADDR", "name": "NAME"}
-FORCE_WARNING = """lemonridge: this goes on without a majority of the voters. If those that are called lost
-are only
+FORCE_WARNING = """\
+lemonridge: this goes on without a majority of the voters. If those that are called lost are only
 cut off and still serve, two policies are gone by, so limits may be passed twice, until the two sides hear
 each other; what the lost decided meanwhile is void then. With --accept-two-policies it is done."""
 
--- a/lemonridge/coordination/lease_guard.py
+++ b/lemonridge/coordination/lease_guard.py
@@ -5,6 +5,7 @@
 import logging
 from collections.abc import Callable
 
+from lemonridge.config.local_policy import LocalPolicy
 from lemonridge.core.clock import Clock
 from lemonridge.core.counters import Counters
 from lemonridge.net.peer_transport import PeerTransport
@@ -13,7 +14,6 @@
 from lemonridge.rollout.policy_document import Policy
 from lemonridge.rollout.rollout_member import RolloutMember
 from lemonridge.scheduling.settings import Settings
-from lemonridge.service.service import LocalPolicy
 
 log = logging.getLogger(__name__)
 
--- a/lemonridge/coordination/policy_coordinator.py
+++ b/lemonridge/coordination/policy_coordinator.py
@@ -12,7 +12,9 @@
 
 import msgspec
 
-from lemonridge.config.platform import ConfigError, FleetConfig
+from lemonridge.config.errors import ConfigError
+from lemonridge.config.fleet import FleetConfig
+from lemonridge.config.local_policy import LocalPolicy
 from lemonridge.coordination.action_queue import ActionQueue
 from lemonridge.coordination.lease_guard import PolicyLeaseGuard
 from lemonridge.coordination.policy_admin_calls import PolicyAdminCalls
@@ -29,7 +31,6 @@
 from lemonridge.rollout.rollout_member import RolloutMember
 from lemonridge.rollout.source_proposal import SourceProposal
 from lemonridge.scheduling.settings import Settings, VolumePlan
-from lemonridge.service.service import LocalPolicy
 
 log = logging.getLogger(__name__)
 
@@ -64,20 +65,20 @@
         own: LocalPolicy,
         seed: int,
         peers: PeerTransport,
-        decider: DecisionHost,
+        decision_host: DecisionHost,
         clock: Clock,
         counters: Counters,
         store: VoteStore,
         record: bytes | None,
     ) -> None:
         assert fleet.rollout is not None
-        self._own, self._decider, self._clock, self._counters = own, decider, clock, counters
+        self._own, self._decision_host, self._clock, self._counters = own, decision_host, clock, counters
         self._loop = asyncio.get_running_loop()
         try:
             self.rollout = RolloutMember(
                 fleet.me,
                 fleet.names,
-                peers.life,
+                peers.incarnation,
                 first_state(fleet, own),
                 record,
                 1 + secrets.randbelow(1 << STORE_ID_BITS),
@@ -95,7 +96,7 @@
         self._actions = ActionQueue(store, peers.post, self._loop, counters)
         self._results_logged = 0
         self._timer: asyncio.TimerHandle | None = None
-        peers.coordinator, decider.fence = self, self.lease_guard
+        peers.coordinator, decision_host.lease_guard = self, self.lease_guard
         self._flush()
         self._tick()
 
@@ -121,7 +122,7 @@
         """Does the rollout's actions, has the decisions ask the guard, and logs changes that ended."""
         self._actions.add(self.rollout.take_actions())
         if self.lease_guard.is_outdated:
-            self._decider.look()
+            self._decision_host.recheck_lease()
         ended = self.rollout.results_ended - self._results_logged
         for result in self.rollout.results[-ended:] if ended else ():
             log.info(
@@ -192,6 +193,10 @@
         """Whether this broker knows what to decide by."""
         return self.lease_guard.has_lease()
 
+    def epoch(self, decided_s: float) -> str | None:
+        """The epochs that an attempt decided on at a time names; None: it may not begin any more."""
+        return self.lease_guard.epoch(decided_s)
+
     def act(self, request: AdminRequest) -> AdminReply:
         """Answers an operators' call about the policy."""
         return self._admin_calls.act(request)
--- a/lemonridge/coordination/vote_store.py
+++ b/lemonridge/coordination/vote_store.py
@@ -19,7 +19,7 @@
 import crc32c
 import msgspec
 
-from lemonridge.config.platform import ConfigError
+from lemonridge.config.errors import ConfigError
 from lemonridge.coordination.errors import VoteStoreError
 from lemonridge.rollout.vote_log import StoredVote
 
--- a/lemonridge/iscsi/initiator.py
+++ b/lemonridge/iscsi/initiator.py
@@ -8,19 +8,14 @@
 import secrets
 from dataclasses import dataclass, field
 
-from lemonridge.config.operator_file import IscsiConfig
-from lemonridge.config.platform import Address
+from lemonridge.config.address import Address
 from lemonridge.core.counters import Counters
 from lemonridge.core.endpoint_registry import EndpointRegistry
-from lemonridge.core.model import (
-    Attempt,
-    AttemptSuppressedError,
-    ConnectFailedError,
-    LocalFailureError,
-    Outcome,
-)
+from lemonridge.core.errors import AttemptSuppressedError, ConnectFailedError, LocalFailureError
+from lemonridge.core.model import Attempt, Outcome
 from lemonridge.extents.routing import Route
 from lemonridge.iscsi import chap, scsi, versions
+from lemonridge.iscsi.config import IscsiConfig
 from lemonridge.iscsi.keys import Agreed, NegotiationError, Pairs, conclude, parse, proposal
 from lemonridge.iscsi.numbers import later
 from lemonridge.iscsi.pdu import (
--- a/tests/test_rollout_iscsi.py
+++ b/tests/test_rollout_iscsi.py
@@ -13,7 +13,7 @@
 import orjson
 from harness import PATIENCE_S, ROOT, Initiator, Program, Target
 
-from lemonridge.config.platform import Address
+from lemonridge.config.address import Address
 from lemonridge.coordination.vote_store import VoteStore
 from lemonridge.lab.links.datagrams import Network, kept_port
 from lemonridge.lab.measure.rollout import policy, rejection
@@ -56,7 +56,7 @@
         row = VolumePlan(1.0, 2.0, 3.0, 4.0, 5.0, 6.0)
         self.assertEqual(
             policy_document.plan_of("x", row),
-            policy_document.VolumePlan(
+            policy_document.Plan(
                 name="x", base_rate=1.0, reserve=2.0, weight=3.0, limit=4.0, burst=5.0, slack=6.0
             ),
         )
