--- a/tests/test_etcd.py
+++ b/tests/integration/test_etcd_source.py
@@ -10,7 +10,7 @@
 from lemonridge.lab.standins.etcd import Seen
 
 
-class Following(IscsiCase):
+class FollowingEtcd(IscsiCase):
     def calls(self) -> list[Seen]:
         """What was asked of the nodes."""
         told = ((call, call.body.get("create_request", call.body)) for call in self.etcd.seen)
@@ -55,14 +55,14 @@
         await self.etcd.until(lambda: "watch" in self.calls()[-1].path)
         self.assertIn("range", self.calls()[-2].path)
 
-    async def test_what_cannot_be_read_changes_nothing(self) -> None:
+    async def test_a_malformed_value_changes_nothing(self) -> None:
         for value in ([], {"address": "nowhere"}, {**self.target.row(0), "odd": 1}, "x"):
             self.etcd.put("/lr/nodes/n1", value)
             await self.program.line("key ignored")
         await self.served_by(self.target)
 
 
-class Unreachable(IscsiCase):
+class UnreachableEtcd(IscsiCase):
     async def test_sigterm_ends_a_start_that_waits_for_etcd(self) -> None:
         await self.etcd.stop()
         waiting = await Program().start("serve", "--config", self.config)
@@ -70,7 +70,7 @@
         self.assertEqual(await waiting.end(), 0)
 
 
-class Contracts(IscsiCase):
+class ContractsOfEtcd(IscsiCase):
     changes = {'plan = "standard"\nshard = 0': 'plan = "basic"\nshard = 0'}
 
     async def test_the_limit_of_a_plan_comes_from_etcd(self) -> None:
--- a/tests/test_rollout_iscsi.py
+++ b/tests/integration/test_rollout_iscsi.py
@@ -16,52 +16,12 @@
 from lemonridge.config.address import Address
 from lemonridge.coordination.vote_store import VoteStore
 from lemonridge.lab.links.datagrams import Network, kept_port
-from lemonridge.lab.measure.rollout import policy, rejection
 from lemonridge.lab.standins.etcd import Etcd
 from lemonridge.net.admin_client import CallError, call
-from lemonridge.rollout import policy_document
-from lemonridge.rollout.source_proposal import RETRY_US, STAGGER_US, SourceProposal
-from lemonridge.scheduling.settings import VolumePlan
 
 LEASE_MS, BROKERS = 1000, 3
 
 
-class Wishes(unittest.TestCase):
-    def test_it_is_proposed_by_one_after_the_other_until_it_is_in_force(self) -> None:
-        before, after = policy(24.0), policy(36.0)
-        proposals = [SourceProposal(me) for me in range(3)]
-        for proposal in proposals:
-            proposal.set({"basic": after.plan[0], "unknown": after.plan[1]})
-            self.assertIn("plan 'basic' comes from etcd", rejection(proposal.check_agrees, before))
-            self.assertEqual(rejection(proposal.check_agrees, after), "")
-        self.assertEqual([proposal.due(before, 0) == after for proposal in proposals], [True, False, False])
-        self.assertEqual(proposals[2].due(before, 2 * STAGGER_US), after)
-        self.assertIsNone(proposals[0].due(after, 5))
-        self.assertIsNone(proposals[1].due(before, 1))  # what it saw met begins anew
-
-    def test_what_on_rejected_rests_unless_the_wish_changes(self) -> None:
-        proposal, before = SourceProposal(0), policy(24.0)
-        proposal.set({"basic": policy(36.0).plan[0]})
-        self.assertIsNotNone(proposal.due(before, 0))
-        proposal.on_rejected(0)
-        self.assertIsNone(proposal.due(before, RETRY_US - 1))
-        proposal.set({"basic": policy(36.0).plan[0]})  # said again
-        self.assertIsNone(proposal.due(before, RETRY_US - 1))
-        self.assertIsNotNone(proposal.due(before, RETRY_US))
-        proposal.on_rejected(RETRY_US)
-        proposal.set({"basic": policy(30.0).plan[0]})
-        self.assertIsNotNone(proposal.due(before, RETRY_US))
-
-    def test_a_plan_of_the_decisions_is_the_plan_of_the_document(self) -> None:
-        row = VolumePlan(1.0, 2.0, 3.0, 4.0, 5.0, 6.0)
-        self.assertEqual(
-            policy_document.plan_of("x", row),
-            policy_document.Plan(
-                name="x", base_rate=1.0, reserve=2.0, weight=3.0, limit=4.0, burst=5.0, slack=6.0
-            ),
-        )
-
-
 class Gated(Target):
     """Answers no login before its gate is open."""
 
@@ -164,7 +124,7 @@
         self.assertIn("comes from etcd", str(caught.exception))
         self.assertEqual((await self.seen(1))["epoch"], 1)
 
-    async def test_one_that_was_down_takes_what_is_in_force_and_one_cut_off_goes_by_the_floor(self) -> None:
+    async def test_a_restarted_broker_learns_the_policy_and_a_partitioned_one_uses_the_floor(self) -> None:
         await self.by(0, 0, 1, 2)
         before = self.limit(await self.seen(0))
         await self.programs[2].end(signal.SIGKILL)
@@ -190,7 +150,7 @@
             stretch.cut = False
         await self.by(1, 0, 1, 2)
 
-    async def test_an_attempt_that_was_decided_by_another_epoch_is_not_sent(self) -> None:
+    async def test_an_attempt_decided_under_another_epoch_is_not_sent(self) -> None:
         """Its login to the node takes as long as the change: it is withheld, and decided on again."""
         await self.by(0, 0, 1, 2)
         before = self.limit(await self.seen(0))
--- a/tests/test_rollout_live.py
+++ b/tests/integration/test_rollout_live.py
@@ -1,29 +1,22 @@
-"""Changes of policy on processes: each hard case, the store of votes, and the drill."""
+"""Changes of policy on processes: faults, the command line, and the drill."""
 
 from __future__ import annotations
 
 import asyncio
-import errno
 import json
 import signal
-import tempfile
 import unittest
 from collections.abc import Awaitable, Callable
 from contextlib import redirect_stderr, redirect_stdout
 from io import StringIO
-from pathlib import Path
 from typing import Any
-from unittest.mock import patch
 
 import msgspec
 import orjson
 
 from lemonridge.cli import main
 from lemonridge.config.address import Address
-from lemonridge.config.errors import ConfigError
-from lemonridge.coordination.errors import VoteStoreError
-from lemonridge.coordination.vote_store import VoteStore, open_vote_store
-from lemonridge.lab.checkers.policy import Findings, Proposed, check
+from lemonridge.lab.checkers.policy import Findings, check
 from lemonridge.lab.drills import policy as drill
 from lemonridge.lab.load.fleet import Asker, Clients
 from lemonridge.lab.rig import Rig, Site, standing
@@ -119,8 +112,8 @@
     return rigs
 
 
-class HardCases(unittest.TestCase):
-    def test_in_force_everywhere_or_nowhere_with_a_reason_and_a_sighup_is_a_proposal(self) -> None:
+class RolloutUnderFaults(unittest.TestCase):
+    def test_a_change_is_in_force_everywhere_or_nowhere_with_a_reason_and_a_sighup_proposes(self) -> None:
         async def scene(rig: Rig) -> None:
             await propose(rig, 0)
             self.assertLess(await until(lambda: everywhere(rig, 1), 2.0), 2.0)
@@ -145,7 +138,7 @@
 
         play(self, scene)
 
-    def test_a_coordinator_that_dies_and_a_broker_that_is_down_hold_nothing_up_for_ever(self) -> None:
+    def test_a_dead_proposer_and_a_dead_broker_delay_a_change_for_a_bounded_time(self) -> None:
         async def dies(rig: Rig) -> None:
             await propose(rig, 0)
             await asyncio.sleep(0.12)
@@ -167,7 +160,7 @@
 
         play(self, dies, down, seconds=6.0)
 
-    def test_one_that_is_cut_off_goes_by_the_floor_and_one_that_was_stopped_by_nothing_old(self) -> None:
+    def test_a_partitioned_broker_uses_the_floor_and_a_paused_one_nothing_old(self) -> None:
         async def apart(rig: Rig) -> None:
             cut(rig, 0)
             await propose(rig, 1)
@@ -190,7 +183,7 @@
         late = [one for node in rigs[1].nodes for one in node.came if one.broker == 2]
         self.assertTrue(any(one.epoch == "1" for one in late))
 
-    def test_a_lost_store_does_not_vote_and_one_that_cannot_write_is_silent_not_dead(self) -> None:
+    def test_a_lost_store_does_not_vote_and_a_broker_that_cannot_write_is_silent_to_peers(self) -> None:
         async def lost(rig: Rig) -> None:
             await propose(rig, 0)
             await until(lambda: everywhere(rig, 1), 2.0)
@@ -215,56 +208,8 @@
         play(self, lost, full, seconds=6.0)
 
 
-class Stores(unittest.TestCase):
-    def test_a_store_cut_at_any_byte_or_with_any_byte_changed_is_not_believed(self) -> None:
-        with tempfile.TemporaryDirectory() as folder:
-            store = VoteStore(f"{folder}/votes")
-            self.assertIsNone(store.read())
-            store.create()
-            with self.assertRaises(VoteStoreError):
-                store.create()
-            store.lock()
-            with self.assertRaises(VoteStoreError):
-                VoteStore(f"{folder}/votes").lock()  # one process at a time
-            store.write(b"a vote" * 20)
-            whole = store.path.read_bytes()
-            self.assertEqual(store.read(), b"a vote" * 20)
-            for at in range(len(whole)):
-                for damaged in (whole[:at], whole[:at] + bytes((whole[at] ^ 0x41,)) + whole[at + 1 :]):
-                    store.path.write_bytes(damaged)
-                    with self.assertRaises(VoteStoreError):
-                        store.read()
-            (Path(folder) / "votes.part").write_bytes(whole[:7])  # a write that was cut
-            store.path.write_bytes(whole)
-            self.assertEqual(store.read(), b"a vote" * 20)
-
-
-class ReadFails(unittest.IsolatedAsyncioTestCase):
-    """A read that fails for a moment loses no vote, and ends no start."""
-
-    async def test_the_store_is_read_again_until_it_can_be(self) -> None:
-        with tempfile.TemporaryDirectory() as folder:
-            VoteStore(f"{folder}/votes").write(b"a vote")
-            plain, failures = (
-                Path.read_bytes,
-                [OSError(errno.EIO, "I/O error"), OSError(errno.ENFILE, "full")],
-            )
-
-            def failing(path: Path) -> bytes:
-                if failures:
-                    raise failures.pop()
-                return plain(path)
-
-            with patch.object(Path, "read_bytes", failing), self.assertLogs(level="ERROR") as logged:
-                store, kept = await open_vote_store(f"{folder}/votes")
-            self.assertEqual((kept, failures, len(logged.output)), (b"a vote", [], 1))
-            with self.assertRaises(ConfigError):  # it is held
-                await open_vote_store(f"{folder}/votes")
-            self.assertEqual(store.read(), b"a vote")
-
-
-class Commands(unittest.TestCase):
-    def test_the_command_line_checks_shows_proposes_and_follows(self) -> None:
+class PolicyCommands(unittest.TestCase):
+    def test_the_command_line_checks_shows_proposes_and_follows_a_change(self) -> None:
         def run(*words: str) -> tuple[int, str]:
             with redirect_stdout(StringIO()) as out:
                 return main.main(["policy", *words]), out.getvalue()
@@ -288,7 +233,7 @@
 
         play(self, scene)
 
-    def test_a_vote_is_taken_away_and_given_and_the_emergency_call_goes_on_alone(self) -> None:
+    def test_a_voter_is_retired_and_admitted_and_the_emergency_call_goes_on_alone(self) -> None:
         def run(*words: str) -> tuple[int, str]:
             with redirect_stdout(StringIO()) as out, redirect_stderr(out):
                 return main.main(["policy", *words]), out.getvalue()
@@ -351,14 +296,14 @@
         )  # loud, and once
 
 
-class Drilled(unittest.TestCase):
+class PolicyDrill(unittest.TestCase):
     def test_every_rule_holds(self) -> None:
         figures, found, answers = asyncio.run(drill.run(drill.Options(11, 20.0)))
         self.assertTrue(drill.held(figures, found, answers), (figures, found.notes, answers.notes))
 
-    def test_the_checker_finds_what_is_planted_on_processes(self) -> None:
+    def test_the_checker_finds_faults_planted_in_processes(self) -> None:
         async def apart(rig: Rig) -> None:
-            """One is cut off as the others change the policy; of the program it is in `HardCases`."""
+            """One is cut off as the others change the policy (see `RolloutUnderFaults`)."""
             cut(rig, 0)
             await propose(rig, 1)
             await asyncio.sleep(2.5)
@@ -373,14 +318,3 @@
 
         for rig, _ in asyncio.run(both()):
             self.assertGreater(judged(rig).mixed_epochs, 0)
-
-    def test_the_checker_holds_what_was_told_against_what_is_so(self) -> None:
-        ends = [{"name": "a", "epoch": 2, "state": "x", "history": ["1 a: one", "2 a: two"]}] * 2
-        told = [
-            Proposed(note, 1, 0, 0, True, end=end, told_at=1, epoch=epoch)
-            for note, end, epoch in (("one", "in force", 1), ("two", "nowhere", 0), ("three", "in force", 2))
-        ]
-        found = check([], told, ends, {}, 1, (), 1, 1, 1)
-        self.assertEqual((found.half_changes, found.lost_changes), (1, 1))
-        found = check([], [], [*ends, {**ends[0], "state": "y"}], {}, 1, (), 1, 1, 1)
-        self.assertEqual(found.half_changes, 1)
--- /dev/null
+++ b/tests/lab/test_policy_checker.py
@@ -0,0 +1,25 @@
+"""The checker of the policy's drill."""
+
+from __future__ import annotations
+
+import unittest
+from collections.abc import Awaitable, Callable
+
+from lemonridge.lab.checkers.policy import Proposed, check
+from lemonridge.lab.rig import Rig, Site
+
+SITE = Site(lease_ms=1000.0, short=2)
+Scene = Callable[[Rig], Awaitable[None]]
+
+
+class PolicyChecker(unittest.TestCase):
+    def test_reported_outcomes_are_compared_with_the_final_states(self) -> None:
+        ends = [{"name": "a", "epoch": 2, "state": "x", "history": ["1 a: one", "2 a: two"]}] * 2
+        told = [
+            Proposed(note, 1, 0, 0, True, end=end, told_at=1, epoch=epoch)
+            for note, end, epoch in (("one", "in force", 1), ("two", "nowhere", 0), ("three", "in force", 2))
+        ]
+        found = check([], told, ends, {}, 1, (), 1, 1, 1)
+        self.assertEqual((found.half_changes, found.lost_changes), (1, 1))
+        found = check([], [], [*ends, {**ends[0], "state": "y"}], {}, 1, (), 1, 1, 1)
+        self.assertEqual(found.half_changes, 1)
