--- a/lemonridge/coordination/etcd.py
+++ b/lemonridge/coordination/etcd.py
@@ -25,7 +25,7 @@
 from lemonridge.config.operator_schema import NodeTable, PlanTable, read
 from lemonridge.core.counters import Counters
 from lemonridge.core.endpoint_registry import EndpointAddress, EndpointRegistry
-from lemonridge.net.watch_stream import Backoff, client
+from lemonridge.net.watch_stream import Backoff, open_session
 from lemonridge.scheduling.events import EndpointListUpdate, EndpointState
 from lemonridge.scheduling.settings import Settings, VolumePlan
 
@@ -187,7 +187,7 @@
         `revision` is that of a range that the feed has taken already.
         """
         self._revision = revision
-        async with client() as http:
+        async with open_session() as http:
             while True:
                 try:
                     if not self._revision:
@@ -205,7 +205,7 @@
                     self._counters["etcd.out_of_step" if lost else "etcd.compacted"] += 1
                     self._revision = 0
                 except FAILURES as error:
-                    await self._backoff.failed(error)
+                    await self._backoff.wait_after(error)
 
     async def _follow(self, http: aiohttp.ClientSession) -> None:
         """One watch, and what runs beside it; the end of either ends both."""
@@ -225,7 +225,7 @@
     async def _listen(self, http: aiohttp.ClientSession) -> None:
         async with aclosing(self._etcd.watch(http, self._kind, self._revision + 1)) as messages:
             async for events in messages:
-                self._backoff.worked()
+                self._backoff.reset()
                 if events:
                     self._feed.changes(events)
                     # A message's header tells the store's revision, which a watch that catches up has not
@@ -337,13 +337,13 @@
 
     async def contracts(self, names: tuple[str, ...], settings: Settings) -> Settings:
         """The settings with the contracts that etcd holds at the start; waits until it answers."""
-        async with client() as http:
+        async with open_session() as http:
             while True:
                 try:
                     self._plans_revision = await self.client.range(http, PlansFeed.KIND, self._plans.page)
                     break
                 except (CompactedError, *FAILURES) as error:
-                    await self._backoff.failed(error)
+                    await self._backoff.wait_after(error)
         plans = tuple(
             self._plans.plans.get(name, plan) for name, plan in zip(names, settings.plans, strict=True)
         )
--- a/lemonridge/extents/etcd_source.py
+++ b/lemonridge/extents/etcd_source.py
@@ -19,7 +19,7 @@
 from lemonridge.coordination.etcd import FAILURES, EtcdClient, Event, OutOfStepError
 from lemonridge.extents.extent_map import Change, ChangeResult, Extent, MapError
 from lemonridge.extents.router import Router
-from lemonridge.net.watch_stream import client
+from lemonridge.net.watch_stream import open_session
 
 log = logging.getLogger(__name__)
 
@@ -175,7 +175,7 @@
     async def read(self, spots: tuple[tuple[int, int], ...]) -> list[Extent]:
         """The extents that begin there, all as of one moment; ones that are gone are left out."""
         if self._http is None:
-            self._http = client()
+            self._http = open_session()
         rows = await self._etcd.get(self._http, [key_of(*spot) for spot in spots])
         return [extent_of(row.key, row.value) for row in rows if row.value is not None]
 
--- a/lemonridge/lab/soak_mutants.py
+++ b/lemonridge/lab/soak_mutants.py
@@ -13,15 +13,15 @@
 def _loses_answers() -> None:
     from lemonridge.net.http_connection import Connection
 
-    real, count = Connection._next, [0]
+    real, count = Connection._next_request, [0]
 
     def next_request(self: Connection) -> None:
         count[0] += 1
         if count[0] % 50 == 0:
-            self._over = True
+            self._drops_input = True
         real(self)
 
-    Connection._next = next_request  # type: ignore[method-assign]
+    Connection._next_request = next_request  # type: ignore[method-assign]
 
 
 def _repeats_anything() -> None:
@@ -71,7 +71,7 @@
 def _tells_the_whole_deadline() -> None:
     from lemonridge.net import http_endpoints
 
-    http_endpoints.told_deadline_ms = lambda left_us: left_us // 1000 + 400
+    http_endpoints.forwarded_deadline_ms = lambda left_us: left_us // 1000 + 400
 
 
 def _refuses_anything() -> None:
--- /dev/null
+++ b/lemonridge/net/http_chunks.py
@@ -0,0 +1,64 @@
+"""The chunked transfer coding (RFC 9112, 7.1), decoded strictly."""
+
+from __future__ import annotations
+
+import re
+
+from lemonridge.net.errors import MessageRejectedError
+from lemonridge.net.http_headers import FIELD_LINE
+from lemonridge.net.http_limits import CHUNK_LINE_MAX_BYTES, HEAD_MAX_BYTES
+
+_CHUNK_SIZE = re.compile(rb"([0-9A-Fa-f]{1,8})[ \t]*(?:;[\t\x20-\x7e\x80-\xff]*)?")
+
+
+class ChunkedBodyDecoder:
+    """Decodes one chunked body; extensions and trailer fields are checked and dropped."""
+
+    def __init__(self) -> None:
+        self._chunk_bytes_left = 0
+        self._expects_chunk_end = False  # the line end behind a chunk's data comes next
+        self._trailer_bytes: int | None = None  # so far; None: the last chunk has not come
+        self.is_complete = False
+
+    def feed(self, data: bytearray, body: bytearray) -> None:
+        """Move the decoded bytes from `data` to `body`; what belongs to a line that is not complete stays.
+
+        Raises:
+            MessageRejectedError: `data` does not go on with a chunked body.
+        """
+        while not self.is_complete:
+            if self._chunk_bytes_left:
+                part = data[: self._chunk_bytes_left]
+                if not part:
+                    return
+                body += part
+                del data[: len(part)]
+                self._chunk_bytes_left -= len(part)
+                self._expects_chunk_end = not self._chunk_bytes_left
+                continue
+            end = data.find(b"\r\n")
+            if end < 0:
+                misses_chunk_end = self._expects_chunk_end and not b"\r\n".startswith(bytes(data))
+                if len(data) > CHUNK_LINE_MAX_BYTES or misses_chunk_end:
+                    raise MessageRejectedError(400, "a chunk cannot be read")
+                return
+            line = bytes(data[:end])
+            del data[: end + 2]
+            self._handle_line(line)
+
+    def _handle_line(self, line: bytes) -> None:
+        if self._expects_chunk_end:
+            if line:
+                raise MessageRejectedError(400, "a chunk is longer than it says")
+            self._expects_chunk_end = False
+        elif self._trailer_bytes is not None:
+            self._trailer_bytes += len(line)
+            self.is_complete = not line
+            if self._trailer_bytes > HEAD_MAX_BYTES or (line and not FIELD_LINE.fullmatch(line + b"\r\n")):
+                raise MessageRejectedError(400, "a trailer cannot be read")
+        else:
+            size = _CHUNK_SIZE.fullmatch(line)
+            if size is None:
+                raise MessageRejectedError(400, "a chunk's size cannot be read")
+            self._chunk_bytes_left = int(size[1], 16)
+            self._trailer_bytes = None if self._chunk_bytes_left else 0
--- a/lemonridge/net/http_front.py
+++ b/lemonridge/net/http_front.py
@@ -1,17 +1,15 @@
-"""The platform's front: HTTP/1.1 requests in, one answer each out."""
+"""The platform's front: takes HTTP/1.1 requests and gives one response to each."""
 
 from __future__ import annotations
 
 import asyncio
 import logging
-import re
 from collections.abc import Callable
 from typing import Any
 
 from aiohttp import web
 from aiohttp.http_parser import RawRequestMessage
 from aiohttp.streams import StreamReader
-from multidict import CIMultiDictProxy
 
 from lemonridge.config.address import Address
 from lemonridge.config.platform import PlatformConfig
@@ -20,27 +18,25 @@
 from lemonridge.core.counters import Counters
 from lemonridge.core.endpoint_registry import EndpointRegistry
 from lemonridge.core.model import Answer, AnswerKind, DuplicateError, Request
-from lemonridge.net.http_connection import Connection, ConnectionTable
-from lemonridge.net.http_headers import BadMessageError
-from lemonridge.net.http_response import LongAnswer
+from lemonridge.net.connection_table import ConnectionTable
+from lemonridge.net.errors import ConnectionBrokenError, MessageRejectedError
+from lemonridge.net.http_connection import Connection
+from lemonridge.net.http_request import RequestParser
+from lemonridge.net.http_response import StreamedResponse
 from lemonridge.net.listener import Listener, listening_socket
-from lemonridge.net.sockets import BrokenError, Payload
 from lemonridge.operate.lifecycle import FAR_US, Lifecycle
-from lemonridge.scheduling.settings import IdempotencyKind
 
 log = logging.getLogger(__name__)
 
-MARGIN_US = 10_000  # before the client gives up: the way of the request here and of the answer back
-TURN_S = 0.005  # between two looks at connections that are to end
-HEX = re.compile(r"[0-9a-f]{16}", re.I)
-PATH = re.compile(r"/([^/]+)/([0-9a-f]{16})/([0-9a-f]{16})", re.I)
-PLACEMENT = re.compile(r"units=([0-9]{1,9}(?:\.[0-9]{1,9})?),shard=(-1|[0-9]{1,9}),hosts=([0-9]{1,9})")
-DEADLINE = re.compile(r"0*[1-9][0-9]{0,8}")
-VALUE = re.compile(r"[\x20-\x7e]{1,256}")
+CLOSE_CHECK_INTERVAL_S = 0.005  # between two looks at connections that are to end
 
 
 class HttpFront:
-    """Serves the platform's clients."""
+    """Serves the platform's clients.
+
+    Counters: `requests.bad` (malformed), `requests.stopping` (taken while the process stops), `answers.cut`
+    (streamed responses that their endpoint did not complete).
+    """
 
     def __init__(
         self,
@@ -54,13 +50,15 @@
         self._broker, self._directory = broker, directory
         self._clock, self._counters, self._lifecycle = clock, counters, lifecycle
         self._table = ConnectionTable(clock, counters, lifecycle)
+        # Whether the policy in force is known; replaced where the fleet decides on one.
+        self.has_lease: Callable[[], bool] = lambda: True
         self.configure(platform)
         self.listener: Listener  # from `bind` on
         self._connections: dict[object, Connection] = {}  # by aiohttp's handler
-        self._scopes: dict[asyncio.Timeout, int] = {}  # of the open requests, with the time that each came
+        self._arrivals_us: dict[asyncio.Timeout, int] = {}  # of the open requests, by the scope of their end
         self._server = web.Server(
             self._handle,
-            request_factory=_request,
+            request_factory=_make_request,
             handler_cancellation=True,
             access_log=None,
             auto_decompress=False,
@@ -68,74 +66,78 @@
             logger=log,
         )
 
-    has_lease: Callable[[], bool] = staticmethod(
-        lambda: True
-    )  # whether it is known by which policy to decide
-
     def configure(self, platform: PlatformConfig) -> None:
-        """Go by this configuration from here on."""
-        self._platform = platform
+        """Apply this configuration from here on."""
+        self._parser = RequestParser(platform)
         self._lifecycle.configure(max(cls.deadline_us for cls in platform.settings.classes))
         self._table.configure(platform.sockets, platform.memory_bytes // 8)
-        self._classes = {name: number for number, name in enumerate(platform.classes)}
-        self._plans = {name: number for number, name in enumerate(platform.plans)}
 
-    def bind(self, address: Address, passed: int | None = None) -> None:
-        """Have the listening socket: a new one, or the one that was passed down as this descriptor. Nothing
-        is accepted from it yet. `OSError` where it cannot be had.
+    def bind(self, address: Address, inherited_fd: int | None = None) -> None:
+        """Get the listening socket; nothing is accepted from it yet.
+
+        Args:
+            address: where a new one listens.
+            inherited_fd: the descriptor of one that this process inherited, in place of a new one.
+
+        Raises:
+            OSError: it cannot be had.
         """
         self.listener = Listener(
-            listening_socket(address, passed),
+            listening_socket(address, inherited_fd),
             lambda: Connection(self._table, self._server, self._connections),
             self._counters,
         )
 
     async def listen(self) -> None:
-        """Take what comes from here on."""
+        """Accept connections from here on."""
         if not self.listener.listens:
             self.listener.listen()
             log.info("listening", extra={"address": self.listener.address})
 
     async def stop(self) -> None:
-        """Serve on for as long as what is taken can be answered before SIGKILL: clients keep the connections
-        that stay open, and reach no one in place of this broker. Then the tail, with `Connection: close`;
-        then take no more, and keep no idle connection. A new connection is told to close from the start.
+        """Serve on for as long as a new request can be answered before SIGKILL, then close.
+
+        Clients keep the connections that stay open, and reach no one in place of this broker. So it serves
+        on, at the end with `Connection: close`, then accepts no connection and keeps no idle one. A
+        connection that is accepted meanwhile is closed after its first response.
         """
         self._lifecycle.stop(self._clock.now_us())
         self.changed()
         loop = asyncio.get_running_loop()
         await asyncio.sleep((self._lifecycle.ends_us - self._clock.now_us()) / 1e6)
         until_s = self._clock.loop_time(self._lifecycle.whole_by_us)
-        await self.listener.accept_the_rest(until_s)
+        await self.listener.accept_pending(until_s)
         self.listener.close()
         while self.listener.accepting or self._table.close_waiting(patient=loop.time() < until_s):
-            await asyncio.sleep(TURN_S)
+            await asyncio.sleep(CLOSE_CHECK_INTERVAL_S)
 
     def changed(self) -> None:
-        """Go by a change of the lifecycle's state at once."""
-        for scope, arrived_us in self._scopes.items():
+        """Apply a change of the lifecycle's state at once."""
+        for scope, arrived_us in self._arrivals_us.items():
             if not scope.expired():
-                scope.reschedule(self._due(arrived_us))
+                scope.reschedule(self._answer_by_s(arrived_us))
         self._table.changed()
 
-    def _due(self, arrived_us: int) -> float | None:
+    def _answer_by_s(self, arrived_us: int) -> float | None:
+        """When a request has to have its answer for the end of the process, on the loop's clock; None:
+        never."""
         due_us = self._lifecycle.due(arrived_us)
         return None if due_us == FAR_US else self._clock.loop_time(due_us)
 
     @property
     def busy(self) -> bool:
-        """Whether an answer is still on its way."""
+        """Whether a response is still on its way."""
         return self._table.busy
 
     async def _handle(self, http: web.BaseRequest) -> web.StreamResponse:
-        """One request of a connection, until its answer is written."""
+        """Serve one request of a connection, until its response is written."""
         connection, keep = self._connections[http.protocol], False
-        answer: web.Response | LongAnswer | None = None
+        answer: web.Response | StreamedResponse | None = None
         try:
             answer = await self._answer(http, connection)
-            response = _begin(answer) if isinstance(answer, LongAnswer) else answer
+            response = _streaming(answer) if isinstance(answer, StreamedResponse) else answer
             if (
-                connection.late
+                connection.accepted_late
                 or not self._lifecycle.allows_keep_alive(self._clock.now_us())
                 or 400 <= response.status < 500
             ):
@@ -147,26 +149,26 @@
             await response.write_eof()
             keep = bool(response.keep_alive)
             return response
-        except BrokenError as error:
-            log.info("answer cut short", extra={"why": str(error)})
+        except ConnectionBrokenError as error:
+            log.info("response cut short, connection aborted", extra={"reason": str(error)})
             self._counters["answers.cut"] += 1
-            connection.abort()  # what the client has is short of its length or its last chunk
+            connection.abort()  # the client sees that its length or its last chunk is missing
             raise ConnectionResetError from None
         finally:
-            if isinstance(answer, LongAnswer):
+            if isinstance(answer, StreamedResponse):
                 answer.close()
             connection.answered(keep)
 
-    async def _answer(self, http: web.BaseRequest, connection: Connection) -> web.Response | LongAnswer:
+    async def _answer(self, http: web.BaseRequest, connection: Connection) -> web.Response | StreamedResponse:
         arrived_us = connection.arrived_us
         if http.path.startswith("/-/"):
             return self._ready(http)
         try:
-            request = self._parse(http, connection.body, arrived_us, connection.abandoned)
+            request = self._parser.parse(http, connection.body, arrived_us, connection.client_has_left)
             if self._lifecycle.ends_us != FAR_US:
                 self._counters["requests.stopping"] += 1
             return _response(await self._serve(request, arrived_us))
-        except BadMessageError as error:
+        except MessageRejectedError as error:
             self._counters["requests.bad"] += 1
             return web.Response(status=error.status, text=f"{error}\n")
         except DuplicateError:
@@ -177,18 +179,18 @@
             return web.Response(status=500)
 
     async def _serve(self, request: Request, arrived_us: int) -> Answer:
-        """The broker's answer, or one at the time by which the end of the process has to have all answers.
+        """The broker's answer, or one at the moment by which the end of the process needs all answers.
 
-        That time is not the request's deadline: the decisions would take a nearer deadline for a client that
-        has waited for long already.
+        That moment is not the request's deadline: the scheduler would take a nearer deadline for a client
+        that has waited for long already.
         """
         try:
-            async with asyncio.timeout_at(self._due(arrived_us)) as scope:
-                self._scopes[scope] = arrived_us
+            async with asyncio.timeout_at(self._answer_by_s(arrived_us)) as scope:
+                self._arrivals_us[scope] = arrived_us
                 try:
                     return await self._broker.serve(request)
                 finally:
-                    del self._scopes[scope]
+                    del self._arrivals_us[scope]
         except TimeoutError:
             return Answer(AnswerKind.FAILED if request.forwarded else AnswerKind.REFUSED)
 
@@ -198,61 +200,8 @@
         up = self._directory.listed and self._lifecycle.ready and self.has_lease()
         return web.Response(status=200 if up else 503)
 
-    def _parse(
-        self, http: web.BaseRequest, body: bytes, arrived_us: int, abandoned: Callable[[], bool]
-    ) -> Request:
-        """A core request, or `BadMessageError`: nothing that is malformed goes any further."""
-        headers, platform = http.headers, self._platform
-        path = PATH.fullmatch(http.raw_path.partition("?")[0])
-        if path is None:
-            raise BadMessageError(404, "the path must be /class/volume/key, the last two as 16 hex digits")
-        cls = self._classes.get(path[1])
-        if cls is None or _header(headers, "X-Class") != path[1]:
-            raise BadMessageError(400, "the class of the path must be known and stand in X-Class")
-        plan = self._plans.get(_header(headers, "X-Qos-Policy"))
-        if plan is None:
-            raise BadMessageError(400, "unknown X-Qos-Policy")
-        if http.method != ("PUT" if platform.writes[cls] else "GET"):
-            raise BadMessageError(405, "a read is GET and a write is PUT")
-        passed = {"X-Request-Id": _header(headers, "X-Request-Id")}
-        if not HEX.fullmatch(passed["X-Request-Id"]):
-            raise BadMessageError(400, "X-Request-Id must be 16 hex digits")
-        settings = platform.settings
-        if settings.classes[cls].idempotency is IdempotencyKind.WITH_IDEMPOTENCY_KEY:
-            passed["Idempotency-Key"] = _header(headers, "Idempotency-Key")
-        deadline_ms = DEADLINE.fullmatch(_header(headers, "X-Deadline-Ms"))
-        if deadline_ms is None:
-            raise BadMessageError(400, "X-Deadline-Ms must be whole milliseconds")
-        # No client waits for longer than its class allows, whatever it says: the module plans by that.
-        wait_us = min(int(deadline_ms[0]) * 1000, settings.classes[cls].deadline_us)
-        placement = PLACEMENT.fullmatch(_header(headers, "X-Placement").replace(" ", ""))
-        if placement is None:
-            raise BadMessageError(400, "X-Placement must be units=…,shard=…,hosts=…")
-        units, shard, hosts = float(placement[1]), int(placement[2]), int(placement[3])
-        # More than the settings know of would spoil what the module keeps for a volume and its plan.
-        if not 0 < units <= (settings.largest_request_units or units) or not 1 <= hosts <= settings.hosts:
-            raise BadMessageError(400, "X-Placement must name some units and hosts, as the settings allow")
-        if shard >= (platform.shards or shard + 1):
-            raise BadMessageError(400, "X-Placement names an unknown shard")
-        if body and http.method == "GET":
-            raise BadMessageError(400, "a read has no body")
-        return Request(
-            shard=shard,
-            volume=int(path[2], 16),
-            deadline_us=arrived_us + wait_us - MARGIN_US,
-            key=int(path[3], 16),
-            cls=cls,
-            plan=plan,
-            units=units,
-            hosts=hosts,
-            payload=Payload(http.method, http.raw_path, passed, body),
-            ident=passed["X-Request-Id"].lower(),
-            repeat=headers.get("X-Retry") == "1",
-            abandoned=abandoned,
-        )
-
 
-def _request(
+def _make_request(
     message: RawRequestMessage, payload: StreamReader, protocol: Any, writer: Any, task: Any
 ) -> web.BaseRequest:
     return web.BaseRequest(
@@ -260,25 +209,17 @@
     )
 
 
-def _header(headers: CIMultiDictProxy[str], name: str) -> str:
-    """The one value of a header; of two, each side could go by another."""
-    values = headers.getall(name, [])
-    if len(values) != 1 or not VALUE.fullmatch(values[0]):
-        raise BadMessageError(400, f"{name} must stand there once")
-    return values[0]
-
-
-def _begin(answer: LongAnswer) -> web.StreamResponse:
-    """The head of a long answer, of a told length or in chunks."""
+def _streaming(answer: StreamedResponse) -> web.StreamResponse:
+    """The head of a streamed response: with its length, or chunked."""
     response = web.StreamResponse()
     if answer.length is not None:
         response.content_length = answer.length
     return response
 
 
-def _response(answer: Answer) -> web.Response | LongAnswer:
-    """The answer on the wire; a refusal says when to come back, in seconds with decimals."""
-    if isinstance(answer.reply, LongAnswer):
+def _response(answer: Answer) -> web.Response | StreamedResponse:
+    """The response to an answer; a rejection may have a `Retry-After`, in seconds with decimals."""
+    if isinstance(answer.reply, StreamedResponse):
         return answer.reply
     if answer.kind is AnswerKind.SERVED:
         assert isinstance(answer.reply, bytes)
--- /dev/null
+++ b/lemonridge/net/http_request.py
@@ -0,0 +1,157 @@
+"""The platform's requests: path and headers to a request of the core; the only place that knows their
+names."""
+
+from __future__ import annotations
+
+import re
+from collections.abc import Callable
+from dataclasses import dataclass
+from typing import Protocol
+
+from multidict import CIMultiDictProxy
+
+from lemonridge.config.platform import PlatformConfig
+from lemonridge.core.model import Request
+from lemonridge.net.errors import MessageRejectedError
+from lemonridge.net.http_client import Payload
+from lemonridge.scheduling.settings import IdempotencyKind
+
+DEADLINE_MARGIN_US = 10_000  # before the client gives up: the way of request and response
+_REQUEST_ID = re.compile(r"[0-9a-f]{16}", re.I)
+_PATH = re.compile(r"/([^/]+)/([0-9a-f]{16})/([0-9a-f]{16})", re.I)
+_PLACEMENT = re.compile(r"units=([0-9]{1,9}(?:\.[0-9]{1,9})?),shard=(-1|[0-9]{1,9}),hosts=([0-9]{1,9})")
+_DEADLINE_MS = re.compile(r"0*[1-9][0-9]{0,8}")
+_VALUE = re.compile(r"[\x20-\x7e]{1,256}")
+
+
+class HttpMessage(Protocol):
+    """What is read of aiohttp's request."""
+
+    @property
+    def method(self) -> str:
+        """GET or PUT."""
+        ...
+
+    @property
+    def raw_path(self) -> str:
+        """The target as it was sent."""
+        ...
+
+    @property
+    def headers(self) -> CIMultiDictProxy[str]:
+        """The header fields."""
+        ...
+
+
+@dataclass(frozen=True, slots=True)
+class Placement:
+    """`X-Placement`: how large the request is, and which endpoints its volume is on."""
+
+    units: float
+    shard: int
+    hosts: int
+
+
+class RequestParser:
+    """Parses requests by one configuration."""
+
+    def __init__(self, platform: PlatformConfig) -> None:
+        self._platform = platform
+        self._classes = {name: number for number, name in enumerate(platform.classes)}
+        self._plans = {name: number for number, name in enumerate(platform.plans)}
+
+    def parse(
+        self, message: HttpMessage, body: bytes, arrived_us: int, client_has_left: Callable[[], bool]
+    ) -> Request:
+        """A request of the core.
+
+        Args:
+            message: the request's head.
+            body: its body.
+            arrived_us: when its last byte arrived; its deadline counts from there.
+            client_has_left: whether its client has closed the connection.
+
+        Raises:
+            MessageRejectedError: it is malformed, or names what the settings do not know.
+        """
+        headers = message.headers
+        path = _PATH.fullmatch(message.raw_path.partition("?")[0])
+        if path is None:
+            raise MessageRejectedError(
+                404, "the path must be /class/volume/key, the last two as 16 hex digits"
+            )
+        class_number = self._parse_class(path[1], headers)
+        plan = self._plans.get(_header(headers, "X-Qos-Policy"))
+        if plan is None:
+            raise MessageRejectedError(400, "unknown X-Qos-Policy")
+        if message.method != ("PUT" if self._platform.writes[class_number] else "GET"):
+            raise MessageRejectedError(405, "a read is GET and a write is PUT")
+        forwarded = self._forwarded_headers(class_number, headers)
+        wait_us = self._parse_wait_us(class_number, headers)
+        placement = self._parse_placement(headers)
+        if body and message.method == "GET":
+            raise MessageRejectedError(400, "a read has no body")
+        return Request(
+            shard=placement.shard,
+            volume=int(path[2], 16),
+            deadline_us=arrived_us + wait_us - DEADLINE_MARGIN_US,
+            key=int(path[3], 16),
+            cls=class_number,
+            plan=plan,
+            units=placement.units,
+            hosts=placement.hosts,
+            payload=Payload(message.method, message.raw_path, forwarded, body),
+            ident=forwarded["X-Request-Id"].lower(),
+            repeat=headers.get("X-Retry") == "1",
+            abandoned=client_has_left,
+        )
+
+    def _parse_class(self, name: str, headers: CIMultiDictProxy[str]) -> int:
+        number = self._classes.get(name)
+        if number is None or _header(headers, "X-Class") != name:
+            raise MessageRejectedError(400, "the class of the path must be known and stand in X-Class")
+        return number
+
+    def _forwarded_headers(self, class_number: int, headers: CIMultiDictProxy[str]) -> dict[str, str]:
+        """The headers that go on to the endpoint unchanged."""
+        forwarded = {"X-Request-Id": _header(headers, "X-Request-Id")}
+        if not _REQUEST_ID.fullmatch(forwarded["X-Request-Id"]):
+            raise MessageRejectedError(400, "X-Request-Id must be 16 hex digits")
+        idempotency = self._platform.settings.classes[class_number].idempotency
+        if idempotency is IdempotencyKind.WITH_IDEMPOTENCY_KEY:
+            forwarded["Idempotency-Key"] = _header(headers, "Idempotency-Key")
+        return forwarded
+
+    def _parse_wait_us(self, class_number: int, headers: CIMultiDictProxy[str]) -> int:
+        """How long the client waits, in microseconds: no longer than its class allows, whatever it says.
+
+        The scheduler plans by the class's deadline.
+        """
+        deadline_ms = _DEADLINE_MS.fullmatch(_header(headers, "X-Deadline-Ms"))
+        if deadline_ms is None:
+            raise MessageRejectedError(400, "X-Deadline-Ms must be whole milliseconds")
+        return min(int(deadline_ms[0]) * 1000, self._platform.settings.classes[class_number].deadline_us)
+
+    def _parse_placement(self, headers: CIMultiDictProxy[str]) -> Placement:
+        """`X-Placement`; more than the settings know of would spoil the volume's and its plan's accounts."""
+        match = _PLACEMENT.fullmatch(_header(headers, "X-Placement").replace(" ", ""))
+        if match is None:
+            raise MessageRejectedError(400, "X-Placement must be units=…,shard=…,hosts=…")
+        placement = Placement(float(match[1]), int(match[2]), int(match[3]))
+        settings = self._platform.settings
+        units_max = settings.largest_request_units or placement.units
+        if not 0 < placement.units <= units_max or not 1 <= placement.hosts <= settings.hosts:
+            raise MessageRejectedError(
+                400, "X-Placement must name some units and hosts, as the settings allow"
+            )
+        if placement.shard >= (self._platform.shards or placement.shard + 1):
+            raise MessageRejectedError(400, "X-Placement names an unknown shard")
+        return placement
+
+
+def _header(headers: CIMultiDictProxy[str], name: str) -> str:
+    """The one value of a header; of two, each side could use another."""
+    values = headers.getall(name, [])
+    if len(values) != 1 or not _VALUE.fullmatch(values[0]):
+        raise MessageRejectedError(400, f"{name} must stand there once")
+    return values[0]
--- a/lemonridge/net/http_response.py
+++ b/lemonridge/net/http_response.py
@@ -1,4 +1,4 @@
-"""What a node sends: one strictly read answer to each request, and not a byte more."""
+"""An endpoint's responses: one strictly parsed response to each request, and not a byte more."""
 
 from __future__ import annotations
 
@@ -11,39 +11,41 @@
 from aiohttp.client_proto import ResponseHandler
 
 from lemonridge.net import http_headers
-from lemonridge.net.sockets import BODY_MAX, LONG_MAX, BrokenError
+from lemonridge.net.errors import ConnectionBrokenError, MessageRejectedError
+from lemonridge.net.http_limits import BODY_MAX_BYTES, BUFFERED_BODY_MAX_BYTES, HEAD_MAX_BYTES
 
 log = logging.getLogger(__name__)
 
-INFORMATIONAL_MAX = 16  # 1xx answers in front of one
-BODILESS = (204, 304)
-STALL_S = 10.0  # a node that sends nothing more of a long answer for so long is lost
+INFORMATIONAL_MAX = 16  # 1xx responses in front of a final one (RFC 9110, 15.2)
+BODILESS_STATUSES = (204, 304)  # RFC 9112, 6.3
+STALL_S = 10.0  # an endpoint that sends nothing more of a streamed response for so long has failed
 
 
-class AnswerReader(ResponseHandler):
-    """The reading end of a connection to a node, in front of aiohttp's parser.
+class ResponseReader(ResponseHandler):
+    """The reading end of a connection to an endpoint, in front of aiohttp's parser.
 
-    Guards the clients against what a node was not asked for: bytes right behind an answer or on an idle
-    connection would be read as the answer to the next request, and the lenient parser makes something of
-    much that is spoilt. An answer without a length is whole at the end of its connection, if it says that
-    this follows and the end is an orderly one: one that was cut short would look the same.
+    It guards clients against bytes that were not asked for: behind a response or on an idle connection they
+    would be read as the response to the next request, and the lenient parser accepts much that is malformed.
+    A response without a length is complete at the end of its connection, if it announces that end and the end
+    is an orderly one: one that was cut short would look the same (RFC 9112, 8).
     """
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         super().__init__(loop)
-        self._head: bytearray | None = None  # of the answer that is waited for
-        self._left: int | None = 0  # of its body; None: as its chunks say
+        self._head: bytearray | None = None  # so far, of the response that is awaited; None: it is parsed
+        self._body_bytes_left: int | None = 0  # None: as the body's chunks or its connection's end say
         self._informational = 0
-        self._until_end = False  # the body ends with the connection
-        self.rested_at = 0.0  # on the loop's clock, before which it is not to be used again
+        self._ends_with_connection = False
+        self.reusable_at_s = 0.0  # on the loop's clock
 
     def set_response_params(self, **params: Any) -> None:
-        """Aiohttp calls this for each request, before it is sent."""
+        """Expect a response; aiohttp calls this for each request, before it is sent."""
         super().set_response_params(**params)
-        self._head, self._left, self._informational = bytearray(), 0, 0
+        self._head, self._body_bytes_left, self._informational = bytearray(), 0, 0
 
     def data_received(self, data: bytes) -> None:
-        if not data:  # aiohttp's parser, which had paused, goes on with what it has kept
+        """Forward what belongs to the awaited response; anything else ends the connection."""
+        if not data:  # aiohttp's parser, which had paused, goes on with what it has buffered
             super().data_received(data)
             return
         if self.transport is None:
@@ -51,124 +53,131 @@
         if self._head is not None:
             self._head += data
             try:
-                data = self._take_head(self._head)
-            except http_headers.BadMessageError as error:
-                self._spoilt(str(error))
+                data = self._forward_head(self._head)
+            except MessageRejectedError as error:
+                self._fail(str(error))
                 return
-        if self._left is None:
+        if self._body_bytes_left is None:
             super().data_received(data)
             return
-        if part := data[: self._left]:
-            self._left -= len(part)
+        if part := data[: self._body_bytes_left]:
+            self._body_bytes_left -= len(part)
             super().data_received(part)
         if len(part) < len(data):
-            self._surplus()
-
-    def _take_head(self, head: bytearray) -> bytes:
-        """Pass on the head of the answer, without those of 1xx in front; the bytes behind it."""
-        while (end := head.find(http_headers.END)) >= 0:
-            text = bytes(head[: end + 4])
-            del head[: end + 4]
-            told = http_headers.answer(text)
-            status, length, chunked = told.code, told.length, told.chunked
+            self._on_surplus()
+
+    def _forward_head(self, buffer: bytearray) -> bytes:
+        """Forward the head of the response, without 1xx in front; the bytes behind it."""
+        while (end := buffer.find(http_headers.HEAD_END)) >= 0:
+            text = bytes(buffer[: end + 4])
+            del buffer[: end + 4]
+            head = http_headers.parse_response_head(text)
+            status, length = head.status, head.body_length
             if 100 <= status < 200 and status != 101 and self._informational < INFORMATIONAL_MAX:
                 self._informational += 1
                 continue
             if status < 200:
-                raise http_headers.BadMessageError(502, "a protocol that was not asked for")
-            if status in BODILESS:
+                raise MessageRejectedError(502, "a protocol that was not asked for")
+            if status in BODILESS_STATUSES:
                 length = 0
-            self._until_end = length is None and not chunked
-            if (self._until_end and not told.closes) or (length or 0) > LONG_MAX:
-                raise http_headers.BadMessageError(502, "a body without a length, or too long")
-            self._head, self._left = None, None if chunked else length
+            self._ends_with_connection = length is None and not head.is_chunked
+            if (self._ends_with_connection and not head.closes_connection) or (length or 0) > BODY_MAX_BYTES:
+                raise MessageRejectedError(502, "a body without a length, or too long")
+            self._head, self._body_bytes_left = None, None if head.is_chunked else length
             super().data_received(text)
-            return bytes(head)
-        if len(head) > http_headers.HEAD_MAX:
-            raise http_headers.BadMessageError(502, "the head is too long")
+            return bytes(buffer)
+        if len(buffer) > HEAD_MAX_BYTES:
+            raise MessageRejectedError(502, "the head is too long")
         return b""
 
     def close(self) -> None:
-        """End the connection. What of a request the system has not taken yet is dropped: else a node that
-        reads on would get the whole of an attempt that was given up, beside the next or after the answer.
+        """End the connection; bytes of a request that the system has not taken yet are dropped.
+
+        Otherwise an endpoint that reads on would get all of an attempt that was cancelled, beside the next
+        one or after the answer.
         """
         if self.transport is not None and self.transport.get_write_buffer_size():
             self.abort()
         super().close()
 
     def connection_lost(self, exc: BaseException | None) -> None:
-        if exc is not None and self._until_end:
-            error = BrokenError("cut short")
+        """The connection has ended: with an error, a body that ends with it is not complete."""
+        if exc is not None and self._ends_with_connection:
+            error = ConnectionBrokenError("cut short")
             self.set_exception(error)
-            if self._payload is not None:  # the head is taken, and the parser would call this end a whole one
+            if self._payload is not None:  # the parser has the head, and would take this end for a proper one
                 self._payload.set_exception(error)
         super().connection_lost(exc)
 
-    def _spoilt(self, why: str) -> None:
-        log.debug("answer spoilt", extra={"why": why})
+    def _fail(self, reason: str) -> None:
+        log.debug("response malformed, connection aborted", extra={"reason": reason})
         transport = self.transport
-        self.set_exception(BrokenError(why))
+        self.set_exception(ConnectionBrokenError(reason))
         if transport is not None:
             transport.abort()
 
-    def _surplus(self) -> None:
-        """More came than belongs to the answer, which is good: the connection is not used again."""
+    def _on_surplus(self) -> None:
+        """More arrived than belongs to the response, which is good: the connection is not reused."""
         self.force_close()
         transport = self.transport
         if transport is not None:
             transport.pause_reading() if self._buffer else transport.close()
 
 
-class LongAnswer:
-    """An answer over 64 KiB that is still coming: what has come, and the rest as it comes.
+class StreamedResponse:
+    """A response over 64 KiB that is still arriving; `length` is None where its head gives none.
 
-    No more of it is held than the connection's buffer. It is passed on only while someone reads it, so a slow
-    client slows its node down and nobody else.
+    No more of it is held than the connection's buffer, and it is read only while someone reads `parts`: a
+    slow client slows down its endpoint's connection and nothing else.
     """
 
-    def __init__(self, response: aiohttp.ClientResponse, begun: bytes) -> None:
-        self._response, self._begun = response, begun
+    def __init__(self, response: aiohttp.ClientResponse, first_part: bytes) -> None:
+        self._response, self._first_part = response, first_part
         self.length = response.content_length
-        self._count = 0
+        self._forwarded_bytes = 0
 
     async def parts(self) -> AsyncIterator[bytes]:
-        """Every byte in order; `BrokenError` where the answer does not become whole."""
+        """Every byte in order.
+
+        Raises:
+            ConnectionBrokenError: the response does not become complete, or is too long.
+        """
         loop = asyncio.get_running_loop()
         try:
-            part = self._begun
-            self._begun = b""
+            part = self._first_part
+            self._first_part = b""
             while True:
-                self._count += len(part)
-                if self._count > LONG_MAX:
-                    raise BrokenError("too long")
+                self._forwarded_bytes += len(part)
+                if self._forwarded_bytes > BODY_MAX_BYTES:
+                    raise ConnectionBrokenError("too long")
                 if part:
                     yield part
                 async with asyncio.timeout_at(loop.time() + STALL_S):
                     part = await self._response.content.readany()
                 if not part and self._response.content.at_eof():
                     break
-            if self.length is not None and self._count != self.length:
-                raise BrokenError("cut short")
+            if self.length is not None and self._forwarded_bytes != self.length:
+                raise ConnectionBrokenError("cut short")
         except (aiohttp.ClientError, OSError, TimeoutError) as error:
-            raise BrokenError(str(error)) from error
+            raise ConnectionBrokenError(str(error)) from error
         finally:
             self.close()
 
     def close(self) -> None:
-        """Give up what has not been read; a connection with nothing left to read stays of use."""
+        """Drop what has not been read; a connection with nothing left to read can be reused."""
         if self._response.content.at_eof():
             self._response.release()
         else:
             self._response.close()
 
 
-async def gather(response: aiohttp.ClientResponse) -> bytes | LongAnswer:
-    """The whole body, or, once it is known to be long, what can be passed on as it comes."""
-    if (response.content_length or 0) > BODY_MAX:
-        return LongAnswer(response, b"")
+async def read_body(response: aiohttp.ClientResponse) -> bytes | StreamedResponse:
+    """The complete body, or a stream once it is known to be longer than `BUFFERED_BODY_MAX_BYTES`."""
+    if (response.content_length or 0) > BUFFERED_BODY_MAX_BYTES:
+        return StreamedResponse(response, b"")
     body = bytearray()
     while part := await response.content.readany():
         body += part
-        if len(body) > BODY_MAX:
-            return LongAnswer(response, bytes(body))
+        if len(body) > BUFFERED_BODY_MAX_BYTES:
+            return StreamedResponse(response, bytes(body))
     return bytes(body)
--- a/lemonridge/service/assembly.py
+++ b/lemonridge/service/assembly.py
@@ -21,7 +21,9 @@
 from lemonridge.core.counters import Counters
 from lemonridge.core.endpoint_registry import EndpointAddress
 from lemonridge.net.admin_server import AdminServer
-from lemonridge.net.discovery import Discovery, MalformedError, listings
+from lemonridge.net.discovery import Discovery
+from lemonridge.net.discovery_format import parse_endpoint_list
+from lemonridge.net.errors import MalformedListError
 from lemonridge.net.http_endpoints import HttpEndpoints
 from lemonridge.net.http_front import HttpFront
 from lemonridge.net.process_handover import ProcessHandover
@@ -59,8 +61,10 @@
     known: int | None = None
     if platform.known.get("hosts"):
         try:
-            made.directory.take(EndpointListUpdate.CACHED, listings(platform.known, platform.zones))
-        except MalformedError as error:
+            made.directory.take(
+                EndpointListUpdate.CACHED, parse_endpoint_list(platform.known, platform.zones)
+            )
+        except MalformedListError as error:
             log.warning("known list ignored", extra={"error": str(error)})
         else:
             seq = platform.known.get("seq")
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -11,7 +11,8 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from lemonridge.net import http_headers
+from lemonridge.net.errors import MessageRejectedError
+from lemonridge.net.http_chunks import ChunkedBodyDecoder
 
 LONG = os.urandom(1 << 20) * 8  # 8 MiB
 
@@ -20,11 +21,11 @@
     @given(st.lists(st.binary(min_size=1, max_size=40), max_size=6), st.integers(1, 7))
     def test_any_split_of_any_chunks_is_the_same_body(self, parts: list[bytes], step: int) -> None:
         text = b"".join(b"%x;a=b\r\n%s\r\n" % (len(part), part) for part in parts) + b"0\r\nX: 1\r\n\r\nnext"
-        chunks, data, out = http_headers.Chunks(), bytearray(), bytearray()
+        chunks, data, out = ChunkedBodyDecoder(), bytearray(), bytearray()
         for at in range(0, len(text), step):
             data += text[at : at + step]
             chunks.feed(data, out)
-        self.assertEqual((chunks.whole, bytes(out), bytes(data)), (True, b"".join(parts), b"next"))
+        self.assertEqual((chunks.is_complete, bytes(out), bytes(data)), (True, b"".join(parts), b"next"))
 
     def test_what_is_no_chunk_is_refused(self) -> None:
         for text in (
@@ -39,8 +40,8 @@
             b"0\r\nbad trailer\r\n\r\n",
             b"0\r\n" + b"X: 1\r\n" * 5000,
         ):
-            with self.subTest(text=text[:20]), self.assertRaises(http_headers.BadMessageError):
-                http_headers.Chunks().feed(bytearray(text), bytearray())
+            with self.subTest(text=text[:20]), self.assertRaises(MessageRejectedError):
+                ChunkedBodyDecoder().feed(bytearray(text), bytearray())
 
 
 def head_of(answer: bytes) -> bytes:
@@ -79,9 +80,9 @@
                 self.node.script = script
                 head, rest = await self.whole()
                 if b"transfer-encoding: chunked" in head.lower():
-                    chunks, out = http_headers.Chunks(), bytearray()
+                    chunks, out = ChunkedBodyDecoder(), bytearray()
                     chunks.feed(bytearray(rest), out)
-                    self.assertTrue(chunks.whole)
+                    self.assertTrue(chunks.is_complete)
                     rest = bytes(out)
                 self.assertTrue(rest == LONG, f"{len(rest)} of {len(LONG)} bytes")
         self.assertEqual((await self.program.counters()).get("answers.cut", 0), 0)
--- a/tests/test_closing.py
+++ b/tests/test_closing.py
@@ -16,7 +16,7 @@
 from lemonridge.core.clock import Clock
 from lemonridge.core.counters import Counters
 from lemonridge.core.model import Answer, AnswerKind, Request
-from lemonridge.net.http_connection import State
+from lemonridge.net.connection_table import ConnectionState
 from lemonridge.net.http_front import HttpFront
 from lemonridge.operate.lifecycle import Lifecycle
 
@@ -165,9 +165,9 @@
         client = self.knock(buffer=4096)
         client.send(self.text(**changes))
         async with asyncio.timeout(PATIENCE_S):
-            while not any(one.unsent for states in self.front._table._states for one in states):
+            while not any(one.has_unsent_data for states in self.front._table._states for one in states):
                 await asyncio.sleep(0)
-            while self.front._table._states[State.BUSY]:
+            while self.front._table._states[ConnectionState.SERVING]:
                 await asyncio.sleep(0)
         return client
 
@@ -179,8 +179,8 @@
 
     async def test_a_client_that_never_reads_its_last_answer_is_given_up(self) -> None:
         client = await self.slow(Connection="close")
-        for one in self.front._table._states[State.LEAVING]:
-            one.left_at -= 60.0
+        for one in self.front._table._states[ConnectionState.CLOSING]:
+            one.closing_since_s -= 60.0
         self.age(60.0)
         self.front._table._sweep()
         self.assertFalse(self.front.busy)
@@ -207,7 +207,7 @@
     async def test_what_is_accepted_in_the_turn_of_a_handover_is_served(self) -> None:
         client = self.knock()
         client.send(self.text())
-        self.front.listener.accept_some()
+        self.front.listener.accept_batch()
         self.front.listener.stop_accepting()  # as a handover does, with the state in the same step
         self.lifecycle.hand_over(self.clock.now_us())
         self.front.changed()
@@ -217,13 +217,13 @@
 
     async def test_small_writes_are_not_held_back(self) -> None:
         await self.resting()
-        (connection,) = self.front._table._states[State.IDLE]
+        (connection,) = self.front._table._states[ConnectionState.IDLE]
         made = connection._transport.get_extra_info("socket")
         self.assertTrue(made.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY))
         self.knock()
         async with asyncio.timeout(PATIENCE_S):
-            while not self.front._table._states[State.FRESH]:
+            while not self.front._table._states[ConnectionState.NEW]:
                 await asyncio.sleep(0)
-        (connection,) = self.front._table._states[State.FRESH]
+        (connection,) = self.front._table._states[ConnectionState.NEW]
         made = connection._transport.get_extra_info("socket")
         self.assertTrue(made.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY))  # before its first answer
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -39,9 +39,10 @@
 from lemonridge.core.clock import Clock
 from lemonridge.core.counters import Counters
 from lemonridge.core.model import Attempt, AttemptSuppressedError, Outcome, Request
-from lemonridge.net.http_connection import EVICTION_AGE_S, State
-from lemonridge.net.http_endpoints import REST_S, HttpEndpoints
-from lemonridge.net.sockets import Payload
+from lemonridge.net.connection_table import EVICTION_AGE_S, ConnectionState
+from lemonridge.net.endpoint_connector import REUSE_DELAY_S
+from lemonridge.net.http_client import Payload
+from lemonridge.net.http_endpoints import HttpEndpoints
 from lemonridge.scheduling.events import AttemptResult
 
 
@@ -316,7 +317,7 @@
         self.node.script = slow
         await asyncio.gather(self.attempt(), self.attempt())
         for _ in range(2):
-            await asyncio.sleep(REST_S)  # the latest used has had its rest
+            await asyncio.sleep(REUSE_DELAY_S)  # the latest used has had its rest
             outcome = await self.attempt()
         self.assertEqual((outcome.used, outcome.elsewhere), (86, 3.0))
         self.assertEqual(self.node.seen[2].connection, self.node.seen[3].connection)
@@ -431,7 +432,7 @@
         """Clients keep to a third of them, and count what others asked on once and left open."""
         asked = [await self.connect() for _ in range(12)]
         began = time.monotonic()
-        while time.monotonic() - began < EVICTION_AGE_S[State.IDLE] + 0.1:
+        while time.monotonic() - began < EVICTION_AGE_S[ConnectionState.IDLE] + 0.1:
             await asked[-1].ask()
         await self.connect(ready=False)
         async with asyncio.timeout(PATIENCE_S):
--- a/tests/test_repo.py
+++ b/tests/test_repo.py
@@ -194,8 +194,8 @@
 TIME_OUT = re.compile(r"time_?out|ttl$|expires_in|max_wait", re.I)
 RELATIVE = {"wait_for", "timeout"}  # of asyncio: both take a span, where `timeout_at` takes a moment
 THEIRS = {
-    ("http_endpoints.py", "connect"),
-    ("http_endpoints.py", "_create_connection"),
+    ("endpoint_connector.py", "connect"),
+    ("endpoint_connector.py", "_create_connection"),
 }  # aiohttp's own signatures
 
 
