--- a/lemonridge/cli/configuration.py
+++ b/lemonridge/cli/configuration.py
@@ -61,13 +61,13 @@
         if platform is not None:
             fleet = fleet_config(table, platform.name, platform.settings.hosts)
             settings = replace(platform.settings, retry_rate=fleet.retry_rate)
-            platform = replace(platform, fleet=fleet, speaks=True, settings=settings)
+            platform = replace(platform, fleet=fleet, exchanges_datagrams=True, settings=settings)
         elif iscsi is not None:
             fleet = fleet_config(table, None, iscsi.settings.hosts)
             settings = replace(iscsi.settings, retry_rate=fleet.retry_rate)
             iscsi = replace(iscsi, settings=settings)
     if platform is not None and options.peers:
-        platform = replace(platform, speaks=platform.fleet is not None)
+        platform = replace(platform, exchanges_datagrams=platform.fleet is not None)
     return Configuration(platform, iscsi, fleet)
 
 
--- a/lemonridge/config/operator_schema.py
+++ b/lemonridge/config/operator_schema.py
@@ -104,7 +104,8 @@
     priority_weight: Figure = 1.0
 
 
-class ClassesTable(Struct, forbid_unknown_fields=True, frozen=True, kw_only=True):
+# Without a docstring: the printed JSON schema would have it as a description.
+class ClassesTable(Struct, forbid_unknown_fields=True, frozen=True, kw_only=True):  # noqa: D101
     read: ClassTable
     write: ClassTable
 
--- a/lemonridge/net/http_connection.py
+++ b/lemonridge/net/http_connection.py
@@ -302,8 +302,7 @@
         return is_complete
 
     def _announce(self, count: int) -> None:
-        """Count the bytes of a body that are to come; a body that cannot be buffered is rejected before it
-        comes.
+        """Count the bytes of a body that are to come, or reject the request if they cannot be buffered.
 
         Short bodies have room beside the long ones, for as many as there can be connections.
         """
--- a/lemonridge/net/http_endpoints.py
+++ b/lemonridge/net/http_endpoints.py
@@ -47,7 +47,7 @@
     def __init__(
         self, directory: EndpointRegistry, clock: Clock, platform: PlatformConfig, counters: Counters
     ) -> None:
-        self._directory, self._clock, self._held_field = directory, clock, platform.held_field
+        self._directory, self._clock, self._in_flight_field = directory, clock, platform.in_flight_field
         self._loop = asyncio.get_running_loop()
         # The policy's epoch at the time of a decision, in seconds on the loop's clock; None: it has ended.
         self.epoch: Callable[[float], str | None] | None = None
@@ -62,7 +62,7 @@
     def configure(self, platform: PlatformConfig) -> None:
         """Apply new settings to the connects, the reuses and the responses to come."""
         self._connector.configure(platform.connect_us, platform.keepalive_us)
-        self._held_field = platform.held_field
+        self._in_flight_field = platform.in_flight_field
 
     async def attempt(self, attempt: Attempt) -> Outcome:
         """Send the request once and read the response.
@@ -120,11 +120,10 @@
     async def _before_head(
         self, _: aiohttp.ClientSession, context: SimpleNamespace, sent: aiohttp.TraceRequestHeadersSentParams
     ) -> None:
-        """Set the deadline's header as of now; aiohttp calls this with a connection, before it forms the
-        head.
+        """Set the deadline's header as of now.
 
-        A head alone is written in this step; before a body it waits for a turn of the loop, to leave together
-        with it.
+        Aiohttp calls this once it has a connection, before it forms the head. A head alone is written in this
+        step; before a body it waits for a turn of the loop, to leave together with it.
         """
         attempt, address = context.trace_request_ctx
         if attempt.request.payload.body:
@@ -166,7 +165,7 @@
         report: _EndpointReport = {
             "used": _parse_count(headers.get("X-Iops-Used"), 1),
             "elsewhere": _parse_number(headers.get("X-Rho")),
-            "held": _parse_load_report(headers.get("X-Load")).get(self._held_field),
+            "held": _parse_load_report(headers.get("X-Load")).get(self._in_flight_field),
         }
         if response.status == 200:
             return Outcome(AttemptResult.OK, reply, **report)
--- a/lemonridge/net/http_front.py
+++ b/lemonridge/net/http_front.py
@@ -119,8 +119,7 @@
         self._table.changed()
 
     def _answer_by_s(self, arrived_us: int) -> float | None:
-        """When a request has to have its answer for the end of the process, on the loop's clock; None:
-        never."""
+        """When a request's answer is due for the end of the process, on the loop's clock; None: never."""
         due_us = self._lifecycle.due(arrived_us)
         return None if due_us == FAR_US else self._clock.loop_time(due_us)
 
--- a/lemonridge/net/http_request.py
+++ b/lemonridge/net/http_request.py
@@ -1,5 +1,4 @@
-"""The platform's requests: path and headers to a request of the core; the only place that knows their
-names."""
+"""Parses the platform's requests; the only place that knows the names of their headers."""
 
 from __future__ import annotations
 
@@ -84,7 +83,7 @@
         plan = self._plans.get(_header(headers, "X-Qos-Policy"))
         if plan is None:
             raise MessageRejectedError(400, "unknown X-Qos-Policy")
-        if message.method != ("PUT" if self._platform.writes[class_number] else "GET"):
+        if message.method != ("PUT" if self._platform.class_writes[class_number] else "GET"):
             raise MessageRejectedError(405, "a read is GET and a write is PUT")
         forwarded = self._forwarded_headers(class_number, headers)
         wait_us = self._parse_wait_us(class_number, headers)
--- a/lemonridge/net/listener.py
+++ b/lemonridge/net/listener.py
@@ -122,8 +122,7 @@
                 await asyncio.sleep(ACCEPT_RETRY_S)
 
     def accept_batch(self) -> AcceptResult:
-        """Accept some of the connections that wait; they are served even if the listener closes right
-        after."""
+        """Accept some of the waiting connections; they are served also if the listener closes now."""
         listening = self._listening
         assert listening is not None
         for _ in range(ACCEPT_BATCH):
--- a/lemonridge/service/assembly.py
+++ b/lemonridge/service/assembly.py
@@ -16,7 +16,7 @@
 from lemonridge.config.address import Address
 from lemonridge.config.errors import ConfigError
 from lemonridge.config.fleet import FleetConfig
-from lemonridge.config.platform import PlatformConfig, file_text, load
+from lemonridge.config.platform import PlatformConfig, load, read_file_content
 from lemonridge.core.broker import Broker
 from lemonridge.core.counters import Counters
 from lemonridge.core.endpoint_registry import EndpointAddress
@@ -59,15 +59,15 @@
         },
     )
     known: int | None = None
-    if platform.known.get("hosts"):
+    if platform.cached_endpoint_list.get("hosts"):
         try:
             made.directory.take(
-                EndpointListUpdate.CACHED, parse_endpoint_list(platform.known, platform.zones)
+                EndpointListUpdate.CACHED, parse_endpoint_list(platform.cached_endpoint_list, platform.zones)
             )
         except MalformedListError as error:
             log.warning("known list ignored", extra={"error": str(error)})
         else:
-            seq = platform.known.get("seq")
+            seq = platform.cached_endpoint_list.get("seq")
             known = seq if isinstance(seq, int) and not isinstance(seq, bool) else None
     endpoints = HttpEndpoints(made.directory, made.clock, platform, made.counters)
     made.close = endpoints.close
@@ -111,9 +111,12 @@
     made.configure = configure
     log.info(
         "fleet",
-        extra={"peers": len(platform.fleet.names) if platform.fleet else 0, "speaks": platform.speaks},
+        extra={
+            "peers": len(platform.fleet.names) if platform.fleet else 0,
+            "speaks": platform.exchanges_datagrams,
+        },
     )
-    if platform.fleet is not None and platform.speaks:
+    if platform.fleet is not None and platform.exchanges_datagrams:
         from lemonridge.net.peer_transport import PeerTransport  # else nothing of it is loaded
 
         rollout = platform.fleet.rollout
@@ -143,14 +146,14 @@
             )
             endpoints.epoch, front.has_lease = coordinator.epoch, coordinator.has_lease
             made.endings.insert(0, coordinator.stop)
-    front.bind(platform.listen, platform.passed)
+    front.bind(platform.listen, platform.inherited_fd)
     admin = AdminService(made, front, lifecycle)
     if platform.admin is not None:
         operators = AdminServer(admin.act, made.counters)
         await operators.start(platform.admin)
         made.endings.append(operators.stop)
     folder = os.environ.get("TMPDIR")
-    if platform.passed is not None and folder:
+    if platform.inherited_fd is not None and folder:
         await admin.succeed(
             ProcessHandover(folder, platform.name, admin, made.clock, made.counters, broker.open_ids)
         )
@@ -351,7 +354,7 @@
                 service.configure(platform)
 
     receiver.handle(signal.SIGHUP, reload)
-    if platform is not None and file_text() != platform.text:
+    if platform is not None and read_file_content() != platform.file_content:
         reload()  # it has changed since it was read: the signal that told so may have come before this
 
     async def start() -> None:
--- a/tests/test_fleet_config.py
+++ b/tests/test_fleet_config.py
@@ -87,7 +87,7 @@
                 options = main.parser().parse_args(["check-config", "--peers"])
                 platform = configuration.load(options).platform
             assert platform is not None
-            seen.append(platform.speaks)
+            seen.append(platform.exchanges_datagrams)
         self.assertEqual(seen, [True, False, False, False])
 
 
--- a/tests/test_format_settings.py
+++ b/tests/test_format_settings.py
@@ -264,7 +264,7 @@
         seed=0x8C1F30D27A5BE964,
         settings=SETTINGS,
         classes=("read", "write", "zoned", "celled", "order"),
-        writes=(False, True, True, True, False),
+        class_writes=(False, True, True, True, False),
         plans=("priority", "bare"),
         zones=("hall-a", "hall-b"),
         connect_us=250001,
@@ -272,9 +272,9 @@
         sockets=77,
         memory_bytes=3145728,
         shards=7,
-        held_field="inflight",
-        known={"nodes": []},
-        filed={"name": "n1", "listen": "127.0.0.1:8001", "discovery": "[::1]:8002"},
+        in_flight_field="inflight",
+        cached_endpoint_list={"nodes": []},
+        file_values={"name": "n1", "listen": "127.0.0.1:8001", "discovery": "[::1]:8002"},
         admin=at(8003),
         fleet=FleetConfig(
             names=("0", "1", "2"),
@@ -288,9 +288,9 @@
             admin=None,
             rollout=None,
         ),
-        speaks=False,
-        passed=None,
-        text=Path(path).read_bytes(),
+        exchanges_datagrams=False,
+        inherited_fd=None,
+        file_content=Path(path).read_bytes(),
     )
 
 
@@ -308,9 +308,9 @@
 
     assert (read.name, read.listen) == ("n2", at(9001, "127.0.0.2"))
     assert (read.discovery, read.admin) == (at(9002, "127.0.0.2"), at(9003, "127.0.0.2"))
-    assert read.passed == 5
-    assert read.filed == {"name": "n1", "listen": "127.0.0.1:8001", "discovery": "[::1]:8002"}
-    assert platform.file_text(environment) == read.text
+    assert read.inherited_fd == 5
+    assert read.file_values == {"name": "n1", "listen": "127.0.0.1:8001", "discovery": "[::1]:8002"}
+    assert platform.read_file_content(environment) == read.file_content
 
 
 def test_what_a_running_program_keeps_and_what_the_file_changes(tmp_path: Path) -> None:
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -247,7 +247,7 @@
         self.node = await Server(serve_ok).start()
         self.addresses: list[str | None] = []
         self.clock = Clock(asyncio.get_running_loop())
-        platform = SimpleNamespace(connect_us=250_000, keepalive_us=500_000, held_field="busy_reqs")
+        platform = SimpleNamespace(connect_us=250_000, keepalive_us=500_000, in_flight_field="busy_reqs")
         self.nodes = HttpEndpoints(self, self.clock, platform, Counters())  # type: ignore[arg-type]
         self.addAsyncCleanup(self.nodes.close)
 
