--- a/lemonridge/net/connection_table.py
+++ b/lemonridge/net/connection_table.py
@@ -170,7 +170,7 @@
         """Close what has waited for too long, and go on so."""
         now_s = self._loop.time()
         self._timer = self._loop.call_at(now_s + SWEEP_INTERVAL_S, self._sweep)
-        if self.clock.now_us() >= self.lifecycle.closes_us:
+        if self.clock.now_us() >= self.lifecycle.close_idle_from_us:
             self.close_waiting(patient=True)
         idle_max_s = IDLE_MAX_UNCROWDED_S if len(self) <= self._sockets * UNCROWDED_FRACTION else IDLE_MAX_S
         self._close_late_requests(now_s)
--- a/lemonridge/net/discovery.py
+++ b/lemonridge/net/discovery.py
@@ -227,8 +227,8 @@
             )
         endpoints = answer.endpoints(self._zones)
         self._counters["discovery.answers"] += 1
-        self._directory.heard()
+        self._directory.record_answer()
         if endpoints or answer.is_snapshot:
             kind = EndpointListUpdate.SNAPSHOT if answer.is_snapshot else EndpointListUpdate.DELTA
-            self._directory.take(kind, endpoints)
+            self._directory.update(kind, endpoints)
         return answer.version
--- a/lemonridge/net/endpoint_connector.py
+++ b/lemonridge/net/endpoint_connector.py
@@ -12,7 +12,7 @@
 from aiohttp.tracing import Trace
 
 from lemonridge.core.counters import Counters
-from lemonridge.core.model import ConnectFailedError
+from lemonridge.core.errors import ConnectFailedError
 from lemonridge.net.http_response import ResponseReader
 from lemonridge.net.sockets import has_no_unread_data
 
--- a/lemonridge/net/http_endpoints.py
+++ b/lemonridge/net/http_endpoints.py
@@ -14,13 +14,8 @@
 from lemonridge.core.clock import Clock
 from lemonridge.core.counters import Counters
 from lemonridge.core.endpoint_registry import EndpointRegistry
-from lemonridge.core.model import (
-    Attempt,
-    AttemptSuppressedError,
-    ConnectFailedError,
-    LocalFailureError,
-    Outcome,
-)
+from lemonridge.core.errors import AttemptSuppressedError, ConnectFailedError, LocalFailureError
+from lemonridge.core.model import Attempt, Outcome
 from lemonridge.net.endpoint_connector import EndpointConnector
 from lemonridge.net.http_client import Payload, plain_session
 from lemonridge.net.http_response import StreamedResponse, read_body
@@ -36,9 +31,9 @@
 class _EndpointReport(TypedDict):
     """What a response's headers tell beside its body; None: they do not."""
 
-    used: int | None
-    elsewhere: float | None
-    held: float | None
+    units_used: int | None
+    units_elsewhere: float | None
+    endpoint_load: float | None
 
 
 class HttpEndpoints:
@@ -163,9 +158,9 @@
             return Outcome(AttemptResult.ERROR)
         headers = response.headers
         report: _EndpointReport = {
-            "used": _parse_count(headers.get("X-Iops-Used"), 1),
-            "elsewhere": _parse_number(headers.get("X-Rho")),
-            "held": _parse_load_report(headers.get("X-Load")).get(self._in_flight_field),
+            "units_used": _parse_count(headers.get("X-Iops-Used"), 1),
+            "units_elsewhere": _parse_number(headers.get("X-Rho")),
+            "endpoint_load": _parse_load_report(headers.get("X-Load")).get(self._in_flight_field),
         }
         if response.status == 200:
             return Outcome(AttemptResult.OK, reply, **report)
