--- a/lemonridge/service/platform.py
+++ b/lemonridge/service/platform.py
@@ -11,7 +11,9 @@
 from lemonridge.core.broker import Broker
 from lemonridge.core.counters import Counters
 from lemonridge.net.admin_server import AdminServer
-from lemonridge.net.discovery import Discovery, MalformedError, listings
+from lemonridge.net.discovery import Discovery
+from lemonridge.net.discovery_format import parse_endpoint_list
+from lemonridge.net.errors import MalformedListError
 from lemonridge.net.http_endpoints import HttpEndpoints
 from lemonridge.net.http_front import HttpFront
 from lemonridge.net.process_handover import ProcessHandover
@@ -32,7 +34,7 @@
     """
     assembly = PlatformAssembly(config)
     await assembly.connect_peers()
-    assembly.front.bind(config.listen, config.passed)
+    assembly.front.bind(config.listen, config.inherited_fd)
     await assembly.listen_for_operators()
     await assembly.take_over()
     await assembly.front.listen()
@@ -83,12 +85,12 @@
 
     def _load_cached_list(self) -> int | None:
         """Begins with the endpoint list of the configuration; returns its sequence number, if it has one."""
-        cached = self._config.known
+        cached = self._config.cached_endpoint_list
         if not cached.get("hosts"):
             return None
         try:
-            endpoints = listings(cached, self._config.zones)
-        except MalformedError as error:
+            endpoints = parse_endpoint_list(cached, self._config.zones)
+        except MalformedListError as error:
             log.warning("cached endpoint list ignored", extra={"error": str(error)})
             return None
         self.service.registry.update(EndpointListUpdate.CACHED, endpoints)
@@ -128,8 +130,10 @@
     async def connect_peers(self) -> None:
         """Starts messages to the other brokers, where the configuration allows them."""
         config, fleet = self._config, self._config.fleet
-        log.info("fleet", extra={"peers": len(fleet.names) if fleet else 0, "speaks": config.speaks})
-        if fleet is None or not config.speaks:
+        log.info(
+            "fleet", extra={"peers": len(fleet.names) if fleet else 0, "speaks": config.exchanges_datagrams}
+        )
+        if fleet is None or not config.exchanges_datagrams:
             return
         from lemonridge.service.peers import connect_peers
 
@@ -148,7 +152,7 @@
     async def take_over(self) -> None:
         """Takes over from the process before, where this one has got its listening socket."""
         folder = os.environ.get("TMPDIR")
-        if self._config.passed is None or not folder:
+        if self._config.inherited_fd is None or not folder:
             return
         service = self.service
         handover = ProcessHandover(
--- a/lemonridge/service/process.py
+++ b/lemonridge/service/process.py
@@ -9,7 +9,7 @@
 
 from lemonridge.config.errors import ConfigError
 from lemonridge.config.fleet import FleetConfig
-from lemonridge.config.platform import PlatformConfig, file_text, load
+from lemonridge.config.platform import PlatformConfig, load, read_file_content
 from lemonridge.service.admin import listen_for_fleet_calls
 from lemonridge.service.ignored_signals import STOP_SIGNALS
 from lemonridge.service.platform import platform_service
@@ -56,7 +56,7 @@
         for number in STOP_SIGNALS:
             self._signals.handle(number, self._stop_requested.set)
         self._signals.handle(signal.SIGHUP, self._reload)
-        if self._platform is not None and file_text() != self._platform.text:
+        if self._platform is not None and read_file_content() != self._platform.file_content:
             self._reload()  # changed since it was read: its SIGHUP may have come before there was a handler
         self._signals.handle(signal.SIGUSR1, self._print_counters)
         await self._start_until_stop()
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -40,9 +40,10 @@
 from lemonridge.core.counters import Counters
 from lemonridge.core.errors import AttemptSuppressedError
 from lemonridge.core.model import Attempt, Outcome, Request
-from lemonridge.net.http_connection import EVICTION_AGE_S, State
-from lemonridge.net.http_endpoints import REST_S, HttpEndpoints
-from lemonridge.net.sockets import Payload
+from lemonridge.net.connection_table import EVICTION_AGE_S, ConnectionState
+from lemonridge.net.endpoint_connector import REUSE_DELAY_S
+from lemonridge.net.http_client import Payload
+from lemonridge.net.http_endpoints import HttpEndpoints
 from lemonridge.scheduling.events import AttemptResult
 
 
@@ -247,7 +248,7 @@
         self.node = await Server(serve_ok).start()
         self.addresses: list[str | None] = []
         self.clock = Clock(asyncio.get_running_loop())
-        platform = SimpleNamespace(connect_us=250_000, keepalive_us=500_000, held_field="busy_reqs")
+        platform = SimpleNamespace(connect_us=250_000, keepalive_us=500_000, in_flight_field="busy_reqs")
         self.nodes = HttpEndpoints(self, self.clock, platform, Counters())  # type: ignore[arg-type]
         self.addAsyncCleanup(self.nodes.close)
 
@@ -317,7 +318,7 @@
         self.node.script = slow
         await asyncio.gather(self.attempt(), self.attempt())
         for _ in range(2):
-            await asyncio.sleep(REST_S)  # the latest used has had its rest
+            await asyncio.sleep(REUSE_DELAY_S)  # the latest used has had its rest
             outcome = await self.attempt()
         self.assertEqual((outcome.units_used, outcome.units_elsewhere), (86, 3.0))
         self.assertEqual(self.node.seen[2].connection, self.node.seen[3].connection)
@@ -432,7 +433,7 @@
         """Clients keep to a third of them, and count what others asked on once and left open."""
         asked = [await self.connect() for _ in range(12)]
         began = time.monotonic()
-        while time.monotonic() - began < EVICTION_AGE_S[State.IDLE] + 0.1:
+        while time.monotonic() - began < EVICTION_AGE_S[ConnectionState.IDLE] + 0.1:
             await asked[-1].ask()
         await self.connect(ready=False)
         async with asyncio.timeout(PATIENCE_S):
