--- a/lemonridge/service/iscsi.py
+++ b/lemonridge/service/iscsi.py
@@ -55,7 +55,7 @@
     if fleet is not None:
         coordinator = await connect_peers(service, fleet, config, _random_seed)
         if coordinator is not None and etcd is not None:
-            etcd.follow(coordinator.source_proposal)
+            etcd.follow(coordinator.propose_plans)
     await front.start(config.listen)
     return service
 
--- a/tests/test_closing.py
+++ b/tests/net/test_connection_closing.py
@@ -16,7 +16,7 @@
 from lemonridge.core.clock import Clock
 from lemonridge.core.counters import Counters
 from lemonridge.core.model import Answer, AnswerKind, Request
-from lemonridge.net.http_connection import State
+from lemonridge.net.connection_table import ConnectionState
 from lemonridge.net.http_front import HttpFront
 from lemonridge.operate.lifecycle import Lifecycle
 
@@ -110,7 +110,7 @@
         self.front._table._sweep()
         self.assertIn(b"200 OK", await self.read(client))
 
-    async def test_what_waits_at_the_door_when_it_closes_is_served(self) -> None:
+    async def test_a_connection_in_the_backlog_when_the_listener_closes_is_served(self) -> None:
         stopping = asyncio.create_task(self.front.stop())
         await asyncio.sleep(0)  # it has been told, and goes on with the end in the next turn
         client = self.knock()
@@ -121,7 +121,7 @@
         await stopping
         self.assertFalse(self.front.listener.listens)
 
-    async def test_a_request_that_is_half_read_at_the_end_becomes_whole(self) -> None:
+    async def test_a_request_that_is_half_read_at_the_end_is_completed(self) -> None:
         client, text = await self.resting(), self.text()
         client.send(text[:40])
         await asyncio.sleep(0)
@@ -134,7 +134,7 @@
         self.assertTrue(answer.endswith(b"data") and b"connection: close" in answer.lower())
         await stopping
 
-    async def test_a_request_that_never_becomes_whole_does_not_hold_up_the_end(self) -> None:
+    async def test_a_request_that_never_completes_does_not_delay_the_stop(self) -> None:
         client = await self.resting()
         client.send(self.text()[:40])
         async with asyncio.timeout(PATIENCE_S):
@@ -149,7 +149,7 @@
         client.send(self.text(Connection="close"))
         self.assertTrue((await self.read(client, b"")).endswith(b"data"))  # up to an orderly end
 
-    async def test_a_request_that_comes_behind_the_last_answer_is_not_sent_on(self) -> None:
+    async def test_a_request_that_comes_behind_the_last_answer_is_not_forwarded(self) -> None:
         client = self.knock()
         client.send(self.text(Connection="close"))
         await self.read(client)
@@ -165,22 +165,22 @@
         client = self.knock(buffer=4096)
         client.send(self.text(**changes))
         async with asyncio.timeout(PATIENCE_S):
-            while not any(one.unsent for states in self.front._table._states for one in states):
+            while not any(one.has_unsent_data for states in self.front._table._states for one in states):
                 await asyncio.sleep(0)
-            while self.front._table._states[State.BUSY]:
+            while self.front._table._states[ConnectionState.SERVING]:
                 await asyncio.sleep(0)
         return client
 
-    async def test_a_slow_client_has_its_last_answer_whole(self) -> None:
+    async def test_a_slow_client_gets_its_complete_last_answer(self) -> None:
         client = await self.slow(Connection="close")
         self.age(1.0)
         self.front._table._sweep()
         self.assertTrue((await self.read(client, b"")).endswith(b"data"))
 
-    async def test_a_client_that_never_reads_its_last_answer_is_given_up(self) -> None:
+    async def test_a_client_that_never_reads_its_last_answer_is_disconnected(self) -> None:
         client = await self.slow(Connection="close")
-        for one in self.front._table._states[State.LEAVING]:
-            one.left_at -= 60.0
+        for one in self.front._table._states[ConnectionState.CLOSING]:
+            one.closing_since_s -= 60.0
         self.age(60.0)
         self.front._table._sweep()
         self.assertFalse(self.front.busy)
@@ -207,7 +207,7 @@
     async def test_what_is_accepted_in_the_turn_of_a_handover_is_served(self) -> None:
         client = self.knock()
         client.send(self.text())
-        self.front.listener.accept_some()
+        self.front.listener.accept_batch()
         self.front.listener.stop_accepting()  # as a handover does, with the state in the same step
         self.lifecycle.hand_over(self.clock.now_us())
         self.front.changed()
@@ -217,13 +217,13 @@
 
     async def test_small_writes_are_not_held_back(self) -> None:
         await self.resting()
-        (connection,) = self.front._table._states[State.IDLE]
+        (connection,) = self.front._table._states[ConnectionState.IDLE]
         made = connection._transport.get_extra_info("socket")
         self.assertTrue(made.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY))
         self.knock()
         async with asyncio.timeout(PATIENCE_S):
-            while not self.front._table._states[State.FRESH]:
+            while not self.front._table._states[ConnectionState.NEW]:
                 await asyncio.sleep(0)
-        (connection,) = self.front._table._states[State.FRESH]
+        (connection,) = self.front._table._states[ConnectionState.NEW]
         made = connection._transport.get_extra_info("socket")
         self.assertTrue(made.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY))  # before its first answer
