--- a/lemonridge/scheduling/endpoint.py
+++ b/lemonridge/scheduling/endpoint.py
@@ -14,7 +14,7 @@
         state: What the endpoint list says.
         registered: It is in the endpoint list, under its shard.
         window: How many attempts may be open there; below 1 it is a pause after each response.
-        window_reduced_us: When the window was last cut; results of earlier attempts cut it no more.
+        window_reduced_us: When the window was last reduced; results of earlier attempts no longer reduce it.
         cooldown_until_us: Until when a window below 1 pauses.
         open_attempts: Attempts of this host that count against the window.
         expected_responses: Of these, those with time enough for their silence to say something.
@@ -75,7 +75,7 @@
             self.silent_since_us = now_us
 
     def restart_silence(self, now_us: int) -> None:
-        """Counts silence from now on: the endpoint was heard, or an attempt no longer counts."""
+        """Counts silence from now on: the endpoint has responded, or an attempt no longer counts."""
         self.silent_since_us = now_us if self.expected_responses else None
 
     def count_slow_start_units(self, now_us: int, units: float) -> int | None:
--- a/lemonridge/scheduling/token_bucket.py
+++ b/lemonridge/scheduling/token_bucket.py
@@ -40,7 +40,7 @@
 class TokenBucket:
     """This host's part of a bucket that all hosts share.
 
-    It starts empty: a restart cannot be told from a first start, and a host that is killed must not gain a
+    It starts empty: a restart looks like a first start, and a host that is killed must not gain a
     burst. Its capacity is an even part for each host, whatever their parts of the rate are, so the sum of
     what all hosts have saved is bounded without messages between them; only rates move.
 
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -10,6 +10,7 @@
 
 from lemonridge import Scheduler
 from lemonridge.scheduling.actions import Action, Fail, Reject, Send
+from lemonridge.scheduling.endpoint import TrackedEndpoint
 from lemonridge.scheduling.events import (
     AttemptEnded,
     AttemptResult,
@@ -21,6 +22,7 @@
     RequestArrived,
     TimerFired,
 )
+from lemonridge.scheduling.requests import Volume
 from lemonridge.scheduling.settings import (
     DeduplicationScope,
     IdempotencyKind,
@@ -179,6 +181,14 @@
             seen += self.handle(TimerFired())
         return seen
 
+    def endpoint(self, name: str) -> TrackedEndpoint:
+        """What the scheduler knows of an endpoint."""
+        return self.scheduler.endpoint_list.endpoints[name]
+
+    def volume(self, number: int) -> Volume:
+        """What the scheduler knows of a volume."""
+        return self.scheduler.limits.volumes[number]
+
     def sent_requests(self) -> list[str]:
         """The requests of which the last call has sent an attempt."""
         return sends(self.actions)
--- a/tests/scheduling/test_data_migration.py
+++ b/tests/scheduling/test_data_migration.py
@@ -12,15 +12,16 @@
 
 
 def test_migrated_request_waits_for_its_shard_and_is_sent_there(rig):
-    """Under the same id, deadline and attempts; the node that said so was heard and is not cut."""
+    """It keeps its id, deadline and attempts; the endpoint has responded and keeps its window."""
     request = rig.arrive(cls=2)
-    window = rig.scheduler.endpoint_list.endpoints["a"].window
+    window = rig.endpoint("a").window
     assert (
         rig.end_attempt(request, AttemptResult.DATA_MIGRATED, latency_us=400_000) is not None
         and not rig.sent_requests()
     )
     rig.advance(100_000)
-    endpoint = rig.scheduler.endpoint_list.endpoints["a"]
+    endpoint = rig.endpoint("a")
+
     assert not rig.sent_requests() and endpoint.window == window and endpoint.silent_since_us is None
     assert rig.handle(DataMigrated(request, 1)) == [Send(request, "b")]
     # A write of the class once: it may have run.
@@ -30,6 +31,7 @@
 def test_migrated_request_without_a_route_is_rejected_at_once(rig):
     request = rig.arrive(cls=2)
     rig.end_attempt(request, AttemptResult.DATA_MIGRATED)
+
     assert finals(rig.handle(DataMigrated(request, None))) == {request: Reject}
     assert rig.handle(DataMigrated(request, 1)) == []
 
@@ -40,16 +42,18 @@
         rig.end_attempt(request, AttemptResult.DATA_MIGRATED, endpoint="b" if shard == 0 else "a")
         assert rig.handle(DataMigrated(request, shard))
     rig.end_attempt(request, AttemptResult.DATA_MIGRATED)
+
     assert finals(rig.handle(DataMigrated(request, 1))) == {request: Reject}
 
 
 def test_waiting_request_is_moved_to_its_new_shard(rig):
-    """Queued where no node is, or between two attempts; its old timer does not send it a second time."""
+    """Queued for a shard without endpoints, or between two attempts; its old timer sends nothing."""
     request = rig.arrive(shard=5)
     assert not rig.sent_requests()
     assert rig.handle(DataMigrated(request, 1)) == [Send(request, "b")]
     assert rig.handle(DataMigrated(request, 0)) == []  # an attempt is out
     rig.end_attempt(request, AttemptResult.QUEUE_FULL, endpoint="b")
+
     assert rig.handle(DataMigrated(request, 0)) == [Send(request, "a")]
     assert not sends(rig.advance(400_000))
 
@@ -57,4 +61,5 @@
 def test_migrated_request_without_news_is_rejected_at_its_deadline(rig):
     request = rig.arrive(cls=2)
     rig.end_attempt(request, AttemptResult.DATA_MIGRATED)
+
     assert finals(rig.advance(2_100_000)) == {request: Reject}
--- a/tests/scheduling/test_endpoint_choice.py
+++ b/tests/scheduling/test_endpoint_choice.py
@@ -11,7 +11,7 @@
 
 
 def endpoints_of_new_objects(endpoints: int, seed: int) -> set[str]:
-    """To which of so many nodes a host sends 2,000 new objects, one after another."""
+    """The endpoints, of so many, to which a host sends 2,000 new objects, one after another."""
     rig = Rig(SETTINGS, seed)
     rig.update_list(*((f"n{number}", number) for number in range(endpoints)))
     chosen = set()
@@ -33,15 +33,17 @@
     rig.update_list(*((f"n{n}", n) for n in range(400)), kind=EndpointListUpdate.SNAPSHOT)
     chosen = {rig.scheduler.health.pick(-1).id for _ in range(300)}
     assert len(chosen) > 100
-    looked = list(rig.scheduler.endpoint_list.candidates())
-    assert len(looked) == 16
+    candidates = list(rig.scheduler.endpoint_list.candidates())
+    assert len(candidates) == 16
     rig.update_list(*((f"n{n}", n) for n in range(20)), kind=EndpointListUpdate.SNAPSHOT)
+
     assert len(list(rig.scheduler.endpoint_list.candidates())) >= 20
 
 
 def test_new_objects_of_a_host_go_to_a_bounded_subset() -> None:
-    """STANDING, last table: 2.5 times the connections, plus 40, at sixteen times the nodes."""
+    """STANDING, last table: 2.5 times the connections, plus 40, at sixteen times the endpoints."""
     few, many = endpoints_of_new_objects(200, 1), endpoints_of_new_objects(3_200, 1)
     assert len(many) <= 2.5 * len(few) + 40
     other = endpoints_of_new_objects(3_200, 2)
+
     assert len(many & other) < len(many) / 2  # and hosts do not all meet at the same ones
--- a/tests/scheduling/test_endpoint_health.py
+++ b/tests/scheduling/test_endpoint_health.py
@@ -27,11 +27,12 @@
 
 def test_window_bounds_the_open_attempts(rig: Rig) -> None:
     arrive_many(rig, 20, 1)
+
     assert len(rig.scheduler.open_attempts) == 2
 
 
 def test_window_is_cut_once_a_round_trip_and_recovers(rig: Rig) -> None:
-    endpoint = rig.scheduler.endpoint_list.endpoints["a"]
+    endpoint = rig.endpoint("a")
     endpoint.window = 8.0
     ids = arrive_many(rig, 4, 1)
     rig.now_us += 400_000
@@ -43,6 +44,7 @@
         arrive_many(rig, 6, 1)
         for name, _ in list(rig.scheduler.open_attempts):
             rig.end_attempt(name, latency_us=10_000)
+
     assert 4.0 < endpoint.window <= 8.0
 
 
@@ -67,33 +69,33 @@
     answered = next(iter(rig.scheduler.open_attempts))
     rig.attempts[answered[0]] = answered[1]
     rig.end_attempt(answered[0])
-    assert not rig.scheduler.health.suspect(rig.scheduler.endpoint_list.endpoints["a"])
+
+    assert not rig.scheduler.health.suspect(rig.endpoint("a"))
 
 
 def test_lost_attempt_leaves_the_window_once_later_ones_are_answered(rig: Rig) -> None:
-    rig.scheduler.endpoint_list.endpoints["a"].window = 1.5
+    rig.endpoint("a").window = 1.5
     rig.end_attempt(rig.arrive())
-    rig.scheduler.endpoint_list.endpoints["a"].window = 1.5
+    rig.endpoint("a").window = 1.5
     lost = rig.arrive(1, cls=1, key=1)
     rig.advance(400_000)
-    rig.scheduler.endpoint_list.endpoints["a"].window = 1.5
+    rig.endpoint("a").window = 1.5
     probe = rig.arrive(2)
     assert probe in rig.sent_requests() + sends(rig.advance(700_000))
     rig.end_attempt(probe)
     rig.advance(400_000)
-    assert (lost, 0) in rig.scheduler.open_attempts and rig.scheduler.endpoint_list.endpoints[
-        "a"
-    ].open_attempts == 0
+    assert (lost, 0) in rig.scheduler.open_attempts and rig.endpoint("a").open_attempts == 0
     assert rig.arrive(2) in rig.sent_requests()
     rig.end_attempt(lost)
-    assert rig.scheduler.endpoint_list.endpoints["a"].open_attempts == 1
+
+    assert rig.endpoint("a").open_attempts == 1
 
 
 def test_window_falls_below_one_only_at_a_crowded_endpoint(make) -> None:
     for held, low in ((40.0, True), (3.0, False), (None, False), (-5.0, False)):
         rig = make(hosts=100)
         end_late(rig, held)
-        assert (rig.scheduler.endpoint_list.endpoints["a"].window < 1.0) is low, held
+        assert (rig.endpoint("a").window < 1.0) is low, held
         name = rig.arrive()
         assert (name in rig.sent_requests()) is not low, held  # below one it rests after an answer
         assert (name in finals(rig.actions + rig.advance(310_000))) is low, held
@@ -108,7 +110,8 @@
         assert name in rig.sent_requests()
         rig.now_us += 20_000
         rig.end_attempt(name, outstanding=1.0)
-    assert rig.scheduler.endpoint_list.endpoints["a"].window >= 1.0
+
+    assert rig.endpoint("a").window >= 1.0
 
 
 def test_full_queue_is_not_answered_with_more_attempts(make) -> None:
@@ -121,6 +124,7 @@
     asked = 0
     for _ in range(60):  # six seconds of one request each tenth
         asked += len(sends([*rig.advance(100_000), *([] if rig.arrive() is None else rig.actions)]))
+
     assert asked <= 1
 
 
@@ -140,30 +144,32 @@
 def test_small_fleet_never_pauses(make) -> None:
     rig = make(hosts=4)
     end_late(rig, 40.0)
-    assert rig.scheduler.endpoint_list.endpoints["a"].window == 1.0
+
+    assert rig.endpoint("a").window == 1.0
 
 
 def test_reset_is_no_sign_of_load_and_no_silence(rig: Rig) -> None:
-    """A network that resets one connection in twenty would close every window, and make nodes suspect."""
-    window = rig.scheduler.endpoint_list.endpoints["a"].window
+    """A network that resets one connection in twenty would close every window, and make endpoints suspect."""
+    window = rig.endpoint("a").window
     for _ in range(5):
         name = rig.arrive()
         rig.end_attempt(name, AttemptResult.RESET)
         rig.handle(ClientDisconnected(name))
     rig.now_us += 5_000_000
-    assert rig.scheduler.endpoint_list.endpoints["a"].window == window
-    assert not rig.scheduler.health.suspect(rig.scheduler.endpoint_list.endpoints["a"])
+
+    assert rig.endpoint("a").window == window
+    assert not rig.scheduler.health.suspect(rig.endpoint("a"))
 
 
 def test_reset_connect_is_no_restart_but_a_long_outage_is(rig: Rig) -> None:
-    for outage, cold in ((400_000, False), (2_000_000, True)):
+    for outage_us, slow_start in ((400_000, False), (2_000_000, True)):
         rig.end_attempt(rig.arrive(), AttemptResult.CONNECT_FAILED)
-        rig.advance(outage)
+        rig.advance(outage_us)
         name = rig.arrive()
         rig.advance(100_000)
         assert (name, 0) in rig.scheduler.open_attempts
         rig.end_attempt(name)
-        assert (rig.scheduler.endpoint_list.endpoints["a"].slow_start_began_us is not None) is cold
+        assert (rig.endpoint("a").slow_start_began_us is not None) is slow_start
 
 
 def test_endpoint_with_slow_connects_is_probed_and_not_in_slow_start(make) -> None:
@@ -188,28 +194,29 @@
     name = rig.arrive()
     assert (name, 0) in rig.scheduler.open_attempts
     rig.end_attempt(name)
-    assert rig.scheduler.endpoint_list.endpoints["a"].slow_start_began_us is None
-    assert not rig.scheduler.health.suspect(rig.scheduler.endpoint_list.endpoints["a"])
+
+    assert rig.endpoint("a").slow_start_began_us is None
+    assert not rig.scheduler.health.suspect(rig.endpoint("a"))
 
 
 def test_silence_of_a_request_with_little_time_says_nothing_of_its_endpoint(rig: Rig) -> None:
-    endpoint = rig.scheduler.endpoint_list.endpoints["a"]
+    endpoint = rig.endpoint("a")
     rig.end_attempt(rig.arrive())
-    for left, heard in ((60_000, True), (500_000, False)):
+    for left_us, ignored in ((60_000, True), (500_000, False)):
         window = endpoint.window
-        name = rig.arrive(left_us=left)
+        name = rig.arrive(left_us=left_us)
         assert (name, 0) in rig.scheduler.open_attempts
-        rig.now_us += left - 10_000
-        rig.end_attempt(name, AttemptResult.TIMEOUT, latency_us=left - 10_000)
+        rig.now_us += left_us - 10_000
+        rig.end_attempt(name, AttemptResult.TIMEOUT, latency_us=left_us - 10_000)
         rig.now_us += 1_000_000
-        assert rig.scheduler.health.suspect(endpoint) is not heard
-        assert (endpoint.window == window) is heard
+        assert rig.scheduler.health.suspect(endpoint) is not ignored
+        assert (endpoint.window == window) is ignored
         assert (endpoint.open_attempts, endpoint.expected_responses) == (0, 0)
 
 
 def test_latency_and_silence_count_by_the_size_of_the_request(rig: Rig) -> None:
     """Four units take twice as long as the mean of two."""
-    endpoint = rig.scheduler.endpoint_list.endpoints["a"]
+    endpoint = rig.endpoint("a")
     for units, window in ((4.0, 2.5), (1.0, 1.25)):
         endpoint.window, endpoint.window_reduced_us = 2.5, 0
         name = rig.arrive(units=units)
@@ -226,7 +233,7 @@
 
 
 def test_one_peer_report_halves_the_window_and_agreeing_ones_make_it_suspect(rig: Rig) -> None:
-    endpoint = rig.scheduler.endpoint_list.endpoints["a"]
+    endpoint = rig.endpoint("a")
     endpoint.window = 4.0
     rig.handle(PeerHealthReported("a", 1, False, rig.now_us))
     assert endpoint.window == 2.0 and not endpoint.connect_failures
@@ -238,5 +245,6 @@
     assert not endpoint.connect_failures and [one for one, _ in rig.scheduler.open_attempts] == [second]
     rig.handle(
         PeerHealthReported("a", 5, True, endpoint.last_response_us)
-    )  # older than what this host heard itself
+    )  # older than the last response here
+
     assert not endpoint.connect_failures
--- a/tests/scheduling/test_endpoint_list.py
+++ b/tests/scheduling/test_endpoint_list.py
@@ -16,11 +16,13 @@
     rig.update_list(("a", 0, EndpointState.DRAINING), kind=EndpointListUpdate.DELTA)
     assert rig.arrive() not in rig.sent_requests()
     rig.update_list(("a", 0, EndpointState.REMOVED), ("c", 0), kind=EndpointListUpdate.DELTA)
+
     assert "c" in rig.scheduler.endpoint_list.endpoints and "a" not in rig.scheduler.endpoint_list.endpoints
 
 
 def test_endpoint_missing_from_a_full_list_is_removed(rig: Rig) -> None:
     rig.update_list(("b", 1), kind=EndpointListUpdate.SNAPSHOT)
+
     assert rig.arrive() not in rig.sent_requests()
 
 
@@ -39,4 +41,5 @@
             times.append(rig.now_us - start)
         assert times[0] < times[1] < times[2] < times[3]
         gaps.append(times)
+
     assert gaps[0] != gaps[1]
--- a/tests/scheduling/test_first_byte.py
+++ b/tests/scheduling/test_first_byte.py
@@ -20,6 +20,7 @@
     actions = rig.end_attempt(name, AttemptResult.RESET) + rig.advance(400_000)
     assert sends(actions) == [name]
     window_us = SETTINGS.classes[1].deduplication_window_us
+
     assert rig.scheduler.begins(sent_us + window_us - SETTINGS.tick_us, name, 1)
     assert not rig.scheduler.begins(sent_us + window_us + 1, name, 1)
 
@@ -29,6 +30,7 @@
     name = rig.arrive()
     assert rig.scheduler.begins(rig.now_us, name, 0)
     rig.handle(ClientDisconnected(name))
+
     assert not rig.scheduler.begins(rig.now_us, name, 0) and not rig.scheduler.begins(rig.now_us, "never", 0)
 
 
@@ -36,7 +38,8 @@
     rig = confirming_rig()
     first, second = rig.arrive(units=8.0), rig.arrive(2, units=8.0)
     rig.update_list(("a", 0, EndpointState.ACTIVE, rig.now_us), kind=EndpointListUpdate.DELTA)
-    endpoint = rig.scheduler.endpoint_list.endpoints["a"]
+    endpoint = rig.endpoint("a")
+
     assert endpoint.slow_start_sent.units == 0.0
     assert rig.scheduler.begins(rig.now_us, first, 0) and endpoint.slow_start_sent.units == 8.0
     assert (
--- a/tests/scheduling/test_key_order.py
+++ b/tests/scheduling/test_key_order.py
@@ -13,6 +13,7 @@
 def test_one_key_runs_one_at_a_time_in_order(rig: Rig) -> None:
     first, second, third = (rig.arrive(cls=1, key=5) for _ in range(3))
     other = rig.arrive(cls=0)
+
     assert other in rig.sent_requests()
     assert rig.end_attempt(first) and rig.sent_requests() == [second]
     assert rig.end_attempt(second) and rig.sent_requests() == [third]
@@ -22,6 +23,7 @@
     rig.arrive(cls=1, key=5)
     second = rig.arrive(cls=1, key=5)
     actions = rig.end_attempt("r1", AttemptResult.TIMEOUT)
+
     assert second not in sends(actions + rig.advance(90_000))
     assert second in sends(rig.advance(30_000))
 
@@ -32,4 +34,5 @@
     rig.handle(ClientDisconnected(first))
     assert second not in sends(rig.advance(100_000))
     rig.end_attempt(first)
+
     assert rig.sent_requests() == [second]
--- a/tests/scheduling/test_retries.py
+++ b/tests/scheduling/test_retries.py
@@ -32,7 +32,7 @@
 def lose_one(make, cls: int, **changes: object) -> tuple[Rig, str, list[Action]]:
     """An attempt at `a` without an answer, while others there are answered as usual."""
     rig = make(**changes)
-    rig.scheduler.endpoint_list.endpoints["a"].window = 4.0
+    rig.endpoint("a").window = 4.0
     for _ in range(4):
         rig.end_attempt(rig.arrive(2, units=1.0))
     lost = rig.arrive(1, cls=cls, key=9)
@@ -58,6 +58,7 @@
 def test_non_idempotent_request_that_never_ran_is_retried(rig: Rig) -> None:
     name = rig.arrive(cls=2)
     actions = rig.end_attempt(name, AttemptResult.QUEUE_FULL) + rig.advance(200_000)
+
     assert sends(actions) == [name]
 
 
@@ -68,24 +69,28 @@
     assert name in sends(rig.advance(100_000))
     rig.now_us = START + 2_100_000
     actions = rig.end_attempt(name, AttemptResult.RESET) + rig.advance(100_000)
+
     assert name not in sends(actions) and finals(actions) == {name: Fail}
 
 
 def test_idempotency_key_is_rejected_before_it_can_have_run(rig: Rig) -> None:
     arrive_many(rig, 2, 1)
     name = rig.arrive(cls=1, key=9)
+
     assert finals(rig.advance(700_000))[name] is Reject
 
 
 def test_idempotent_request_is_rejected_after_max_attempts(make) -> None:
     rig = make(max_attempts=1)
     name = rig.arrive()
+
     assert finals(rig.end_attempt(name, AttemptResult.RESET)) == {name: Reject}
 
 
 def test_never_two_attempts_at_once(rig: Rig) -> None:
     name = rig.arrive()
     rig.advance(200_000)
+
     assert list(rig.scheduler.open_attempts) == [(name, 0)]
 
 
@@ -100,6 +105,7 @@
         again += sends(rig.end_attempt(name, AttemptResult.ERROR) + rig.advance(60_000)).count(name)
         if (name, 1) in rig.scheduler.open_attempts:
             rig.end_attempt(name)
+
     assert 2 <= again <= 3
 
 
@@ -107,8 +113,9 @@
     rig = grouped(DeduplicationScope.ZONE)
     name = rig.arrive()
     first = next(a.endpoint_id for a in rig.actions if isinstance(a, Send))
-    rig.scheduler.endpoint_list.endpoints[first].state = EndpointState.DRAINING
+    rig.endpoint(first).state = EndpointState.DRAINING
     actions = rig.end_attempt(name, AttemptResult.RESET, endpoint=first) + rig.advance(1_000_000)
+
     assert name not in sends(actions) and finals(actions) == {name: Fail}
 
 
@@ -116,8 +123,9 @@
     rig = grouped(DeduplicationScope.ALL)
     name = rig.arrive()
     first = next(a.endpoint_id for a in rig.actions if isinstance(a, Send))
-    rig.scheduler.endpoint_list.endpoints[first].state = EndpointState.DRAINING
+    rig.endpoint(first).state = EndpointState.DRAINING
     actions = rig.end_attempt(name, AttemptResult.RESET, endpoint=first) + rig.advance(200_000)
+
     assert sends(actions) == [name]
     assert finals(rig.end_attempt(name, AttemptResult.TIMEOUT)) == {name: Reject}
 
@@ -127,6 +135,7 @@
     for _ in range(400):
         rig.now_us += 50_000
         rig.end_attempt(rig.arrive())
+
     assert len(rig.scheduler.retries.retry_budget._requests_us) <= 100
 
 
@@ -143,8 +152,8 @@
 
 
 def test_lost_response_is_left_alone_where_no_retry_is_allowed(make) -> None:
-    spent = {"retry_budget_window_us": 5_000_000, "retry_budget_floor": 0.0, "retry_budget_ratio": 0.0}
-    for cls, changes in ((2, {}), (0, {"may_cancel": False}), (0, spent), (0, {"max_attempts": 1})):
+    empty_budget = {"retry_budget_window_us": 5_000_000, "retry_budget_floor": 0.0, "retry_budget_ratio": 0.0}
+    for cls, changes in ((2, {}), (0, {"may_cancel": False}), (0, empty_budget), (0, {"max_attempts": 1})):
         _, lost, seen = lose_one(make, cls, **{"may_cancel": True, **changes})
         assert not [a for a in seen if isinstance(a, Cancel)], (cls, changes)
         assert lost not in sends(seen)
@@ -156,18 +165,20 @@
         rig.end_attempt(rig.arrive(2))
     names = [rig.arrive(1), rig.arrive(2)]
     seen = rig.advance(1_400_000)
+
     assert not [a for a in seen if isinstance(a, Cancel)]
     assert not set(names) & set(sends(seen))
 
 
 def test_new_object_that_may_have_been_written_is_retried_at_its_endpoint(make) -> None:
-    """Only there is the repeat dropped; the node with the most room may be another by then."""
+    """Only there a repeat is discarded; another endpoint may have more free slots by then."""
     rig = make(classes=(replace(SETTINGS.classes[1], sequential=False),))
     name = rig.arrive(shard=-1)
     first = next(action.endpoint_id for action in rig.actions if isinstance(action, Send))
-    rig.scheduler.endpoint_list.endpoints[first].window -= 0.9
+    rig.endpoint(first).window -= 0.9
     rig.end_attempt(name, AttemptResult.RESET, endpoint=first)
     again = [action for action in rig.advance(200_000) if isinstance(action, Send)]
+
     assert [action.endpoint_id for action in again] == [first]
 
 
@@ -177,8 +188,9 @@
     first, second = rig.arrive(), rig.arrive()
     again = sends(rig.end_attempt(first, AttemptResult.ERROR) + rig.advance(60_000))
     assert again == [first]
-    assert not sends(rig.end_attempt(second, AttemptResult.ERROR) + rig.advance(60_000))  # its half is spent
+    assert not sends(rig.end_attempt(second, AttemptResult.ERROR) + rig.advance(60_000))
     rig.handle(QuotaChanged(SharedBudget.RETRIES, 0, 1.0, rig.now_us + 5_000_000, 0.5, rig.now_us))
     rig.advance(1_100_000)
     third = rig.arrive()
+
     assert sends(rig.end_attempt(third, AttemptResult.ERROR) + rig.advance(60_000)) == [third]
--- a/tests/scheduling/test_scheduler.py
+++ b/tests/scheduling/test_scheduler.py
@@ -29,6 +29,7 @@
         rig.end_attempt(request)
     rig.advance(70_000_000, step=100_000)
     scheduler = rig.scheduler
+
     assert not (
         scheduler.requests
         or scheduler.open_attempts
@@ -53,6 +54,7 @@
             rig.now_us += 7_000
             log += rig.handle(TimerFired())
         logs.append(log)
+
     assert logs[0] == logs[1]
 
 
@@ -67,21 +69,23 @@
     assert [name in rig.scheduler.requests for name in taken] == [True, True, True, False]
     assert rig.scheduler.requests[held].request_class is SETTINGS.classes[1]
     rig.end_attempt(held)
+
     assert held not in rig.scheduler.requests
 
 
 def test_unchanged_plan_indices_apply_the_new_plans_at_once(rig: Rig) -> None:
     rig.advance(60_000_000)  # the bucket is full
     held = [rig.arrive(1, plan=1) for _ in range(60)]
-    before = rig.scheduler.limits.volumes[1].bucket.refill(rig.now_us)
+    before = rig.volume(1).bucket.refill(rig.now_us)
     tight = replace(SETTINGS.plans[1], limit=1.0, burst=3.0, slack=0.0)
     rig.handle(
         SettingsChanged(replace(SETTINGS, plans=(SETTINGS.plans[0], tight, *SETTINGS.plans[2:])), True)
     )
-    volume = rig.scheduler.limits.volumes[1]
+    volume = rig.volume(1)
     assert volume.plan == tight and volume.bucket.refill(rig.now_us) <= min(before, 3.0)
     sent = len(sends(rig.advance(2_000_000)))
     assert sent <= 3 + 2, (sent, len(held))
     wide = (SETTINGS.plans[0], replace(tight, limit=1000.0, burst=100.0), *SETTINGS.plans[2:])
     rig.handle(SettingsChanged(replace(SETTINGS, plans=wide), True))
-    assert not any(lane.suspended for lane in volume.queues.values())  # it waits for its old limit no more
+
+    assert not any(queue.suspended for queue in volume.queues.values())
