--- a/lemonridge/scheduling/actions.py
+++ b/lemonridge/scheduling/actions.py
@@ -10,14 +10,26 @@
 
 
 class RejectReason(Enum):
-    """Why a request was rejected; the values are the words of the counters and of the log."""
+    """Why a request was rejected, and where that is decided; the values are the words of the counters.
 
-    LIMIT_EXCEEDED = "limit"  # its volume's limit has no capacity in time
-    SLOW_START = "cold"  # its endpoint is in slow start, and this host's part of that is used up
-    OBJECTIVE_MISSED = "late"  # no endpoint had a free slot before its objective
-    ATTEMPTS_EXHAUSTED = "spent"  # its class, its attempts, the budgets or its time allow no retry
+    Attributes:
+        LIMIT_EXCEEDED: Its volume's limit has no capacity in time: `Admission.exceeds_limit`.
+        SLOW_START: Its endpoint is in slow start, where this host's budget is used up until after the
+            request's deadline: `VolumeQueues.expire`.
+        OBJECTIVE_MISSED: No endpoint had a free slot in time: `VolumeQueues.expire`, and
+            `VolumeQueues.may_wait_until_us` for how long it waits.
+        ATTEMPTS_EXHAUSTED: Its class, its attempts, the budgets or its time allow no retry:
+            `RetryRules.another_attempt_allowed`.
+        DEADLINE_EXCEEDED: Its deadline came without a response: `Scheduler._on_request_deadline`.
+        ROUTE_UNKNOWN: Nobody can say in time where its data is: `RequestLifecycle.migrate`.
+    """
+
+    LIMIT_EXCEEDED = "limit"
+    SLOW_START = "cold"
+    OBJECTIVE_MISSED = "late"
+    ATTEMPTS_EXHAUSTED = "spent"
     DEADLINE_EXCEEDED = "over"
-    ROUTE_UNKNOWN = "lost"  # nobody can say in time where its data is
+    ROUTE_UNKNOWN = "lost"
 
 
 @dataclass(frozen=True, slots=True)
@@ -61,7 +73,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SetTimer:
-    """Send `TimerFired` at or after a time; it replaces the timer before."""
+    """Send `TimerFired` at or after a time."""
 
     at_us: int
 
--- a/lemonridge/scheduling/events.py
+++ b/lemonridge/scheduling/events.py
@@ -156,7 +156,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TimerFired:
-    """The time of the last `SetTimer` has come."""
+    """The time of a `SetTimer` has come, or another reason to look at the timers."""
 
 
 @dataclass(frozen=True, slots=True)
