--- a/lemonridge/core/broker.py
+++ b/lemonridge/core/broker.py
@@ -109,7 +109,7 @@
             mailbox.request,
             number,
             send.endpoint_id,
-            lambda: self._decision_host.may_begin(mailbox, number),
+            may_begin=lambda: self._decision_host.may_begin(mailbox, number),
             decided_s=mailbox.decided_s,
         )
 
@@ -125,16 +125,16 @@
         mailbox: RequestMailbox, attempt: Attempt, outcome: Outcome, latency_us: int
     ) -> AttemptEnded:
         return AttemptEnded(
-            mailbox.name,
-            attempt.number,
-            attempt.endpoint_id,
-            outcome.result,
-            latency_us,
-            mailbox.answer.done(),
-            outcome.units_used,
-            outcome.units_elsewhere,
-            outcome.endpoint_load,
-            attempt.begun,
+            request=mailbox.name,
+            attempt=attempt.number,
+            endpoint_id=attempt.endpoint_id,
+            result=outcome.result,
+            latency_us=latency_us,
+            finished=mailbox.answer.done(),
+            volume_units=outcome.volume_units,
+            peer_units=outcome.peer_units,
+            endpoint_outstanding=outcome.endpoint_outstanding,
+            begun=attempt.begun,
         )
 
     async def _next_shard(self, mailbox: RequestMailbox, routes: Routes, outcome: Outcome) -> int | None:
--- a/lemonridge/core/decision_host.py
+++ b/lemonridge/core/decision_host.py
@@ -115,16 +115,16 @@
         mailbox = RequestMailbox(f"r{self._requests_received}", request)
         self._mailboxes[mailbox.name] = mailbox
         arrived = RequestArrived(
-            mailbox.name,
-            request.shard,
-            request.volume,
-            request.deadline_us,
-            request.key,
-            request.cls,
-            request.plan,
-            request.units,
-            request.hosts,
-            request.repeat,
+            request=mailbox.name,
+            shard=request.shard,
+            volume=request.volume,
+            deadline_us=request.deadline_us,
+            key=request.key,
+            cls=request.cls,
+            plan=request.plan,
+            units=request.units,
+            hosts=request.hosts,
+            repeat=request.repeat,
         )
         if self.observer is not None:
             self.observer.on_request_arrived(arrived)
--- a/lemonridge/core/model.py
+++ b/lemonridge/core/model.py
@@ -107,16 +107,16 @@
         result: The evidence of the end.
         reply: The endpoint's answer in the form of its protocol; after `DATA_MIGRATED`, what the endpoint
             knows of the new place.
-        units_used: Units of the volume that the endpoint has counted.
-        units_elsewhere: Units of the volume a second that come by other brokers, as the endpoint reports.
-        endpoint_load: Requests of all brokers at the endpoint, by its own report.
+        volume_units: Units of the volume that the endpoint has counted.
+        peer_units: Units of the volume that come by other brokers, as the endpoint reports.
+        endpoint_outstanding: Requests of all brokers at the endpoint, by its own report.
     """
 
     result: AttemptResult
     reply: object = None
-    units_used: int | None = None
-    units_elsewhere: float | None = None
-    endpoint_load: float | None = None
+    volume_units: int | None = None
+    peer_units: float | None = None
+    endpoint_outstanding: float | None = None
 
 
 class AnswerKind(Enum):
--- a/lemonridge/net/http_endpoints.py
+++ b/lemonridge/net/http_endpoints.py
@@ -233,9 +233,9 @@
             return Outcome(AttemptResult.ERROR)
         headers = response.headers
         told: dict[str, Any] = {
-            "units_used": _whole(headers.get("X-Iops-Used"), 1),
-            "units_elsewhere": _number(headers.get("X-Rho")),
-            "endpoint_load": _load(headers.get("X-Load")).get(self._held_field),
+            "volume_units": _whole(headers.get("X-Iops-Used"), 1),
+            "peer_units": _number(headers.get("X-Rho")),
+            "endpoint_outstanding": _load(headers.get("X-Load")).get(self._held_field),
         }
         if response.status == 200:
             return Outcome(AttemptResult.OK, reply, **told)
--- a/tests/integration/test_local_failures.py
+++ b/tests/integration/test_local_failures.py
@@ -1,4 +1,4 @@
-"""NOTES: system calls may fail for a moment, on the iSCSI front and at the operators' address too."""
+"""System calls fail for a moment (NOTES), on the iSCSI front and at the operators' address."""
 
 from __future__ import annotations
 
@@ -6,15 +6,15 @@
 
 import test_iscsi_rude as rude
 from test_faults import FaultCase, IscsiFaultCase, pause
-from test_operators import OperatedCase, call
+from test_operators import OperatorsCase, call
 
 FAILS_S = 0.3
 ACCEPT_ERRORS = ("ECONNABORTED", "ENFILE", "EMFILE", "ENOBUFS", "ENOMEM", "EPROTO")
 CONNECT_ERRORS = ("EADDRNOTAVAIL", "ENETUNREACH", "ENOBUFS", "ENFILE")
-LINE_S = 1.0  # OPS: a call has its line within 1 s
+REPLY_MAX_S = 1.0  # OPS: a call has its reply within 1 s
 
 
-class OperatorsCalls(FaultCase, OperatedCase):
+class Operators(FaultCase, OperatorsCase):
     async def test_a_call_is_answered_in_time_though_accept_fails_for_a_moment(self) -> None:
         loop = asyncio.get_running_loop()
         for name in ACCEPT_ERRORS:
@@ -25,7 +25,7 @@
                 await pause(called_at + FAILS_S)
                 self.faults.set()
                 self.assertTrue((await answer).startswith("ACK"))
-                self.assertLess(loop.time() - called_at, LINE_S)
+                self.assertLess(loop.time() - called_at, REPLY_MAX_S)
 
 
 class ReadingCase(IscsiFaultCase):
--- a/tests/integration/test_operators.py
+++ b/tests/integration/test_operators.py
@@ -24,7 +24,7 @@
     return answer.decode()
 
 
-class OperatedCase(PlatformCase):
+class OperatorsCase(PlatformCase):
     """The program with a second address to listen on."""
 
     async def launch(self, known: dict[str, Any] | None = None) -> None:
@@ -32,19 +32,19 @@
         self.environment = {"ROUTER_ADMIN_ADDR": f"127.0.0.1:{self.admin}", **self.environment}
         await super().launch(known)
 
-    async def yes(self, line: str) -> None:
+    async def expect_ack(self, line: str) -> None:
         self.assertTrue((await call(self.admin, line)).startswith("ACK"), line)
 
-    async def no(self, line: str) -> None:
+    async def expect_nak(self, line: str) -> None:
         self.assertTrue((await call(self.admin, line)).startswith("NAK"), line)
 
 
-class Operated(OperatedCase):
+class OperatorsCalls(OperatorsCase):
     async def test_each_call_gets_one_line_and_silent_callers_delay_nobody(self) -> None:
-        silent = [await asyncio.open_connection("127.0.0.1", self.admin) for _ in range(50)]
-        for _, writer in silent[:10]:
+        silent_callers = [await asyncio.open_connection("127.0.0.1", self.admin) for _ in range(50)]
+        for _, writer in silent_callers[:10]:
             writer.write(b"rea")
-        await self.yes("ready")
+        await self.expect_ack("ready")
         for line in (
             "",
             "halt",
@@ -54,29 +54,33 @@
             "enable-server nobody",
             "x" * 5000,
         ):
-            await self.no(line)
+            await self.expect_nak(line)
+
         self.assertTrue((await call(self.admin, "ready", end=b"", shut=True)).startswith("ACK"))
         self.assertEqual((await call(self.admin, "ready\nstop\n")).count("\n"), 1)
-        counted = await self.program.counters()
-        self.assertGreater(counted["calls.evicted"], 0)
-        self.assertEqual(counted["calls.declined"], 7)
-        for _, writer in silent:
+        counters = await self.program.counters()
+        self.assertGreater(counters["calls.evicted"], 0)
+        self.assertEqual(counters["calls.declined"], 7)
+        for _, writer in silent_callers:
             writer.close()
 
     async def test_a_banned_endpoint_gets_nothing_whatever_discovery_says(self) -> None:
         other = await Server(self.node.script).start()
         self.assertEqual((await self.client.ask()).status, 200)
-        await self.yes("disable-server s-1")
-        await self.yes("disable-server s-1")
+        await self.expect_ack("disable-server s-1")
+        await self.expect_ack("disable-server s-1")
         before = len(self.node.seen)
+
         for health in ("draining", "up"):
             self.register.set("s-1", self.node.port, health=health)
             self.assertIn("state=", await self.program.line('event="endpoint listed"'))
             self.assertEqual((await self.client.ask(X_Deadline_Ms="300")).status, 503)
+
         self.register.set("s-1", other.port)  # it is back at another address
         await self.program.line('event="endpoint listed"')
         self.assertEqual((await self.client.ask(X_Deadline_Ms="300")).status, 503)
-        await self.yes("enable-server s-1")
+
+        await self.expect_ack("enable-server s-1")
         self.assertEqual((await self.client.ask()).status, 200)
         self.assertEqual((len(self.node.seen), len(other.seen)), (before, 1))
 
@@ -84,48 +88,50 @@
         banned = asyncio.Event()
 
         async def script(_: Server, __: Message, writer: asyncio.StreamWriter) -> None:
-            await self.yes("disable-server s-1")
+            await self.expect_ack("disable-server s-1")
             banned.set()
             reply(writer, status=500)
 
         self.node.script = script
+
         answer = await self.client.ask(X_Deadline_Ms="500")
+
         self.assertTrue(banned.is_set())
         self.assertIn(answer.status, (502, 503))
         self.assertEqual(len(self.node.seen), 1)
 
     async def test_a_drain_loses_nothing_and_ends_every_connection(self) -> None:
-        hold = asyncio.Event()
+        may_reply = asyncio.Event()
 
-        async def held(_: Server, __: Message, writer: asyncio.StreamWriter) -> None:
-            await hold.wait()
+        async def reply_late(_: Server, __: Message, writer: asyncio.StreamWriter) -> None:
+            await may_reply.wait()
             reply(writer)
 
-        kept, idle = await self.connect(), await self.connect()
-        self.node.script = held
+        kept_client, idle_client = await self.connect(), await self.connect()
+        self.node.script = reply_late
         open_request = asyncio.create_task(self.client.ask())
         await self.node.until(lambda: bool(self.node.seen))
-        await self.yes("drain")
-        await self.yes("drain")
+        await self.expect_ack("drain")
+        await self.expect_ack("drain")
         ready = await (await self.connect(ready=False)).raw(b"GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n")
         self.assertEqual(ready.status, 503)
-        hold.set()
+        may_reply.set()
         self.assertEqual((await open_request).status, 200)
         self.assertEqual((await (await self.connect(ready=False)).ask()).status, 200)  # one that still comes
-        while (await kept.ask()).headers.get("connection") != "close":
+        while (await kept_client.ask()).headers.get("connection") != "close":
             pass  # it stays of use for a while, and its last answer says so
         async with asyncio.timeout(times.DRAIN_COMPLETE_US / 1e6):
-            self.assertEqual(await idle.reader.read(), b"")
-        await self.yes("ready")  # it could serve
-        await self.yes("resume")
+            self.assertEqual(await idle_client.reader.read(), b"")
+        await self.expect_ack("ready")  # it could serve
+        await self.expect_ack("resume")
         await self.connect()  # it is ready again
 
     async def test_a_resume_and_a_signal_are_taken_at_any_point_of_a_drain(self) -> None:
-        await self.yes("drain")
-        await self.yes("resume")
+        await self.expect_ack("drain")
+        await self.expect_ack("resume")
         self.assertNotEqual((await self.client.ask()).headers.get("connection"), "close")
-        await self.yes("resume")
-        await self.yes("drain")
+        await self.expect_ack("resume")
+        await self.expect_ack("drain")
         self.assertEqual(await self.program.end(signal.SIGTERM), 0)
 
 
--- a/tests/integration/test_process_handover.py
+++ b/tests/integration/test_process_handover.py
@@ -32,7 +32,7 @@
 
 
 class ReplacementCase(PlatformCase):
-    """A program at a passed socket, which others can follow."""
+    """A program at a passed listening socket, which a successor can take over from."""
 
     async def asyncSetUp(self) -> None:
         folder = tempfile.TemporaryDirectory()
@@ -42,24 +42,25 @@
         self.addCleanup(self.passed.close)
         self.passed.set_inheritable(True)
         self.admin = free_port()
-        self.environment = self.around(self.admin)
+        self.environment = self.environment_of(self.admin)
         await super().asyncSetUp()
 
-    def around(self, admin: int) -> dict[str, str]:
+    def environment_of(self, admin: int) -> dict[str, str]:
+        """What a process with this operators' port is started with."""
         return {
             "ROUTER_PASSED_SOCKET": str(self.passed.fileno()),
             "TMPDIR": self.folder,
             "ROUTER_ADMIN_ADDR": f"127.0.0.1:{admin}",
         }
 
-    async def follow(self, **environment: str) -> tuple[Program, int]:
-        """Start the successor; once it says yes, it and its operators' port."""
+    async def start_successor(self, **environment: str) -> tuple[Program, int]:
+        """Starts a successor and waits until it is ready; returns it and its operators' port."""
         admin = free_port()
         program = await Program().start(
             "serve",
             passed=self.passed.fileno(),
             ROUTER_CONFIG=self.config,
-            **{**self.around(admin), **environment},
+            **{**self.environment_of(admin), **environment},
         )
         self.addAsyncCleanup(program.end, signal.SIGKILL)
         await program.line("operators call at")
@@ -69,14 +70,14 @@
         return program, admin
 
 
-class Replaced(ReplacementCase):
+class Replacement(ReplacementCase):
     """What holds over a replacement, whatever goes wrong meanwhile."""
 
     async def test_under_load_no_request_finds_a_closed_listener(self) -> None:
-        over, statuses = asyncio.Event(), []
+        replaced, statuses = asyncio.Event(), []
 
         async def ask(client: Client) -> None:
-            while not over.is_set():
+            while not replaced.is_set():
                 answer = await client.ask(X_Deadline_Ms="2000")
                 statuses.append(answer.status)
                 if answer.headers.get("connection") == "close":
@@ -85,10 +86,10 @@
         load = [asyncio.create_task(ask(await self.connect())) for _ in range(8)]
         first = self.program
         for _ in range(2):  # a second replacement comes straight after the first
-            program, self.admin = await self.follow()
+            program, self.admin = await self.start_successor()
             self.assertEqual(await self.program.end(signal.SIGTERM), 0)
             self.program = program
-        over.set()
+        replaced.set()
         async with asyncio.timeout(PATIENCE_S):
             await asyncio.gather(*load)
         self.assertEqual(set(statuses), {200})
@@ -96,10 +97,10 @@
         await program.line('event="taken over"')
 
     async def test_a_ban_and_a_drain_hold_in_both_whichever_is_called(self) -> None:
-        hold = asyncio.Event()
+        may_reply = asyncio.Event()
 
         async def failing(_: Server, __: Message, writer: asyncio.StreamWriter) -> None:
-            await hold.wait()
+            await may_reply.wait()
             reply(writer, status=500)
 
         other = await Server(serve_ok).start()
@@ -107,13 +108,13 @@
         self.assertEqual((await self.client.ask(shard=1)).status, 200)
         self.assertIn("ACK", await call(self.admin, "disable-server s-2"))
         self.node.script = failing
-        held = asyncio.create_task(self.client.ask())  # the one before holds it over the handover
+        reply_late = asyncio.create_task(self.client.ask())  # the one before holds it over the handover
         await self.node.until(lambda: bool(self.node.seen))
-        program, admin = await self.follow()
+        program, admin = await self.start_successor()
         self.assertEqual((await (await self.connect()).ask(shard=1, X_Deadline_Ms="300")).status, 503)
         self.assertIn("ACK", await call(admin, "disable-server s-1"))
-        hold.set()
-        self.assertIn((await held).status, (502, 503))  # and sent to s-1 no more
+        may_reply.set()
+        self.assertIn((await reply_late).status, (502, 503))  # and sent to s-1 no more
         self.assertEqual(len(self.node.seen), 1)
         self.assertIn("ACK", await call(self.admin, "enable-server s-2"))
         self.assertEqual((await (await self.connect()).ask(shard=1)).status, 200)
@@ -134,7 +135,7 @@
                 Program()._start(
                     ("/bin/sh", "-c", line),
                     self.passed.fileno(),
-                    {"ROUTER_CONFIG": self.config, **self.around(admin)},
+                    {"ROUTER_CONFIG": self.config, **self.environment_of(admin)},
                 )
             )
             program = await started
@@ -156,7 +157,7 @@
     async def test_a_drain_that_was_called_before_a_replacement_holds_in_the_successor(self) -> None:
         ready = b"GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n"
         self.assertIn("ACK", await call(self.admin, "drain"))
-        program, admin = await self.follow()
+        program, admin = await self.start_successor()
         self.assertEqual((await (await self.connect(ready=False)).raw(ready)).status, 503)
         self.assertEqual(await self.program.end(signal.SIGTERM), 0)
         self.program = program
@@ -171,14 +172,14 @@
         moved.set("s-2", other.port)
         discovery = await Server(moved.script).start()
         self.assertEqual((await self.client.ask()).status, 200)
-        following = asyncio.create_task(self.follow())
+        starting_successor = asyncio.create_task(self.start_successor())
         told = json.loads(Path(self.config).read_text())
         fresh = Path(self.config).with_suffix(".new")
         fresh.write_text(json.dumps({**told, "discovery": f"127.0.0.1:{discovery.port}"}))
         fresh.replace(self.config)
         self.program.process.send_signal(signal.SIGHUP)
         told_at = asyncio.get_running_loop().time()
-        program, _ = await following
+        program, _ = await starting_successor
         program.process.send_signal(signal.SIGHUP)
         await pause(told_at + 4.5)
         before = len(self.node.seen)
@@ -188,18 +189,18 @@
 
     async def test_an_id_that_is_open_in_one_process_is_refused_by_the_other(self) -> None:
         """PROTOCOL: an attempt is a second copy if an earlier one is still out. One process answers 409."""
-        hold = asyncio.Event()
+        may_reply = asyncio.Event()
 
-        async def held(_: Server, __: Message, writer: asyncio.StreamWriter) -> None:
-            await hold.wait()
+        async def reply_late(_: Server, __: Message, writer: asyncio.StreamWriter) -> None:
+            await may_reply.wait()
             reply(writer)
 
-        self.node.script = held
+        self.node.script = reply_late
         old, kept = self.client, await self.connect()
         first, second, third = (old.text() for _ in range(3))
         old.writer.write(first)
         await self.node.until(lambda: len(self.node.seen) == 1)
-        await self.follow()
+        await self.start_successor()
         new = await self.connect()
         old.writer.transport.abort()  # its attempt is out for longer
         self.assertEqual((await new.raw(first)).status, 409)
@@ -210,22 +211,22 @@
         latest = await self.connect()
         latest.writer.write(third)
         await self.node.until(lambda: len(self.node.seen) == 3)
-        hold.set()
+        may_reply.set()
         async with asyncio.timeout(PATIENCE_S):
             while (await (await self.connect(ready=False)).raw(first)).status == 409:
                 await asyncio.sleep(0.01)
         self.assertEqual((await read_message(latest.reader)).status, 200)
 
     async def test_if_the_successor_dies_the_one_before_goes_on(self) -> None:
-        program, _ = await self.follow()
+        program, _ = await self.start_successor()
         await program.end(signal.SIGKILL)
         await self.program.line("successor gone, serving again")
         self.assertEqual((await (await self.connect()).ask()).status, 200)
-        await self.follow()  # and it can be replaced again
+        await self.start_successor()  # and it can be replaced again
 
     async def test_a_predecessor_that_is_gone_silent_or_odd_stops_nobody(self) -> None:
         await self.program.end(signal.SIGKILL)
-        self.program, _ = await self.follow()  # a stale file
+        self.program, _ = await self.start_successor()  # a stale file
         path = Path(self.folder) / "n1.handover"
         for answer in (b"", b'{"v":1,"say":"given","out":{', b'{"v":9,"say":"given"}\n', None):
             with self.subTest(answer=answer):
@@ -241,7 +242,7 @@
                         writer.close()
 
                 server = await asyncio.start_unix_server(odd, str(path))
-                self.program, _ = await self.follow()
+                self.program, _ = await self.start_successor()
                 await self.program.line("nothing taken over")
                 self.assertEqual((await (await self.connect()).ask()).status, 200)
                 server.close()
@@ -249,13 +250,13 @@
     async def test_a_long_tmpdir_is_no_hindrance_and_the_socket_is_private(self) -> None:
         self.folder = os.path.join(self.folder, "d" * 120)
         os.mkdir(self.folder)
-        first, _ = await self.follow()
-        second, _ = await self.follow()
+        first, _ = await self.start_successor()
+        second, _ = await self.start_successor()
         await second.line('event="taken over"')
         self.assertEqual(os.stat(os.path.join(self.folder, "n1.handover")).st_mode & 0o777, 0o600)
 
 
-class ReplacedBesideALimit(ReplacementCase):
+class ReplacementBesideALimit(ReplacementCase):
     facts = {"grades": [{**FACTS["grades"][0], "cap": LIMIT_UNITS, "burst": LIMIT_UNITS}]}
 
     async def test_late_attempts_of_the_predecessor_count_at_the_successor(self) -> None:
@@ -267,7 +268,7 @@
         await pause(loop.time() + 1.2)  # its bucket is full
         began = loop.time()
         self.client.writer.write(self.client.text(X_Placement=placement, X_Deadline_Ms="2500"))
-        await self.follow()
+        await self.start_successor()
         await pause(began + 1.4)
         later = await self.connect()
         later.writer.write(later.text(X_Placement=placement, X_Deadline_Ms="900"))
--- a/tests/net/test_connection_closing.py
+++ b/tests/net/test_connection_closing.py
@@ -1,4 +1,4 @@
-"""The ends of clients' connections, in the very turn of the loop in which something comes."""
+"""Clients' connections that are closed in the turn of the loop in which something arrives on them."""
 
 from __future__ import annotations
 
@@ -23,8 +23,8 @@
 SHORT_US = 100_000  # a longest deadline with which nothing new is taken from the signal on
 
 
-class Closing(unittest.IsolatedAsyncioTestCase):
-    """The front alone before a broker of the test's own, so that a test can act between two steps of it."""
+class ConnectionClosing(unittest.IsolatedAsyncioTestCase):
+    """The front before a broker of the test's own, so that a test can act between two turns of the loop."""
 
     async def asyncSetUp(self) -> None:
         folder = tempfile.TemporaryDirectory()
@@ -35,27 +35,27 @@
         )
         platform = load({"ROUTER_CONFIG": str(path)})
         self.clock, self.lifecycle = Clock(asyncio.get_running_loop()), Lifecycle(SHORT_US)
-        self.taken: list[str] = []
+        self.served_ids: list[str] = []
         self.before_answer: Callable[[], object] = lambda: None
         self.front = HttpFront(platform, self, self, self.clock, Counters(), self.lifecycle)  # type: ignore[arg-type]
         self.lifecycle.configure(SHORT_US)
         self.front.bind(platform.listen)
         await self.front.listen()
-        self.addAsyncCleanup(self.end)
+        self.addAsyncCleanup(self.stop_accepting)
         self.text = Client(self.front.listener.socket.getsockname()[1]).text
 
-    async def end(self) -> None:
+    async def stop_accepting(self) -> None:
         self.front.listener.stop_accepting()
 
     async def serve(self, request: Request) -> Answer:
         """The broker's part."""
-        self.taken.append(request.ident)
+        self.served_ids.append(request.ident)
         self.before_answer()
         return Answer(AnswerKind.SERVED, self.data)
 
     data = b"data"
 
-    def knock(self, buffer: int | None = None) -> socket.socket:
+    def connect(self, buffer: int | None = None) -> socket.socket:
         """A client's connection, which the front has not accepted before the next turn of the loop; with so
         many bytes that the system takes of an answer before the client reads."""
         assert self.front.listener._listening is not None
@@ -69,8 +69,8 @@
         self.addCleanup(client.close)
         return client
 
-    def age(self, seconds: float) -> None:
-        """All that the front's connections did was so much longer ago."""
+    def pretend_elapsed(self, seconds: float) -> None:
+        """Makes all that the front's connections did so much longer ago."""
         for states in self.front._table._states:
             for connection in states:
                 states[connection] -= seconds
@@ -86,16 +86,16 @@
                 data += part
         return data
 
-    async def resting(self) -> socket.socket:
+    async def idle_client(self) -> socket.socket:
         """A connection that has had an answer."""
-        client = self.knock()
+        client = self.connect()
         client.send(self.text())
         await self.read(client)
         await asyncio.sleep(0)
         return client
 
     async def test_a_request_that_comes_as_its_resting_connection_is_closed_is_served(self) -> None:
-        client = await self.resting()
+        client = await self.idle_client()
         client.send(self.text())
         self.assertTrue(self.front._table.close_waiting(patient=False))  # it is left for now
         self.assertIn(b"200 OK", await self.read(client))
@@ -104,8 +104,8 @@
         self.assertEqual(await self.read(client), b"")
 
     async def test_a_request_that_comes_as_its_connection_expires_is_served(self) -> None:
-        client = await self.resting()
-        self.age(60.0)
+        client = await self.idle_client()
+        self.pretend_elapsed(60.0)
         client.send(self.text())
         self.front._table._sweep()
         self.assertIn(b"200 OK", await self.read(client))
@@ -113,7 +113,7 @@
     async def test_a_connection_in_the_backlog_when_the_listener_closes_is_served(self) -> None:
         stopping = asyncio.create_task(self.front.stop())
         await asyncio.sleep(0)  # it has been told, and goes on with the end in the next turn
-        client = self.knock()
+        client = self.connect()
         client.send(self.text())
         answer = await self.read(client, b"")
         self.assertIn(b"200 OK", answer)
@@ -122,7 +122,7 @@
         self.assertFalse(self.front.listener.listens)
 
     async def test_a_request_that_is_half_read_at_the_end_is_completed(self) -> None:
-        client, text = await self.resting(), self.text()
+        client, text = await self.idle_client(), self.text()
         client.send(text[:40])
         await asyncio.sleep(0)
         await asyncio.sleep(0)
@@ -135,7 +135,7 @@
         await stopping
 
     async def test_a_request_that_never_completes_does_not_delay_the_stop(self) -> None:
-        client = await self.resting()
+        client = await self.idle_client()
         client.send(self.text()[:40])
         async with asyncio.timeout(PATIENCE_S):
             await self.front.stop()
@@ -144,25 +144,25 @@
         self.assertEqual(await self.read(client), b"")
 
     async def test_a_close_over_unread_bytes_does_not_reset_the_last_answer(self) -> None:
-        client = self.knock()
+        client = self.connect()
         self.before_answer = lambda: client.send(b"\r\nmore")  # it is not read before the close
         client.send(self.text(Connection="close"))
         self.assertTrue((await self.read(client, b"")).endswith(b"data"))  # up to an orderly end
 
     async def test_a_request_that_comes_behind_the_last_answer_is_not_forwarded(self) -> None:
-        client = self.knock()
+        client = self.connect()
         client.send(self.text(Connection="close"))
         await self.read(client)
         self.assertEqual(await self.read(client, b""), b"")
         client.send(self.text())
         while self.front.busy:
             await asyncio.sleep(0)
-        self.assertEqual(len(self.taken), 1)
+        self.assertEqual(len(self.served_ids), 1)
 
-    async def slow(self, **changes: str) -> socket.socket:
+    async def slow_client(self, **changes: str) -> socket.socket:
         """A client that has not read its answer yet, of which the system does not take all."""
         self.data = b"x" * 60_000 + b"data"
-        client = self.knock(buffer=4096)
+        client = self.connect(buffer=4096)
         client.send(self.text(**changes))
         async with asyncio.timeout(PATIENCE_S):
             while not any(one.unsent for states in self.front._table._states for one in states):
@@ -172,16 +172,16 @@
         return client
 
     async def test_a_slow_client_gets_its_complete_last_answer(self) -> None:
-        client = await self.slow(Connection="close")
-        self.age(1.0)
+        client = await self.slow_client(Connection="close")
+        self.pretend_elapsed(1.0)
         self.front._table._sweep()
         self.assertTrue((await self.read(client, b"")).endswith(b"data"))
 
     async def test_a_client_that_never_reads_its_last_answer_is_disconnected(self) -> None:
-        client = await self.slow(Connection="close")
+        client = await self.slow_client(Connection="close")
         for one in self.front._table._states[State.LEAVING]:
             one.left_at -= 60.0
-        self.age(60.0)
+        self.pretend_elapsed(60.0)
         self.front._table._sweep()
         self.assertFalse(self.front.busy)
         with self.assertRaises(ConnectionResetError):
@@ -190,10 +190,10 @@
 
     async def test_room_for_a_new_client_is_not_made_by_cutting_an_answer_short(self) -> None:
         for changes in ({}, {"Connection": "close"}):
-            client = await self.slow(**changes)
-            self.age(60.0)
+            client = await self.slow_client(**changes)
+            self.pretend_elapsed(60.0)
             self.front._table.configure(4, 1 << 20)  # one is room enough
-            other = self.knock()
+            other = self.connect()
             async with asyncio.timeout(PATIENCE_S):
                 while len(self.front._table) < 2:
                     await asyncio.sleep(0)
@@ -205,7 +205,7 @@
                     await asyncio.sleep(0)
 
     async def test_what_is_accepted_in_the_turn_of_a_handover_is_served(self) -> None:
-        client = self.knock()
+        client = self.connect()
         client.send(self.text())
         self.front.listener.accept_some()
         self.front.listener.stop_accepting()  # as a handover does, with the state in the same step
@@ -216,11 +216,11 @@
         self.assertIn(b"connection: close", answer.lower())
 
     async def test_small_writes_are_not_held_back(self) -> None:
-        await self.resting()
+        await self.idle_client()
         (connection,) = self.front._table._states[State.IDLE]
         made = connection._transport.get_extra_info("socket")
         self.assertTrue(made.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY))
-        self.knock()
+        self.connect()
         async with asyncio.timeout(PATIENCE_S):
             while not self.front._table._states[State.FRESH]:
                 await asyncio.sleep(0)
--- a/tests/operate/test_handover_messages.py
+++ b/tests/operate/test_handover_messages.py
@@ -61,7 +61,7 @@
     def test_times_shift_with_the_clock_whatever_the_wall_clock_did_between_two_starts(self) -> None:
         for step in (-3_600_000_000, -2_000_000, 2_000_000, 3_600_000_000):
             base = 10**13
-            told = HandoverState(
+            sent = HandoverState(
                 banned={"a": base + 5},
                 returned={"b": ReturnedToService(base + 1, base + 4)},
                 drain_began_us=base + 7,
@@ -69,22 +69,22 @@
                 start_times={"a": StartTime(123, base + 9)},
                 clock_base_us=base,
             )
-            took = told.on_clock(base + step)
+            received = sent.on_clock(base + step)
             self.assertEqual(
-                (took.banned["a"], took.returned["b"]),
+                (received.banned["a"], received.returned["b"]),
                 (base + step + 5, ReturnedToService(base + step + 1, base + step + 4)),
             )
             self.assertEqual(
-                (took.drain_began_us, took.start_times["a"]),
+                (received.drain_began_us, received.start_times["a"]),
                 (base + step + 7, StartTime(123, base + step + 9)),
             )
-            self.assertEqual(took.limit_levels[1], LimitLevel(2.0, 3.0, base + step + 8))
+            self.assertEqual(received.limit_levels[1], LimitLevel(2.0, 3.0, base + step + 8))
 
     def test_fields_that_an_earlier_version_does_not_send_are_none(self) -> None:
-        told = json.loads(encode(HandoverGranted(STATE)))
+        sent = json.loads(encode(HandoverGranted(STATE)))
         for name in ("owed", "ids", "starts", "base_us"):
-            del told[name]
-        read = decode(json.dumps(told).encode())
+            del sent[name]
+        read = decode(json.dumps(sent).encode())
         assert isinstance(read, HandoverGranted)
         self.assertEqual(read.state.limit_levels, {2**64 - 1: LimitLevel(2.5)})
         self.assertEqual(
@@ -130,7 +130,7 @@
                     st.sampled_from(["v", "say", "out", "rows", "levels", "owed"]), inner, max_size=5
                 )
             ),
-        ).map(lambda told: json.dumps(told).encode())
+        ).map(lambda sent: json.dumps(sent).encode())
     )
     def test_any_bytes_are_a_message_or_an_error(self, line: bytes) -> None:
         with contextlib.suppress(BadMessageError):
--- a/tests/operate/test_lifecycle.py
+++ b/tests/operate/test_lifecycle.py
@@ -24,16 +24,16 @@
             if line.startswith("| ") and line[2].isdigit()
         ]
         self.assertGreater(len(rows), 10)
-        for longest_ms, *told in rows:
-            plan = times.stop_schedule(longest_ms * 1000)
-            worked_out = (
-                plan.close_after_answer_from_us,
-                plan.accept_until_us,
-                plan.request_complete_by_us,
-                plan.answer_by_us,
-                plan.kill_earliest_us,
+        for longest_ms, *documented in rows:
+            schedule = times.stop_schedule(longest_ms * 1000)
+            computed = (
+                schedule.close_after_answer_from_us,
+                schedule.accept_until_us,
+                schedule.request_complete_by_us,
+                schedule.answer_by_us,
+                schedule.kill_earliest_us,
             )
-            self.assertEqual(told, [one // 1000 for one in worked_out])
+            self.assertEqual(documented, [one // 1000 for one in computed])
 
     def test_a_drain_ends_every_connection_before_four_seconds(self) -> None:
         lifecycle = Lifecycle(6 * S)
@@ -44,6 +44,7 @@
         self.assertLess(lifecycle.close_idle_from_us, 14 * S - times.DRAIN_YOUNG_REQUESTS_US // 4)
         self.assertLess(lifecycle.answer_by_us(12 * S), 14 * S)
         self.assertEqual(lifecycle.answer_by_us(11 * S), NEVER_US)  # it may take its whole time
+
         self.assertTrue(lifecycle.resume())
         self.assertTrue(lifecycle.ready and lifecycle.allows_keep_alive(15 * S))
         self.assertEqual((lifecycle.close_idle_from_us, lifecycle.answer_by_us(13 * S)), (NEVER_US, NEVER_US))
@@ -52,6 +53,7 @@
         for longest in (S, 6 * S):
             lifecycle = Lifecycle(longest)
             lifecycle.stop(10 * S)
+
             killed = 10 * S + min(longest, 3 * S) + 700_000
             self.assertLess(lifecycle.answer_by_us(10 * S), killed)
             self.assertEqual(lifecycle.answer_by_us(10 * S - 1), NEVER_US)
@@ -61,10 +63,13 @@
     def test_a_process_that_handed_over_reports_ready_as_its_successor_does(self) -> None:
         lifecycle = Lifecycle(S)
         lifecycle.hand_over(10 * S)
+
         self.assertTrue(lifecycle.ready)
         self.assertFalse(lifecycle.allows_keep_alive(10 * S))
         self.assertEqual(lifecycle.close_idle_from_us, NEVER_US)
+
         lifecycle.stop(12 * S)
+
         self.assertTrue(lifecycle.ready)
         self.assertLess(lifecycle.close_idle_from_us, NEVER_US)
 
--- a/tests/operate/test_maintenance.py
+++ b/tests/operate/test_maintenance.py
@@ -11,7 +11,7 @@
 from lemonridge.scheduling.events import Endpoint, EndpointState
 
 
-def entry(started_us: int = 0, condition: EndpointState = EndpointState.ACTIVE) -> Endpoint:
+def endpoint(started_us: int = 0, condition: EndpointState = EndpointState.ACTIVE) -> Endpoint:
     return Endpoint("s-1", 0, 0, condition, started_us)
 
 
@@ -22,37 +22,40 @@
         for now in (10, 20):
             self.assertTrue(bans.disable("s-1", now))
         for condition in EndpointState:
-            self.assertIsNot(bans.apply(entry(condition=condition)).condition, EndpointState.ACTIVE)
-        self.assertIs(bans.apply(entry(condition=EndpointState.REMOVED)).condition, EndpointState.REMOVED)
+            self.assertIsNot(bans.apply(endpoint(condition=condition)).condition, EndpointState.ACTIVE)
+        self.assertIs(bans.apply(endpoint(condition=EndpointState.REMOVED)).condition, EndpointState.REMOVED)
         self.assertTrue(bans.enable("s-1", 30))
-        self.assertIs(bans.apply(entry()).condition, EndpointState.ACTIVE)
+        self.assertIs(bans.apply(endpoint()).condition, EndpointState.ACTIVE)
 
     def test_a_returned_endpoint_counts_as_started_until_discovery_has_its_start(self) -> None:
         bans = Maintenance()
         bans.disable("s-1", 10)
         bans.enable("s-1", 30)
-        self.assertEqual(bans.apply(entry(9)).started_us, 30)
-        self.assertEqual(bans.apply(entry(25)).started_us, 25)
+
+        self.assertEqual(bans.apply(endpoint(9)).started_us, 30)
+        self.assertEqual(bans.apply(endpoint(25)).started_us, 25)
+
         bans.prune(["s-1"])
-        self.assertEqual(bans.apply(entry(0)).started_us, 30)
+        self.assertEqual(bans.apply(endpoint(0)).started_us, 30)
+
         bans.prune([])
-        self.assertEqual(bans.apply(entry(0)).started_us, 0)
+        self.assertEqual(bans.apply(endpoint(0)).started_us, 0)
 
     @given(st.lists(st.tuples(st.sampled_from(["disable", "enable", "prune", "hand"]), st.integers(0, 3))))
     def test_the_bans_are_those_of_the_last_calls(self, steps: list[tuple[str, int]]) -> None:
-        bans, out = Maintenance(), set()
+        bans, banned = Maintenance(), set()
         for now, (step, number) in enumerate(steps):
-            node = f"s-{number}"
+            endpoint_id = f"s-{number}"
             if step == "disable":
-                bans.disable(node, now)
-                out.add(node)
+                bans.disable(endpoint_id, now)
+                banned.add(endpoint_id)
             elif step == "enable":
-                self.assertEqual(bans.enable(node, now), node in out)
-                out.discard(node)
+                self.assertEqual(bans.enable(endpoint_id, now), endpoint_id in banned)
+                banned.discard(endpoint_id)
             elif step == "prune":
                 bans.prune([])  # nothing is listed any more: a ban stays
             else:
                 after = Maintenance()
                 after.replace_all(bans.banned(), bans.returned())
                 bans = after
-            self.assertEqual(set(bans.banned()), out)
+            self.assertEqual(set(bans.banned()), banned)
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -319,7 +319,7 @@
         for _ in range(2):
             await asyncio.sleep(REST_S)  # the latest used has had its rest
             outcome = await self.attempt()
-        self.assertEqual((outcome.units_used, outcome.units_elsewhere), (86, 3.0))
+        self.assertEqual((outcome.volume_units, outcome.peer_units), (86, 3.0))
         self.assertEqual(self.node.seen[2].connection, self.node.seen[3].connection)
         await asyncio.gather(self.attempt(), self.attempt())
         self.assertEqual(self.node.opened, 3)
@@ -337,7 +337,7 @@
                 reply(writer, X_Load=told)
 
             self.node.script = tells
-            self.assertEqual((await self.attempt()).endpoint_load, held)
+            self.assertEqual((await self.attempt()).endpoint_outstanding, held)
 
     async def test_a_spoilt_answer_is_a_reset_and_its_connection_not_used_again(self) -> None:
         good = b"HTTP/1.1 200 X\r\nContent-Length: 2\r\n"
@@ -386,7 +386,7 @@
             for _ in range(5):
                 outcome = await self.attempt()
                 self.assertEqual(
-                    (outcome.result, outcome.reply, outcome.units_used), (AttemptResult.OK, b"one", None)
+                    (outcome.result, outcome.reply, outcome.volume_units), (AttemptResult.OK, b"one", None)
                 )
         self.assertEqual(self.node.opened, len(self.node.seen))
 
--- a/tests/test_repo.py
+++ b/tests/test_repo.py
@@ -109,7 +109,7 @@
         assert tokens or "none yet" in row[3] or "the same test" in row[3] or row[3].startswith("- "), row
         for token in tokens:
             case, _, name = token.partition(".") if re.match(r"[A-Z]\w*\.", token) else ("", "", token)
-            if token.startswith(("app.", "net/")):
+            if token.startswith(("service/", "net/")):
                 continue  # what was read, where no test forces it
             if case:
                 assert f"class {case}(" in text, token
