--- a/lemonridge/lab/soak_mutants.py
+++ b/lemonridge/lab/soak_mutants.py
@@ -13,15 +13,15 @@
 def _loses_answers() -> None:
     from lemonridge.net.http_connection import Connection
 
-    real, count = Connection._next, [0]
+    real, count = Connection._next_request, [0]
 
     def next_request(self: Connection) -> None:
         count[0] += 1
         if count[0] % 50 == 0:
-            self._over = True
+            self._drops_input = True
         real(self)
 
-    Connection._next = next_request  # type: ignore[method-assign]
+    Connection._next_request = next_request  # type: ignore[method-assign]
 
 
 def _repeats_anything() -> None:
@@ -71,17 +71,18 @@
 def _tells_the_whole_deadline() -> None:
     from lemonridge.net import http_endpoints
 
-    http_endpoints.told_deadline_ms = lambda left_us: left_us // 1000 + 400
+    http_endpoints.forwarded_deadline_ms = lambda left_us: left_us // 1000 + 400
 
 
 def _refuses_anything() -> None:
-    from lemonridge.scheduling import Request, Scheduler
+    from lemonridge.scheduling import Request
+    from lemonridge.scheduling.request_lifecycle import RequestLifecycle
 
-    def give_up(self: Scheduler, request: Request, why: RejectReason) -> None:
-        self.context.actions.append(Reject(request.id, 0, why))
-        self._finish(request)
+    def reject(self: RequestLifecycle, request: Request, reason: RejectReason) -> None:
+        self._context.actions.append(Reject(request.id, 0, reason))
+        self.finish(request)
 
-    Scheduler._give_up = give_up  # type: ignore[method-assign]
+    RequestLifecycle.reject = reject  # type: ignore[method-assign]
 
 
 def _dies_of_a_signal() -> None:
--- a/tests/test_format_admin.py
+++ b/tests/test_format_admin.py
@@ -1,10 +1,10 @@
 """The operators' calls and their replies, byte for byte: a command line speaks to brokers of other versions.
 
-The names of the code stand in the builders below; what follows are literals. Derived from names of the code,
-so that a rename needs `rename=` or a table of words, are: the words of states, budgets and judgements of a
-fleet (the members of `State`, `Kind` and `ReportedCondition` in lower case), and every key of a policy (the
-fields of `policy_document.Policy`, `Plan`, `Class`, `Rules`, and of `State`, the value of a vote), of which
-only `class` has its word already. The keys of a vote on disk are the fields of `StoredVote`. All else are
+The names of the code stand in the builders below; what follows are literals. The words of states, budgets and
+reports of a fleet are tables of the encoder (`fleet/status_report.py`). Derived from names of the code, so
+that a rename needs `rename=` or a table of words, is every key of a policy (the fields of
+`policy_document.Policy`, `Plan`, `Class`, `Rules`, and of `State`, the value of a vote), of which only
+`class` has its word already. The keys of a vote on disk are the fields of `StoredVote`. All else are
 literals.
 """
 
@@ -24,16 +24,20 @@
 from lemonridge.cli import main, policy_commands
 from lemonridge.config.address import Address
 from lemonridge.config.fleet import FleetConfig, RolloutConfig
-from lemonridge.coordination.policy_coordinator import MAGIC, PolicyCoordinator, VoteStore
+from lemonridge.coordination.policy_coordinator import PolicyCoordinator
+from lemonridge.coordination.vote_store import MAGIC, VoteStore
 from lemonridge.core.counters import Counters
-from lemonridge.fleet import datagrams, fleet_member, health_gossip, quota_lending
+from lemonridge.fleet import datagrams, fleet_member, health_gossip, quota_ledger
+from lemonridge.fleet.errors import DatagramFault
+from lemonridge.fleet.events import DatagramReceived
 from lemonridge.fleet.member_list import MemberList, key_of
-from lemonridge.fleet.status_report import report, table, whole
+from lemonridge.fleet.settings import MemberSettings
+from lemonridge.fleet.status_report import all_members_up, report, table
 from lemonridge.operate.admin_calls import AdminCall, AdminReply, AdminRequest, line_max, parse
 from lemonridge.operate.errors import BadCallError
 from lemonridge.operate.lifecycle import Phase
 from lemonridge.rollout import policy_document
-from lemonridge.rollout.rollout_member import StoredVote
+from lemonridge.rollout.vote_log import StoredVote
 from lemonridge.scheduling.settings import DeduplicationScope, IdempotencyKind, RequestClass, VolumePlan
 
 NOW = 1_800_000_000_000_000
@@ -122,23 +126,23 @@
 def fleet() -> fleet_member.FleetMember:
     """Broker b1 of three: b0 is up, b2 was never heard of; a loan each way; every flaw counted."""
     made = fleet_member.FleetMember(
-        MemberList(("b0", "b1", "b2"), 1), 77, 1, NOW, fleet_member.MemberSettings(further=5.0)
+        MemberList(("b0", "b1", "b2"), 1), 77, 1, NOW, MemberSettings(retry_rate=5.0)
     )
-    made.taken(9, 20.0, 3, 4.0, NOW)
-    made.ended(key_of("s-1"), health_gossip.ObservedOutcome.CONNECT_FAILED, NOW)
+    made.record_limit_demand(9, 20.0, 3, 4.0, NOW)
+    made.record_outcome(key_of("s-1"), health_gossip.ObservedOutcome.CONNECT_FAILED, NOW)
     head = datagrams.DatagramHeader(0, datagrams.MemberState.UP, 5, 1, 1, NOW // 1000)
     said = datagrams.encode(
         head, [datagrams.HealthReport(key_of("s-9"), 3, 6, 250)], made.member_list.fingerprint
     )
-    made.handle(NOW + 1000, (fleet_member.DatagramReceived(0, said),))
-    pool = made.ledger.budgets[quota_lending.BudgetKind.LIMIT, 9]
-    pool.base, pool.need = 300_000, 400_000
-    pool.lent[2] = [quota_lending.LoanOut(3, 4, 50_000, NOW + 10**6)]
-    pool.borrowed[0] = quota_lending.LoanIn(5, 125_000, NOW + 10**6)
+    made.handle(NOW + 1000, (DatagramReceived(0, said),))
+    budget = made.ledger.budgets[quota_ledger.BudgetKind.LIMIT, 9]
+    budget.owned, budget.demand = 300_000, 400_000
+    budget.loans_out[2] = [quota_ledger.LoanOut(3, 4, 50_000, NOW + 10**6)]
+    budget.loans_in[0] = quota_ledger.LoanIn(5, 125_000, NOW + 10**6)
     made.counts.clear()
     made.counts["datagrams.taken"] = 8
-    for number, fault in enumerate(datagrams.DatagramFault, 1):
-        made.faults[fault] = number
+    for number, fault in enumerate(DatagramFault, 1):
+        made.receiver.faults[fault] = number
     return made
 
 
@@ -187,21 +191,21 @@
 
 
 def test_every_number_between_brokers_has_its_word_in_a_view() -> None:
-    """The words are derived from the enumerations' member names; the numbers are those of the datagrams."""
+    """The words are the encoder's tables; the numbers are those of the datagrams."""
     made = fleet()
-    limit = made.ledger.budgets[quota_lending.BudgetKind.LIMIT, 9]
-    made.ledger.budgets = {(kind, 9): limit for kind in (1, 2, 3)}
+    limit = made.ledger.budgets[quota_ledger.BudgetKind.LIMIT, 9]
+    made.ledger.budgets = {quota_ledger.BudgetKey(kind, 9): limit for kind in (1, 2, 3)}
     states = []
 
     for number in range(7):
-        made.members.members[0].state = datagrams.MemberState(number)
+        made.membership.members[0].state = datagrams.MemberState(number)
         states.append(report(made, NOW + 5000, {})["members"][0]["state"])
     for number in range(1, 5):
         head = datagrams.DatagramHeader(0, datagrams.MemberState.UP, 5, 1, 1 + number, NOW // 1000)
         said = datagrams.encode(
             head, [datagrams.HealthReport(100 + number, number, 6, 250)], made.member_list.fingerprint
         )
-        made.handle(NOW + 2000, (fleet_member.DatagramReceived(0, said),))
+        made.handle(NOW + 2000, (DatagramReceived(0, said),))
     view = report(made, NOW + 5000, {101: "one", 102: "two", 103: "three", 104: "four"})
     judged = [(row["node"], row["what"]) for row in view["judgements"] if row["by"] == "b0"]
 
@@ -214,10 +218,10 @@
     view = orjson.loads(VIEW)
 
     assert table([view]) == TABLE
-    assert whole([view]) is False
+    assert all_members_up([view]) is False
     for member in view["members"]:
         member["state"] = "joining"
-    assert whole([view]) is True
+    assert all_members_up([view]) is True
 
 
 def test_fleet_status_prints_all_views(
@@ -250,19 +254,19 @@
                 name="basic", base_rate=1.0, reserve=2.0, weight=3.0, limit=limit, burst=12.0, slack=4.0
             ),
         ),
-        classes=(policy_document.Class(name="read", aim_ms=300.0, priority_weight=5.0),),
-        rules=policy_document.Rules(max_attempts=3, further_attempts=6.0),
+        classes=(policy_document.Class(name="read", latency_objective_ms=300.0, priority_weight=5.0),),
+        rules=policy_document.Rules(max_attempts=3, retry_rate=6.0),
     )
 
 
 def state() -> policy_document.PolicyState:
     return policy_document.PolicyState(
         epoch=7,
-        prior="0123456789abcdef",
+        previous_digest="0123456789abcdef",
         voters={"b0": 11, "b1": 12},
         policy=policy(),
         floor=policy(6.0),
-        by="b1",
+        author="b1",
         note="half",
         kind="voter",
         history=("7 b1: half",),
@@ -287,13 +291,13 @@
     """Brokers compare its hash, so one byte less is another state. The keys are the fields' names."""
     assert policy_document.encode(state()) == STATE
     assert policy_document.decode(STATE) == state()
-    assert policy_document.name(STATE).hex() == "7aa62f6c9314e4b7"
-    assert policy_document.policy_of(orjson.loads(POLICY)) == policy()
+    assert policy_document.digest(STATE).hex() == "7aa62f6c9314e4b7"
+    assert policy_document.parse_policy(orjson.loads(POLICY)) == policy()
 
 
 def test_the_votes_on_disk_byte_for_byte(tmp_path: Path) -> None:
     """The keys are the fields' names, and so is their order: msgspec writes a map."""
-    kept = StoredVote(ident=1, state=b"st", promised=2, took=3, taken=b"tk")
+    kept = StoredVote(store_id=1, state=b"st", promised_ballot=2, accepted_ballot=3, accepted_state=b"tk")
     body = b"\x85\xa5ident\x01\xa5state\xc4\x02st\xa8promised\x02\xa4took\x03\xa5taken\xc4\x02tk"
     store = VoteStore(str(tmp_path / "votes"))
 
@@ -321,7 +325,7 @@
 async def calls(path: Path, lines: list[bytes]) -> list[bytes]:
     """What a broker that is alone answers to calls about its policy."""
     store = VoteStore(str(path))
-    store.begin()
+    store.create()
     loop = asyncio.get_running_loop()
     clock = SimpleNamespace(now_us=lambda: 10**9, loop_time=lambda at_us: loop.time() + 60)
     peers = SimpleNamespace(incarnation=77, post=lambda items: None, configure=lambda settings: None)
