--- a/lemonridge/coordination/lease_guard.py
+++ b/lemonridge/coordination/lease_guard.py
@@ -58,7 +58,7 @@
         """Whether the decisions use other epochs than they are to use now."""
         return self._in_use != self._current()
 
-    def before(self, now_us: int) -> Settings | None:
+    def changed_settings(self, now_us: int) -> Settings | None:
         """See `LeaseGuard`."""
         current = self._current()
         if current == self._in_use:
@@ -88,9 +88,9 @@
         """This broker's settings with a policy; PolicyError where the two do not go together."""
         return policy_document.apply(policy, self.own.settings, self.own.plans, self.own.classes)
 
-    def epoch(self, decided_s: float) -> str | None:
+    def epoch(self, decided_at_s: float) -> str | None:
         """See `LeaseGuard`."""
-        if decided_s < self._changed_s or self._in_use is None or self.is_outdated:
+        if decided_at_s < self._changed_s or self._in_use is None or self.is_outdated:
             return None
         return format_epochs(self._in_use[0])
 
--- a/lemonridge/coordination/policy_coordinator.py
+++ b/lemonridge/coordination/policy_coordinator.py
@@ -193,9 +193,9 @@
         """Whether this broker knows what to decide by."""
         return self.lease_guard.has_lease()
 
-    def epoch(self, decided_s: float) -> str | None:
+    def epoch(self, decided_at_s: float) -> str | None:
         """The epochs that an attempt decided on at a time names; None: it may not begin any more."""
-        return self.lease_guard.epoch(decided_s)
+        return self.lease_guard.epoch(decided_at_s)
 
     def act(self, request: AdminRequest) -> AdminReply:
         """Answers an operators' call about the policy."""
--- a/lemonridge/core/broker.py
+++ b/lemonridge/core/broker.py
@@ -110,7 +110,7 @@
             number,
             send.endpoint_id,
             may_begin=lambda: self._decision_host.may_begin(mailbox, number),
-            decided_s=mailbox.decided_s,
+            decided_at_s=mailbox.decided_at_s,
         )
 
     @staticmethod
--- a/lemonridge/core/decision_host.py
+++ b/lemonridge/core/decision_host.py
@@ -71,11 +71,11 @@
 class LeaseGuard(Protocol):
     """The lease on the fleet's policy, which says by which settings the scheduler decides."""
 
-    def before(self, now_us: int) -> Settings | None:
+    def changed_settings(self, now_us: int) -> Settings | None:
         """New settings that are in force from now on; None where nothing changed."""
 
-    def epoch(self, decided_s: float) -> str | None:
-        """The epochs that an attempt decided on at `decided_s` (loop time) names; None: it may not begin."""
+    def epoch(self, decided_at_s: float) -> str | None:
+        """The epochs that an attempt names which was decided on at this loop time; None: it may not begin."""
 
 
 class DecisionHost:
@@ -160,7 +160,7 @@
             return False
         if mailbox.answer.done():
             return False
-        if self.lease_guard is not None and self.lease_guard.epoch(mailbox.decided_s) is None:
+        if self.lease_guard is not None and self.lease_guard.epoch(mailbox.decided_at_s) is None:
             return False
         return self._scheduler.begins(self.clock.now_us(), mailbox.name, number)
 
@@ -188,10 +188,11 @@
             return
         events, self._events, self._decision_scheduled = self._events, [], False
         try:
-            settings = self.lease_guard.before(self.clock.now_us()) if self.lease_guard is not None else None
-            if settings is not None:
-                self._settings = settings
-                events.insert(0, SettingsChanged(settings, True))
+            if self.lease_guard is not None:
+                settings = self.lease_guard.changed_settings(self.clock.now_us())
+                if settings is not None:
+                    self._settings = settings
+                    events.insert(0, SettingsChanged(settings, True))
             actions = self._scheduler.handle(self.clock.now_us(), events)
         except Exception:
             self._restart_scheduler()
--- a/lemonridge/core/endpoint_registry.py
+++ b/lemonridge/core/endpoint_registry.py
@@ -10,7 +10,7 @@
 
 from lemonridge.core.start_times import WATCH_EVENT_AGE_MAX_US, StartTimes
 from lemonridge.operate.handover import StartTime
-from lemonridge.operate.maintenance import Maintenance, ReturnedToService
+from lemonridge.operate.maintenance import Bans, Maintenance
 from lemonridge.scheduling.events import Endpoint, EndpointListUpdate, EndpointsChanged, EndpointState, Event
 
 log = logging.getLogger(__name__)
@@ -162,14 +162,14 @@
 
     # Handover to the successor process
 
-    def export_bans(self) -> tuple[Mapping[str, int], Mapping[str, ReturnedToService]]:
-        """The bans by endpoint with their begin in microseconds, and the endpoints returned from one."""
-        return self._maintenance.banned(), self._maintenance.returned()
+    def export_bans(self) -> Bans:
+        """The bans in force, and the endpoints returned from one."""
+        return self._maintenance.export()
 
-    def import_bans(self, banned: Mapping[str, int], returned: Mapping[str, ReturnedToService]) -> None:
+    def import_bans(self, bans: Bans) -> None:
         """Goes by the bans of the process before this one."""
-        self._maintenance.replace_all(banned, returned)
-        for endpoint_id in (*banned, *returned):
+        self._maintenance.replace_all(bans)
+        for endpoint_id in (*bans.banned, *bans.returned):
             self._republish(endpoint_id)
 
     def export_start_times(self) -> Mapping[str, StartTime]:
--- a/lemonridge/core/model.py
+++ b/lemonridge/core/model.py
@@ -77,7 +77,7 @@
     endpoint_id: str
     may_begin: Callable[[], bool] = lambda: True
     begun: bool = False
-    decided_s: float = 0.0
+    decided_at_s: float = 0.0
 
     def begin(self) -> None:
         """Marks the attempt as begun; to be called in the step that writes its first byte.
--- a/lemonridge/core/request_mailbox.py
+++ b/lemonridge/core/request_mailbox.py
@@ -31,7 +31,7 @@
         self.attempt: Attempt | None = None
         self.timeout_scope: asyncio.Timeout | None = None
         self.attempt_cancelled = False
-        self.decided_s = 0.0
+        self.decided_at_s = 0.0
         self._sends: deque[Send] = deque()
         self._waiter: asyncio.Future[None] | None = None
 
@@ -54,7 +54,7 @@
         match action:
             case Send():
                 self._sends.append(action)
-                self.decided_s = asyncio.get_running_loop().time()
+                self.decided_at_s = asyncio.get_running_loop().time()
                 self._notify_runner()
             case Cancel():
                 if self.attempt is not None and action.attempt == self.attempt.number:
--- a/lemonridge/net/http_endpoints.py
+++ b/lemonridge/net/http_endpoints.py
@@ -74,7 +74,7 @@
             raise AttemptSuppressedError
         headers = dict(payload.headers)
         if self.epoch is not None:
-            epoch = self.epoch(attempt.decided_s)
+            epoch = self.epoch(attempt.decided_at_s)
             if epoch is None:
                 raise AttemptSuppressedError
             headers["X-Policy-Epoch"] = epoch
@@ -142,7 +142,7 @@
         """
         if self._directory.address(attempt.endpoint_id) != address:  # draining, removed, or moved
             raise AttemptSuppressedError
-        expires_s = attempt.decided_s + self._connector.connect_s + DECISION_EXPIRES_S
+        expires_s = attempt.decided_at_s + self._connector.connect_s + DECISION_EXPIRES_S
         if self.expires_decisions and self._loop.time() > expires_s:
             raise AttemptSuppressedError
 
--- a/lemonridge/operate/maintenance.py
+++ b/lemonridge/operate/maintenance.py
@@ -22,6 +22,19 @@
     returned_us: int
 
 
+@dataclass(frozen=True, slots=True)
+class Bans:
+    """What operators have called, for a successor process.
+
+    Attributes:
+        banned: The banned endpoints, with the begin of each ban in Unix microseconds.
+        returned: The endpoints returned from a ban, which count as started with their return.
+    """
+
+    banned: Mapping[str, int]
+    returned: Mapping[str, ReturnedToService]
+
+
 class Maintenance:
     """The bans in force, and the endpoints returned from one whose restart the list does not show yet."""
 
@@ -32,13 +45,9 @@
     def __contains__(self, endpoint_id: str) -> bool:
         return endpoint_id in self._banned
 
-    def banned(self) -> Mapping[str, int]:
-        """The banned endpoints, with the begin of each ban in Unix microseconds."""
-        return dict(self._banned)
-
-    def returned(self) -> Mapping[str, ReturnedToService]:
-        """The endpoints returned from a ban, which count as started with their return."""
-        return dict(self._returned)
+    def export(self) -> Bans:
+        """The bans in force, and the endpoints returned from one."""
+        return Bans(dict(self._banned), dict(self._returned))
 
     def disable(self, endpoint_id: str, now_us: int) -> bool:
         """Bans an endpoint; False where too many are banned. A second call changes nothing."""
@@ -58,9 +67,9 @@
         self._returned[endpoint_id] = ReturnedToService(since_us, now_us)
         return True
 
-    def replace_all(self, banned: Mapping[str, int], returned: Mapping[str, ReturnedToService]) -> None:
+    def replace_all(self, bans: Bans) -> None:
         """Goes by another process's bans in place of this one's."""
-        self._banned, self._returned = dict(banned), dict(returned)
+        self._banned, self._returned = dict(bans.banned), dict(bans.returned)
 
     def prune(self, known_endpoints: Container[str]) -> None:
         """Forgets the returns of endpoints that are not listed any more; a ban outlasts its endpoint's entry.
--- a/lemonridge/service/admin.py
+++ b/lemonridge/service/admin.py
@@ -16,6 +16,7 @@
 from lemonridge.operate.admin_calls import POLICY_CALLS, AdminCall, AdminReply, AdminRequest, ReplyText
 from lemonridge.operate.handover import FIRST_LIST_WAIT_US, HandedOverEndpoint, HandoverState
 from lemonridge.operate.lifecycle import Lifecycle, Phase
+from lemonridge.operate.maintenance import Bans
 from lemonridge.scheduling.events import EndpointListUpdate
 from lemonridge.service.service import Service
 
@@ -111,7 +112,7 @@
             endpoints = [EndpointAddress(one.endpoint, one.address) for one in state.endpoints]
             self._registry.update(EndpointListUpdate.CACHED, endpoints)
         self._registry.import_start_times(state.start_times)
-        self._registry.import_bans(state.banned, state.returned)
+        self._registry.import_bans(Bans(state.banned, state.returned))
         if state.drain_began_us is not None:
             self._lifecycle.drain(state.drain_began_us)
         self._decision_host.import_limits(state.limit_levels)
@@ -134,11 +135,11 @@
         self._front.listener.stop_accepting()
         self._lifecycle.hand_over(self._clock.now_us())
         self._front.changed()
-        banned, returned = self._registry.export_bans()
+        bans = self._registry.export_bans()
         log.info("handed over", extra={"open_requests": self._decision_host.open_requests})
         return HandoverState(
-            banned=banned,
-            returned=returned,
+            banned=bans.banned,
+            returned=bans.returned,
             drain_began_us=self._lifecycle.drain_began_us,
             limit_levels=self._decision_host.export_limits(),
             endpoints=tuple(
--- a/lemonridge/service/service.py
+++ b/lemonridge/service/service.py
@@ -52,7 +52,7 @@
         """Whether it is known by which policy to decide."""
         ...
 
-    def epoch(self, decided_s: float) -> str | None:
+    def epoch(self, decided_at_s: float) -> str | None:
         """See `core.decision_host.LeaseGuard`."""
         ...
 
--- a/tests/operate/test_maintenance.py
+++ b/tests/operate/test_maintenance.py
@@ -56,6 +56,6 @@
                 bans.prune([])  # nothing is listed any more: a ban stays
             else:
                 after = Maintenance()
-                after.replace_all(bans.banned(), bans.returned())
+                after.replace_all(bans.export())
                 bans = after
-            self.assertEqual(set(bans.banned()), banned)
+            self.assertEqual(set(bans.export().banned), banned)
