--- a/lemonridge/lab/checkers/escrow.py
+++ b/lemonridge/lab/checkers/escrow.py
@@ -1,10 +1,10 @@
-"""The fleet's budgets, held against their invariant in every state of a small fleet.
+"""Checks the invariant of lent quota in every state of a small fleet, by breadth-first search.
 
 Three brokers run the real `QuotaLedger` on two budgets: one that all three use, and one that two use and the
-third may lend of without using it. Moves: a broker asks another; gives back; a message comes, comes twice, or
-is lost; time passes by a third of a loan's span; a clock loses as much as the stated error; a broker dies and
-starts again knowing nothing. A stop (SIGSTOP) is a broker that makes no move while time passes: that is in.
-Times in a key are relative to now, so that the search ends by itself.
+third may lend of without using it. Moves: a broker requests a loan; returns loans; a message is delivered,
+duplicated or lost; time passes by a third of a loan's duration; a clock loses as much as the stated error; a
+broker restarts without memory. A stop (SIGSTOP) is a broker that makes no move while time passes. Times in a
+state's key are relative to now, so that the search ends by itself.
 """
 
 from __future__ import annotations
@@ -41,49 +41,51 @@
 class Bounds:
     """How much of each may happen in all."""
 
-    asks: int = 3
-    flights: int = 2  # messages on their way at once
-    doubles: int = 1
-    crashes: int = 1
-    lags: int = 1  # clocks that lose the stated error
+    requests: int = 3
+    in_flight: int = 2  # messages on their way at once
+    duplicates: int = 1
+    restarts: int = 1
+    slow_clocks: int = 1  # clocks that lose the stated error
     recalls: int = 2  # questions of a fresh start
     budgets: tuple[BudgetKey, ...] = (ALL_USE, TWO_USE)
 
 
 STATED = (
-    Bounds(1, doubles=0, lags=0),
-    Bounds(1, doubles=0, lags=0, budgets=(TWO_USE,)),
-    Bounds(1, crashes=0),
-    Bounds(2, doubles=0, crashes=0, budgets=(TWO_USE,)),
-    Bounds(2, crashes=0, lags=0, budgets=(TWO_USE,)),
-    Bounds(2, flights=1, doubles=0, lags=0, recalls=1, budgets=(TWO_USE,)),
+    Bounds(1, duplicates=0, slow_clocks=0),
+    Bounds(1, duplicates=0, slow_clocks=0, budgets=(TWO_USE,)),
+    Bounds(1, restarts=0),
+    Bounds(2, duplicates=0, restarts=0, budgets=(TWO_USE,)),
+    Bounds(2, restarts=0, slow_clocks=0, budgets=(TWO_USE,)),
+    Bounds(2, in_flight=1, duplicates=0, slow_clocks=0, recalls=1, budgets=(TWO_USE,)),
 )  # as docs/fleet-state.md has them
 
 
 @dataclass(frozen=True)
 class Message:
-    source: int
-    to: int
+    """An item on its way."""
+
+    sender: int
+    receiver: int
     incarnation: int  # of its sender
     item: Item
 
 
 @dataclass
 class State:
-    """Everything; `left` counts down the bounds."""
+    """The ledgers, clocks and messages, and how much of each bound is left."""
 
     now_us: int
     ledgers: tuple[QuotaLedger, ...]
-    lags: tuple[int, ...]
-    flights: tuple[Message, ...]
-    asks: int
-    doubles: int
-    crashes: int
-    slow: int
+    clock_lags: tuple[int, ...]  # by broker, in steps
+    in_flight: tuple[Message, ...]
+    requests: int
+    duplicates: int
+    restarts: int
+    slow_clocks: int
     recalls: int
 
 
-def ledger(number: int, incarnation: int, now_us: int) -> QuotaLedger:
+def make_ledger(number: int, incarnation: int, now_us: int) -> QuotaLedger:
     """The real one; a clock may lose as much as a step."""
     return QuotaLedger(number, incarnation, incarnation * 100, STEP_US, now_us, _others(number))
 
@@ -92,10 +94,10 @@
     return tuple(n for n in range(BROKERS) if n != number)
 
 
-def search(bounds: Bounds, make: Make = ledger, states_max: int = 5_000_000) -> Found[State]:
+def search(bounds: Bounds, make: Make = make_ledger, states_max: int = 5_000_000) -> Found[State]:
     """Every state within the bounds, or the shortest way to one in which a budget is passed."""
     ledgers = tuple(
-        _begun(make(number, 1, START_US - 10 * LOAN_DURATION_US), START_US, bounds)
+        _open_budgets(make(number, 1, START_US - 10 * LOAN_DURATION_US), START_US, bounds)
         for number in range(BROKERS)
     )
     start = State(
@@ -103,31 +105,31 @@
         ledgers,
         (0,) * BROKERS,
         (),
-        bounds.asks,
-        bounds.doubles,
-        bounds.crashes,
-        bounds.lags,
+        bounds.requests,
+        bounds.duplicates,
+        bounds.restarts,
+        bounds.slow_clocks,
         bounds.recalls,
     )
-    return explore(start, _key, lambda state: _moves(state, bounds, make), _wrong, states_max)
+    return explore(start, _key, lambda state: _moves(state, bounds, make), _violation, states_max)
 
 
-def _begun(made: QuotaLedger, now_us: int, bounds: Bounds) -> QuotaLedger:
+def _open_budgets(ledger: QuotaLedger, now_us: int, bounds: Bounds) -> QuotaLedger:
     """Each user has had a request."""
     for key in bounds.budgets:
-        if made.me in USERS[key]:
-            made.open_budget(key, WHOLE_PARTS // HOSTS[key], HOSTS[key], True, now_us)
-    return made
+        if ledger.me in USERS[key]:
+            ledger.open_budget(key, WHOLE_PARTS // HOSTS[key], HOSTS[key], True, now_us)
+    return ledger
 
 
-def _clock(state: State, number: int) -> int:
-    return state.now_us - state.lags[number] * STEP_US
+def _clock_us(state: State, number: int) -> int:
+    return state.now_us - state.clock_lags[number] * STEP_US
 
 
-def _wrong(state: State) -> str:
+def _violation(state: State) -> str:
     for key, users in USERS.items():
         parts = [
-            state.ledgers[n].quota(key, _clock(state, n)).parts
+            state.ledgers[n].quota(key, _clock_us(state, n)).parts
             for n in users
             if key in state.ledgers[n].budgets
         ]
@@ -139,44 +141,56 @@
 def _moves(state: State, bounds: Bounds, make: Make) -> Iterable[tuple[str, State]]:
     yield "time passes", replace(state, now_us=state.now_us + STEP_US)
     for number in range(BROKERS):
-        if state.slow and not state.lags[number]:
-            lags = tuple(lag + (n == number) for n, lag in enumerate(state.lags))
-            yield f"clock {number} loses a step", replace(state, lags=lags, slow=state.slow - 1)
-        if state.crashes:
+        if state.slow_clocks and not state.clock_lags[number]:
+            lags = tuple(lag + (n == number) for n, lag in enumerate(state.clock_lags))
+            yield (
+                f"clock {number} loses a step",
+                replace(state, clock_lags=lags, slow_clocks=state.slow_clocks - 1),
+            )
+        if state.restarts:
             incarnation = state.ledgers[number].incarnation + 1
-            fresh = _begun(make(number, incarnation, _clock(state, number)), _clock(state, number), bounds)
+            restarted = _open_budgets(
+                make(number, incarnation, _clock_us(state, number)), _clock_us(state, number), bounds
+            )
             yield (
                 f"{number} starts anew",
-                replace(state, ledgers=_with(state, number, fresh), crashes=state.crashes - 1),
+                replace(
+                    state, ledgers=_replace_ledger(state, number, restarted), restarts=state.restarts - 1
+                ),
             )
-        yield from _asks(state, number, bounds)
-        yield from _recalls(state, number, bounds)
+        yield from _request_moves(state, number, bounds)
+        yield from _recall_moves(state, number, bounds)
         for key in bounds.budgets:
             budget = state.ledgers[number].budgets.get(key)
             if budget is not None and budget.loans_in:
-                made = clone(state.ledgers[number])
-                sent = [Message(number, to, made.incarnation, item) for to, item in made.return_loans(key)]
-                if len(state.flights) + len(sent) <= bounds.flights:
-                    flights = _sorted(state.flights + tuple(sent))
+                ledger = clone(state.ledgers[number])
+                sent = [
+                    Message(number, to, ledger.incarnation, item) for to, item in ledger.return_loans(key)
+                ]
+                if len(state.in_flight) + len(sent) <= bounds.in_flight:
+                    in_flight = _sorted_messages(state.in_flight + tuple(sent))
                     yield (
                         f"{number} gives budget {key[1]} back",
-                        replace(state, ledgers=_with(state, number, made), flights=flights),
+                        replace(state, ledgers=_replace_ledger(state, number, ledger), in_flight=in_flight),
                     )
-    for place, message in enumerate(state.flights):
-        rest = state.flights[:place] + state.flights[place + 1 :]
-        name = f"{type(message.item).__name__} of {message.source} to {message.to}"
-        yield f"{name} is lost", replace(state, flights=rest)
-        came = _deliver(state, message, rest, bounds)
-        if came is not None:
-            yield f"{name} comes", came
-        if state.doubles:
-            twice = _deliver(state, message, state.flights, bounds)
-            if twice is not None:
-                yield f"{name} comes, and will come again", replace(twice, doubles=state.doubles - 1)
-
-
-def _asks(state: State, number: int, bounds: Bounds) -> Iterable[tuple[str, State]]:
-    if not state.asks or len(state.flights) >= bounds.flights:
+    for index, message in enumerate(state.in_flight):
+        remaining = state.in_flight[:index] + state.in_flight[index + 1 :]
+        name = f"{type(message.item).__name__} of {message.sender} to {message.receiver}"
+        yield f"{name} is lost", replace(state, in_flight=remaining)
+        delivered = _deliver(state, message, remaining, bounds)
+        if delivered is not None:
+            yield f"{name} comes", delivered
+        if state.duplicates:
+            duplicated = _deliver(state, message, state.in_flight, bounds)
+            if duplicated is not None:
+                yield (
+                    f"{name} comes, and will come again",
+                    replace(duplicated, duplicates=state.duplicates - 1),
+                )
+
+
+def _request_moves(state: State, number: int, bounds: Bounds) -> Iterable[tuple[str, State]]:
+    if not state.requests or len(state.in_flight) >= bounds.in_flight:
         return
     for key in bounds.budgets:
         if number not in USERS[key]:
@@ -184,90 +198,103 @@
         for to in range(BROKERS):
             if to == number:
                 continue
-            made = clone(state.ledgers[number])
-            made.budgets[key].demand = WHOLE_PARTS
-            want = made.make_request(key, _clock(state, number))
-            made.budgets[key].demand = 0  # nobody keeps more than its floor: the most is lent
-            sent = Message(number, to, made.incarnation, want)
+            ledger = clone(state.ledgers[number])
+            ledger.budgets[key].demand = WHOLE_PARTS
+            request = ledger.make_request(key, _clock_us(state, number))
+            ledger.budgets[key].demand = 0  # nobody keeps more than its floor: the most is lent
+            sent = Message(number, to, ledger.incarnation, request)
             yield (
                 f"{number} asks {to} for budget {key[1]}",
                 replace(
                     state,
-                    ledgers=_with(state, number, made),
-                    flights=_sorted((*state.flights, sent)),
-                    asks=state.asks - 1,
+                    ledgers=_replace_ledger(state, number, ledger),
+                    in_flight=_sorted_messages((*state.in_flight, sent)),
+                    requests=state.requests - 1,
                 ),
             )
 
 
-def _recalls(state: State, number: int, bounds: Bounds) -> Iterable[tuple[str, State]]:
+def _recall_moves(state: State, number: int, bounds: Bounds) -> Iterable[tuple[str, State]]:
     """A fresh start asks the others to use nothing that it lent before."""
-    made = state.ledgers[number]
+    ledger = state.ledgers[number]
     if (
-        _clock(state, number) >= made.floors_until_us
-        or len(state.flights) >= bounds.flights
+        _clock_us(state, number) >= ledger.floors_until_us
+        or len(state.in_flight) >= bounds.in_flight
         or not state.recalls
     ):
         return
-    for to in made.unacknowledged_peers():
-        sent = Message(number, to, made.incarnation, LoanRecall())
-        if sent not in state.flights:
+    for to in ledger.unacknowledged_peers():
+        sent = Message(number, to, ledger.incarnation, LoanRecall())
+        if sent not in state.in_flight:
             yield (
                 f"{number} recalls what {to} has",
-                replace(state, flights=_sorted((*state.flights, sent)), recalls=state.recalls - 1),
+                replace(
+                    state, in_flight=_sorted_messages((*state.in_flight, sent)), recalls=state.recalls - 1
+                ),
             )
 
 
-def _deliver(state: State, message: Message, rest: tuple[Message, ...], bounds: Bounds) -> State | None:
-    made, now_us = clone(state.ledgers[message.to]), _clock(state, message.to)
+def _deliver(state: State, message: Message, remaining: tuple[Message, ...], bounds: Bounds) -> State | None:
+    ledger, now_us = clone(state.ledgers[message.receiver]), _clock_us(state, message.receiver)
     if isinstance(message.item, LoanRequest):
-        grant = made.on_request(message.source, message.incarnation, message.item, now_us)
-        if len(rest) >= bounds.flights:
+        grant = ledger.on_request(message.sender, message.incarnation, message.item, now_us)
+        if len(remaining) >= bounds.in_flight:
             return None
-        rest = _sorted((*rest, Message(message.to, message.source, made.incarnation, grant)))
+        remaining = _sorted_messages(
+            (*remaining, Message(message.receiver, message.sender, ledger.incarnation, grant))
+        )
     elif isinstance(message.item, LoanGrant):
-        made.on_grant(message.source, message.incarnation, message.item, now_us)
+        ledger.on_grant(message.sender, message.incarnation, message.item, now_us)
     elif isinstance(message.item, LoanRecall):
-        said = made.on_recall(message.source, message.incarnation)
-        if len(rest) >= bounds.flights:
+        ack = ledger.on_recall(message.sender, message.incarnation)
+        if len(remaining) >= bounds.in_flight:
             return None
-        rest = _sorted((*rest, Message(message.to, message.source, made.incarnation, said)))
+        remaining = _sorted_messages(
+            (*remaining, Message(message.receiver, message.sender, ledger.incarnation, ack))
+        )
     elif isinstance(message.item, LoanRecallAck):
-        made.on_recall_ack(message.source, message.item, now_us)
+        ledger.on_recall_ack(message.sender, message.item, now_us)
     elif isinstance(message.item, LoanRelease):
-        made.on_release(message.source, message.incarnation, message.item)
-    return replace(state, ledgers=_with(state, message.to, made), flights=rest)
+        ledger.on_release(message.sender, message.incarnation, message.item)
+    return replace(state, ledgers=_replace_ledger(state, message.receiver, ledger), in_flight=remaining)
 
 
-def _with(state: State, number: int, made: QuotaLedger) -> tuple[QuotaLedger, ...]:
-    return state.ledgers[:number] + (made,) + state.ledgers[number + 1 :]
+def _replace_ledger(state: State, number: int, ledger: QuotaLedger) -> tuple[QuotaLedger, ...]:
+    return state.ledgers[:number] + (ledger,) + state.ledgers[number + 1 :]
 
 
-def _sorted(flights: tuple[Message, ...]) -> tuple[Message, ...]:
+def _sorted_messages(in_flight: tuple[Message, ...]) -> tuple[Message, ...]:
     return tuple(
-        sorted(flights, key=lambda one: (one.source, one.to, _ORDER.index(type(one.item)), repr(one.item)))
+        sorted(
+            in_flight,
+            key=lambda one: (one.sender, one.receiver, _ORDER.index(type(one.item)), repr(one.item)),
+        )
     )
 
 
-def clone(made: QuotaLedger) -> QuotaLedger:
+def clone(ledger: QuotaLedger) -> QuotaLedger:
     """A copy that shares nothing that changes; of the same class, faults included."""
-    other = object.__new__(type(made))
-    other.__dict__.update(made.__dict__)
-    other.active, other._recalled, other._recall_acks = set(), dict(made._recalled), set(made._recall_acks)
+    other = object.__new__(type(ledger))
+    other.__dict__.update(ledger.__dict__)
+    other.active, other._recalled, other._recall_acks = (
+        set(),
+        dict(ledger._recalled),
+        set(ledger._recall_acks),
+    )
     other.budgets = {
         key: Budget(
             budget.owned,
             budget.hosts,
             budget.used_here,
             budget.demand,
-            {who: list(rows) for who, rows in budget.loans_out.items()},
+            {member_id: list(loans) for member_id, loans in budget.loans_out.items()},
             dict(budget.loans_in),
             set(budget.users),
             open_requests=dict(budget.open_requests),
             released_up_to=budget.released_up_to,
             requested_us=budget.requested_us,
         )
-        for key, budget in made.budgets.items()
+        for key, budget in ledger.budgets.items()
     }
     return other
 
@@ -275,25 +302,25 @@
 def _key(state: State) -> Hashable:
     """Times relative to each broker's clock, and nothing of what is over."""
     return (
-        tuple(_seen(state.ledgers[n], _clock(state, n)) for n in range(BROKERS)),
-        state.lags,
-        tuple((m.source, m.to, m.incarnation, m.item) for m in state.flights),
-        state.asks,
-        state.doubles,
-        state.crashes,
-        state.slow,
+        tuple(_ledger_key(state.ledgers[n], _clock_us(state, n)) for n in range(BROKERS)),
+        state.clock_lags,
+        tuple((m.sender, m.receiver, m.incarnation, m.item) for m in state.in_flight),
+        state.requests,
+        state.duplicates,
+        state.restarts,
+        state.slow_clocks,
         state.recalls,
     )
 
 
-def _seen(made: QuotaLedger, now_us: int) -> Hashable:
-    fresh = max(0, made.floors_until_us - now_us)
+def _ledger_key(ledger: QuotaLedger, now_us: int) -> Hashable:
+    restarted = max(0, ledger.floors_until_us - now_us)
     return (
-        made.incarnation,
-        made._last_request_id,
-        fresh,
-        tuple(sorted(made._recalled.items())),
-        tuple(sorted(made._recall_acks)) if fresh else (),
+        ledger.incarnation,
+        ledger._last_request_id,
+        restarted,
+        tuple(sorted(ledger._recalled.items())),
+        tuple(sorted(ledger._recall_acks)) if restarted else (),
         tuple(
             (
                 key,
@@ -303,16 +330,16 @@
                 tuple(sorted(budget.users)),
                 tuple(
                     sorted(
-                        (who, _loan(row, now_us))
-                        for who, rows in budget.loans_out.items()
-                        for row in rows
-                        if row.end_us > now_us
+                        (member_id, _loan_key(loan, now_us))
+                        for member_id, loans in budget.loans_out.items()
+                        for loan in loans
+                        if loan.end_us > now_us
                     )
                 ),
                 tuple(
                     sorted(
-                        (who, one.request_id, one.parts, one.end_us - now_us)
-                        for who, one in budget.loans_in.items()
+                        (member_id, one.request_id, one.parts, one.end_us - now_us)
+                        for member_id, one in budget.loans_in.items()
                         if one.end_us > now_us
                     )
                 ),
@@ -322,55 +349,59 @@
                     if now_us - at < LOAN_DURATION_US
                 ),
             )
-            for key, budget in sorted(made.budgets.items())
+            for key, budget in sorted(ledger.budgets.items())
         ),
     )
 
 
-def _loan(row: LoanOut, now_us: int) -> tuple[int, int, int, int]:
-    return row.incarnation, row.request_id, row.parts, row.end_us - now_us
+def _loan_key(loan: LoanOut, now_us: int) -> tuple[int, int, int, int]:
+    return loan.incarnation, loan.request_id, loan.parts, loan.end_us - now_us
 
 
 class GrantNotDeductedMutant(QuotaLedger):
-    """Planted: what is lent stays in the lender's own slice."""
+    """Mutant: what is lent stays in the lender's own slice."""
 
     def own_left(self, budget: Budget, now_us: int) -> int:
+        """Faulty: see the class."""
         return budget.owned
 
 
 class GrantNeverExpiresMutant(QuotaLedger):
-    """Planted: a loan's end is not kept by the borrower."""
+    """Mutant: a loan's end is not kept by the borrower."""
 
-    def on_grant(self, peer: int, incarnation: int, told: LoanGrant, now_us: int) -> bool:
-        done = super().on_grant(peer, incarnation, told, now_us)
+    def on_grant(self, member_id: int, incarnation: int, item: LoanGrant, now_us: int) -> bool:
+        """Faulty: see the class."""
+        changed = super().on_grant(member_id, incarnation, item, now_us)
         for budget in self.budgets.values():
             budget.loans_in = {
-                who: LoanIn(one.request_id, one.parts, one.end_us + 10 * LOAN_DURATION_US)
-                for who, one in budget.loans_in.items()
+                member_id: LoanIn(one.request_id, one.parts, one.end_us + 10 * LOAN_DURATION_US)
+                for member_id, one in budget.loans_in.items()
             }
-        return done
+        return changed
 
 
 class NoClockErrorMarginMutant(QuotaLedger):
-    """Planted: the lender counts on equal clocks."""
+    """Mutant: the lender counts on equal clocks."""
 
-    def on_request(self, peer: int, incarnation: int, told: LoanRequest, now_us: int) -> LoanGrant:
+    def on_request(self, member_id: int, incarnation: int, item: LoanRequest, now_us: int) -> LoanGrant:
+        """Faulty: see the class."""
         self.error_us = 0
-        return super().on_request(peer, incarnation, told, now_us)
+        return super().on_request(member_id, incarnation, item, now_us)
 
 
 class ExpiryFromReceiptMutant(QuotaLedger):
-    """Planted: the borrower counts a loan from when the answer came."""
+    """Mutant: the borrower counts a loan from when the answer came."""
 
-    def on_grant(self, peer: int, incarnation: int, told: LoanGrant, now_us: int) -> bool:
-        budget = self.budgets.get(BudgetKey(told.kind, told.key))
-        if budget is not None and told.request_id in budget.open_requests:
-            budget.open_requests[told.request_id] = now_us
-        return super().on_grant(peer, incarnation, told, now_us)
+    def on_grant(self, member_id: int, incarnation: int, item: LoanGrant, now_us: int) -> bool:
+        """Faulty: see the class."""
+        budget = self.budgets.get(BudgetKey(item.kind, item.key))
+        if budget is not None and item.request_id in budget.open_requests:
+            budget.open_requests[item.request_id] = now_us
+        return super().on_grant(member_id, incarnation, item, now_us)
 
 
 class RestartForgetsGrantsMutant(QuotaLedger):
-    """Planted: a fresh start believes that it has lent nothing."""
+    """Mutant: a fresh start believes that it has lent nothing."""
 
     def __init__(
         self,
@@ -386,34 +417,38 @@
 
 
 class GrantAfterReleaseMutant(QuotaLedger):
-    """Planted: an answer to a question is taken though its loan was given back."""
+    """Mutant: an answer to a question is taken though its loan was given back."""
 
     def return_loans(self, key: BudgetKey) -> list[tuple[int, Item]]:
-        asks = dict(self.budgets[key].open_requests)
+        """Faulty: see the class."""
+        requests = dict(self.budgets[key].open_requests)
         sent = super().return_loans(key)
-        self.budgets[key].open_requests, self.budgets[key].released_up_to = asks, 0
+        self.budgets[key].open_requests, self.budgets[key].released_up_to = requests, 0
         return sent
 
 
 class PreviousIncarnationMutant(QuotaLedger):
-    """Planted: a grant of a lender's incarnation before counts after its recall was answered."""
+    """Mutant: a grant of a lender's incarnation before counts after its recall was answered."""
 
-    def on_grant(self, peer: int, incarnation: int, told: LoanGrant, now_us: int) -> bool:
-        return super().on_grant(peer, 1 << 62, told, now_us)
+    def on_grant(self, member_id: int, incarnation: int, item: LoanGrant, now_us: int) -> bool:
+        """Faulty: see the class."""
+        return super().on_grant(member_id, 1 << 62, item, now_us)
 
 
 class SingleClearanceMutant(QuotaLedger):
-    """Planted: a fresh start has all of its own once one other has answered."""
+    """Mutant: a fresh start has all of its own once one other has answered."""
 
-    def on_recall_ack(self, peer: int, told: LoanRecallAck, now_us: int) -> bool:
+    def on_recall_ack(self, member_id: int, item: LoanRecallAck, now_us: int) -> bool:
+        """Faulty: see the class."""
         self._recall_acks.update(self._others)
-        return super().on_recall_ack(peer, told, now_us)
+        return super().on_recall_ack(member_id, item, now_us)
 
 
 class UnusedGrantsCountedMutant(QuotaLedger):
-    """Planted: loans of brokers that do not use the budget count like those of users."""
+    """Mutant: loans of brokers that do not use the budget count like those of users."""
 
     def borrowed_parts(self, key: BudgetKey, budget: Budget, now_us: int) -> int:
+        """Faulty: see the class."""
         return sum(one.parts for one in budget.loans_in.values() if one.end_us > now_us)
 
 
--- a/tests/fleet/test_quota_ledger.py
+++ b/tests/fleet/test_quota_ledger.py
@@ -23,11 +23,11 @@
 from lemonridge.lab.checkers.escrow import ALL_USE, MUTANTS, TWO_USE, Bounds, search, with_mutant
 
 TIGHT = {
-    "GrantNeverExpiresMutant": Bounds(1, doubles=0, crashes=0, lags=0),
-    "NoClockErrorMarginMutant": Bounds(1, doubles=0, crashes=0),
-    "ExpiryFromReceiptMutant": Bounds(1, doubles=0, crashes=0, lags=0),
-    "GrantAfterReleaseMutant": Bounds(1, crashes=0, lags=0),
-    "PreviousIncarnationMutant": Bounds(1, doubles=0, lags=0, budgets=(TWO_USE,)),
+    "GrantNeverExpiresMutant": Bounds(1, duplicates=0, restarts=0, slow_clocks=0),
+    "NoClockErrorMarginMutant": Bounds(1, duplicates=0, restarts=0),
+    "ExpiryFromReceiptMutant": Bounds(1, duplicates=0, restarts=0, slow_clocks=0),
+    "GrantAfterReleaseMutant": Bounds(1, restarts=0, slow_clocks=0),
+    "PreviousIncarnationMutant": Bounds(1, duplicates=0, slow_clocks=0, budgets=(TWO_USE,)),
 }
 
 
@@ -36,9 +36,9 @@
 
     def test_no_state_passes_a_budget(self) -> None:
         for bounds in (
-            Bounds(1, doubles=0, lags=0, recalls=1, budgets=(TWO_USE,)),
-            Bounds(1, crashes=0),
-            Bounds(2, flights=1, doubles=0, crashes=0, budgets=(TWO_USE,)),
+            Bounds(1, duplicates=0, slow_clocks=0, recalls=1, budgets=(TWO_USE,)),
+            Bounds(1, restarts=0),
+            Bounds(2, in_flight=1, duplicates=0, restarts=0, budgets=(TWO_USE,)),
         ):
             found = search(bounds)
             self.assertEqual((found.broken, found.whole), ("", True), found.path)
@@ -46,7 +46,7 @@
 
     def test_each_planted_fault_is_found(self) -> None:
         for kind in MUTANTS:
-            found = search(TIGHT.get(kind.__name__, Bounds(1, doubles=0)), with_mutant(kind))
+            found = search(TIGHT.get(kind.__name__, Bounds(1, duplicates=0)), with_mutant(kind))
             self.assertTrue(found.broken, kind.__name__)
             self.assertLess(len(found.path), 12)
 
@@ -128,7 +128,7 @@
     """What one broker does."""
 
     def pair(self, hosts: int = 2) -> tuple[QuotaLedger, QuotaLedger]:
-        made = [escrow.ledger(n, 1, 0) for n in range(2)]
+        made = [escrow.make_ledger(n, 1, 0) for n in range(2)]
         for one in made:
             one.open_budget(TWO_USE, WHOLE_PARTS // hosts, hosts, True, 0)
             one.error_us = 50_000
