--- a/lemonridge/lab/measure/membership.py
+++ b/lemonridge/lab/measure/membership.py
@@ -1,7 +1,7 @@
-"""Membership weighed: how soon a death is known, who is accused wrongly, and what it costs, by size and loss.
+"""Measures membership: time until a death is known, false suspicions and bytes, by size and loss.
 
-The real `FleetMember` runs in virtual time on a network with delay and loss; beside it stands the plain
-thing: each broker sends a heartbeat to all others, and holds dead whom it has not heard for some periods.
+The real `FleetMember` runs in virtual time on a network with delay and loss. It is compared with plain
+heartbeats: each broker sends one to all others, and takes a member for dead that is silent for some periods.
 """
 
 from __future__ import annotations
@@ -23,174 +23,188 @@
 
 START_US = 1_800_000_000_000_000
 DELAY_MS = (1.4, 35.0)  # one way, as the site's messages take
-THROTTLE_US, RUNS_US = 500_000, 50_000  # a broker at a tenth of its CPU runs for so long of each
+THROTTLE_PERIOD_US = 500_000  # a broker at a tenth of its CPU
+THROTTLE_RUN_US = 50_000  # runs for so long of each period
+SETTLE_S = 10.0  # before anything is measured
+AT_REST_S = 30.0  # over which bytes are measured
+DETECTION_MAX_S = 60.0
 
 
-class Speaker(Protocol):
+class Detector(Protocol):
     """One broker, whatever scheme it runs."""
 
-    def start(self, now_us: int) -> list[FleetAction]: ...
+    def start(self, now_us: int) -> list[FleetAction]:
+        """Begin."""
 
-    def take(self, now_us: int, source: int, data: bytes) -> list[FleetAction]: ...
+    def on_datagram(self, now_us: int, source: int, data: bytes) -> list[FleetAction]:
+        """A datagram of another broker arrived."""
 
-    def wake(self, now_us: int) -> list[FleetAction]: ...
+    def on_timer(self, now_us: int) -> list[FleetAction]:
+        """The last timer that was set fired."""
 
-    def dead(self) -> set[int]: ...
+    def dead(self) -> set[int]:
+        """The brokers that this one holds dead."""
 
 
 class Swim:
-    """The fleet's own."""
+    """The fleet's own membership."""
 
-    def __init__(self, number: int, count: int, seed: int, incarnation: int) -> None:
-        self._member_list, self._seed, self._life = (
-            MemberList(tuple(map(str, range(count))), number),
-            seed,
-            incarnation,
-        )
+    def __init__(self, number: int, count: int, seed: int) -> None:
+        self._member_list, self._seed = MemberList(tuple(map(str, range(count))), number), seed
 
     def start(self, now_us: int) -> list[FleetAction]:
+        """Begin with more than enough bytes a second."""
         seed = self._seed * 1009 + self._member_list.me
-        self.fleet = FleetMember(
-            self._member_list,
-            now_us // 1000 + self._life,
-            seed,
-            now_us,
-            MemberSettings(send_budget_bytes_s=1e6),
-        )
-        return self.fleet.handle(now_us, ())
+        settings = MemberSettings(send_budget_bytes_s=1e6)
+        self._member = FleetMember(self._member_list, now_us // 1000, seed, now_us, settings)
+        return self._member.handle(now_us, ())
 
-    def take(self, now_us: int, source: int, data: bytes) -> list[FleetAction]:
-        return self.fleet.handle(now_us, (DatagramReceived(source, data),))
+    def on_datagram(self, now_us: int, source: int, data: bytes) -> list[FleetAction]:
+        """Pass it to the member."""
+        return self._member.handle(now_us, (DatagramReceived(source, data),))
 
-    def wake(self, now_us: int) -> list[FleetAction]:
-        return self.fleet.handle(now_us, (TimerFired(),))
+    def on_timer(self, now_us: int) -> list[FleetAction]:
+        """Pass it to the member."""
+        return self._member.handle(now_us, (TimerFired(),))
 
     def dead(self) -> set[int]:
-        return {
-            n for n in self._member_list.others if self.fleet.membership.members[n].state is MemberState.DEAD
-        }
+        """By the member's states."""
+        members = self._member.membership.members
+        return {n for n in self._member_list.others if members[n].state is MemberState.DEAD}
 
 
-class Plain:
-    """A heartbeat to all each period; dead is who is unheard for `PATIENCE` of them."""
+class Heartbeats:
+    """A heartbeat to all each period; dead is a broker that was silent for `SILENT_PERIODS` of them."""
 
-    PATIENCE = 8  # at 10% loss of each way nobody is accused in an hour
+    SILENT_PERIODS = 8  # at 10% loss of each way nobody is suspected falsely in an hour
 
-    def __init__(self, number: int, count: int, seed: int, incarnation: int) -> None:
-        self._me, self._count, self._random = number, count, Random(f"{seed}/{number}/plain")
-        self._heard: dict[int, int] = {}
-        self._now = 0
+    def __init__(self, number: int, count: int, seed: int) -> None:
+        self._number, self._count, self._random = number, count, Random(f"{seed}/{number}/plain")
+        self._received_us: dict[int, int] = {}
+        self._now_us = 0
 
     def start(self, now_us: int) -> list[FleetAction]:
-        self._now = now_us
+        """Begin at a random moment of the period."""
+        self._now_us = now_us
         return [SetTimer(now_us + int(self._random.random() * PROBE_PERIOD_US))]
 
-    def take(self, now_us: int, source: int, data: bytes) -> list[FleetAction]:
-        self._heard[source], self._now = now_us, now_us
+    def on_datagram(self, now_us: int, source: int, data: bytes) -> list[FleetAction]:
+        """Remember the time."""
+        self._received_us[source], self._now_us = now_us, now_us
         return []
 
-    def wake(self, now_us: int) -> list[FleetAction]:
-        self._now = now_us
+    def on_timer(self, now_us: int) -> list[FleetAction]:
+        """Send a header to all others."""
+        self._now_us = now_us
+        others = (n for n in range(self._count) if n != self._number)
         return [
-            *(SendDatagram(n, bytes(HEADER_BYTES)) for n in range(self._count) if n != self._me),
+            *(SendDatagram(n, bytes(HEADER_BYTES)) for n in others),
             SetTimer(now_us + PROBE_PERIOD_US),
         ]
 
     def dead(self) -> set[int]:
-        return {n for n, at in self._heard.items() if self._now - at > self.PATIENCE * PROBE_PERIOD_US}
+        """Those silent for too long."""
+        silence_us = self.SILENT_PERIODS * PROBE_PERIOD_US
+        return {n for n, at_us in self._received_us.items() if self._now_us - at_us > silence_us}
 
 
-Make: TypeAlias = Callable[[int, int, int, int], Speaker]
-SCHEMES: dict[str, Make] = {"swim": Swim, "plain": Plain}
+Make: TypeAlias = Callable[[int, int, int], Detector]
+SCHEMES: dict[str, Make] = {"swim": Swim, "plain": Heartbeats}
 
 
 @dataclass
-class Simulated:
+class SimulatedFleet:
     """A fleet in virtual time."""
 
     count: int
     seed: int
     loss: float
     make: Make
-    slow: int | None = None  # a broker at a tenth of its CPU
+    throttled: int | None = None  # a broker at a tenth of its CPU
     now_us: int = START_US
-    told_bytes: int = 0
-    accused: int = 0  # times that one that runs was held dead
+    sent_bytes: int = 0
+    false_deaths: int = 0  # times that a broker which runs was held dead
     down: set[int] = field(default_factory=set)
 
     def __post_init__(self) -> None:
         self._random = Random(f"{self.seed}/simulated")
         self._heap: list[tuple[int, int, int, int, bytes | None]] = []
         self._order = 0
-        self._wakes = [0] * self.count
-        self._held: list[set[int]] = [set() for _ in range(self.count)]
-        self.speakers = [self.make(n, self.count, self.seed, 0) for n in range(self.count)]
-        for n, speaker in enumerate(self.speakers):
-            self._act(n, speaker.start(self.now_us))
+        self._timers_us = [0] * self.count
+        self._dead: list[set[int]] = [set() for _ in range(self.count)]
+        self._detectors = [self.make(n, self.count, self.seed) for n in range(self.count)]
+        for n, detector in enumerate(self._detectors):
+            self._carry_out(n, detector.start(self.now_us))
 
-    def _push(self, at_us: int, to: int, source: int, data: bytes | None) -> None:
+    def _push(self, at_us: int, receiver: int, source: int, data: bytes | None) -> None:
         self._order += 1
-        heapq.heappush(self._heap, (at_us, self._order, to, source, data))
+        heapq.heappush(self._heap, (at_us, self._order, receiver, source, data))
 
-    def _act(self, who: int, actions: Iterable[FleetAction]) -> None:
+    def _carry_out(self, number: int, actions: Iterable[FleetAction]) -> None:
         for action in actions:
             if isinstance(action, SetTimer):
-                self._wakes[who] = action.at_us
-                self._push(action.at_us, who, -1, None)
+                self._timers_us[number] = action.at_us
+                self._push(action.at_us, number, -1, None)
             elif isinstance(action, SendDatagram):
-                self.told_bytes += len(action.data)
+                self.sent_bytes += len(action.data)
                 if self._random.random() >= self.loss:
                     delay_us = int(self._random.uniform(*DELAY_MS) * 1000)
-                    self._push(self.now_us + delay_us, action.to, who, action.data)
+                    self._push(self.now_us + delay_us, action.to, number, action.data)
 
     def run(self, seconds: float, done: Callable[[], bool] = lambda: False) -> bool:
-        """Until `done`, or for so long; whether it was done."""
-        until = self.now_us + int(seconds * 1e6)
-        while self._heap and self._heap[0][0] <= until:
-            at_us, _, to, source, data = heapq.heappop(self._heap)
-            if to == self.slow and (at_us - START_US) % THROTTLE_US > RUNS_US:
-                again = at_us + THROTTLE_US - (at_us - START_US) % THROTTLE_US
-                if source < 0 and self._wakes[to] == at_us:
-                    self._wakes[to] = again
-                self._push(again, to, source, data)
+        """Run until `done`, or for so long; whether it was done."""
+        until_us = self.now_us + int(seconds * 1e6)
+        while self._heap and self._heap[0][0] <= until_us:
+            at_us, _, receiver, source, data = heapq.heappop(self._heap)
+            phase_us = (at_us - START_US) % THROTTLE_PERIOD_US
+            if receiver == self.throttled and phase_us > THROTTLE_RUN_US:
+                runs_us = at_us + THROTTLE_PERIOD_US - phase_us
+                if source < 0 and self._timers_us[receiver] == at_us:
+                    self._timers_us[receiver] = runs_us
+                self._push(runs_us, receiver, source, data)
                 continue
             self.now_us = at_us
-            if to in self.down or (source < 0 and self._wakes[to] != at_us):
+            if receiver in self.down or (source < 0 and self._timers_us[receiver] != at_us):
                 continue
-            speaker = self.speakers[to]
-            self._act(to, speaker.wake(at_us) if data is None else speaker.take(at_us, source, data))
-            held = speaker.dead()
-            self.accused += len(held - self._held[to] - self.down)
-            self._held[to] = held
+            self._deliver(receiver, source, data)
             if done():
                 return True
-        self.now_us = until
+        self.now_us = until_us
         return False
 
-    def detect(self, victim: int) -> list[float]:
+    def _deliver(self, receiver: int, source: int, data: bytes | None) -> None:
+        """Give a broker a datagram, or (None) its timer, and compare whom it holds dead."""
+        detector, now_us = self._detectors[receiver], self.now_us
+        actions = detector.on_timer(now_us) if data is None else detector.on_datagram(now_us, source, data)
+        self._carry_out(receiver, actions)
+        dead = detector.dead()
+        self.false_deaths += len(dead - self._dead[receiver] - self.down)
+        self._dead[receiver] = dead
+
+    def detection_times_s(self, victim: int) -> list[float]:
         """Kill a broker; seconds until each other one holds it dead, in the order in which they do."""
         self.down.add(victim)
-        begun, times = self.now_us, dict[int, float]()
+        began_us, times_s = self.now_us, dict[int, float]()
 
-        def done() -> bool:
+        def all_know() -> bool:
             for n in range(self.count):
-                if n not in times and n not in self.down and victim in self._held[n]:
-                    times[n] = (self.now_us - begun) / 1e6
-            return len(times) == self.count - len(self.down)
+                if n not in times_s and n not in self.down and victim in self._dead[n]:
+                    times_s[n] = (self.now_us - began_us) / 1e6
+            return len(times_s) == self.count - len(self.down)
 
-        self.run(60.0, done)
-        return sorted(times.values())
+        self.run(DETECTION_MAX_S, all_know)
+        return sorted(times_s.values())
 
 
 def row(count: int, loss: float, name: str, seed: int = 1, slow: bool = False) -> dict[str, object]:
-    """One setting: 30 s at rest, then a death."""
-    made = Simulated(count, seed, loss, SCHEMES[name], 1 if slow else None)
-    made.run(10.0)
-    before, at_us = made.told_bytes, made.now_us
-    made.run(30.0)
-    bytes_s = (made.told_bytes - before) / count / ((made.now_us - at_us) / 1e6)
-    accused = made.accused
-    times = made.detect(0)
+    """One setting: some time at rest, then a death."""
+    fleet = SimulatedFleet(count, seed, loss, SCHEMES[name], 1 if slow else None)
+    fleet.run(SETTLE_S)
+    before_bytes, began_us = fleet.sent_bytes, fleet.now_us
+    fleet.run(AT_REST_S)
+    bytes_s = (fleet.sent_bytes - before_bytes) / count / ((fleet.now_us - began_us) / 1e6)
+    false_deaths = fleet.false_deaths
+    times_s = fleet.detection_times_s(0)
     return {
         "measure": "membership",
         "scheme": name,
@@ -198,10 +212,10 @@
         "loss": loss,
         "slow": int(slow),
         "bytes_s": round(bytes_s),
-        "accused": accused,
-        "known_to": len(times),
-        "median_s": round(median(times), 2) if times else None,
-        "all_s": round(times[-1], 2) if len(times) == count - 1 else None,
+        "accused": false_deaths,
+        "known_to": len(times_s),
+        "median_s": round(median(times_s), 2) if times_s else None,
+        "all_s": round(times_s[-1], 2) if len(times_s) == count - 1 else None,
     }
 
 
