--- a/lemonridge/lab/checkers/fleet.py
+++ b/lemonridge/lab/checkers/fleet.py
@@ -1,8 +1,8 @@
-"""Judges a fleet by what its nodes and its clients saw, and by when the drill stopped or killed whom.
+"""Checks the platform's rules on a fleet, by what its endpoints and its clients saw.
 
-Nothing here knows what a broker counted or believed. The rules are the platform's: a limit is one store for
-all brokers (its slack, and what it allows in 150 ms, on sockets), drains are kept 500 ms (and 50) after they
-were told, every request gets one answer that a node made for it.
+Nothing here knows what a broker counted or believed. A limit is one token bucket for all brokers (with its
+slack, and on sockets with what it allows in 150 ms), drains are followed within 500 ms (and 50) after they
+were announced, every request gets one answer that an endpoint made for it.
 """
 
 from __future__ import annotations
@@ -11,38 +11,46 @@
 from collections.abc import Iterable, Mapping, Sequence
 from dataclasses import dataclass, field
 
-from lemonridge.lab.load.fleet import GRACE_S, Asked
+from lemonridge.lab.load.fleet import GRACE_S, ClientRequest, RequestEnd
 from lemonridge.lab.standins.cold import ReceivedAttempt
 
 ON_SOCKETS_S = 0.15  # the slack of a limit grows by what it allows in this time
 DRAIN_S = 0.55
-ATTEMPTS_MAX = 4
+RESTART_GRACE_S = 0.05  # a request due so soon after a broker's return may still find it away
+ATTEMPTS_MAX = 4  # of a request
 NOTES_MAX = 20
+ROUNDING = 1e-9  # units
 
 
 @dataclass(frozen=True, slots=True)
 class Limit:
-    """A store that all brokers draw on."""
+    """A token bucket that all brokers draw on: units a second, units at most, units below zero."""
 
     rate: float
     burst: float
     slack: float
 
+    @property
+    def overdraft(self) -> float:
+        """Units below zero that are still allowed on sockets."""
+        return self.slack + self.rate * ON_SOCKETS_S + ROUNDING
+
 
 @dataclass(slots=True)
 class Notes:
-    """What is said of broken rules, as far as it is of use."""
+    """The first NOTES_MAX violations, in words."""
 
     notes: list[str] = field(default_factory=list, kw_only=True)
 
     def note(self, text: str) -> None:
+        """Add one, if there is room."""
         if len(self.notes) < NOTES_MAX:
             self.notes.append(text)
 
 
 @dataclass(slots=True)
 class Findings(Notes):
-    """Broken rules, by kind."""
+    """Violations by rule."""
 
     limit_excess: int = 0
     budget_excess: int = 0
@@ -52,7 +60,8 @@
     cold_overloads: int = 0
 
     @property
-    def held(self) -> bool:
+    def passed(self) -> bool:
+        """Whether no rule was violated."""
         return not (
             self.limit_excess
             or self.budget_excess
@@ -64,116 +73,132 @@
 
 
 def check(
-    came: Iterable[ReceivedAttempt],
-    asked: Sequence[Asked],
+    attempts: Iterable[ReceivedAttempt],
+    requests: Sequence[ClientRequest],
     limits: Mapping[int, Limit],
-    further: Limit | None,
-    told: Mapping[int, Sequence[tuple[float, str, str]]],
+    retry_limit: Limit | None,
+    health_updates: Mapping[int, Sequence[tuple[float, str, str]]],
     down: Mapping[int, Sequence[tuple[float, float]]],
-    falls: int,
+    overloads: int,
     surplus: int = 0,
 ) -> Findings:
-    """Hold everything against everything. `limits` is by volume, `told` and `down` by broker: what discovery
-    wrote to it (when, node, health), and when it was dead, stopped or not ready yet.
+    """Check every rule.
+
+    Args:
+        attempts: as the endpoints received them.
+        requests: as the clients sent them.
+        limits: by volume.
+        retry_limit: of all brokers together; None: there is none.
+        health_updates: by broker, what discovery wrote to it: when, endpoint, health.
+        down: by broker, when it was dead, stopped or not ready yet.
+        overloads: times that an endpoint in slow start was overloaded.
+        surplus: connections on which bytes arrived that answer nothing.
     """
-    found = Findings(cold_overloads=falls)
-    ordered = sorted(came, key=lambda one: one.at)
-    _limits(found, ordered, limits)
-    _attempts(found, ordered, further)
-    _drains(found, ordered, told)
-    _answers(found, asked, down, surplus)
+    found = Findings(cold_overloads=overloads)
+    ordered = sorted(attempts, key=lambda one: one.at)
+    _check_limits(found, ordered, limits)
+    _check_attempts(found, ordered, retry_limit)
+    _check_drains(found, ordered, health_updates)
+    _check_answers(found, requests, down, surplus)
     return found
 
 
-def _limits(found: Findings, ordered: Sequence[ReceivedAttempt], limits: Mapping[int, Limit]) -> None:
-    """A request takes its units when it first comes to a node, from one store for all brokers."""
-    stores: dict[int, tuple[float, float]] = {}
+def _check_limits(found: Findings, ordered: Sequence[ReceivedAttempt], limits: Mapping[int, Limit]) -> None:
+    """A request takes its units when it first arrives at an endpoint, from one bucket for all brokers."""
+    buckets: dict[int, tuple[float, float]] = {}  # tokens, and at what time
     first: set[str] = set()
     for one in ordered:
         limit = limits.get(one.volume)
         if limit is None or one.ident in first:
             continue
         first.add(one.ident)
-        level, at = stores.get(one.volume, (limit.burst, one.at))
-        level = min(limit.burst, level + limit.rate * (one.at - at)) - one.units
-        stores[one.volume] = level, one.at
-        if level < -(limit.slack + limit.rate * ON_SOCKETS_S) - 1e-9:
+        tokens, at = buckets.get(one.volume, (limit.burst, one.at))
+        tokens = min(limit.burst, tokens + limit.rate * (one.at - at)) - one.units
+        buckets[one.volume] = tokens, one.at
+        if tokens < -limit.overdraft:
             found.limit_excess += 1
-            found.note(f"limit of volume {one.volume} passed: {level:.1f} at {one.at:.3f} by {one.broker}")
+            found.note(f"limit of volume {one.volume} passed: {tokens:.1f} at {one.at:.3f} by {one.broker}")
 
 
-def _attempts(found: Findings, ordered: Sequence[ReceivedAttempt], further: Limit | None) -> None:
-    """Four at most for a request; what follows a first one has a budget of the fleet, where there is one."""
+def _check_attempts(found: Findings, ordered: Sequence[ReceivedAttempt], retry_limit: Limit | None) -> None:
+    """At most ATTEMPTS_MAX for a request; retries draw on one bucket of the fleet, where there is one."""
     made: dict[str, int] = defaultdict(int)
-    level, at = (further.burst if further else 0.0), 0.0
+    tokens, at = (retry_limit.burst if retry_limit else 0.0), 0.0
     for one in ordered:
         made[one.ident] += 1
         if made[one.ident] > ATTEMPTS_MAX:
             found.budget_excess += 1
             found.note(f"{one.ident} was sent {made[one.ident]} times")
-        if further is not None and made[one.ident] > 1:
-            level = min(further.burst, level + further.rate * (one.at - at) if at else level) - 1.0
-            at = one.at
-            if level < -(further.slack + further.rate * ON_SOCKETS_S) - 1e-9:
+        if retry_limit is not None and made[one.ident] > 1:
+            refilled = tokens + retry_limit.rate * (one.at - at) if at else tokens
+            tokens, at = min(retry_limit.burst, refilled) - 1.0, one.at
+            if tokens < -retry_limit.overdraft:
                 found.budget_excess += 1
-                found.note(f"further attempts passed: {level:.1f} at {one.at:.3f} by broker {one.broker}")
+                found.note(f"limit of retries passed: {tokens:.1f} at {one.at:.3f} by broker {one.broker}")
 
 
-def _drains(
-    found: Findings, ordered: Sequence[ReceivedAttempt], told: Mapping[int, Sequence[tuple[float, str, str]]]
+def _check_drains(
+    found: Findings,
+    ordered: Sequence[ReceivedAttempt],
+    health_updates: Mapping[int, Sequence[tuple[float, str, str]]],
 ) -> None:
-    news = {broker: sorted(rows) for broker, rows in told.items()}
-    place = dict.fromkeys(news, 0)
-    since: dict[tuple[int, str], float] = {}
+    """No attempt arrives at an endpoint longer than DRAIN_S after its broker was told of the drain."""
+    updates = {broker: sorted(rows) for broker, rows in health_updates.items()}
+    applied = dict.fromkeys(updates, 0)
+    draining_since: dict[tuple[int, str], float] = {}
     for one in ordered:
-        rows = news.get(one.broker, [])
-        while place.get(one.broker, 0) < len(rows) and rows[place[one.broker]][0] <= one.at:
-            when, node, health = rows[place[one.broker]]
-            place[one.broker] += 1
+        rows = updates.get(one.broker, [])
+        while applied.get(one.broker, 0) < len(rows) and rows[applied[one.broker]][0] <= one.at:
+            at, node, health = rows[applied[one.broker]]
+            applied[one.broker] += 1
             if health == "up":
-                since.pop((one.broker, node), None)
+                draining_since.pop((one.broker, node), None)
             else:
-                since.setdefault((one.broker, node), when)
-        begun = since.get((one.broker, one.node))
-        if begun is not None and one.at > begun + DRAIN_S:
+                draining_since.setdefault((one.broker, node), at)
+        since = draining_since.get((one.broker, one.node))
+        if since is not None and one.at > since + DRAIN_S:
             found.late_sends += 1
             found.note(
-                f"{one.node} got {one.ident} of broker {one.broker} {one.at - begun:.3f} s after its "
-                "drain was told"
+                f"{one.node} received {one.ident} of broker {one.broker} {one.at - since:.3f} s after its "
+                "drain was announced"
             )
 
 
-def _answers(
-    found: Findings, asked: Sequence[Asked], down: Mapping[int, Sequence[tuple[float, float]]], surplus: int
+def _check_answers(
+    found: Findings,
+    requests: Sequence[ClientRequest],
+    down: Mapping[int, Sequence[tuple[float, float]]],
+    surplus: int,
 ) -> None:
+    """One answer for each request, within its deadline, made for it; unless its broker was down."""
     found.double_answers += surplus
     if surplus:
         found.note(f"{surplus} connections brought more than they were asked for")
-    for one in asked:
+    for one in requests:
         if one.wrong or one.surplus:
             found.double_answers += 1
-            found.note(f"{one.ident} was answered {'wrongly' if one.wrong else 'and then some'}")
-        late = one.ended > one.deadline + GRACE_S
-        if one.end in ("silent", "cut") or late:
-            if any(start <= one.ended and one.due <= end + 0.05 for start, end in down.get(one.broker, ())):
-                continue
-            found.unanswered += 1
-            found.note(f"{one.ident} of broker {one.broker}, due {one.due:.3f}, {one.end} {one.ended:.3f}")
+            found.note(f"{one.ident} got {'a wrong answer' if one.wrong else 'more than one answer'}")
+        late = one.ended_at > one.deadline_at + GRACE_S
+        if one.end not in (RequestEnd.NO_ANSWER, RequestEnd.CONNECTION_LOST) and not late:
+            continue
+        if any(
+            began <= one.ended_at and one.due_at <= ended + RESTART_GRACE_S
+            for began, ended in down.get(one.broker, ())
+        ):
+            continue
+        found.unanswered += 1
+        found.note(f"{one.ident} of broker {one.broker}, due {one.due_at:.3f}, {one.end} {one.ended_at:.3f}")
 
 
-def used(came: Iterable[ReceivedAttempt], volume: int, begin: float, end: float) -> float:
-    """Units a second of a volume's first attempts in a time."""
-    first: set[str] = set()
-    units = 0.0
-    for one in sorted(came, key=lambda one: one.at):
-        if one.volume == volume and one.ident not in first:
-            first.add(one.ident)
-            units += one.units if begin <= one.at < end else 0.0
-    return units / (end - begin)
+def used_rate(attempts: Iterable[ReceivedAttempt], volume: int, begin: float, end: float) -> float:
+    """Units a second of a volume's first attempts between two times."""
+    return sum(one.units for one in _first_attempts(attempts, volume) if begin <= one.at < end) / (
+        end - begin
+    )
 
 
-def healed_ms(
-    came: Iterable[ReceivedAttempt],
+def recovery_ms(
+    attempts: Iterable[ReceivedAttempt],
     volume: int,
     begin: float,
     end: float,
@@ -181,10 +206,11 @@
     window_s: float = 1.5,
     step_s: float = 0.05,
 ) -> float:
-    """Milliseconds from `begin` to the first moment from which a volume has `rate` over a window; the whole
-    time where it never has.
+    """Milliseconds from `begin` until a volume has `rate` units a second over a window.
+
+    The whole time where it never has.
     """
-    rows = sorted((one.at, one.units) for one in _firsts(came, volume))
+    rows = sorted((one.at, one.units) for one in _first_attempts(attempts, volume))
     at = begin
     while at + window_s <= end:
         if sum(units for when, units in rows if at <= when < at + window_s) >= rate * window_s:
@@ -193,9 +219,9 @@
     return (end - begin) * 1000
 
 
-def _firsts(came: Iterable[ReceivedAttempt], volume: int) -> list[ReceivedAttempt]:
+def _first_attempts(attempts: Iterable[ReceivedAttempt], volume: int) -> list[ReceivedAttempt]:
     first: dict[str, ReceivedAttempt] = {}
-    for one in sorted(came, key=lambda one: one.at):
+    for one in sorted(attempts, key=lambda one: one.at):
         if one.volume == volume:
             first.setdefault(one.ident, one)
     return list(first.values())
--- a/lemonridge/lab/drills/fleet.py
+++ b/lemonridge/lab/drills/fleet.py
@@ -9,9 +9,9 @@
 import asyncio
 from dataclasses import dataclass
 
-from lemonridge.lab.checkers.fleet import Findings, Limit, check, healed_ms, used
+from lemonridge.lab.checkers.fleet import Findings, Limit, check, recovery_ms, used_rate
 from lemonridge.lab.links.schedule import Schedule, draw
-from lemonridge.lab.load.fleet import Asker, Clients
+from lemonridge.lab.load.fleet import Clients, VolumeTraffic
 from lemonridge.lab.rig import Rig, Site, standing
 
 NODES = 3
@@ -35,7 +35,7 @@
     mutant: str = ""  # a fault planted in every broker
 
 
-def askers(brokers: int, site: Site, seconds: float, calm_s: float) -> list[Asker]:
+def askers(brokers: int, site: Site, seconds: float, calm_s: float) -> list[VolumeTraffic]:
     """The volumes: limited ones that flood and move, and others that ask steadily."""
     hosts = min(HOSTS, brokers)
     full = site.limit / (1 + site.largest_request_units) * 2  # requests a second that fill a limit
@@ -47,7 +47,7 @@
     one, three, four = among(0), among(1), among(2)
     made = [
         # Ten times its limit, from one broker to the next each second; at rest in the calm.
-        Asker(
+        VolumeTraffic(
             1,
             "basic",
             hosts,
@@ -57,7 +57,7 @@
             site.largest_request_units,
         ),
         # Ten times its limit, at one of its brokers alone.
-        Asker(
+        VolumeTraffic(
             HOT,
             "basic",
             hosts,
@@ -67,7 +67,7 @@
             site.largest_request_units,
         ),
         # Ten times its limit at all of its brokers in turn, request by request.
-        Asker(
+        VolumeTraffic(
             3,
             "basic",
             hosts,
@@ -77,7 +77,7 @@
             site.largest_request_units,
         ),
         # At one of its brokers steadily; a second one comes and goes, which has lent its part meanwhile.
-        Asker(
+        VolumeTraffic(
             5,
             "brisk",
             hosts,
@@ -87,7 +87,7 @@
             site.largest_request_units,
         ),
         # In surges, moving every three seconds.
-        Asker(
+        VolumeTraffic(
             4,
             "basic",
             hosts,
@@ -98,7 +98,7 @@
         ),
     ]
     made += [
-        Asker(
+        VolumeTraffic(
             100 + n,
             "priority",
             1,
@@ -147,7 +147,7 @@
     brisk = Limit(site.brisk, site.burst, site.slack)
     found = check(
         came,
-        clients.asked,
+        clients.requests,
         {1: limit, HOT: limit, 3: limit, 4: limit, 5: brisk},
         further,
         {one.number: one.discovery.told for one in rig.brokers},
@@ -156,14 +156,14 @@
         clients.surplus,
     )
     calm, end = rig.begun + schedule.calm_s, rig.begun + schedule.seconds
-    healed = healed_ms(came, HOT, calm, end, AT_ONE * site.limit)
-    share = min(used(came, volume, calm + SETTLE_S, end) / site.limit for volume in (1, HOT))
+    healed = recovery_ms(came, HOT, calm, end, AT_ONE * site.limit)
+    share = min(used_rate(came, volume, calm + SETTLE_S, end) / site.limit for volume in (1, HOT))
     figures: dict[str, object] = {
         "drill": "fleet",
         "seed": options.seed,
         "brokers": schedule.brokers,
-        "requests": len(clients.asked),
-        "served": sum(one.end == "served" for one in clients.asked),
+        "requests": len(clients.requests),
+        "served": sum(one.end == "served" for one in clients.requests),
         "splits": rig.splits,
         "kills": sum(one.kills for one in rig.brokers),
         "stops": sum(one.stops for one in rig.brokers),
@@ -182,7 +182,7 @@
 def held(figures: dict[str, object], found: Findings) -> bool:
     """Whether the drill held: no rule broken, healed in time, and a limit used where its demand is."""
     return (
-        found.held
+        found.passed
         and float(str(figures["healed_after_ms"])) < HEALED_MS
         and float(str(figures["used_of_limit"])) > USED
     )
--- a/lemonridge/lab/drills/policy.py
+++ b/lemonridge/lab/drills/policy.py
@@ -19,7 +19,7 @@
 from lemonridge.lab.checkers.policy import Findings, Proposed, check, epochs
 from lemonridge.lab.links.datagrams import Stretch
 from lemonridge.lab.links.schedule import Fault
-from lemonridge.lab.load.fleet import Asker, Clients
+from lemonridge.lab.load.fleet import Clients, VolumeTraffic
 from lemonridge.lab.rig import Broker, Rig, Site, standing
 from lemonridge.net.admin_client import CallError, call
 from lemonridge.rollout.policy_document import Policy
@@ -283,11 +283,11 @@
             await asyncio.sleep(ASK_S)
 
 
-def askers(brokers: int, site: Site) -> list[Asker]:
+def askers(brokers: int, site: Site) -> list[VolumeTraffic]:
     """Two volumes that flood their limit, one at all of its brokers in turn, one moving; and steady ones."""
     hosts, shards = min(3, brokers), tuple(range(NODES))
     made = [
-        Asker(
+        VolumeTraffic(
             1,
             "basic",
             hosts,
@@ -296,7 +296,7 @@
             lambda t: int(t * 1000) % hosts,
             site.largest_request_units,
         ),
-        Asker(
+        VolumeTraffic(
             2,
             "basic",
             hosts,
@@ -307,7 +307,7 @@
         ),
     ]
     return made + [
-        Asker(
+        VolumeTraffic(
             100 + n,
             "priority",
             1,
@@ -347,7 +347,7 @@
     )
     answers = rules.check(
         came,
-        clients.asked,
+        clients.requests,
         {},
         None,
         {},
@@ -360,8 +360,8 @@
         "drill": "policy",
         "seed": options.seed,
         "brokers": options.brokers,
-        "requests": len(clients.asked),
-        "served": sum(one.end == "served" for one in clients.asked),
+        "requests": len(clients.requests),
+        "served": sum(one.end == "served" for one in clients.requests),
         "changes": len(drill.proposed),
         "sound": len(sound),
         "in_force": sum(one.note in drill.came for one in sound),
--- a/lemonridge/lab/measure/rollout_live.py
+++ b/lemonridge/lab/measure/rollout_live.py
@@ -13,7 +13,7 @@
 
 from lemonridge.config.address import Address
 from lemonridge.lab.drills.policy import NODES, askers
-from lemonridge.lab.load.fleet import Asked, Clients
+from lemonridge.lab.load.fleet import ClientRequest, Clients
 from lemonridge.lab.rig import Rig, Site, standing
 from lemonridge.net.admin_client import call
 from lemonridge.rollout.policy_document import Policy
@@ -45,7 +45,7 @@
         await asyncio.gather(clients.run(askers(brokers, site), seconds), changes())
         begun, epochs = rig.begun, [(await _seen(rig, n))["epoch"] for n in range(brokers)]
         await rig.stop()
-    steady = [one for one in clients.asked if one.volume >= 100]
+    steady = [one for one in clients.requests if one.volume >= 100]
     mean = _served(steady, begun + FIRST_S, begun + seconds) / (seconds - FIRST_S)
     after = [_served(steady, moment, moment + 1.0) / mean for moment in at]
     return {
@@ -63,8 +63,8 @@
     }
 
 
-def _served(asked: list[Asked], low: float, high: float) -> int:
-    return sum(one.end == "served" and low <= one.due < high for one in asked)
+def _served(asked: list[ClientRequest], low: float, high: float) -> int:
+    return sum(one.end == "served" and low <= one.due_at < high for one in asked)
 
 
 async def _seen(rig: Rig, number: int) -> dict[str, Any]:
--- a/tests/fleet/test_quota_ledger.py
+++ b/tests/fleet/test_quota_ledger.py
@@ -1,4 +1,4 @@
-"""The fleet's budgets: every state of a small fleet, random histories of larger ones, planted faults."""
+"""The quota ledger: every state of a small fleet, random histories of larger ones, mutants."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 class EveryState(unittest.TestCase):
     """Three brokers, two budgets; docs/fleet-state.md tells the larger bounds, which a command runs."""
 
-    def test_no_state_passes_a_budget(self) -> None:
+    def test_no_reachable_state_exceeds_a_budget(self) -> None:
         for bounds in (
             Bounds(1, duplicates=0, slow_clocks=0, recalls=1, budgets=(TWO_USE,)),
             Bounds(1, restarts=0),
@@ -44,7 +44,7 @@
             self.assertEqual((found.broken, found.whole), ("", True), found.path)
             self.assertGreater(found.states, 1000)
 
-    def test_each_planted_fault_is_found(self) -> None:
+    def test_each_mutant_is_found(self) -> None:
         for kind in MUTANTS:
             found = search(TIGHT.get(kind.__name__, Bounds(1, duplicates=0)), with_mutant(kind))
             self.assertTrue(found.broken, kind.__name__)
@@ -56,7 +56,7 @@
 
     @settings(max_examples=60, deadline=None, derandomize=True)
     @given(seed=st.integers(0, 1 << 32), brokers=st.integers(2, 9), hosts=st.integers(2, 5))
-    def test_the_sum_never_passes_the_whole(self, seed: int, brokers: int, hosts: int) -> None:
+    def test_quotas_never_add_up_to_more_than_the_whole(self, seed: int, brokers: int, hosts: int) -> None:
         random, hosts = Random(seed), min(brokers, hosts)
         users = random.sample(range(brokers), hosts)
         error_us, now = 50_000, 1_000_000_000
@@ -74,51 +74,51 @@
                 made.open_budget(key, WHOLE_PARTS // hosts, hosts, True, clock(n))
             return made
 
-        key, most = BudgetKey(int(BudgetKind.LIMIT), 7), 0
+        key, largest = BudgetKey(int(BudgetKind.LIMIT), 7), 0
         ledgers = [make(n, 1) for n in range(brokers)]
-        flights: list[tuple[int, int, int, Item]] = []
+        messages: list[tuple[int, int, int, Item]] = []
         now += 3 * LOAN_DURATION_US
         for _ in range(400):
             now += random.choice((0, 1000, 50_000, 400_000))
             n = random.randrange(brokers)
-            what = random.random()
-            if what < 0.3 and n in users:
+            draw = random.random()
+            if draw < 0.3 and n in users:
                 ledgers[n].budgets[key].demand = random.choice((0, WHOLE_PARTS // 2, WHOLE_PARTS))
-                want = ledgers[n].make_request(key, clock(n))
-                flights += [(n, o, ledgers[n].incarnation, want) for o in range(brokers) if o != n]
-            elif what < 0.33 and n in users:
-                flights += [
+                request = ledgers[n].make_request(key, clock(n))
+                messages += [(n, o, ledgers[n].incarnation, request) for o in range(brokers) if o != n]
+            elif draw < 0.33 and n in users:
+                messages += [
                     (n, to, ledgers[n].incarnation, item) for to, item in ledgers[n].return_loans(key)
                 ]
-            elif what < 0.36:
+            elif draw < 0.36:
                 ledgers[n] = make(n, ledgers[n].incarnation + 1)
             if clock(n) < ledgers[n].floors_until_us:
-                flights += [
+                messages += [
                     (n, o, ledgers[n].incarnation, LoanRecall()) for o in ledgers[n].unacknowledged_peers()
                 ]
             for _ in range(random.randrange(8)):
-                if not flights:
+                if not messages:
                     break
-                place = random.randrange(len(flights))
-                by, to, incarnation, item = flights[place]
+                index = random.randrange(len(messages))
+                by, to, incarnation, item = messages[index]
                 if random.random() < 0.8:
-                    del flights[place]
+                    del messages[index]
                 if random.random() < 0.2:
                     continue
                 if isinstance(item, LoanRequest):
                     grant = ledgers[to].on_request(by, incarnation, item, clock(to))
-                    flights.append((to, by, ledgers[to].incarnation, grant))
+                    messages.append((to, by, ledgers[to].incarnation, grant))
                 elif isinstance(item, LoanRecall):
-                    flights.append((to, by, ledgers[to].incarnation, ledgers[to].on_recall(by, incarnation)))
+                    messages.append((to, by, ledgers[to].incarnation, ledgers[to].on_recall(by, incarnation)))
                 elif isinstance(item, LoanRecallAck):
                     ledgers[to].on_recall_ack(by, item, clock(to))
                 elif isinstance(item, LoanGrant):
                     ledgers[to].on_grant(by, incarnation, item, clock(to))
                 else:
                     ledgers[to].on_release(by, incarnation, item)
-            del flights[:-40]
+            del messages[:-40]
             parts = [ledgers[u].quota(key, clock(u)).parts for u in users]
-            most = max(most, *parts)
+            largest = max(largest, *parts)
             self.assertLessEqual(sum(parts), WHOLE_PARTS, parts)
             for u in users:
                 self.assertGreaterEqual(parts[users.index(u)], WHOLE_PARTS // hosts // FLOOR_DIVISOR)
@@ -152,13 +152,13 @@
         self.assertEqual(b.on_request(0, 1, a.make_request(TWO_USE, now), now).parts, WHOLE_PARTS // 4)
         self.assertEqual(b.quota(TWO_USE, now).parts, WHOLE_PARTS // 2 // FLOOR_DIVISOR)  # the largest counts
 
-    def test_a_question_with_other_hosts_changes_nothing_of_what_is_used(self) -> None:
+    def test_a_request_with_another_number_of_hosts_changes_no_quota(self) -> None:
         a, b = self.pair()
         now = a.floors_until_us
-        told = b.on_request(0, 1, LoanRequest(*TWO_USE, 200, 7, WHOLE_PARTS, 1500), now)
-        self.assertEqual((told.parts, b.quota(TWO_USE, now).parts), (0, WHOLE_PARTS // 2))
+        grant = b.on_request(0, 1, LoanRequest(*TWO_USE, 200, 7, WHOLE_PARTS, 1500), now)
+        self.assertEqual((grant.parts, b.quota(TWO_USE, now).parts), (0, WHOLE_PARTS // 2))
 
-    def test_loans_beyond_a_number_count_as_the_largest_and_longest(self) -> None:
+    def test_too_many_loans_count_as_the_largest_and_longest(self) -> None:
         a, b = self.pair()
         now = a.floors_until_us
         a.budgets[TWO_USE].demand = WHOLE_PARTS
@@ -170,7 +170,7 @@
         )
         self.assertEqual(b.quota(TWO_USE, now + LOAN_DURATION_US + 50_040).parts, WHOLE_PARTS // 2)
 
-    def test_budgets_have_a_bound_and_the_idle_ones_go(self) -> None:
+    def test_budgets_are_bounded_and_idle_ones_are_dropped(self) -> None:
         a, _ = self.pair()
         with unittest.mock.patch.object(ledger_module, "BUDGETS_MAX", 2):
             self.assertIsNotNone(a.open_budget(ALL_USE, 1, 3, True, 0))
--- a/tests/integration/test_fleet_live.py
+++ b/tests/integration/test_fleet_live.py
@@ -11,10 +11,10 @@
 from lemonridge.config.address import Address
 from lemonridge.fleet.datagrams import DatagramHeader, LoanGrant, LoanRequest, MemberState, Ping, encode
 from lemonridge.fleet.member_list import MemberList
-from lemonridge.lab.checkers.fleet import Findings, Limit, check, used
+from lemonridge.lab.checkers.fleet import Findings, Limit, check, used_rate
 from lemonridge.lab.drills import fleet as drill
 from lemonridge.lab.links.schedule import Fault, Schedule
-from lemonridge.lab.load.fleet import Asker, Clients
+from lemonridge.lab.load.fleet import Clients, VolumeTraffic
 from lemonridge.lab.measure import fleet_cold
 from lemonridge.lab.rig import Rig, Site, standing
 from lemonridge.net.admin_client import views
@@ -24,13 +24,13 @@
 FULL = SITE.limit / 1.5  # requests a second that fill a limit
 
 
-def hot(where: Callable[[float], int], times: float = 5.0, volume: int = 1) -> Asker:
-    return Asker(volume, "basic", 3, SHARDS, lambda t: times * FULL, where)
+def hot(where: Callable[[float], int], times: float = 5.0, volume: int = 1) -> VolumeTraffic:
+    return VolumeTraffic(volume, "basic", 3, SHARDS, lambda t: times * FULL, where)
 
 
 async def play(
     seconds: float,
-    askers: list[Asker],
+    traffic: list[VolumeTraffic],
     *faults: Fault,
     brokers: int = 3,
     module: Callable[[int], tuple[str, ...]] = lambda n: ("lemonridge",),
@@ -40,7 +40,7 @@
     plan = Schedule(brokers=brokers, nodes=len(SHARDS), seconds=seconds, calm_s=seconds, fault=faults)
     async with standing(brokers, len(SHARDS), 1, SITE, peers, module) as rig:
         clients = Clients([one.port for one in rig.brokers], 1, SITE.deadline_ms)
-        tasks = [clients.run(askers, seconds), rig.play(plan)]
+        tasks = [clients.run(traffic, seconds), rig.play(plan)]
         if beside is not None:
             tasks.append(beside(rig))  # type: ignore[arg-type]
         await asyncio.gather(*tasks)
@@ -48,7 +48,7 @@
     limit = Limit(SITE.limit, SITE.burst, SITE.slack)
     found = check(
         [one for node in rig.nodes for one in node.came],
-        clients.asked,
+        clients.requests,
         {1: limit, 2: limit},
         None,
         {one.number: one.discovery.told for one in rig.brokers},
@@ -66,7 +66,7 @@
 
 def share(rig: Rig, begin: float, end: float, volume: int = 1) -> float:
     came = [one for node in rig.nodes for one in node.came]
-    return used(came, volume, rig.begun + begin, rig.begun + end) / SITE.limit
+    return used_rate(came, volume, rig.begun + begin, rig.begun + end) / SITE.limit
 
 
 class HardCases(unittest.TestCase):
@@ -76,14 +76,14 @@
         (even, one), (lent, other) = asyncio.run(
             both(play(5.5, [hot(lambda t: 1)], peers=False), play(5.5, [hot(lambda t: 1)]))
         )
-        self.assertTrue(one.held and other.held, (one.notes, other.notes))
+        self.assertTrue(one.passed and other.passed, (one.notes, other.notes))
         self.assertLess(share(even, 2.5, 5.5), 0.45)
         self.assertGreater(share(lent, 2.5, 5.5), 0.85)
 
     def test_a_grant_that_is_lost_on_a_one_way_cut_costs_its_lender_and_no_one_more(self) -> None:
         cut = Fault(kind="one-way", at_s=0.0, for_s=5.0, brokers=(1, 2), to=(0,))  # the answers are lost
         rig, found = asyncio.run(play(9.0, [hot(lambda t: 0)], cut))
-        self.assertTrue(found.held, found.notes)
+        self.assertTrue(found.passed, found.notes)
         self.assertLess(share(rig, 2.5, 5.0), 0.45)  # its own third
         self.assertGreater(share(rig, 7.0, 9.0), 0.85)
 
@@ -95,7 +95,7 @@
             Fault(kind="delay", at_s=2.0, for_s=5.0, brokers=(0, 1, 2), to=(0, 1, 2), ms=(1.0, 300.0)),
         ]
         rig, found = asyncio.run(play(7.5, [hot(lambda t: int(t) % 3), hot(lambda t: 1, volume=2)], *faults))
-        self.assertTrue(found.held, found.notes)
+        self.assertTrue(found.passed, found.notes)
         self.assertGreater(share(rig, 4.0, 7.5, 2), 0.6)
         faults = [
             sum(one.counts[-1].get(f"fleet.not_taken.{name}", 0) for one in rig.brokers)
@@ -113,7 +113,7 @@
                 stop,
             )
         )
-        self.assertTrue(found.held, found.notes)
+        self.assertTrue(found.passed, found.notes)
         self.assertGreater(share(rig, 5.0, 8.0), 0.6)  # 1 and 2 use theirs while it is stopped
         self.assertEqual(rig.brokers[0].counts[-1].get("loop.stopped"), 1)
 
@@ -125,7 +125,7 @@
                 module=lambda n: ("lemonridge.cli.mutant", f"clock={(0, 50, -500)[n]}"),
             )
         )
-        self.assertTrue(found.held, found.notes)
+        self.assertTrue(found.passed, found.notes)
         self.assertGreater(share(rig, 2.8, 4.0), 0.8)
 
     def test_a_tier_of_twelve_that_starts_at_once_spends_little_and_suspects_no_one(self) -> None:
@@ -175,7 +175,7 @@
             )
 
         rig, found = asyncio.run(play(5.0, [hot(lambda t: 1)], beside=attack))
-        self.assertTrue(found.held, found.notes)
+        self.assertTrue(found.passed, found.notes)
 
     def test_a_cold_node_is_sent_more_where_the_demand_has_moved_and_does_not_fall(self) -> None:
         even, lent = asyncio.run(both(fleet_cold.once(3, False), fleet_cold.once(3, True)))
@@ -185,10 +185,14 @@
     def test_a_node_that_died_is_known_to_all_by_what_two_have_seen(self) -> None:
         """Two brokers meet the dead node first; each of the others has one try there, and no more."""
         dead = Fault(kind="node-death", at_s=2.0, for_s=1.0, nodes=(0,))
-        witnesses = [Asker(100 + n, "priority", 1, (0,), lambda t: 12.0, lambda t, n=n: n) for n in range(2)]
+        witnesses = [
+            VolumeTraffic(100 + n, "priority", 1, (0,), lambda t: 12.0, lambda t, n=n: n) for n in range(2)
+        ]
         # After the witnesses' reports, and less before the node's return than the pause between tries.
         bursts = [
-            Asker(100 + n, "priority", 1, (0,), lambda t: 100.0 if 2.75 < t < 2.87 else 0.0, lambda t, n=n: n)
+            VolumeTraffic(
+                100 + n, "priority", 1, (0,), lambda t: 100.0 if 2.75 < t < 2.87 else 0.0, lambda t, n=n: n
+            )
             for n in range(2, 5)
         ]
         runs = asyncio.run(
@@ -219,7 +223,7 @@
             both(play(9.0, demand, cut), play(9.0, demand, cut, module=lambda n: mutant))
         )
         self.assertGreater(share(sound, 2.5, 4.0), 0.85)
-        self.assertTrue(held.held, held.notes)
+        self.assertTrue(held.passed, held.notes)
         self.assertGreater(broken.limit_excess, 0)
 
 
--- a/tests/lab/test_fleet_checker.py
+++ b/tests/lab/test_fleet_checker.py
@@ -6,70 +6,83 @@
 import unittest
 
 from lemonridge.config.errors import ConfigError
-from lemonridge.lab.checkers.fleet import Findings, Limit, check, healed_ms, used
+from lemonridge.lab.checkers.fleet import Findings, Limit, check, recovery_ms, used_rate
 from lemonridge.lab.links import schedule
-from lemonridge.lab.load.fleet import Asked
+from lemonridge.lab.load.fleet import ClientRequest, RequestEnd
 from lemonridge.lab.standins.cold import ReceivedAttempt
 
 LIMIT = Limit(10.0, 6.0, 1.0)
 
 
-def came(at: float, ident: str, units: float = 1.0, broker: int = 0, node: str = "s-0") -> ReceivedAttempt:
+def attempt(at: float, ident: str, units: float = 1.0, broker: int = 0, node: str = "s-0") -> ReceivedAttempt:
     return ReceivedAttempt(at, node, broker, ident, 1, units)
 
 
-def judge(
+def findings(
     rows: list[ReceivedAttempt],
-    asked: list[Asked] | None = None,
-    further: Limit | None = None,
-    told: list[tuple[float, str, str]] | None = None,
+    requests: list[ClientRequest] | None = None,
+    retry_limit: Limit | None = None,
+    health_updates: list[tuple[float, str, str]] | None = None,
     down: list[tuple[float, float]] | None = None,
-    falls: int = 0,
+    overloads: int = 0,
     surplus: int = 0,
 ) -> Findings:
-    return check(rows, asked or [], {1: LIMIT}, further, {0: told or []}, {0: down or []}, falls, surplus)
+    return check(
+        rows,
+        requests or [],
+        {1: LIMIT},
+        retry_limit,
+        {0: health_updates or []},
+        {0: down or []},
+        overloads,
+        surplus,
+    )
 
 
 class TheChecker(unittest.TestCase):
-    def test_a_limit_is_one_store_for_all_brokers_with_its_slack(self) -> None:
+    def test_a_limit_is_one_bucket_for_all_brokers_with_its_slack(self) -> None:
         # 6 saved up, 1 of slack and 1.5 for 150 ms: 8.5 units at once, from whomever.
-        rows = [came(0.0, f"r{n}", broker=n % 2) for n in range(8)]
-        self.assertEqual(judge(rows).limit_excess, 0)
-        self.assertEqual(judge([*rows, came(0.0, "one more")]).limit_excess, 1)
-        self.assertEqual(judge([*rows, came(0.2, "later")]).limit_excess, 0)
-        self.assertEqual(judge([*rows, came(0.0, "r1", broker=1)]).limit_excess, 0)  # a repeat draws nothing
-
-    def test_further_attempts_are_counted_over_all_brokers_and_four_is_the_most(self) -> None:
-        twice = [one for n in range(7) for one in (came(0.0, f"r{n}"), came(0.1, f"r{n}", broker=1))]
-        self.assertEqual(judge(twice, further=Limit(10.0, 6.0, 1.0)).budget_excess, 0)
-        self.assertGreater(judge(twice, further=Limit(2.0, 3.0, 1.0)).budget_excess, 0)
-        self.assertEqual(judge([came(n, "r") for n in range(4)]).budget_excess, 0)
-        self.assertEqual(judge([came(n, "r") for n in range(5)]).budget_excess, 1)
-
-    def test_a_drain_is_kept_from_when_it_was_told_until_it_is_over(self) -> None:
-        told = [(1.0, "s-0", "draining"), (3.0, "s-0", "up")]
+        rows = [attempt(0.0, f"r{n}", broker=n % 2) for n in range(8)]
+        self.assertEqual(findings(rows).limit_excess, 0)
+        self.assertEqual(findings([*rows, attempt(0.0, "one more")]).limit_excess, 1)
+        self.assertEqual(findings([*rows, attempt(0.2, "later")]).limit_excess, 0)
+        self.assertEqual(
+            findings([*rows, attempt(0.0, "r1", broker=1)]).limit_excess, 0
+        )  # a repeat draws nothing
+
+    def test_retries_are_counted_over_all_brokers_and_attempts_are_four_at_most(self) -> None:
+        twice = [one for n in range(7) for one in (attempt(0.0, f"r{n}"), attempt(0.1, f"r{n}", broker=1))]
+        self.assertEqual(findings(twice, retry_limit=Limit(10.0, 6.0, 1.0)).budget_excess, 0)
+        self.assertGreater(findings(twice, retry_limit=Limit(2.0, 3.0, 1.0)).budget_excess, 0)
+        self.assertEqual(findings([attempt(n, "r") for n in range(4)]).budget_excess, 0)
+        self.assertEqual(findings([attempt(n, "r") for n in range(5)]).budget_excess, 1)
+
+    def test_a_drain_holds_from_its_announcement_until_it_ends(self) -> None:
+        health_updates = [(1.0, "s-0", "draining"), (3.0, "s-0", "up")]
         for at, late in ((1.54, 0), (1.56, 1), (2.9, 1), (3.1, 0)):
-            self.assertEqual(judge([came(at, "r")], told=told).late_sends, late, at)
-        self.assertEqual(judge([came(2.0, "r", node="s-1")], told=told).late_sends, 0)
+            self.assertEqual(findings([attempt(at, "r")], health_updates=health_updates).late_sends, late, at)
+        self.assertEqual(
+            findings([attempt(2.0, "r", node="s-1")], health_updates=health_updates).late_sends, 0
+        )
 
     def test_each_request_gets_one_answer_that_was_made_for_it(self) -> None:
-        def one(end: str, ended: float, **more: bool) -> Asked:
-            return Asked("r", 0, 1, 1, 10.0, 11.0, 10.0, ended, end, **more)
+        def one(end: str, ended_at: float, **more: bool) -> ClientRequest:
+            return ClientRequest("r", 0, 1, 1, 10.0, 11.0, 10.0, ended_at, RequestEnd(end), **more)
 
-        self.assertTrue(judge([], [one("served", 10.5), one("refused", 11.4), one("failed", 11.0)]).held)
+        self.assertTrue(findings([], [one("served", 10.5), one("refused", 11.4), one("failed", 11.0)]).passed)
         ends = [one("silent", 11.5), one("cut", 10.2), one("served", 11.6)]
-        self.assertEqual(judge([], ends).unanswered, 3)
-        self.assertEqual(judge([], [one("silent", 11.5)], down=[(9.0, 10.1)]).unanswered, 0)
-        self.assertEqual(judge([], [one("silent", 11.5)], down=[(8.0, 9.0)]).unanswered, 1)
-        self.assertEqual(judge([], [one("served", 10.5, wrong=True)]).double_answers, 1)
-        self.assertEqual(judge([], [one("served", 10.5, surplus=True)], surplus=1).double_answers, 2)
-        self.assertEqual(judge([], falls=2).cold_overloads, 2)
-
-    def test_use_and_healing_are_told_by_what_nodes_were_sent(self) -> None:
-        rows = [came(2.0 + n * 0.1, f"r{n}") for n in range(40)]
-        self.assertAlmostEqual(used(rows, 1, 2.0, 4.0), 10.0, delta=0.51)
-        self.assertEqual(healed_ms(rows, 1, 0.0, 6.0, 8.5) // 100, 17)
-        self.assertEqual(healed_ms(rows, 1, 0.0, 6.0, 80.0), 6000.0)
+        self.assertEqual(findings([], ends).unanswered, 3)
+        self.assertEqual(findings([], [one("silent", 11.5)], down=[(9.0, 10.1)]).unanswered, 0)
+        self.assertEqual(findings([], [one("silent", 11.5)], down=[(8.0, 9.0)]).unanswered, 1)
+        self.assertEqual(findings([], [one("served", 10.5, wrong=True)]).double_answers, 1)
+        self.assertEqual(findings([], [one("served", 10.5, surplus=True)], surplus=1).double_answers, 2)
+        self.assertEqual(findings([], overloads=2).cold_overloads, 2)
+
+    def test_used_rate_and_recovery_are_measured_at_the_endpoints(self) -> None:
+        rows = [attempt(2.0 + n * 0.1, f"r{n}") for n in range(40)]
+        self.assertAlmostEqual(used_rate(rows, 1, 2.0, 4.0), 10.0, delta=0.51)
+        self.assertEqual(recovery_ms(rows, 1, 0.0, 6.0, 8.5) // 100, 17)
+        self.assertEqual(recovery_ms(rows, 1, 0.0, 6.0, 80.0), 6000.0)
 
 
 class Schedules(unittest.TestCase):
--- a/tests/scheduling/test_many_brokers_one_node.py
+++ b/tests/scheduling/test_many_brokers_one_node.py
@@ -35,17 +35,17 @@
     """Hosts that each hold a volume at one node; the node answers all after 40 ms."""
 
     def __init__(self, hosts: int, seed: int = 5) -> None:
-        facts = replace(SETTINGS, hosts=hosts, overload_multiple=2.5)
+        settings = replace(SETTINGS, hosts=hosts, overload_multiple=2.5)
         self.random = random.Random(seed)
-        self.hosts = [Scheduler(facts, seed * 1000 + n) for n in range(hosts)]
+        self.hosts = [Scheduler(settings, seed * 1000 + n) for n in range(hosts)]
         self.now, self.count, self.up = START, 0, True
         self.out: list[tuple[int, int, Send, int]] = []
-        self.tries: dict[str, int] = {}
+        self.attempts: dict[str, int] = {}
         self.sent: list[tuple[int, float]] = []  # what reached the node, and when
         self.units: dict[str, float] = {}
-        self.tell(EndpointListUpdate.CACHED, 0)
+        self.change_endpoint(EndpointListUpdate.CACHED, 0)
 
-    def tell(
+    def change_endpoint(
         self,
         kind: EndpointListUpdate,
         started_us: int,
@@ -55,9 +55,9 @@
     ) -> None:
         entry = Endpoint(node, 0, 0, condition, started_us)
         for n, host in list(enumerate(self.hosts))[hosts]:
-            self.take(n, host.handle(self.now, [EndpointsChanged(kind, (entry,))]))
+            self.carry_out(n, host.handle(self.now, [EndpointsChanged(kind, (entry,))]))
 
-    def take(self, n: int, actions: list[Action]) -> None:
+    def carry_out(self, n: int, actions: list[Action]) -> None:
         for action in actions:
             if isinstance(action, Send):
                 if self.up:
@@ -73,8 +73,8 @@
             self.out = [item for item in self.out if item[0] > self.now]
             events: dict[int, list[Event]] = {n: [TimerFired()] for n in range(len(self.hosts))}
             for _, n, send, at in due:
-                attempt = self.tries.get(send.request, 0)
-                self.tries[send.request] = attempt + 1
+                attempt = self.attempts.get(send.request, 0)
+                self.attempts[send.request] = attempt + 1
                 result = AttemptResult.OK if self.up else AttemptResult.CONNECT_FAILED
                 events[n].append(
                     AttemptEnded(
@@ -97,52 +97,52 @@
                     self.units[name] = units
                     events[n].append(RequestArrived(name, 0, n, self.now + 1_500_000, None, 0, 2, units, 1))
             for n, host in enumerate(self.hosts):
-                self.take(n, host.handle(self.now, events[n]))
+                self.carry_out(n, host.handle(self.now, events[n]))
 
-    def worst(self, born_us: int) -> float:
+    def peak_load(self, began_us: int) -> float:
         """The most of the node's allowance that was used within any stretch of the stated length."""
-        worst = 0.0
-        for start in range(born_us, born_us + RAMP_US, 100_000):
+        peak_load = 0.0
+        for start in range(began_us, began_us + RAMP_US, 100_000):
             end = start + SETTINGS.overload_window_us
             units = sum(u for at, u in self.sent if start < at <= end)
             warm = (
                 SETTINGS.slow_start_initial_fraction
-                + (1 - SETTINGS.slow_start_initial_fraction) * (start - born_us) / RAMP_US
+                + (1 - SETTINGS.slow_start_initial_fraction) * (start - began_us) / RAMP_US
             )
-            worst = max(worst, units / (2.5 * warm * CAPACITY))
-        return worst
+            peak_load = max(peak_load, units / (2.5 * warm * CAPACITY))
+        return peak_load
 
-    def served(self, born_us: int) -> float:
-        return sum(u for at, u in self.sent if born_us < at <= born_us + RAMP_US)
+    def served(self, began_us: int) -> float:
+        return sum(u for at, u in self.sent if began_us < at <= began_us + RAMP_US)
 
 
 def replaced(hosts: int, late_us: int = 0, surge: float = 1.0) -> tuple[Fleet, int]:
     """A node goes and its successor comes, told `late_us` after its start."""
     fleet = Fleet(hosts)
     fleet.run(FAIL_US, 60.0)
-    fleet.tell(EndpointListUpdate.DELTA, 0, condition=EndpointState.DRAINING)
+    fleet.change_endpoint(EndpointListUpdate.DELTA, 0, condition=EndpointState.DRAINING)
     fleet.run(1_000_000, 150.0)
-    born = fleet.now
+    began_us = fleet.now
     fleet.run(late_us, 150.0)
     fleet.sent.clear()
-    fleet.tell(EndpointListUpdate.DELTA, born, node="b")
+    fleet.change_endpoint(EndpointListUpdate.DELTA, began_us, node="b")
     fleet.run(RAMP_US - late_us, 150.0, surge)
-    return fleet, born
+    return fleet, began_us
 
 
 @pytest.mark.parametrize(
     ("hosts", "late_us", "surge"), [(4, 0, 1.0), (120, 0, 1.0), (120, 3_000_000, 1.0), (120, 0, 6.0)]
 )
 def test_cold_node_is_used_and_not_pushed_over(hosts: int, late_us: int, surge: float) -> None:
-    fleet, born = replaced(hosts, late_us, surge)
-    assert fleet.worst(born) < 1.0
-    assert fleet.served(born) > 0.2 * CAPACITY * RAMP_US / 1e6  # a cold node is of use during its ramp
+    fleet, began_us = replaced(hosts, late_us, surge)
+    assert fleet.peak_load(began_us) < 1.0
+    assert fleet.served(began_us) > 0.2 * CAPACITY * RAMP_US / 1e6  # a cold node is of use during its ramp
 
 
 def test_without_the_guard_a_cold_node_is_pushed_over(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(SlowStart, "wait_us", lambda self, node, request: 0)
-    fleet, born = replaced(120)
-    assert fleet.worst(born) > 1.0
+    fleet, began_us = replaced(120)
+    assert fleet.peak_load(began_us) > 1.0
 
 
 def restarted() -> tuple[Fleet, int]:
@@ -151,32 +151,32 @@
     fleet.run(FAIL_US, 60.0)
     fleet.up = False
     fleet.run(8_000_000, 150.0)
-    fleet.up, born = True, fleet.now
+    fleet.up, began_us = True, fleet.now
     fleet.sent.clear()
     fleet.run(RAMP_US, 400.0)
-    return fleet, born
+    return fleet, began_us
 
 
 def test_restart_seen_only_by_failed_connects_is_taken_for_cold(monkeypatch: pytest.MonkeyPatch) -> None:
-    fleet, born = restarted()
+    fleet, began_us = restarted()
     # The first tries of hosts that were told nothing may come close together; what follows must hold.
-    guarded = fleet.worst(born)
-    assert guarded < 1.6 and fleet.worst(born + 1_000_000) < 1.0
-    assert fleet.served(born) > 0.2 * CAPACITY * RAMP_US / 1e6
+    guarded = fleet.peak_load(began_us)
+    assert guarded < 1.6 and fleet.peak_load(began_us + 1_000_000) < 1.0
+    assert fleet.served(began_us) > 0.2 * CAPACITY * RAMP_US / 1e6
     monkeypatch.setattr(SlowStart, "wait_us", lambda self, node, request: 0)
-    fleet, born = restarted()
-    assert fleet.worst(born) > guarded + 0.5
+    fleet, began_us = restarted()
+    assert fleet.peak_load(began_us) > guarded + 0.5
 
 
 def test_limit_holds_over_24_hosts_while_the_lead_moves_and_hosts_restart() -> None:
     plan = VolumePlan(10.0, 5.0, 1.0, 60.0, 24 * 2 * 8.0, 38.4)
-    facts = replace(SETTINGS, hosts=24, plans=(plan,))
+    settings = replace(SETTINGS, hosts=24, plans=(plan,))
     entry = Endpoint("a", 0, 0, EndpointState.ACTIVE, 0)
-    chance, now = random.Random(3), START
+    draws, now = random.Random(3), START
     store, lowest, sent, spread = plan.burst, plan.burst, 0.0, set()
 
     def start(seed: int) -> Scheduler:
-        host = Scheduler(facts, seed)
+        host = Scheduler(settings, seed)
         host.handle(now, [EndpointsChanged(EndpointListUpdate.CACHED, (entry,))])
         return host
 
@@ -187,10 +187,10 @@
         store = min(plan.burst, store + plan.limit / 100)
         lead = step // 200 * 7 % 24
         if step % 500 == 499:
-            hosts[chance.randrange(24)] = start(step)
-        for n in {lead, chance.randrange(24)}:
+            hosts[draws.randrange(24)] = start(step)
+        for n in {lead, draws.randrange(24)}:
             name = f"{step}-{n}"
-            units[name] = chance.choice([1.0, 2.0, 8.0])
+            units[name] = draws.choice([1.0, 2.0, 8.0])
             event = RequestArrived(name, 0, 1, now + 1_500_000, None, 0, 0, units[name], 24)
             for action in hosts[n].handle(now, [event]):
                 if isinstance(action, Send):
@@ -209,8 +209,8 @@
 def answered(first_s: float, top_s: float, spread: bool, brokers: int = 40) -> list[float]:
     """When each broker's call is answered, of 40 s: a discovery that takes 150 ms for each call in turn, also
     for those whose caller has given up after 2 s in the line."""
-    chance, line, now, told = random.Random(8), 0.0, 0.0, []
-    calls = [(first_s * chance.random() if spread else 0.0, n, 0) for n in range(brokers)]
+    draws, line, now, told = random.Random(8), 0.0, 0.0, []
+    calls = [(first_s * draws.random() if spread else 0.0, n, 0) for n in range(brokers)]
     while calls and now < 40:
         now, n, failed = min(calls)
         calls.remove((now, n, failed))
@@ -218,7 +218,7 @@
         if line <= now + 2:
             told.append(line)
         else:
-            pause = min(top_s, first_s * 2**failed) * chance.uniform(0.5, 1.5)
+            pause = min(top_s, first_s * 2**failed) * draws.uniform(0.5, 1.5)
             calls.append((now + 2 + pause, n, failed + 1))
     return told
 
--- a/tests/test_rollout_live.py
+++ b/tests/test_rollout_live.py
@@ -25,7 +25,7 @@
 from lemonridge.coordination.policy_coordinator import VoteStore, VoteStoreError
 from lemonridge.lab.checkers.policy import Findings, Proposed, check
 from lemonridge.lab.drills import policy as drill
-from lemonridge.lab.load.fleet import Asker, Clients
+from lemonridge.lab.load.fleet import Clients, VolumeTraffic
 from lemonridge.lab.rig import Rig, Site, standing
 from lemonridge.net.admin_client import CallError, call
 from lemonridge.rollout.policy_document import Policy
@@ -82,7 +82,7 @@
 async def _stand(scene: Scene, seconds: float, *module: str) -> tuple[Rig, Clients]:
     async with standing(3, 2, 1, SITE, module=module or ("lemonridge",)) as rig:
         clients = Clients([one.port for one in rig.brokers], 1, SITE.deadline_ms)
-        asker = Asker(1, "basic", 3, (0, 1), lambda t: 60.0, lambda t: int(t * 1000) % 3)
+        asker = VolumeTraffic(1, "basic", 3, (0, 1), lambda t: 60.0, lambda t: int(t * 1000) % 3)
         await until(lambda: everywhere(rig, 0), 5.0)
         await asyncio.gather(clients.run([asker], seconds), scene(rig))
         await rig.stop()
@@ -105,8 +105,8 @@
     for rig, clients in asyncio.run(all_of()):
         found = judged(rig)
         case.assertTrue(found.held, found.notes)
-        for one in clients.asked:
-            down = any(a <= one.ended and one.due <= b + 0.05 for a, b in rig.brokers[one.broker].down)
+        for one in clients.requests:
+            down = any(a <= one.ended_at and one.due_at <= b + 0.05 for a, b in rig.brokers[one.broker].down)
             case.assertTrue(one.end in ("served", "refused", "failed") or down, one)
         rigs.append(rig)
     return rigs
