--- a/lemonridge/service/peers.py
+++ b/lemonridge/service/peers.py
@@ -26,9 +26,10 @@
     from lemonridge.net.peer_transport import PeerTransport
 
     if fleet.rollout is not None:
-        from lemonridge.coordination.policy_coordinator import PolicyCoordinator, held_store
+        from lemonridge.coordination.policy_coordinator import PolicyCoordinator
+        from lemonridge.coordination.vote_store import open_vote_store
 
-        store, stored_votes = await held_store(fleet.rollout.store)
+        store, record = await open_vote_store(fleet.rollout.store)
     peers = PeerTransport(
         fleet, service.decision_host, service.clock, service.counters, next_seed(), local_policy.settings
     )
@@ -44,7 +45,7 @@
         service.clock,
         service.counters,
         store,
-        stored_votes,
+        record,
     )
     service.on_stop.insert(0, coordinator.stop)
     return coordinator
