--- a/tests/scheduling/test_many_brokers_one_node.py
+++ b/tests/scheduling/test_many_brokers_one_node.py
@@ -225,8 +225,11 @@
 
 def test_many_brokers_calls_are_spread_so_that_discovery_can_answer_them() -> None:
     asked = replace(SETTINGS, hosts=40, polls_endpoint_list=True, poll_within_us=10_000_000)
-    told = answered(*discovery.pauses(asked), True)
+    told = answered(*discovery.backoff_bounds_s(asked), True)
     assert len(told) == 40 and sorted(told)[35] < 10
-    assert len(answered(*discovery.pauses(replace(asked, polls_endpoint_list=False)), False)) < 30
-    assert discovery.pauses(replace(asked, hosts=3))[0] < 0.5
-    assert discovery.pauses(replace(asked, poll_within_us=0)) == (4.0, 8.0)  # the settings need not say
+    assert len(answered(*discovery.backoff_bounds_s(replace(asked, polls_endpoint_list=False)), False)) < 30
+    assert discovery.backoff_bounds_s(replace(asked, hosts=3))[0] < 0.5
+    assert discovery.backoff_bounds_s(replace(asked, poll_within_us=0)) == (
+        4.0,
+        8.0,
+    )  # the settings need not say
