--- /dev/null
+++ b/lemonridge/coordination/etcd_client.py
@@ -0,0 +1,145 @@
+"""Calls of etcd by the JSON gateway of its v3 API: ranges, single keys and watches below one prefix."""
+
+from __future__ import annotations
+
+import asyncio
+import base64
+from collections.abc import AsyncGenerator, Callable, Sequence
+from contextlib import aclosing
+from dataclasses import dataclass
+from typing import Any
+
+import aiohttp
+import orjson
+
+from lemonridge.config.etcd import EtcdConfig
+from lemonridge.coordination.errors import CompactedError, EtcdResponseError
+from lemonridge.core.counters import Counters
+
+WATCH_DURATION_S = 60.0  # a watch is begun anew this often: a connection may die without a sign
+CALL_DEADLINE_S = 5.0  # of a call that is no watch
+MESSAGE_BYTES_MAX = 8 << 20  # of one message of a watch
+GRPC_OUT_OF_RANGE = 11  # the code of a revision that was compacted
+HTTP_OK = 200
+FAILURES = (aiohttp.ClientError, OSError, ValueError, KeyError, TypeError)  # of a call, to be repeated
+
+
+@dataclass(frozen=True, slots=True)
+class Event:
+    """A key that was set (`value`) or deleted (None), at a revision; the key without the prefix."""
+
+    key: str
+    value: bytes | None
+    revision: int
+
+
+def _base64(text: str) -> str:
+    return base64.b64encode(text.encode()).decode()
+
+
+class EtcdClient:
+    """Calls of one endpoint, for keys below one prefix; `page_size` is in keys.
+
+    Every call raises one of FAILURES where it failed, and CompactedError where its revision is compacted.
+    """
+
+    def __init__(self, etcd: EtcdConfig, counters: Counters, page_size: int) -> None:
+        self._url, self._prefix = f"http://{etcd.endpoint}/v3", etcd.prefix
+        self._counters, self._page_size = counters, page_size
+
+    async def range(
+        self, http: aiohttp.ClientSession, kind: str, on_page: Callable[[Sequence[Event]], None]
+    ) -> int:
+        """Reads all keys that begin with `kind`, in pages of one revision; returns the revision."""
+        key_range = self._key_range(kind)
+        request: dict[str, Any] = {**key_range, "limit": str(self._page_size)}
+        revision = 0
+        while True:
+            answer = await self._post(http, "kv/range", request)
+            revision = revision or int(answer["header"]["revision"])
+            page = answer.get("kvs", [])
+            on_page([self._event(row) for row in page])
+            if not answer.get("more") or not page:
+                self._counters["etcd.ranges"] += 1
+                return revision
+            next_key = base64.b64encode(base64.b64decode(page[-1]["key"]) + b"\0").decode()
+            request = {
+                **key_range,
+                "key": next_key,
+                "limit": str(self._page_size),
+                "revision": str(revision),
+            }
+
+    async def get(self, http: aiohttp.ClientSession, keys: Sequence[str]) -> list[Event]:
+        """Reads single keys, all as of one moment; those that do not exist are left out."""
+        requests = [{"request_range": {"key": _base64(self._prefix + key)}} for key in keys]
+        answer = await self._post(http, "kv/txn", {"success": requests})
+        ranges = [one["response_range"] for one in answer["responses"]]
+        return [self._event(row) for one in ranges for row in one.get("kvs", ())]
+
+    async def watch(
+        self, http: aiohttp.ClientSession, kind: str, revision: int
+    ) -> AsyncGenerator[list[Event], None]:
+        """Yields the events from `revision` on, a message at a time, until the watch is to be begun anew."""
+        create = {"create_request": {**self._key_range(kind), "start_revision": str(revision)}}
+        ends_s = asyncio.get_running_loop().time() + WATCH_DURATION_S
+        async with http.post(f"{self._url}/watch", data=orjson.dumps(create)) as response:
+            if response.status != HTTP_OK:
+                raise EtcdResponseError(f"status {response.status}")
+            self._counters["etcd.watches"] += 1
+            async with aclosing(_lines(response, ends_s)) as lines:
+                async for line in lines:
+                    yield self._events(orjson.loads(line))
+
+    def _events(self, message: dict[str, Any]) -> list[Event]:
+        if "error" in message:
+            raise EtcdResponseError(f"the watch failed: {message['error']}")
+        result = message["result"]
+        if int(result.get("compact_revision", 0)):
+            raise CompactedError
+        if result.get("canceled"):
+            raise EtcdResponseError(f"the watch was cancelled: {result.get('cancel_reason', '')}")
+        events = result.get("events", ())
+        return [self._event(event["kv"], event.get("type") == "DELETE") for event in events]
+
+    def _event(self, row: dict[str, Any], is_deleted: bool = False) -> Event:
+        key = base64.b64decode(row["key"]).decode()[len(self._prefix) :]
+        value = None if is_deleted else base64.b64decode(row.get("value", ""))
+        return Event(key, value, int(row.get("mod_revision", 0)))
+
+    def _key_range(self, kind: str) -> dict[str, str]:
+        """The range of every key that begins with `kind`."""
+        first = self._prefix + kind
+        return {"key": _base64(first), "range_end": _base64(first[:-1] + chr(ord(first[-1]) + 1))}
+
+    async def _post(self, http: aiohttp.ClientSession, path: str, request: dict[str, Any]) -> dict[str, Any]:
+        async with asyncio.timeout_at(asyncio.get_running_loop().time() + CALL_DEADLINE_S):
+            async with http.post(f"{self._url}/{path}", data=orjson.dumps(request)) as response:
+                answer = orjson.loads(await response.read())
+        if response.status != HTTP_OK:
+            if isinstance(answer, dict) and answer.get("code") == GRPC_OUT_OF_RANGE:
+                raise CompactedError
+            raise EtcdResponseError(f"status {response.status}: {answer}")
+        if not isinstance(answer, dict):
+            raise EtcdResponseError("not an object")
+        return answer
+
+
+async def _lines(response: aiohttp.ClientResponse, ends_s: float) -> AsyncGenerator[bytes, None]:
+    """The lines of a response until `ends_s` (loop time); EtcdResponseError where it ends before."""
+    buffer = bytearray()
+    while True:
+        try:
+            async with asyncio.timeout_at(ends_s):
+                chunk = await response.content.readany()
+        except TimeoutError:
+            return
+        if not chunk:
+            raise EtcdResponseError("the watch ended")
+        buffer += chunk
+        *complete, rest = buffer.split(b"\n")
+        buffer = bytearray(rest)
+        if len(buffer) > MESSAGE_BYTES_MAX:
+            raise EtcdResponseError("a message of the watch is too long")
+        for line in filter(None, map(bytes.strip, map(bytes, complete))):
+            yield line
--- /dev/null
+++ b/lemonridge/coordination/etcd_follower.py
@@ -0,0 +1,121 @@
+"""Follows one kind of keys in etcd: reads all of them, then watches from there on."""
+
+from __future__ import annotations
+
+import asyncio
+import logging
+from collections.abc import Sequence
+from contextlib import aclosing
+from random import Random
+from typing import Protocol
+
+import aiohttp
+
+from lemonridge.coordination.errors import CompactedError, OutOfStepError
+from lemonridge.coordination.etcd_client import FAILURES, EtcdClient, Event
+from lemonridge.core.counters import Counters
+from lemonridge.net.watch_stream import Backoff, client
+
+log = logging.getLogger(__name__)
+
+BACKOFF_FIRST_S = 0.1  # before the first retry, doubled up to the limit below
+BACKOFF_MAX_S = 2.0
+
+
+class Feed(Protocol):
+    """Takes the keys of one kind: first a snapshot, page by page, then the changes."""
+
+    def begin_snapshot(self) -> None:
+        """A snapshot of all keys begins, as of one revision."""
+
+    def add_page(self, rows: Sequence[Event]) -> None:
+        """Adds the next keys of the snapshot, in order.
+
+        Raises:
+            ValueError: They cannot be used: the snapshot is read again after a pause.
+        """
+
+    def finish_snapshot(self) -> None:
+        """The snapshot is complete; ValueError as above."""
+
+    def apply_changes(self, events: Sequence[Event]) -> None:
+        """Applies changes, in order.
+
+        Raises:
+            OutOfStepError: A change was lost: only a snapshot helps.
+        """
+
+    async def run_beside_watch(self, etcd: EtcdClient, http: aiohttp.ClientSession) -> None:
+        """Runs beside each watch; its end ends the watch."""
+
+
+def etcd_backoff(random: Random, counters: Counters) -> Backoff:
+    """The pauses between two attempts to reach etcd."""
+    return Backoff("etcd", log, BACKOFF_FIRST_S, BACKOFF_MAX_S, random, counters)
+
+
+class Follower:
+    """Feeds one kind of keys, which begin with `kind`, to a feed; `run` never returns."""
+
+    def __init__(self, etcd: EtcdClient, kind: str, feed: Feed, random: Random, counters: Counters) -> None:
+        self._etcd, self._kind, self._feed, self._counters = etcd, kind, feed, counters
+        self._backoff = etcd_backoff(random, counters)
+        self._revision = 0  # the newest that the feed has; 0: it needs a snapshot
+
+    async def run(self, revision: int = 0) -> None:
+        """Reads a snapshot, then watches from the next revision on.
+
+        After a failure it watches on; after a compaction, or a lost change, it reads a snapshot again.
+        `revision` is that of a snapshot that the feed has already.
+        """
+        self._revision = revision
+        async with client() as http:
+            while True:
+                try:
+                    if not self._revision:
+                        await self._read_snapshot(http)
+                    await self._watch(http)
+                except CompactedError:
+                    log.info("etcd revision compacted, reading all keys", extra=self._log_keys())
+                    self._counters["etcd.compacted"] += 1
+                    self._revision = 0
+                except OutOfStepError:
+                    log.info("etcd watch out of step, reading all keys", extra=self._log_keys())
+                    self._counters["etcd.out_of_step"] += 1
+                    self._revision = 0
+                except FAILURES as error:
+                    await self._backoff.failed(error)
+
+    def _log_keys(self) -> dict[str, object]:
+        return {"kind": self._kind, "revision": self._revision}
+
+    async def _read_snapshot(self, http: aiohttp.ClientSession) -> None:
+        self._feed.begin_snapshot()
+        revision = await self._etcd.range(http, self._kind, self._feed.add_page)
+        self._feed.finish_snapshot()
+        self._revision = revision
+
+    async def _watch(self, http: aiohttp.ClientSession) -> None:
+        """One watch, and what the feed runs beside it; the end of either ends both."""
+        tasks = [
+            asyncio.create_task(self._apply_watch(http)),
+            asyncio.create_task(self._feed.run_beside_watch(self._etcd, http)),
+        ]
+        try:
+            done, _ = await asyncio.wait(tasks, return_when=asyncio.FIRST_COMPLETED)
+            for task in done:
+                task.result()
+        finally:
+            for task in tasks:
+                task.cancel()
+            await asyncio.gather(*tasks, return_exceptions=True)
+
+    async def _apply_watch(self, http: aiohttp.ClientSession) -> None:
+        async with aclosing(self._etcd.watch(http, self._kind, self._revision + 1)) as messages:
+            async for events in messages:
+                self._backoff.worked()
+                if events:
+                    self._feed.apply_changes(events)
+                    # A message's header holds the store's revision, which a watch that catches up has not
+                    # reached: only the events' revisions have been seen.
+                    self._revision = max(self._revision, *(event.revision for event in events))
--- a/lemonridge/extents/etcd_source.py
+++ b/lemonridge/extents/etcd_source.py
@@ -16,7 +16,8 @@
 import aiohttp
 import msgspec
 
-from lemonridge.coordination.etcd import FAILURES, EtcdClient, Event, OutOfStepError
+from lemonridge.coordination.errors import OutOfStepError
+from lemonridge.coordination.etcd_client import FAILURES, EtcdClient, Event
 from lemonridge.extents.extent_map import Change, ChangeResult, Extent, MapError
 from lemonridge.extents.router import Router
 from lemonridge.net.watch_stream import client
@@ -82,13 +83,13 @@
     def __init__(self, router: Router, luns: frozenset[int]) -> None:
         self._router, self._luns = router, luns
         self._freshness = FreshnessCheck()
-        self.begin()
+        self.begin_snapshot()
 
-    def begin(self) -> None:
+    def begin_snapshot(self) -> None:
         """A range of the whole map begins."""
         self._builder, self._version = self._router.map.builder(), -1
 
-    def page(self, rows: Sequence[Event]) -> None:
+    def add_page(self, rows: Sequence[Event]) -> None:
         try:
             for row in rows:
                 if row.key == HEAD and row.value is not None:
@@ -101,15 +102,15 @@
             self._router.refused(self._version, error)
             raise
 
-    def finish(self) -> None:
+    def finish_snapshot(self) -> None:
         """All of it is there, as of one revision."""
         if self._version < 0:
             raise RowError("there is no map")
         if not self._router.take(self._version, self._builder):
             raise RowError("there is no map that can be used")
-        self.begin()  # the gathered columns are not kept a second time
+        self.begin_snapshot()  # the gathered columns are not kept a second time
 
-    def changes(self, events: Sequence[Event]) -> None:
+    def apply_changes(self, events: Sequence[Event]) -> None:
         """The events of a watch, revision by revision, each one change."""
         groups: dict[int, list[Event]] = {}
         for event in events:
@@ -124,7 +125,7 @@
             if fit not in (ChangeResult.APPLIED, ChangeResult.STALE):
                 raise OutOfStepError
 
-    async def beside(self, etcd: EtcdClient, http: aiohttp.ClientSession) -> None:
+    async def run_beside_watch(self, etcd: EtcdClient, http: aiohttp.ClientSession) -> None:
         """Ask for the map's version again and again: etcd answers with the newest that it has agreed on.
 
         That confirms the map, and shows a watch that has lost something.
--- a/lemonridge/service/iscsi.py
+++ b/lemonridge/service/iscsi.py
@@ -10,7 +10,8 @@
 
 from lemonridge.config.errors import ConfigError
 from lemonridge.config.fleet import FleetConfig
-from lemonridge.coordination.etcd import EndpointsFeed, EtcdSource, Feed
+from lemonridge.coordination.etcd_follower import Feed
+from lemonridge.coordination.etcd_source import EndpointsFeed, EtcdSource
 from lemonridge.core.broker import Broker
 from lemonridge.core.counters import Counters
 from lemonridge.extents.etcd_source import MapFeed, Refresher
--- a/tests/extents/test_map_sources.py
+++ b/tests/extents/test_map_sources.py
@@ -16,7 +16,8 @@
 from lemonridge.config.errors import ConfigError
 from lemonridge.config.operator_file import parse
 from lemonridge.config.operator_schema import json_schema
-from lemonridge.coordination.etcd import Event, OutOfStepError
+from lemonridge.coordination.errors import OutOfStepError
+from lemonridge.coordination.etcd_client import Event
 from lemonridge.core.counters import Counters
 from lemonridge.extents.etcd_source import HEAD, MapFeed, RowError, key_of
 from lemonridge.extents.extent_map import Builder, Change, ChangeResult, Extent, ExtentMap
@@ -58,10 +59,10 @@
         self.feed = MapFeed(self.holder, frozenset((0,)))  # type: ignore[arg-type]
 
     def whole(self, *pages: Sequence[Event]) -> None:
-        self.feed.begin()
+        self.feed.begin_snapshot()
         for page in pages:
-            self.feed.page(page)
-        self.feed.finish()
+            self.feed.add_page(page)
+        self.feed.finish_snapshot()
 
     def test_pages_make_one_map_of_the_luns_that_are_served(self) -> None:
         self.whole([extent(0), extent(10, 1)], [extent(20, 2), extent(0, lun=7), head(4)])
@@ -87,11 +88,11 @@
         self.whole([extent(0), extent(10), head(4)])
         events = [extent(0, 3, 2, 6), head(5, 6), extent(10, 3, 2, 7), head(6, 7)]
         for _ in range(2):
-            self.feed.changes(events)
+            self.feed.apply_changes(events)
             self.assertEqual([one.shard for one in self.holder.map], [3, 3])
         split = [extent(0, 3, 3, 8), extent(10, 3, 3, 8), extent(20, 1, 1, 8), head(7, 8)]
-        self.feed.changes(split)
-        self.feed.changes([Event(key_of(0, 20), None, 9), head(8, 9)])
+        self.feed.apply_changes(split)
+        self.feed.apply_changes([Event(key_of(0, 20), None, 9), head(8, 9)])
         self.assertEqual((self.holder.map.version, len(self.holder.map)), (8, 2))
 
     def test_what_does_not_follow_asks_for_the_whole(self) -> None:
@@ -105,9 +106,9 @@
             [Event(key_of(0, 0), b"[]", 6), head(5)],
         ):
             with self.subTest(events=events), self.assertRaises(OutOfStepError):
-                self.feed.changes(events)
+                self.feed.apply_changes(events)
             self.assertEqual([(one.first, one.shard) for one in self.holder.map], [(0, 0), (10, 0)])
-        self.assertRaises(RowError, self.feed.page, [Event(key_of(0, 0) + "/x", b"{}", 1)])
+        self.assertRaises(RowError, self.feed.add_page, [Event(key_of(0, 0) + "/x", b"{}", 1)])
 
 
 class OnDisk(unittest.TestCase):
--- a/tests/integration/test_extents_live.py
+++ b/tests/integration/test_extents_live.py
@@ -165,7 +165,7 @@
         await self.move(1, 0)
         self.etcd.mangle = lambda revision, events: [(0.0, events), (0.0, events)]
         await self.move(2, 1)
-        await self.program.line("etcd out of step")
+        await self.program.line("etcd watch out of step")
         await self.program.line("map taken")
         self.assertEqual(await self.read(16, 32), (GOOD, bytes(32 * BLOCK)))
         self.assertEqual(sum(node.refused for node in self.nodes), 0)
--- a/tests/test_format_etcd.py
+++ b/tests/test_format_etcd.py
@@ -18,7 +18,9 @@
 from lemonridge.config.errors import ConfigError
 from lemonridge.config.etcd import EtcdConfig
 from lemonridge.config.operator_schema import NodeTable, PlanTable, read
-from lemonridge.coordination.etcd import CompactedError, EndpointsFeed, EtcdClient, Event, PlansFeed
+from lemonridge.coordination.errors import CompactedError
+from lemonridge.coordination.etcd_client import EtcdClient, Event
+from lemonridge.coordination.etcd_source import EndpointsFeed, PlansFeed
 from lemonridge.core.counters import Counters
 from lemonridge.core.endpoint_registry import EndpointAddress
 from lemonridge.scheduling.events import EndpointListUpdate, EndpointState
@@ -184,16 +186,16 @@
         """What the node list is told of a range of keys."""
         directory = mock.Mock()
         feed = EndpointsFeed(directory, Counters())
-        feed.begin()
-        feed.page(events)
-        feed.finish()
+        feed.begin_snapshot()
+        feed.add_page(events)
+        feed.finish_snapshot()
         return [call.args for call in directory.update.call_args_list]
 
     def plans(self, *events: Event) -> dict[str, VolumePlan]:
         feed = PlansFeed(Counters())
-        feed.begin()
-        feed.page(events)
-        feed.finish()
+        feed.begin_snapshot()
+        feed.add_page(events)
+        feed.finish_snapshot()
         return feed.plans
 
     def test_the_kinds_of_keys(self) -> None:
