--- a/lemonridge/coordination/etcd_follower.py
+++ b/lemonridge/coordination/etcd_follower.py
@@ -14,7 +14,7 @@
 from lemonridge.coordination.errors import CompactedError, OutOfStepError
 from lemonridge.coordination.etcd_client import FAILURES, EtcdClient, Event
 from lemonridge.core.counters import Counters
-from lemonridge.net.watch_stream import Backoff, client
+from lemonridge.net.watch_stream import Backoff, open_session
 
 log = logging.getLogger(__name__)
 
@@ -69,7 +69,7 @@
         `revision` is that of a snapshot that the feed has already.
         """
         self._revision = revision
-        async with client() as http:
+        async with open_session() as http:
             while True:
                 try:
                     if not self._revision:
@@ -84,7 +84,7 @@
                     self._counters["etcd.out_of_step"] += 1
                     self._revision = 0
                 except FAILURES as error:
-                    await self._backoff.failed(error)
+                    await self._backoff.wait_after(error)
 
     def _log_keys(self) -> dict[str, object]:
         return {"kind": self._kind, "revision": self._revision}
@@ -113,7 +113,7 @@
     async def _apply_watch(self, http: aiohttp.ClientSession) -> None:
         async with aclosing(self._etcd.watch(http, self._kind, self._revision + 1)) as messages:
             async for events in messages:
-                self._backoff.worked()
+                self._backoff.reset()
                 if events:
                     self._feed.apply_changes(events)
                     # A message's header holds the store's revision, which a watch that catches up has not
--- a/lemonridge/coordination/etcd_source.py
+++ b/lemonridge/coordination/etcd_source.py
@@ -26,7 +26,7 @@
 from lemonridge.coordination.etcd_follower import Feed, Follower, etcd_backoff
 from lemonridge.core.counters import Counters
 from lemonridge.core.endpoint_registry import EndpointAddress, EndpointRegistry
-from lemonridge.net.watch_stream import client
+from lemonridge.net.watch_stream import open_session
 from lemonridge.scheduling.events import EndpointListUpdate, EndpointState
 from lemonridge.scheduling.settings import Settings, VolumePlan
 
@@ -151,13 +151,13 @@
 
     async def contracts(self, names: tuple[str, ...], settings: Settings) -> Settings:
         """The settings with the plans that etcd holds at the start; waits until it answers."""
-        async with client() as http:
+        async with open_session() as http:
             while True:
                 try:
                     self._plans_revision = await self.client.range(http, PlansFeed.KIND, self._plans.add_page)
                     break
                 except (CompactedError, *FAILURES) as error:
-                    await self._backoff.failed(error)
+                    await self._backoff.wait_after(error)
         plans = tuple(
             self._plans.plans.get(name, plan) for name, plan in zip(names, settings.plans, strict=True)
         )
