--- a/lemonridge/fleet/datagrams.py
+++ b/lemonridge/fleet/datagrams.py
@@ -187,39 +187,39 @@
     LAYOUT: ClassVar[Struct] = Struct("")
 
 
-# Items of the policy rollout (lemonridge/rollout). Each question is padded to the length of its answer. A
-# state is named by the first 8 bytes of its hash; an epoch range is empty where `low` is above `high`.
+# Items of the policy rollout (lemonridge/rollout). Each request is padded to the length of its answer. A
+# state is identified by its digest; an epoch range is empty where `low` is above `high`.
 
 
 @dataclass(frozen=True, slots=True)
-class LeaseAsk:
-    """Asks for a lease: the sender decides by epochs `low` to `high` and would decide by `want` alone.
+class LeaseRequest:
+    """Asks for a lease: the sender decides by epochs `low` to `high` and would decide by `wanted` alone.
 
-    `name` is that epoch's state, `ask` the question's number.
+    `digest` is that of the wanted epoch's state.
     """
 
     LAYOUT: ClassVar[Struct] = Struct("<IIII8s16x")
-    ask: int
+    request_id: int
     low: int
     high: int
-    want: int
-    name: bytes
+    wanted: int
+    digest: bytes
 
 
 @dataclass(frozen=True, slots=True)
-class Lease:
-    """Answers question `ask`: the receiver may decide by epochs `low` to `high`; empty: no lease.
+class LeaseReply:
+    """Answers a lease request: the receiver may decide by epochs `low` to `high`; empty: no lease.
 
-    `epoch` with state `name` is the newest that the sender knows to be decided, `ident` names its store.
+    `epoch`, whose state has `digest`, is the newest that the sender knows to be decided.
     """
 
     LAYOUT: ClassVar[Struct] = Struct("<IIII8sQ")
-    ask: int
+    request_id: int
     low: int
     high: int
     epoch: int
-    name: bytes
-    ident: int
+    digest: bytes
+    store_id: int
 
 
 @dataclass(frozen=True, slots=True)
@@ -233,14 +233,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Promise:
-    """Phase 1b: state `name` was accepted so far, at ballot `took` (0: none), by the store `ident`."""
+    """Phase 1b: `digest` was accepted before, at `accepted_ballot` (0: nothing was), by the store."""
 
     LAYOUT: ClassVar[Struct] = Struct("<III8sQ")
     slot: int
     ballot: int
-    took: int
-    name: bytes
-    ident: int
+    accepted_ballot: int
+    digest: bytes
+    store_id: int
 
 
 @dataclass(frozen=True, slots=True)
@@ -250,17 +250,17 @@
     LAYOUT: ClassVar[Struct] = Struct("<II8s")
     slot: int
     ballot: int
-    name: bytes
+    digest: bytes
 
 
 @dataclass(frozen=True, slots=True)
 class AcceptReply:
-    """Phase 2b: accepted, by the store `ident`."""
+    """Phase 2b: accepted, by the store."""
 
     LAYOUT: ClassVar[Struct] = Struct("<IIQ")
     slot: int
     ballot: int
-    ident: int
+    store_id: int
 
 
 @dataclass(frozen=True, slots=True)
@@ -273,41 +273,41 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Check:
-    """Asks whether the receiver could decide by state `name`, which is to be proposed in `slot`."""
+class CheckRequest:
+    """Asks whether the receiver could decide by a state, which is to be proposed in `slot`."""
 
     LAYOUT: ClassVar[Struct] = Struct("<I8s101x")
     slot: int
-    name: bytes
+    digest: bytes
 
 
 @dataclass(frozen=True, slots=True)
-class CheckResult:
-    """Whether the sender could decide by state `name`; `why` not is UTF-8, padded with zeros."""
+class CheckReply:
+    """Whether the sender could decide by a state; the `reason` why not is UTF-8, padded with zeros."""
 
     LAYOUT: ClassVar[Struct] = Struct("<I8sB100s")
     slot: int
-    name: bytes
-    good: int
-    why: bytes
+    digest: bytes
+    is_accepted: int
+    reason: bytes
 
 
 @dataclass(frozen=True, slots=True)
 class ChunkRequest:
-    """Asks for piece `piece` of state `name`."""
+    """Asks for a chunk of a state, by its number from 0."""
 
     LAYOUT: ClassVar[Struct] = Struct("<8sH179x")
-    name: bytes
-    piece: int
+    digest: bytes
+    number: int
 
 
 @dataclass(frozen=True, slots=True)
-class Piece:
-    """A part of a state: piece `piece` of `count`, `size` bytes of `data`."""
+class Chunk:
+    """A chunk of a state, the first `size` bytes of `data`; the state has `count` chunks."""
 
     LAYOUT: ClassVar[Struct] = Struct("<8sHHB176s")
-    name: bytes
-    piece: int
+    digest: bytes
+    number: int
     count: int
     size: int
     data: bytes
@@ -315,11 +315,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Chosen:
-    """Slot `slot` is decided: state `name`."""
+    """Slot `slot` is decided."""
 
     LAYOUT: ClassVar[Struct] = Struct("<I8s")
     slot: int
-    name: bytes
+    digest: bytes
 
 
 Item = (
@@ -335,17 +335,17 @@
     | UsageTotal
     | HealthReport
     | Heartbeat
-    | LeaseAsk
-    | Lease
+    | LeaseRequest
+    | LeaseReply
     | Prepare
     | Promise
     | Accept
     | AcceptReply
     | BallotRejected
-    | Check
-    | CheckResult
+    | CheckRequest
+    | CheckReply
     | ChunkRequest
-    | Piece
+    | Chunk
     | Chosen
 )
 ITEM_TYPES: tuple[type[Item], ...] = (
@@ -361,17 +361,17 @@
     UsageTotal,
     HealthReport,
     Heartbeat,
-    LeaseAsk,
-    Lease,
+    LeaseRequest,
+    LeaseReply,
     Prepare,
     Promise,
     Accept,
     AcceptReply,
     BallotRejected,
-    Check,
-    CheckResult,
+    CheckRequest,
+    CheckReply,
     ChunkRequest,
-    Piece,
+    Chunk,
     Chosen,
 )
 ROLLOUT_ITEM_TYPES: tuple[type[Item], ...] = ITEM_TYPES[12:]  # delivered to lemonridge/rollout
--- a/lemonridge/rollout/change_proposal.py
+++ b/lemonridge/rollout/change_proposal.py
@@ -10,8 +10,8 @@
     Accept,
     AcceptReply,
     BallotRejected,
-    Check,
-    CheckResult,
+    CheckReply,
+    CheckRequest,
     Chosen,
     Prepare,
     Promise,
@@ -172,7 +172,7 @@
         elif now_us - change.sent_us >= RESEND_US:
             change.sent_us = now_us
             for member in silent:
-                self._context.send(member, Check(change.slot, change.digest))
+                self._context.send(member, CheckRequest(change.slot, change.digest))
 
     def _voters_have_answered(self, change: Change) -> bool:
         """Whether a majority has, both of those who vote now and of those who vote afterwards."""
@@ -184,13 +184,13 @@
             )
         )
 
-    def on_check_result(self, member: int, message: CheckResult, now_us: int) -> None:
+    def on_check_reply(self, member: int, message: CheckReply, now_us: int) -> None:
         """Records a member's answer to the check."""
         change = self.change
-        if change is None or change.proposer is not None or message.name != change.digest:
+        if change is None or change.proposer is not None or message.digest != change.digest:
             return
-        reason = message.why.rstrip(b"\0").decode("utf-8", "replace") or "it cannot"
-        change.check_answers[member] = None if message.good else reason
+        reason = message.reason.rstrip(b"\0").decode("utf-8", "replace") or "it cannot"
+        change.check_answers[member] = None if message.is_accepted else reason
         self.advance(now_us)
 
     def _begin_vote(self, change: Change, now_us: int) -> None:
@@ -248,8 +248,8 @@
         if change is None or change.proposer is None:
             return
         proposer = change.proposer
-        promised = Promised(message.slot, message.ballot, message.took, message.name)
-        if proposer.on_promise(member, message.ident, promised):
+        promised = Promised(message.slot, message.ballot, message.accepted_ballot, message.digest)
+        if proposer.on_promise(member, message.store_id, promised):
             if proposer.value not in self._log.documents:
                 self._transfer.begin(proposer.value, 0, member, now_us)
             self._send_phase(change, now_us)
@@ -259,7 +259,7 @@
         if self.change is None or self.change.proposer is None:
             return
         proposer = self.change.proposer
-        if proposer.on_accepted(member, message.ident, Accepted(message.slot, message.ballot)):
+        if proposer.on_accepted(member, message.store_id, Accepted(message.slot, message.ballot)):
             self._context.broadcast(Chosen(proposer.slot, proposer.value))
             self._on_chosen(proposer.slot, proposer.value, now_us)
 
--- a/lemonridge/rollout/lease_exchange.py
+++ b/lemonridge/rollout/lease_exchange.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-from lemonridge.fleet.datagrams import Chosen, Lease, LeaseAsk
+from lemonridge.fleet.datagrams import Chosen, LeaseReply, LeaseRequest
 from lemonridge.rollout.leases import NO_EPOCHS, EpochInterval, LeaseGrantor, LeaseHolder
 from lemonridge.rollout.member_context import MemberContext
 from lemonridge.rollout.vote_log import VoteLog
@@ -71,7 +71,7 @@
                     self.holder.record_grant(member, request_id, granted, now_us)
             else:
                 low, high = _to_wire(in_use)
-                context.send(member, LeaseAsk(request_id, low, high, wanted, log.digest))
+                context.send(member, LeaseRequest(request_id, low, high, wanted, log.digest))
 
     def _grant(
         self,
@@ -89,26 +89,30 @@
             return NO_EPOCHS  # its file is another than this one's, or its history
         return self.grantor.grant(member, incarnation, request_id, in_use, wanted, newest, now_us)
 
-    def answer(self, member: int, incarnation: int, request: LeaseAsk, now_us: int) -> None:
+    def answer(self, member: int, incarnation: int, request: LeaseRequest, now_us: int) -> None:
         """Answers a member's request."""
         log = self._log
         in_use = _from_wire(request.low, request.high)
-        granted = self._grant(member, incarnation, request.ask, in_use, request.want, request.name, now_us)
-        self.note_heard(member, request.want, now_us)
-        if log.is_voter or request.want < log.state.epoch:
+        granted = self._grant(
+            member, incarnation, request.request_id, in_use, request.wanted, request.digest, now_us
+        )
+        self.note_heard(member, request.wanted, now_us)
+        if log.is_voter or request.wanted < log.state.epoch:
             epoch, digest = log.state.epoch, log.digest
-            self._context.send(member, Lease(request.ask, *_to_wire(granted), epoch, digest, log.store_id))
+            self._context.send(
+                member, LeaseReply(request.request_id, *_to_wire(granted), epoch, digest, log.store_id)
+            )
 
     def note_heard(self, member: int, epoch: int, now_us: int) -> None:
         """Remembers that a member was heard, and the epoch that it named."""
         self.heard[member] = MemberHeard(epoch, now_us)
 
-    def record_answer(self, member: int, answer: Lease, now_us: int) -> None:
+    def record_answer(self, member: int, answer: LeaseReply, now_us: int) -> None:
         """Records a voter's answer, if the store that it names votes."""
         granted = _from_wire(answer.low, answer.high)
         states = [one for one in (self._log.state, self._log.previous) if one is not None]
-        if any(one.voters.get(self._context.names[member]) == answer.ident for one in states):
-            self.holder.record_grant(member, answer.ask, granted, now_us)
+        if any(one.voters.get(self._context.names[member]) == answer.store_id for one in states):
+            self.holder.record_grant(member, answer.request_id, granted, now_us)
 
 
 def _to_wire(interval: EpochInterval) -> EpochInterval:
--- a/lemonridge/rollout/rollout_member.py
+++ b/lemonridge/rollout/rollout_member.py
@@ -24,14 +24,14 @@
     Accept,
     AcceptReply,
     BallotRejected,
-    Check,
-    CheckResult,
+    CheckReply,
+    CheckRequest,
     Chosen,
+    Chunk,
     ChunkRequest,
     Item,
-    Lease,
-    LeaseAsk,
-    Piece,
+    LeaseReply,
+    LeaseRequest,
     Prepare,
     Promise,
 )
@@ -53,7 +53,7 @@
 from lemonridge.rollout.state_transfer import StateTransfer
 from lemonridge.rollout.vote_log import VoteLog
 
-REASON_BYTES_MAX = 100  # of the reason in a CheckResult
+REASON_BYTES_MAX = 100  # of the reason in a CheckReply
 
 
 class Sender(NamedTuple):
@@ -101,17 +101,17 @@
         self.leases = LeaseExchange(self._context, self.log, lease_us, clock_error_us, now_us)
         self._emergency = EmergencyCall(self._context, self.log, self.leases, now_us)
         self._handlers: dict[type[Item], Callable[[Sender, Any, int], None]] = {
-            LeaseAsk: self._handle_lease_request,
-            Lease: self._handle_lease,
+            LeaseRequest: self._handle_lease_request,
+            LeaseReply: self._handle_lease_reply,
             Prepare: self._handle_prepare,
             Accept: self._handle_accept,
             Promise: self._handle_promise,
             AcceptReply: self._handle_accept_reply,
             BallotRejected: self._handle_ballot_rejected,
-            Check: self._handle_check,
-            CheckResult: self._handle_check_result,
+            CheckRequest: self._handle_check_request,
+            CheckReply: self._handle_check_reply,
             ChunkRequest: self._handle_chunk_request,
-            Piece: self._handle_chunk,
+            Chunk: self._handle_chunk,
             Chosen: self._handle_chosen,
         }
 
@@ -276,12 +276,12 @@
         if handler is not None:
             handler(Sender(member, incarnation), item, now_us)
 
-    def _handle_lease_request(self, sender: Sender, message: LeaseAsk, now_us: int) -> None:
+    def _handle_lease_request(self, sender: Sender, message: LeaseRequest, now_us: int) -> None:
         self.leases.answer(sender.member, sender.incarnation, message, now_us)
 
-    def _handle_lease(self, sender: Sender, message: Lease, now_us: int) -> None:
+    def _handle_lease_reply(self, sender: Sender, message: LeaseReply, now_us: int) -> None:
         self.leases.note_heard(sender.member, message.epoch, now_us)
-        self._learn(sender.member, message.epoch, message.name, now_us)
+        self._learn(sender.member, message.epoch, message.digest, now_us)
         self.leases.record_answer(sender.member, message, now_us)
 
     def _handle_prepare(self, sender: Sender, message: Prepare, now_us: int) -> None:
@@ -303,14 +303,14 @@
     def _handle_ballot_rejected(self, sender: Sender, message: BallotRejected, now_us: int) -> None:
         self._proposals.on_rejected(message, now_us)
 
-    def _handle_check(self, sender: Sender, message: Check, now_us: int) -> None:
+    def _handle_check_request(self, sender: Sender, message: CheckRequest, now_us: int) -> None:
         """Answers whether this broker could decide by a state, which is transferred first."""
         epoch = self.state.epoch
-        if message.slot > epoch + 1 or (message.slot <= epoch and message.name != self.log.digest):
+        if message.slot > epoch + 1 or (message.slot <= epoch and message.digest != self.log.digest):
             return  # one of the two missed a decision, which a lease message will tell
-        data = self.log.documents.get(message.name)
+        data = self.log.documents.get(message.digest)
         if data is None:
-            self.transfer.begin(message.name, 0, sender.member, now_us).check = message
+            self.transfer.begin(message.digest, 0, sender.member, now_us).check = message
             return
         try:
             self._check.check_document(data)
@@ -319,27 +319,27 @@
             reason = str(error)
             self.counts["refused"] += 1
         reason_bytes = reason.encode()[:REASON_BYTES_MAX]
-        self._context.send(sender.member, CheckResult(message.slot, message.name, not reason, reason_bytes))
+        self._context.send(sender.member, CheckReply(message.slot, message.digest, not reason, reason_bytes))
 
-    def _handle_check_result(self, sender: Sender, message: CheckResult, now_us: int) -> None:
-        self._proposals.on_check_result(sender.member, message, now_us)
+    def _handle_check_reply(self, sender: Sender, message: CheckReply, now_us: int) -> None:
+        self._proposals.on_check_reply(sender.member, message, now_us)
 
     def _handle_chunk_request(self, sender: Sender, message: ChunkRequest, now_us: int) -> None:
         self.transfer.serve_chunk(sender.member, message)
 
-    def _handle_chunk(self, sender: Sender, message: Piece, now_us: int) -> None:
+    def _handle_chunk(self, sender: Sender, message: Chunk, now_us: int) -> None:
         complete = self.transfer.add_chunk(message, now_us)
         if complete is None:
             return
         if complete.decided_slot:
-            self._on_decided(complete.decided_slot, message.name, now_us)
+            self._on_decided(complete.decided_slot, message.digest, now_us)
         if complete.check is not None:
             source = Sender(complete.source, sender.incarnation)
-            self._handle_check(source, complete.check, now_us)
+            self._handle_check_request(source, complete.check, now_us)
         self._proposals.resume_vote(now_us)
 
     def _handle_chosen(self, sender: Sender, message: Chosen, now_us: int) -> None:
-        self._learn(sender.member, message.slot, message.name, now_us)
+        self._learn(sender.member, message.slot, message.digest, now_us)
 
     def tick(self, now_us: int) -> None:
         """Time has passed: renews leases, repeats messages, takes over changes that nobody finishes."""
--- a/lemonridge/rollout/state_transfer.py
+++ b/lemonridge/rollout/state_transfer.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass, field
 
-from lemonridge.fleet.datagrams import Check, ChunkRequest, Piece
+from lemonridge.fleet.datagrams import CheckRequest, Chunk, ChunkRequest
 from lemonridge.rollout import policy_document
 from lemonridge.rollout.errors import PolicyError
 from lemonridge.rollout.member_context import MemberContext
@@ -28,7 +28,7 @@
     requested_us: int = 0
     begun_us: int = 0
     progress_us: int = 0  # when the last chunk arrived
-    check: Check | None = None  # to be answered once the state is there
+    check: CheckRequest | None = None  # to be answered once the state is there
 
 
 class StateTransfer:
@@ -55,27 +55,27 @@
 
     def serve_chunk(self, member: int, request: ChunkRequest) -> None:
         """Sends a chunk of a state, if this member has it."""
-        data, offset = self._documents.get(request.name), request.piece * CHUNK_BYTES
+        data, offset = self._documents.get(request.digest), request.number * CHUNK_BYTES
         if data is not None and offset < len(data):
             chunk, count = data[offset : offset + CHUNK_BYTES], -(-len(data) // CHUNK_BYTES)
-            self._context.send(member, Piece(request.name, request.piece, count, len(chunk), chunk))
+            self._context.send(member, Chunk(request.digest, request.number, count, len(chunk), chunk))
 
-    def add_chunk(self, chunk: Piece, now_us: int) -> Transfer | None:
+    def add_chunk(self, chunk: Chunk, now_us: int) -> Transfer | None:
         """Adds a chunk. Returns the transfer that it completes, whose state is among the documents then."""
-        transfer = self.transfers.get(chunk.name)
+        transfer = self.transfers.get(chunk.digest)
         chunks_max = policy_document.STATE_BYTES_MAX // CHUNK_BYTES + 1
-        if transfer is None or not 0 < chunk.count <= chunks_max or chunk.piece >= chunk.count:
+        if transfer is None or not 0 < chunk.count <= chunks_max or chunk.number >= chunk.count:
             return None
         transfer.chunk_count, transfer.progress_us = chunk.count, now_us
-        transfer.chunks[chunk.piece] = chunk.data[: chunk.size]
+        transfer.chunks[chunk.number] = chunk.data[: chunk.size]
         if len(transfer.chunks) < transfer.chunk_count:
-            later = range(chunk.piece + 1, transfer.chunk_count)
-            if chunk.piece == 0 or not any(number in transfer.chunks for number in later):
-                self._request_chunks(chunk.name, transfer, now_us)
+            later = range(chunk.number + 1, transfer.chunk_count)
+            if chunk.number == 0 or not any(number in transfer.chunks for number in later):
+                self._request_chunks(chunk.digest, transfer, now_us)
             return None
-        del self.transfers[chunk.name]
+        del self.transfers[chunk.digest]
         data = b"".join(transfer.chunks[number] for number in range(transfer.chunk_count))
-        if policy_document.digest(data) != chunk.name:
+        if policy_document.digest(data) != chunk.digest:
             return None  # corrupt, or chunks of two states: it is requested anew when it is needed
         try:
             policy_document.decode(data)
--- a/tests/fleet/test_fleet_recorded_actions.py
+++ b/tests/fleet/test_fleet_recorded_actions.py
@@ -23,7 +23,7 @@
     SendDatagram,
     SetTimer,
 )
-from lemonridge.fleet.datagrams import Check, Prepare
+from lemonridge.fleet.datagrams import CheckRequest, Prepare
 from lemonridge.fleet.events import (
     DatagramReceived,
     RolloutItemsQueued,
@@ -127,7 +127,7 @@
             began = SlowStartBegan("s-1", random.randrange(2), 3, 9.0, now, now + 4_000_000)
             act(n, member.handle(now, (began,)))
         elif draw < 0.06:
-            items = ((lead, Prepare(random.randrange(9), 2)), ((n + 1) % count, Check(1, b"12345678")))
+            items = ((lead, Prepare(random.randrange(9), 2)), ((n + 1) % count, CheckRequest(1, b"12345678")))
             act(n, member.handle(now, (RolloutItemsQueued(items),)))
         elif draw < 0.08:
             act(
--- a/tests/rollout/test_policy_document.py
+++ b/tests/rollout/test_policy_document.py
@@ -76,11 +76,11 @@
 
     def test_no_answer_is_longer_than_its_request(self) -> None:
         for question, answer in (
-            ("LeaseAsk", "Lease"),
+            ("LeaseRequest", "LeaseReply"),
             ("Prepare", "Promise"),
             ("Accept", "AcceptReply"),
-            ("Check", "CheckResult"),
-            ("ChunkRequest", "Piece"),
+            ("CheckRequest", "CheckReply"),
+            ("ChunkRequest", "Chunk"),
         ):
             self.assertGreaterEqual(
                 getattr(datagrams, question).LAYOUT.size, getattr(datagrams, answer).LAYOUT.size
--- a/tests/test_format_datagrams.py
+++ b/tests/test_format_datagrams.py
@@ -50,20 +50,24 @@
     "count": datagrams.UsageTotal(kind=2, key=0x5152535455565758, total=0x0000616263646566),
     "judge": datagrams.HealthReport(endpoint_id=0x7172737475767778, condition=4, weight=9, age_ms=1234),
     "presence": datagrams.Heartbeat(),
-    "lease question": datagrams.LeaseAsk(ask=10, low=11, high=12, want=13, name=STATE_NAME),
-    "lease": datagrams.Lease(ask=14, low=15, high=16, epoch=17, name=STATE_NAME, ident=0x0A0B0C0D0E0F1011),
+    "lease question": datagrams.LeaseRequest(request_id=10, low=11, high=12, wanted=13, digest=STATE_NAME),
+    "lease": datagrams.LeaseReply(
+        request_id=14, low=15, high=16, epoch=17, digest=STATE_NAME, store_id=0x0A0B0C0D0E0F1011
+    ),
     "prepare": datagrams.Prepare(slot=18, ballot=19),
-    "promise": datagrams.Promise(slot=20, ballot=21, took=22, name=STATE_NAME, ident=0x1213141516171819),
-    "accept": datagrams.Accept(slot=23, ballot=24, name=STATE_NAME),
-    "accepted": datagrams.AcceptReply(slot=25, ballot=26, ident=0x1A1B1C1D1E1F2021),
+    "promise": datagrams.Promise(
+        slot=20, ballot=21, accepted_ballot=22, digest=STATE_NAME, store_id=0x1213141516171819
+    ),
+    "accept": datagrams.Accept(slot=23, ballot=24, digest=STATE_NAME),
+    "accepted": datagrams.AcceptReply(slot=25, ballot=26, store_id=0x1A1B1C1D1E1F2021),
     "ballot rejected": datagrams.BallotRejected(slot=27, ballot=28),
-    "check": datagrams.Check(slot=29, name=STATE_NAME),
-    "check result": datagrams.CheckResult(
-        slot=30, name=STATE_NAME, good=1, why=b"zu fr\xc3\xbch" + bytes(92)
+    "check": datagrams.CheckRequest(slot=29, digest=STATE_NAME),
+    "check result": datagrams.CheckReply(
+        slot=30, digest=STATE_NAME, is_accepted=1, reason=b"zu fr\xc3\xbch" + bytes(92)
     ),
-    "chunk question": datagrams.ChunkRequest(name=STATE_NAME, piece=31),
-    "piece": datagrams.Piece(name=STATE_NAME, piece=32, count=33, size=5, data=b"hello" + bytes(171)),
-    "chosen": datagrams.Chosen(slot=34, name=STATE_NAME),
+    "chunk question": datagrams.ChunkRequest(digest=STATE_NAME, number=31),
+    "piece": datagrams.Chunk(digest=STATE_NAME, number=32, count=33, size=5, data=b"hello" + bytes(171)),
+    "chosen": datagrams.Chosen(slot=34, digest=STATE_NAME),
 }
 
 # Version b2, state 03, the roster's mark, sender, life, round, number, time; little-endian throughout.
