--- a/tests/rollout/test_policy_document.py
+++ b/tests/rollout/test_policy_document.py
@@ -79,7 +79,7 @@
             ("LeaseRequest", "LeaseReply"),
             ("Prepare", "Promise"),
             ("Accept", "AcceptReply"),
-            ("Check", "CheckResult"),
+            ("CheckRequest", "CheckReply"),
             ("ChunkRequest", "Chunk"),
         ):
             self.assertGreaterEqual(
