--- a/tests/test_customers.py
+++ b/tests/integration/test_customers.py
@@ -1,16 +1,12 @@
-"""Another customer's settings: every name, effect, window, limit and deadline comes from them alone."""
+"""A customer whose names and classes are other ones."""
 
 from __future__ import annotations
 
 import asyncio
 import time
-import tomllib
-import unittest
 from typing import Any
 
-from harness import ROOT, Client, Message, PlatformCase, Server, reply, reset, serve_ok
-
-from lemonridge.config.scheduler_settings import held_field
+from harness import Client, Message, PlatformCase, Server, reply, reset, serve_ok
 
 WINDOW_S = 0.6
 CLASSES = [
@@ -156,28 +152,3 @@
         self.assertTrue(refused and not any("retry-after" in one.headers for one in refused))
         units = 2 * len(self.node.seen)
         self.assertLessEqual(units, 4.0 + 0.5 * 2)  # its burst, and what came in meanwhile
-
-
-class Reports(unittest.TestCase):
-    def test_the_field_of_a_load_report_is_the_one_that_the_settings_name(self) -> None:
-        for report, field in (
-            ({"source": "piggyback", "names": ["pending", "busy_reqs"]}, "busy_reqs"),
-            ({"source": "piggyback", "names": ["inflight"]}, "inflight"),
-            ({"source": "piggyback", "names": ["svc_ms"]}, ""),
-            ({"source": "piggyback"}, ""),
-            ({"source": "pull", "names": ["busy_reqs"]}, ""),
-            (None, ""),
-            ([], ""),
-        ):
-            self.assertEqual(held_field({"load-info": report}), field)
-
-
-class Sites(unittest.TestCase):
-    def test_the_sites_to_try_differ_in_every_name_from_each_other(self) -> None:
-        paths = sorted((ROOT / "deploy" / "sites").glob("*.toml"))
-        told = [tomllib.loads(path.read_text()) for path in paths]
-        self.assertEqual(len(told), 2)
-        for table in ("class", "tenant"):
-            first, second = ({row["name"] for row in one[table]} for one in told)
-            self.assertFalse(first & second)
-        self.assertFalse(set(told[0]["net"]["zones"]) & set(told[1]["net"]["zones"]))
--- /dev/null
+++ b/tests/integration/test_fault_discovery.py
@@ -0,0 +1,104 @@
+"""Discovery that is slow, or begins its versions anew."""
+
+from __future__ import annotations
+
+import asyncio
+
+from fault_cases import GRACE_S, TOLD_S, drained
+from harness import (
+    Message,
+    PlatformCase,
+    Register,
+    Server,
+    serve_ok,
+)
+
+PIECES = 24
+SLOW_S = 2.4
+
+
+class SlowDiscovery(PlatformCase):
+    """STANDING: discovery that is slow. What it has counts as told 6 s later at the latest."""
+
+    async def asyncSetUp(self) -> None:
+        plain = Register.script
+
+        class Slow(Register):
+            """Each answer with nodes in it comes in 24 pieces over 2.4 s."""
+
+            async def script(self, server: Server, message: Message, writer: asyncio.StreamWriter) -> None:
+                held = Held(writer)
+                await plain(self, server, message, held)  # type: ignore[arg-type]
+                head, _, body = held.text.partition(b"\r\n\r\n")
+                writer.write(head + b"\r\n\r\n")
+                if b'"hosts": []' in body:
+                    writer.write(body)
+                    return
+                size = len(body) // PIECES + 1
+                for at in range(0, len(body), size):
+                    await asyncio.sleep(SLOW_S / PIECES)
+                    writer.write(body[at : at + size])
+
+        self.register = Slow()
+        self.discovery = await Server(self.register.script).start()
+        self.node = await Server(serve_ok).start()
+        self.register.set("s-1", self.node.port)
+        await self.launch()
+        self.client = await self.connect()
+
+    async def test_a_drain_is_heard_in_time(self) -> None:
+        self.assertEqual((await self.client.ask()).status, 200)
+        await drained(self)
+
+    async def test_a_start_serves_by_the_known_list_and_hears_of_a_drain_in_time(self) -> None:
+        """The list that it knows is old: one of its two nodes drains since before the start."""
+        loop, other = asyncio.get_running_loop(), await Server(serve_ok).start()
+        known = {
+            "seq": 1,
+            "whole": True,
+            "hosts": [self.register.row("s-1", self.node.port), self.register.row("s-2", other.port)],
+        }
+        self.register.set("s-1", self.node.port, health="draining")
+        self.register.set("s-2", other.port)
+        started_at = loop.time()
+        await self.launch(known)
+        self.client = await self.connect()
+        statuses: list[int] = []
+        while loop.time() < started_at + TOLD_S + GRACE_S + 0.5:
+            if loop.time() < started_at + TOLD_S + GRACE_S:
+                seen = len(self.node.seen)
+            statuses.append((await self.client.ask()).status)
+            await asyncio.sleep(0.02)
+        self.assertEqual(set(statuses), {200})
+        self.assertGreater(len(other.seen), len(statuses) // 2)
+        self.assertEqual(len(self.node.seen), seen)
+
+
+class Held:
+    """A writer that holds back what is written."""
+
+    def __init__(self, writer: asyncio.StreamWriter) -> None:
+        self.text, self.transport = b"", writer.transport
+
+    def write(self, data: bytes) -> None:
+        self.text += data
+
+
+class DiscoveryBeginsAnew(PlatformCase):
+    """Discovery that was restarted counts its versions from the beginning."""
+
+    async def asyncSetUp(self) -> None:
+        await super().asyncSetUp()
+        self.register.seq = 99
+        self.register.set("s-1", self.node.port)
+        await self.discovery.until(lambda: "after=100&" in self.discovery.seen[-1].start)
+
+    async def test_a_drain_with_a_smaller_version_is_heard(self) -> None:
+        self.register.seq = 4
+        await drained(self)
+
+    async def test_a_drain_is_heard_where_the_connection_breaks_too(self) -> None:
+        self.register.seq = 4
+        for writer in list(self.discovery.writers):
+            writer.transport.abort()
+        await drained(self)
--- a/tests/integration/test_local_failures.py
+++ b/tests/integration/test_local_failures.py
@@ -5,7 +5,7 @@
 import asyncio
 
 import test_iscsi_rude as rude
-from test_faults import FaultCase, IscsiFaultCase, pause
+from fault_cases import FaultCase, IscsiFaultCase, pause
 from test_operators import OperatedCase, call
 
 FAILS_S = 0.3
--- a/tests/integration/test_process_handover.py
+++ b/tests/integration/test_process_handover.py
@@ -11,6 +11,7 @@
 import tempfile
 from pathlib import Path
 
+from fault_cases import pause
 from harness import (
     FACTS,
     PATIENCE_S,
@@ -25,7 +26,6 @@
     reply,
     serve_ok,
 )
-from test_faults import pause
 from test_operators import call
 
 LIMIT_UNITS = 8.0  # a second, and at once
