--- a/lemonridge/service/service.py
+++ b/lemonridge/service/service.py
@@ -44,7 +44,7 @@
         """Proposes the policy of a new file; returns the settings to go by until it is agreed."""
         ...
 
-    def act(self, order: AdminRequest) -> AdminReply:
+    def act(self, request: AdminRequest) -> AdminReply:
         """The reply to an operators' call about the policy."""
         ...
 
--- a/tests/config/test_fleet_config.py
+++ b/tests/config/test_fleet_config.py
@@ -36,7 +36,7 @@
 
     def test_the_file_in_deploy_is_read(self) -> None:
         plan = self.read(FLEET)
-        self.assertEqual((plan.names, plan.me, plan.error_us), (("n1", "n2", "n3"), 0, 50_000))
+        self.assertEqual((plan.names, plan.own_index, plan.clock_error_us), (("n1", "n2", "n3"), 0, 50_000))
 
     def test_what_is_wrong_is_named(self) -> None:
         for old, new, words in (
