--- a/tests/test_format_admin.py
+++ b/tests/test_format_admin.py
@@ -332,7 +332,7 @@
     decider = SimpleNamespace(recheck_lease=lambda: None)
     here = Address("127.0.0.1", 1)
     plan = FleetConfig(
-        names=("b0", "b1"), me=0, listen=here, addresses=(here, here), rollout=RolloutConfig(str(path))
+        names=("b0", "b1"), own_index=0, listen=here, addresses=(here, here), rollout=RolloutConfig(str(path))
     )
     own = SimpleNamespace(settings=OWN, plans=("basic",), classes=("read",))
     one = PolicyCoordinator(plan, own, 1, peers, decider, clock, Counters(), store, store.read())  # type: ignore
