--- a/lemonridge/cli/load_commands.py
+++ b/lemonridge/cli/load_commands.py
@@ -114,7 +114,7 @@
         _write_hdr(options.hdr, tally.times)
     broker = {
         f"broker_{name}": counts.get(name, 0)
-        for name in ("answers.served", "answers.refused", "answers.failed", "connections.opened")
+        for name in ("answers.served", "answers.rejected", "answers.failed", "connections.opened")
     }
     print(line({"load": "http", **tally.figures(), **(broker if counts else {})}))
     return 0 if tally.served else 1
--- a/lemonridge/core/broker.py
+++ b/lemonridge/core/broker.py
@@ -63,7 +63,7 @@
         except asyncio.CancelledError:
             if mailbox.settle(Answer(AnswerKind.CLIENT_GONE)):
                 self._decision_host.deliver(ClientDisconnected(mailbox.name))
-                self._counters["answers.gone"] += 1
+                self._counters["answers.client_gone"] += 1
             elif isinstance(reply := mailbox.answer.result().reply, ReplyStream):
                 reply.close()
             raise
--- a/lemonridge/core/decision_host.py
+++ b/lemonridge/core/decision_host.py
@@ -227,7 +227,7 @@
         mailbox.deliver(action)
 
     def _give_answer(self, action: Reject | Fail) -> None:
-        self._counters[f"given_up.{action.reason.value}"] += 1
+        self._counters[f"rejected.{action.reason.value}"] += 1
         mailbox = self._mailboxes.get(action.request)
         if mailbox is not None:
             mailbox.deliver(action)
--- a/lemonridge/core/model.py
+++ b/lemonridge/core/model.py
@@ -123,9 +123,9 @@
     """The final answers; the value is the name of the counter."""
 
     SERVED = "served"
-    REJECTED = "refused"
+    REJECTED = "rejected"
     FAILED = "failed"
-    CLIENT_GONE = "gone"  # nobody is left to answer
+    CLIENT_GONE = "client_gone"  # nobody is left to answer
 
 
 @dataclass(slots=True)
--- a/lemonridge/scheduling/actions.py
+++ b/lemonridge/scheduling/actions.py
@@ -12,12 +12,12 @@
 class RejectReason(Enum):
     """Why a request was rejected; the values are the words of the counters and of the log."""
 
-    LIMIT_EXCEEDED = "limit"  # its volume's limit has no capacity in time
-    SLOW_START = "cold"  # its endpoint is in slow start, and this host's part of that is used up
-    OBJECTIVE_MISSED = "late"  # no endpoint had a free slot before its objective
-    ATTEMPTS_EXHAUSTED = "spent"  # its class, its attempts, the budgets or its time allow no retry
-    DEADLINE_EXCEEDED = "over"
-    ROUTE_UNKNOWN = "lost"  # nobody can say in time where its data is
+    LIMIT_EXCEEDED = "limit_exceeded"  # its volume's limit has no capacity in time
+    SLOW_START = "slow_start"  # its endpoint starts slowly; this host's part is used up
+    OBJECTIVE_MISSED = "objective_missed"  # no endpoint had a free slot before its objective
+    ATTEMPTS_EXHAUSTED = "attempts_exhausted"  # class, attempts, budgets or time allow no retry
+    DEADLINE_EXCEEDED = "deadline_exceeded"
+    ROUTE_UNKNOWN = "route_unknown"  # nobody can say in time where its data is
 
 
 @dataclass(frozen=True, slots=True)
--- a/tests/integration/test_crossing_departures.py
+++ b/tests/integration/test_crossing_departures.py
@@ -63,7 +63,7 @@
             client.writer.write(client.text(X_Request_Id="00000000000000aa"))
             await self.settled()
             client.writer.close() if end == "close" else client.writer.write_eof()
-            await self.program.counted("answers.gone", 1 if end == "close" else 2)
+            await self.program.counted("answers.client_gone", 1 if end == "close" else 2)
         self.assertNotIn("00000000000000aa", await self.seen_after(free))
 
     async def test_what_waits_while_the_program_ends_is_not_sent_on(self) -> None:
@@ -74,7 +74,7 @@
         ending = asyncio.create_task(self.program.end())
         await self.program.line("event=stopping")
         client.writer.close()
-        await self.program.counted("answers.gone")
+        await self.program.counted("answers.client_gone")
         free.set()
         self.assertEqual(await ending, 0)
         self.assertEqual(len(self.node.seen), 2)  # those that it held
@@ -87,7 +87,7 @@
         client.writer.write(client.text(X_Request_Id="00000000000000bb") + b"x" * (1 << 20))
         await self.settled()
         client.writer.transport.abort()
-        await self.program.counted("answers.gone")
+        await self.program.counted("answers.client_gone")
         seen = await self.seen_after(free)
         self.assertFalse({"00000000000000aa", "00000000000000bb"} & seen)
 
@@ -100,7 +100,7 @@
             client.writer.write(client.text(shard=1, X_Request_Id="00000000000000aa"))
             await self.program.counted("connections.opened")
             client.writer.close()
-            await self.program.counted("answers.gone")
+            await self.program.counted("answers.client_gone")
             late.setblocking(False)
             loop = asyncio.get_running_loop()
             for one in fill:
@@ -180,7 +180,7 @@
 
     async def leaves(self, session: Initiator) -> None:
         session.writer.transport.abort()
-        await self.program.counted("answers.gone", 1)
+        await self.program.counted("answers.client_gone", 1)
 
     async def hold_the_node(self) -> tuple[Initiator, list[int]]:
         """Two commands that fill the node's window for a while."""
--- a/tests/integration/test_load_http.py
+++ b/tests/integration/test_load_http.py
@@ -22,7 +22,7 @@
         self.assertEqual((ends, tally.failed, tally.lost), (tally.due, 0, 0))
         told = program.counts
         self.assertEqual(tally.served, told["answers.served"])
-        self.assertEqual(tally.refused, told.get("answers.refused", 0))
+        self.assertEqual(tally.refused, told.get("answers.rejected", 0))
         self.assertEqual(told["attempts.ok"], told["answers.served"])
         ran = sum(node.served for node in nodes)
         cut = told.get("attempts.cancelled", 0) + told.get("attempts.timeout", 0)
--- a/tests/integration/test_platform_requests.py
+++ b/tests/integration/test_platform_requests.py
@@ -196,7 +196,7 @@
         gone.writer.write(gone.text())
         await self.node.until(lambda: bool(self.node.seen))
         gone.writer.close()
-        while (await self.program.counters()).get("answers.gone", 0) < 1:
+        while (await self.program.counters()).get("answers.client_gone", 0) < 1:
             pass
         hold.set()
         while (await self.program.counters()).get("attempts.ok", 0) < 1:
