--- a/lemonridge/core/broker.py
+++ b/lemonridge/core/broker.py
@@ -53,7 +53,7 @@
         Raises:
             DuplicateRequestError: A request with its id is open.
         """
-        self.open_ids.open(request.ident)
+        self.open_ids.open(request.request_id)
         mailbox = self._decision_host.open(request)
         task = asyncio.create_task(self.run(mailbox))
         self._tasks.add(task)
@@ -102,7 +102,7 @@
             if routes is not None:
                 routes.close(request)
             host.close(mailbox)
-            self.open_ids.close(request.ident)
+            self.open_ids.close(request.request_id)
 
     def _new_attempt(self, mailbox: RequestMailbox, number: int, send: Send) -> Attempt:
         return Attempt(
--- a/lemonridge/core/model.py
+++ b/lemonridge/core/model.py
@@ -36,7 +36,7 @@
         units: Its cost.
         hosts: How many endpoints it occupies.
         payload: Its content in the form of its front; the core passes it on unread.
-        ident: Its id at the endpoints, empty where the protocol has none.
+        request_id: Its id at the endpoints, empty where the protocol has none.
         route: Where its data is, if data can migrate.
         repeat: Whether its client marked it as a retry.
         abandoned: Asks the operating system whether its client has disconnected.
@@ -52,7 +52,7 @@
     units: float
     hosts: int
     payload: object
-    ident: str = ""
+    request_id: str = ""
     route: Route | None = None
     repeat: bool = False
     abandoned: Callable[[], bool] = lambda: False
--- a/lemonridge/core/open_ids.py
+++ b/lemonridge/core/open_ids.py
@@ -26,25 +26,25 @@
         self._remote: dict[object, set[str]] = {}
         self.on_change: Callable[[str, bool], None] | None = None
 
-    def open(self, ident: str) -> None:
+    def open(self, request_id: str) -> None:
         """Opens an id; the empty one stands for none.
 
         Raises:
             DuplicateRequestError: The id is open, here or in another process.
         """
-        if ident in self._own or any(ident in ids for ids in self._remote.values()):
+        if request_id in self._own or any(request_id in ids for ids in self._remote.values()):
             raise DuplicateRequestError
-        if ident:
-            self._own.add(ident)
+        if request_id:
+            self._own.add(request_id)
             if self.on_change is not None:
-                self.on_change(ident, True)
+                self.on_change(request_id, True)
 
-    def close(self, ident: str) -> None:
+    def close(self, request_id: str) -> None:
         """Closes an id of this process; without effect on one that is not open."""
-        if ident in self._own:
-            self._own.discard(ident)
+        if request_id in self._own:
+            self._own.discard(request_id)
             if self.on_change is not None:
-                self.on_change(ident, False)
+                self.on_change(request_id, False)
 
     def own(self) -> tuple[str, ...]:
         """The ids that are open in this process."""
--- a/lemonridge/net/http_request.py
+++ b/lemonridge/net/http_request.py
@@ -100,7 +100,7 @@
             units=placement.units,
             hosts=placement.hosts,
             payload=Payload(message.method, message.raw_path, forwarded, body),
-            ident=forwarded["X-Request-Id"].lower(),
+            request_id=forwarded["X-Request-Id"].lower(),
             repeat=headers.get("X-Retry") == "1",
             abandoned=client_has_left,
         )
--- a/lemonridge/net/process_handover.py
+++ b/lemonridge/net/process_handover.py
@@ -233,20 +233,20 @@
 
     # Ids of open requests
 
-    def _on_id_change(self, ident: str, opened: bool) -> None:
+    def _on_id_change(self, request_id: str, opened: bool) -> None:
         """Notes an id for the end of this turn of the loop; one that opens and closes in it is not sent."""
         if not self._id_changes:
             asyncio.get_running_loop().call_soon(self._send_id_changes)
-        if not opened and self._id_changes.get(ident):
-            del self._id_changes[ident]
+        if not opened and self._id_changes.get(request_id):
+            del self._id_changes[request_id]
         else:
-            self._id_changes[ident] = opened
+            self._id_changes[request_id] = opened
 
     def _send_id_changes(self) -> None:
         changes, self._id_changes = self._id_changes, {}
         message = OpenIdsChanged(
-            tuple(ident for ident, opened in changes.items() if opened),
-            tuple(ident for ident, opened in changes.items() if not opened),
+            tuple(request_id for request_id, opened in changes.items() if opened),
+            tuple(request_id for request_id, opened in changes.items() if not opened),
         )
         for connection in self._connections:
             if changes and connection.sends_ids:
--- a/tests/net/test_connection_closing.py
+++ b/tests/net/test_connection_closing.py
@@ -49,7 +49,7 @@
 
     async def serve(self, request: Request) -> Answer:
         """The broker's part."""
-        self.served_ids.append(request.ident)
+        self.served_ids.append(request.request_id)
         self.before_answer()
         return Answer(AnswerKind.SERVED, self.data)
 
