--- a/lemonridge/cli/configuration.py
+++ b/lemonridge/cli/configuration.py
@@ -82,7 +82,7 @@
         )
     if fleet:
         print(
-            f"ok: {fleet.names[fleet.me]} of {len(fleet.names)} brokers, peers at {fleet.listen}, "
+            f"ok: {fleet.names[fleet.own_index]} of {len(fleet.names)} brokers, peers at {fleet.listen}, "
             f"{'with' if fleet.secret else 'without'} a secret"
         )
     if iscsi:
--- a/lemonridge/net/peer_transport.py
+++ b/lemonridge/net/peer_transport.py
@@ -87,13 +87,13 @@
         self._timer: asyncio.TimerHandle | None = None
         # Wall time goes on over restarts: a later start of a name has a higher incarnation.
         self._bridge = SchedulerBridge(
-            MemberList(config.names, config.me),
+            MemberList(config.names, config.own_index),
             time.time_ns() // 1_000_000,
             seed,
             clock.now_us(),
             settings,
-            config.bytes_s,
-            config.error_us,
+            config.datagram_bytes_per_s,
+            config.clock_error_us,
             KeyedDatagramSigner(config.secret) if config.secret else None,
         )
         self.coordinator: RolloutItemHandler | None = None
@@ -123,7 +123,7 @@
             extra={
                 "address": str(listen),
                 "members": len(self.config.names),
-                "member": self.config.names[self.config.me],
+                "member": self.config.names[self.config.own_index],
                 "incarnation": self.incarnation,
             },
         )
--- a/lemonridge/rollout/lease_exchange.py
+++ b/lemonridge/rollout/lease_exchange.py
@@ -94,10 +94,10 @@
         log = self._log
         in_use = _from_wire(request.low, request.high)
         granted = self._grant(
-            member, incarnation, request.request_id, in_use, request.wanted_epoch, request.digest, now_us
+            member, incarnation, request.request_id, in_use, request.wanted, request.digest, now_us
         )
-        self.note_heard(member, request.wanted_epoch, now_us)
-        if log.is_voter or request.wanted_epoch < log.state.epoch:
+        self.note_heard(member, request.wanted, now_us)
+        if log.is_voter or request.wanted < log.state.epoch:
             epoch, digest = log.state.epoch, log.digest
             self._context.send(
                 member, LeaseReply(request.request_id, *_to_wire(granted), epoch, digest, log.store_id)
--- a/lemonridge/rollout/rollout_member.py
+++ b/lemonridge/rollout/rollout_member.py
@@ -24,8 +24,8 @@
     Accept,
     AcceptReply,
     BallotRejected,
-    Check,
-    CheckResult,
+    CheckReply,
+    CheckRequest,
     Chosen,
     Chunk,
     ChunkRequest,
@@ -53,7 +53,7 @@
 from lemonridge.rollout.state_transfer import StateTransfer
 from lemonridge.rollout.vote_log import VoteLog
 
-REASON_BYTES_MAX = 100  # of the reason in a CheckResult
+REASON_BYTES_MAX = 100  # of the reason in a CheckReply
 
 
 class Sender(NamedTuple):
@@ -108,8 +108,8 @@
             Promise: self._handle_promise,
             AcceptReply: self._handle_accept_reply,
             BallotRejected: self._handle_ballot_rejected,
-            Check: self._handle_check,
-            CheckResult: self._handle_check_result,
+            CheckRequest: self._handle_check_request,
+            CheckReply: self._handle_check_reply,
             ChunkRequest: self._handle_chunk_request,
             Chunk: self._handle_chunk,
             Chosen: self._handle_chosen,
@@ -303,7 +303,7 @@
     def _handle_ballot_rejected(self, sender: Sender, message: BallotRejected, now_us: int) -> None:
         self._proposals.on_rejected(message, now_us)
 
-    def _handle_check(self, sender: Sender, message: Check, now_us: int) -> None:
+    def _handle_check_request(self, sender: Sender, message: CheckRequest, now_us: int) -> None:
         """Answers whether this broker could decide by a state, which is transferred first."""
         epoch = self.state.epoch
         if message.slot > epoch + 1 or (message.slot <= epoch and message.digest != self.log.digest):
@@ -319,10 +319,10 @@
             reason = str(error)
             self.counts["refused"] += 1
         reason_bytes = reason.encode()[:REASON_BYTES_MAX]
-        self._context.send(sender.member, CheckResult(message.slot, message.digest, not reason, reason_bytes))
+        self._context.send(sender.member, CheckReply(message.slot, message.digest, not reason, reason_bytes))
 
-    def _handle_check_result(self, sender: Sender, message: CheckResult, now_us: int) -> None:
-        self._proposals.on_check_result(sender.member, message, now_us)
+    def _handle_check_reply(self, sender: Sender, message: CheckReply, now_us: int) -> None:
+        self._proposals.on_check_reply(sender.member, message, now_us)
 
     def _handle_chunk_request(self, sender: Sender, message: ChunkRequest, now_us: int) -> None:
         self.transfer.serve_chunk(sender.member, message)
@@ -335,7 +335,7 @@
             self._on_decided(complete.decided_slot, message.digest, now_us)
         if complete.check is not None:
             source = Sender(complete.source, sender.incarnation)
-            self._handle_check(source, complete.check, now_us)
+            self._handle_check_request(source, complete.check, now_us)
         self._proposals.resume_vote(now_us)
 
     def _handle_chosen(self, sender: Sender, message: Chosen, now_us: int) -> None:
--- a/lemonridge/service/peers.py
+++ b/lemonridge/service/peers.py
@@ -29,7 +29,7 @@
         from lemonridge.coordination.policy_coordinator import PolicyCoordinator
         from lemonridge.coordination.vote_store import open_vote_store
 
-        store, record = await open_vote_store(fleet.rollout.store)
+        store, record = await open_vote_store(fleet.rollout.votes_path)
     peers = PeerTransport(
         fleet, service.decision_host, service.clock, service.counters, next_seed(), local_policy.settings
     )
