--- a/lemonridge/coordination/action_queue.py
+++ b/lemonridge/coordination/action_queue.py
@@ -57,7 +57,7 @@
         while self._actions and self._writing is None:
             action = self._actions.popleft()
             if isinstance(action, SendMessage):
-                messages.append((action.to, action.item))
+                messages.append((action.member, action.item))
                 continue
             if messages:
                 self._post(messages)
--- a/lemonridge/coordination/etcd_client.py
+++ b/lemonridge/coordination/etcd_client.py
@@ -137,8 +137,8 @@
         if not chunk:
             raise EtcdResponseError("the watch ended")
         buffer += chunk
-        *complete, rest = buffer.split(b"\n")
-        buffer = bytearray(rest)
+        *complete, remainder = buffer.split(b"\n")
+        buffer = bytearray(remainder)
         if len(buffer) > MESSAGE_BYTES_MAX:
             raise EtcdResponseError("a message of the watch is too long")
         for line in filter(None, map(bytes.strip, map(bytes, complete))):
--- a/lemonridge/coordination/etcd_follower.py
+++ b/lemonridge/coordination/etcd_follower.py
@@ -45,7 +45,7 @@
             OutOfStepError: A change was lost: only a snapshot helps.
         """
 
-    async def run_beside_watch(self, etcd: EtcdClient, http: aiohttp.ClientSession) -> None:
+    async def run_during_watch(self, etcd: EtcdClient, http: aiohttp.ClientSession) -> None:
         """Runs beside each watch; its end ends the watch."""
 
 
@@ -99,7 +99,7 @@
         """One watch, and what the feed runs beside it; the end of either ends both."""
         tasks = [
             asyncio.create_task(self._apply_watch(http)),
-            asyncio.create_task(self._feed.run_beside_watch(self._etcd, http)),
+            asyncio.create_task(self._feed.run_during_watch(self._etcd, http)),
         ]
         try:
             done, _ = await asyncio.wait(tasks, return_when=asyncio.FIRST_COMPLETED)
--- a/lemonridge/coordination/etcd_source.py
+++ b/lemonridge/coordination/etcd_source.py
@@ -66,7 +66,7 @@
         if changed:
             self._registry.update(EndpointListUpdate.DELTA, changed)
 
-    async def run_beside_watch(self, etcd: EtcdClient, http: aiohttp.ClientSession) -> None:
+    async def run_during_watch(self, etcd: EtcdClient, http: aiohttp.ClientSession) -> None:
         """See `Feed`: nothing runs."""
         await asyncio.Event().wait()
 
@@ -135,7 +135,7 @@
         if self.on_change is not None:
             self.on_change(self.plans)
 
-    async def run_beside_watch(self, etcd: EtcdClient, http: aiohttp.ClientSession) -> None:
+    async def run_during_watch(self, etcd: EtcdClient, http: aiohttp.ClientSession) -> None:
         """See `Feed`: nothing runs."""
         await asyncio.Event().wait()
 
--- a/lemonridge/coordination/policy_admin_calls.py
+++ b/lemonridge/coordination/policy_admin_calls.py
@@ -93,20 +93,22 @@
         """The emergency call: to go on without a majority."""
         try:
             call: dict[str, Any] = orjson.loads(request.text)
-            lost, note = tuple(map(str, call["lost"])), str(call.get("note", ""))
+            lost_voters, note = tuple(map(str, call["lost"])), str(call.get("note", ""))
         except (orjson.JSONDecodeError, KeyError, TypeError) as error:
             return AdminReply(False, f"not an emergency call: {error}")
         rollout, previous_epoch = self._rollout, self._rollout.state.epoch
         try:
-            rollout.force(lost, note, self._clock.now_us())
+            rollout.force(lost_voters, note, self._clock.now_us())
         except RolloutError as error:
-            log.warning("emergency call rejected", extra={"lost": ",".join(lost), "reason": str(error)})
+            log.warning(
+                "emergency call rejected", extra={"lost": ",".join(lost_voters), "reason": str(error)}
+            )
             self._flush()
             return AdminReply(False, str(error))
         log.critical(
             "policy epoch forced by an emergency call",
             extra={
-                "lost": ",".join(lost),
+                "lost": ",".join(lost_voters),
                 "note": note,
                 "voters": ",".join(rollout.state.voters),
                 "previous_epoch": previous_epoch,
--- a/lemonridge/coordination/policy_coordinator.py
+++ b/lemonridge/coordination/policy_coordinator.py
@@ -123,15 +123,15 @@
         self._actions.add(self.rollout.take_actions())
         if self.lease_guard.is_outdated:
             self._decision_host.recheck_lease()
-        ended = self.rollout.results_ended - self._results_logged
-        for result in self.rollout.results[-ended:] if ended else ():
+        ended = self.rollout.proposals.results_ended - self._results_logged
+        for result in self.rollout.proposals.results[-ended:] if ended else ():
             log.info(
                 "policy change ended",
                 extra={"outcome": result.outcome.value, "reason": result.reason, "epoch": result.epoch},
             )
             if result.is_rejection:
                 self._source.on_rejected(self._clock.now_us())
-        self._results_logged = self.rollout.results_ended
+        self._results_logged = self.rollout.proposals.results_ended
 
     def stop(self) -> None:
         """The program ends: stops the timer, and leaves the rollout's counters."""
--- a/lemonridge/extents/etcd_source.py
+++ b/lemonridge/extents/etcd_source.py
@@ -125,7 +125,7 @@
             if fit not in (ChangeResult.APPLIED, ChangeResult.STALE):
                 raise OutOfStepError
 
-    async def run_beside_watch(self, etcd: EtcdClient, http: aiohttp.ClientSession) -> None:
+    async def run_during_watch(self, etcd: EtcdClient, http: aiohttp.ClientSession) -> None:
         """Ask for the map's version again and again: etcd answers with the newest that it has agreed on.
 
         That confirms the map, and shows a watch that has lost something.
--- a/lemonridge/fleet/datagrams.py
+++ b/lemonridge/fleet/datagrams.py
@@ -193,16 +193,16 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaseRequest:
-    """Asks for a lease: the sender decides by epochs `low` to `high` and would decide by `wanted` alone.
+    """Asks for a lease: the sender decides by epochs `low` to `high`, and would by `target_epoch` alone.
 
-    `digest` is that of the wanted epoch's state.
+    `digest` is that of the target epoch's state.
     """
 
     LAYOUT: ClassVar[Struct] = Struct("<IIII8s16x")
     request_id: int
     low: int
     high: int
-    wanted: int
+    target_epoch: int
     digest: bytes
 
 
--- a/lemonridge/lab/checkers/rollout.py
+++ b/lemonridge/lab/checkers/rollout.py
@@ -22,7 +22,7 @@
     LeaseGrantor,
     LeaseHolder,
     SentRequest,
-    share_epoch,
+    have_common_epoch,
 )
 from lemonridge.rollout.paxos import NO_VALUE, Accepted, Acceptor, Promised, Proposer
 
@@ -234,12 +234,12 @@
 
 def _holder_row(made: LeaseHolder, now: int) -> tuple[Any, ...]:
     asks = tuple(
-        (n, one.sent_us, one.in_use, one.wanted)
+        (n, one.sent_us, one.in_use, one.target_epoch)
         for n, one in made._requests.items()
         if one.sent_us + SPAN > now
     )
     grants = tuple(sorted((voter, told, end) for voter, (told, end) in made._grants.items() if end > now))
-    return made.in_use, made.wanted, made._request_id, asks, grants
+    return made.in_use, made.target_epoch, made._request_id, asks, grants
 
 
 def leases(bounds: Bounds, states_max: int = 2_000_000) -> Found[Fleet]:
@@ -387,7 +387,7 @@
                 newest = _put(fleet.newest, n, fleet.chosen + 1)
                 more = sum(newest[one] > fleet.chosen for one in voters) > len(voters) // 2
                 yield f"{n} accepts", fleet._replace(newest=newest, chosen=fleet.chosen + more)
-            if made.wanted < fleet.chosen:
+            if made.target_epoch < fleet.chosen:
                 made.on_epoch(fleet.chosen, bounds.voters(fleet.chosen), clock(fleet, n))
                 known = _put(fleet.newest, n, max(fleet.newest[n], fleet.chosen))
                 yield f"{n} learns {fleet.chosen}", with_holder(fleet._replace(newest=known), n, made)
@@ -403,7 +403,7 @@
                     fleet._replace(
                         lives=_put(fleet.lives, n, fleet.lives[n] + 1),
                         restarts=fleet.restarts - 1,
-                        holders=_put(fleet.holders, n, (NO_EPOCHS, made.wanted, 0, (), ())),
+                        holders=_put(fleet.holders, n, (NO_EPOCHS, made.target_epoch, 0, (), ())),
                         lessors=_put(fleet.lessors, n, quiet),
                     ),
                 )
@@ -417,7 +417,7 @@
     def wrong(fleet: Fleet) -> str:
         held = [_holder(row, bounds) for row in fleet.holders]
         used = [one.in_use if one.is_valid(clock(fleet, n)) else NO_EPOCHS for n, one in enumerate(held)]
-        return "" if share_epoch(used) else f"they go by {used}"
+        return "" if have_common_epoch(used) else f"they go by {used}"
 
     everyone, voters = range(MEMBERS), bounds.voters(0)
     lessors, holders = [LeaseGrantor(SPAN, ERROR, 0) for _ in everyone], []
--- a/lemonridge/lab/measure/rollout.py
+++ b/lemonridge/lab/measure/rollout.py
@@ -16,7 +16,7 @@
 from lemonridge.rollout import leases, policy_document
 from lemonridge.rollout.errors import PolicyError, RolloutError
 from lemonridge.rollout.lease_exchange import CLOCK_ERROR_US, LEASE_US
-from lemonridge.rollout.leases import NO_EPOCHS, share_epoch
+from lemonridge.rollout.leases import NO_EPOCHS, have_common_epoch
 from lemonridge.rollout.member_context import PersistVote, SendMessage
 from lemonridge.rollout.policy_document import Class, Plan, Policy, Rules
 from lemonridge.rollout.rollout_member import RolloutMember
@@ -143,11 +143,11 @@
                 self.disks[n] = action.data
                 continue
             self.bytes += HEADER_BYTES + item_bytes(action.item)
-            if isinstance(action, SendMessage) and (n, action.to) not in self.cut:
+            if isinstance(action, SendMessage) and (n, action.member) not in self.cut:
                 for _ in range(1 + (self.random.random() < self.copies)):
                     if self.random.random() >= self.loss:
-                        at = self.now + self.random.randrange(*DELAY_US) + self.extra[action.to]
-                        self.flying.append((at, action.to, n, self.lives[n], action.item))
+                        at = self.now + self.random.randrange(*DELAY_US) + self.extra[action.member]
+                        self.flying.append((at, action.member, n, self.lives[n], action.item))
 
     def step(self) -> None:
         self.now += STEP_US
@@ -170,7 +170,7 @@
     def check(self) -> None:
         """No two go by policies without a common epoch, and an epoch is one state everywhere."""
         modes = self.modes()
-        assert share_epoch(modes.values()), modes
+        assert have_common_epoch(modes.values()), modes
         for made in self.brokers:
             if made is not None:
                 told = self.decided.setdefault(made.state.epoch, made.log.digest.hex())
@@ -188,7 +188,10 @@
         """Seconds until something is so."""
         begun = self.now
         while not true():
-            assert self.now - begun < most_s * 1e6, (self.modes(), [b and b.results for b in self.brokers])
+            assert self.now - begun < most_s * 1e6, (
+                self.modes(),
+                [b and b.proposals.results for b in self.brokers],
+            )
             self.step()
         return (self.now - begun) / 1e6
 
@@ -227,7 +230,7 @@
         for n, mode in net.modes().items():
             rested[n] += STEP_US if mode == NO_EPOCHS else 0
         made = net.broker(0)
-        if made.change is None and made.state.epoch == 0:
+        if made.proposals.change is None and made.state.epoch == 0:
             rejection(made.propose, policy(12), "again", net.now)  # no majority was heard in time
     return (net.now - begun) / 1e6, max(rested.values()) / 1e6
 
--- a/lemonridge/rollout/ballot_acceptor.py
+++ b/lemonridge/rollout/ballot_acceptor.py
@@ -43,9 +43,9 @@
     def on_accept(self, member: int, message: Accept, now_us: int) -> AcceptReply | BallotRejected | None:
         """The answer of phase 2b; None where there is none to give, or the value has to be got first."""
         self.observe(message.ballot)
-        is_held = message.digest in self._log.documents
-        if not is_held or not self._log.is_voter:
-            if message.slot == self._log.acceptor.slot and not is_held:
+        is_known = message.digest in self._log.documents
+        if not is_known or not self._log.is_voter:
+            if message.slot == self._log.acceptor.slot and not is_known:
                 self._transfer.begin(message.digest, 0, member, now_us)
             return None
         answer = self._log.acceptor.accept(message.slot, message.ballot, message.digest)
--- a/lemonridge/rollout/emergency.py
+++ b/lemonridge/rollout/emergency.py
@@ -6,7 +6,7 @@
 
 from lemonridge.rollout import policy_document
 from lemonridge.rollout.errors import EmergencyRejectedError
-from lemonridge.rollout.lease_exchange import EMERGENCY_EPOCH_STEP, LeaseExchange, MemberHeard
+from lemonridge.rollout.lease_exchange import EMERGENCY_EPOCH_STEP, LastLeaseMessage, LeaseExchange
 from lemonridge.rollout.member_context import MemberContext
 from lemonridge.rollout.paxos import is_quorum
 from lemonridge.rollout.policy_document import PolicyState
@@ -22,7 +22,7 @@
         self._context, self._log, self._leases = context, log, leases
         self._started_us = started_us
 
-    def next_state(self, lost: Collection[str], note: str, now_us: int) -> PolicyState:
+    def next_state(self, lost_voters: Collection[str], note: str, now_us: int) -> PolicyState:
         """The state without the lost voters: with those that are left, or this member where none is.
 
         Raises:
@@ -34,30 +34,30 @@
             raise EmergencyRejectedError(
                 "a majority of the voters is heard: change the policy, or retire a voter"
             )
-        if unknown := sorted(set(lost) - set(state.voters)):
+        if unknown := sorted(set(lost_voters) - set(state.voters)):
             raise EmergencyRejectedError(f"'{unknown[0]}' does not vote")
-        left = {voter: store_id for voter, store_id in state.voters.items() if voter not in lost}
+        left = {voter: store_id for voter, store_id in state.voters.items() if voter not in lost_voters}
         if is_quorum(len(left), len(state.voters)):
             raise EmergencyRejectedError("a majority of the voters is left: wait until it is heard")
-        if name in lost:
+        if name in lost_voters:
             raise EmergencyRejectedError("this broker is not lost")
-        self._check_silence(lost, now_us)
+        self._check_silence(lost_voters, now_us)
         if not left or name in left:
             left[name] = self._log.store_id
         epoch = (state.epoch // EMERGENCY_EPOCH_STEP + 1) * EMERGENCY_EPOCH_STEP + self._context.number
         return policy_document.emergency_state(state, epoch, left, name, note)
 
-    def _check_silence(self, lost: Collection[str], now_us: int) -> None:
+    def _check_silence(self, lost_voters: Collection[str], now_us: int) -> None:
         """Checks that the lost voters, and no others, have not been heard for `SILENCE_LEASES`."""
         silence_us = SILENCE_LEASES * self._leases.lease_us
         if now_us - self._started_us < silence_us:
             raise EmergencyRejectedError(f"this broker has listened for less than {silence_us / 1e6:g} s")
         numbers = {name: number for number, name in enumerate(self._context.names)}
-        never = MemberHeard(0, now_us - silence_us)
+        never = LastLeaseMessage(0, now_us - silence_us)
         for voter in self._log.state.voters:
-            age_us = now_us - self._leases.heard.get(numbers.get(voter, -1), never).at_us
-            is_heard = voter == self._context.name or age_us < silence_us
-            if voter in lost and is_heard:
+            age_us = now_us - self._leases.last_messages.get(numbers.get(voter, -1), never).at_us
+            is_reachable = voter == self._context.name or age_us < silence_us
+            if voter in lost_voters and is_reachable:
                 raise EmergencyRejectedError(f"'{voter}' was heard {age_us / 1e6:.1f} s ago: it is not lost")
-            if voter not in lost and not is_heard:
+            if voter not in lost_voters and not is_reachable:
                 raise EmergencyRejectedError(f"'{voter}' is not heard: bring it up, or call it lost")
--- a/lemonridge/rollout/lease_exchange.py
+++ b/lemonridge/rollout/lease_exchange.py
@@ -17,7 +17,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class MemberHeard:
+class LastLeaseMessage:
     """When a member's lease message arrived last, and the epoch that it named."""
 
     epoch: int
@@ -32,8 +32,8 @@
     ) -> None:
         self._context, self._log, self.lease_us = context, log, lease_us
         self.grantor = LeaseGrantor(lease_us, clock_error_us, now_us)
-        self.holder = LeaseHolder(lease_us, tuple(context.voters_of(log.state)), wanted=log.state.epoch)
-        self.heard: dict[int, MemberHeard] = {}  # by member
+        self.holder = LeaseHolder(lease_us, tuple(context.voters_of(log.state)), target_epoch=log.state.epoch)
+        self.last_messages: dict[int, LastLeaseMessage] = {}  # by member
         self._requested_us = now_us - lease_us
 
     def is_settled(self, now_us: int) -> bool:
@@ -56,7 +56,7 @@
         """Requests a lease of every voter."""
         context, log = self._context, self._log
         self._requested_us = now_us
-        request_id, in_use, wanted = self.holder.new_request(now_us)
+        request_id, in_use, target_epoch = self.holder.new_request(now_us)
         grantors = self.holder.grantors()
         if log.state.epoch >= EMERGENCY_EPOCH_STEP:  # others may have other voters, and never hear of it
             others = [member for member in range(len(context.names)) if member not in grantors]
@@ -65,13 +65,13 @@
         for member in grantors:
             if member == context.number:
                 granted = self._grant(
-                    member, context.incarnation, request_id, in_use, wanted, log.digest, now_us
+                    member, context.incarnation, request_id, in_use, target_epoch, log.digest, now_us
                 )
                 if log.is_voter:
                     self.holder.record_grant(member, request_id, granted, now_us)
             else:
                 low, high = _to_wire(in_use)
-                context.send(member, LeaseRequest(request_id, low, high, wanted, log.digest))
+                context.send(member, LeaseRequest(request_id, low, high, target_epoch, log.digest))
 
     def _grant(
         self,
@@ -79,33 +79,33 @@
         incarnation: int,
         request_id: int,
         in_use: EpochInterval,
-        wanted: int,
+        target_epoch: int,
         digest: bytes,
         now_us: int,
     ) -> EpochInterval:
         log = self._log
         newest = log.acceptor.slot if log.acceptor.accepted_ballot else log.state.epoch
-        if not log.is_voter or (wanted == log.state.epoch and digest != log.digest):
+        if not log.is_voter or (target_epoch == log.state.epoch and digest != log.digest):
             return NO_EPOCHS  # its file is another than this one's, or its history
-        return self.grantor.grant(member, incarnation, request_id, in_use, wanted, newest, now_us)
+        return self.grantor.grant(member, incarnation, request_id, in_use, target_epoch, newest, now_us)
 
     def answer(self, member: int, incarnation: int, request: LeaseRequest, now_us: int) -> None:
         """Answers a member's request."""
         log = self._log
         in_use = _from_wire(request.low, request.high)
         granted = self._grant(
-            member, incarnation, request.request_id, in_use, request.wanted, request.digest, now_us
+            member, incarnation, request.request_id, in_use, request.target_epoch, request.digest, now_us
         )
-        self.note_heard(member, request.wanted, now_us)
-        if log.is_voter or request.wanted < log.state.epoch:
+        self.record_message(member, request.target_epoch, now_us)
+        if log.is_voter or request.target_epoch < log.state.epoch:
             epoch, digest = log.state.epoch, log.digest
             self._context.send(
                 member, LeaseReply(request.request_id, *_to_wire(granted), epoch, digest, log.store_id)
             )
 
-    def note_heard(self, member: int, epoch: int, now_us: int) -> None:
+    def record_message(self, member: int, epoch: int, now_us: int) -> None:
         """Remembers that a member was heard, and the epoch that it named."""
-        self.heard[member] = MemberHeard(epoch, now_us)
+        self.last_messages[member] = LastLeaseMessage(epoch, now_us)
 
     def record_answer(self, member: int, answer: LeaseReply, now_us: int) -> None:
         """Records a voter's answer, if the store that it names votes."""
--- a/lemonridge/rollout/leases.py
+++ b/lemonridge/rollout/leases.py
@@ -76,11 +76,11 @@
         incarnation: int,
         request_id: int,
         in_use: EpochInterval,
-        wanted: int,
+        target_epoch: int,
         newest: int,
         now_us: int,
     ) -> EpochInterval:
-        """Answers a lease request: "I use `in_use`, and would use `wanted` alone".
+        """Answers a lease request: "I use `in_use`, and would use `target_epoch` alone".
 
         `newest` is the highest epoch that this voter knows decided or has accepted. From its request on the
         member uses `in_use` or what is granted here, and nothing from before it. NO_EPOCHS where neither can
@@ -98,7 +98,7 @@
                 for one in grants.values()
                 if one.end_us > now_us and one is not previous
             ]
-            for candidate in ((wanted, wanted), in_use):
+            for candidate in ((target_epoch, target_epoch), in_use):
                 renewable = candidate[1] >= newest and candidate[0] >= 0
                 if renewable and all(overlap(candidate, one) for one in others):
                     granted = candidate
@@ -144,7 +144,7 @@
 
     sent_us: int
     in_use: EpochInterval
-    wanted: int
+    target_epoch: int
 
 
 @dataclass(slots=True)
@@ -152,10 +152,10 @@
     """The epochs that one incarnation of a broker may use, by the grants that it holds."""
 
     lease_us: int
-    voters: tuple[int, ...]  # of `wanted`
+    voters: tuple[int, ...]  # of `target_epoch`
     in_use: EpochInterval = NO_EPOCHS  # used while there are grants for it
-    wanted: int = 0  # the newest epoch whose state is held complete
-    previous_voters: tuple[int, ...] = ()  # of the epoch before `wanted`, while that is in use too
+    target_epoch: int = 0  # the newest epoch whose state is held complete
+    previous_voters: tuple[int, ...] = ()  # of the epoch before `target_epoch`, while that is in use too
     _request_id: int = 0
     _requests: dict[int, SentRequest] = field(default_factory=dict)  # by request id
     _grants: dict[int, tuple[EpochInterval, int]] = field(default_factory=dict)  # by voter: epochs, end
@@ -166,47 +166,47 @@
         Whoever uses the epoch before uses both; whoever missed one in between uses none until it has the new
         one.
         """
-        if epoch <= self.wanted and self.in_use != NO_EPOCHS:
+        if epoch <= self.target_epoch and self.in_use != NO_EPOCHS:
             return
         follows = self.in_use == (epoch - 1, epoch - 1) and self.is_valid(now_us)
-        if epoch > self.wanted:
-            self.wanted, self.previous_voters, self.voters = epoch, self.voters, voters
+        if epoch > self.target_epoch:
+            self.target_epoch, self.previous_voters, self.voters = epoch, self.voters, voters
         if follows:
             self.in_use = (epoch - 1, epoch)
         elif self.in_use != (epoch, epoch):
             self.in_use = NO_EPOCHS
 
     def grantors(self) -> tuple[int, ...]:
-        """Whose grants count for the epochs in use and for the one wanted."""
-        switching = self.in_use != NO_EPOCHS and self.in_use[0] < self.wanted
+        """Whose grants count for the epochs in use and for the target epoch."""
+        switching = self.in_use != NO_EPOCHS and self.in_use[0] < self.target_epoch
         return tuple(sorted({*self.voters, *self.previous_voters})) if switching else self.voters
 
     def new_request(self, now_us: int) -> tuple[int, EpochInterval, int]:
-        """A request to all grantors, to be sent at once: its id, the epochs in use, the epoch wanted."""
+        """A request to all grantors, to be sent at once: its id, the epochs in use, the target epoch."""
         if self.in_use != NO_EPOCHS and not self.is_valid(now_us):
             self.in_use = NO_EPOCHS  # the lease has ended: a late answer does not bring it back
         self._request_id += 1
-        self._requests[self._request_id] = SentRequest(now_us, self.in_use, self.wanted)
+        self._requests[self._request_id] = SentRequest(now_us, self.in_use, self.target_epoch)
         while len(self._requests) > REQUESTS_MAX:
             del self._requests[next(iter(self._requests))]
-        return self._request_id, self.in_use, self.wanted
+        return self._request_id, self.in_use, self.target_epoch
 
     def record_grant(self, voter: int, request_id: int, granted: EpochInterval, now_us: int) -> bool:
         """Records an answer. True where the epochs in use are others now."""
         request = self._requests.get(request_id)
         if request is None or voter not in self.grantors() or granted == NO_EPOCHS:
             return False
-        if granted not in ((request.wanted, request.wanted), request.in_use):
+        if granted not in ((request.target_epoch, request.target_epoch), request.in_use):
             return False
         end_us = request.sent_us + self.lease_us
         previous = self._grants.get(voter)
         if end_us <= now_us or (previous is not None and previous[1] >= end_us):
             return False
         self._grants[voter] = granted, end_us
-        if self.in_use != (self.wanted, self.wanted) and self._has_majority(
-            (self.wanted, self.wanted), now_us
+        if self.in_use != (self.target_epoch, self.target_epoch) and self._has_majority(
+            (self.target_epoch, self.target_epoch), now_us
         ):
-            self.in_use = self.wanted, self.wanted
+            self.in_use = self.target_epoch, self.target_epoch
             return True
         return False
 
@@ -226,7 +226,8 @@
     def _voters_by_epoch(self, interval: EpochInterval) -> list[tuple[int, ...]]:
         """The voters of each of its epochs."""
         return [
-            self.voters if epoch == self.wanted else self.previous_voters for epoch in sorted(set(interval))
+            self.voters if epoch == self.target_epoch else self.previous_voters
+            for epoch in sorted(set(interval))
         ]
 
     def is_valid(self, now_us: int) -> bool:
@@ -253,7 +254,7 @@
         return min(ends_us)
 
 
-def share_epoch(intervals: Iterable[EpochInterval]) -> bool:
+def have_common_epoch(intervals: Iterable[EpochInterval]) -> bool:
     """Whether all intervals but NO_EPOCHS have one epoch in common."""
     used = [one for one in intervals if one != NO_EPOCHS]
     return not used or max(one[0] for one in used) <= min(one[1] for one in used)
--- a/lemonridge/rollout/member_context.py
+++ b/lemonridge/rollout/member_context.py
@@ -20,7 +20,7 @@
 class SendMessage:
     """Send a message to a member, by its number."""
 
-    to: int
+    member: int
     item: Item
 
 
--- a/lemonridge/rollout/rollout_member.py
+++ b/lemonridge/rollout/rollout_member.py
@@ -37,7 +37,7 @@
 )
 from lemonridge.rollout import policy_document, rollout_status
 from lemonridge.rollout.ballot_acceptor import BallotAcceptor
-from lemonridge.rollout.change_proposal import Change, ChangeProposals, ChangeResult
+from lemonridge.rollout.change_proposal import ChangeProposals
 from lemonridge.rollout.emergency import EmergencyCall
 from lemonridge.rollout.errors import ChangeRejectedError, PolicyError
 from lemonridge.rollout.lease_exchange import (
@@ -95,7 +95,7 @@
         self.policy_error = self._check.policy_error()  # why it cannot decide by the policy in force
         self.transfer = StateTransfer(self._context, self.log.documents)
         self._acceptor = BallotAcceptor(self._context, self.log, self.transfer, now_us)
-        self._proposals = ChangeProposals(
+        self.proposals = ChangeProposals(
             self._context, self.log, self.transfer, self._acceptor, self._on_decided
         )
         self.leases = LeaseExchange(self._context, self.log, lease_us, clock_error_us, now_us)
@@ -127,21 +127,6 @@
         """Whether this broker's votes count."""
         return self.log.is_voter
 
-    @property
-    def change(self) -> Change | None:
-        """The change under way here."""
-        return self._proposals.change
-
-    @property
-    def results(self) -> list[ChangeResult]:
-        """The results of this broker's last changes."""
-        return self._proposals.results
-
-    @property
-    def results_ended(self) -> int:
-        """How many of its changes have ended."""
-        return self._proposals.results_ended
-
     @property
     def counts(self) -> dict[str, int]:
         """Counters, by the operators' names."""
@@ -179,14 +164,14 @@
         Raises:
             ChangeRejectedError: Another one is under way, or this broker may not know the newest state.
         """
-        if self.change is not None:
+        if self.proposals.change is not None:
             raise ChangeRejectedError("a change is under way")
-        if not self._holds_newest_alone(now_us):
+        if not self._uses_newest_epoch_alone(now_us):
             raise ChangeRejectedError(
                 "this broker holds no lease of the policy in force alone, so it may not know the newest"
             )
 
-    def _holds_newest_alone(self, now_us: int) -> bool:
+    def _uses_newest_epoch_alone(self, now_us: int) -> bool:
         return self.epochs_in_use(now_us) == (self.state.epoch, self.state.epoch)
 
     def propose(self, policy: Policy, note: str, now_us: int) -> None:
@@ -201,7 +186,7 @@
             raise ChangeRejectedError("nothing differs")
         self.check_policy(policy)
         state = policy_document.next_state(self.state, policy, self._context.name, note)
-        self._proposals.begin(state, now_us)
+        self.proposals.begin(state, now_us)
 
     def admit(self, now_us: int) -> None:
         """Begins to let this broker vote; raises as `propose` does."""
@@ -210,7 +195,7 @@
             raise ChangeRejectedError("it votes already")
         state = self._state_with_own_vote()
         self._check.check_voter_change(state)
-        self._proposals.begin(state, now_us)
+        self.proposals.begin(state, now_us)
 
     def _state_with_own_vote(self) -> PolicyState:
         name = self._context.name
@@ -223,13 +208,13 @@
             raise ChangeRejectedError(f"'{voter}' does not vote")
         state = policy_document.state_without_voter(self.state, voter, self._context.name)
         self._check.check_voter_change(state)
-        self._proposals.begin(state, now_us)
+        self.proposals.begin(state, now_us)
 
     def abort(self) -> bool:
         """Ends this broker's change, if it is not put to the vote yet; whether there was one."""
-        return self._proposals.abort()
+        return self.proposals.abort()
 
-    def force(self, lost: Collection[str], note: str, now_us: int) -> None:
+    def force(self, lost_voters: Collection[str], note: str, now_us: int) -> None:
         """The emergency call.
 
         Goes on without voters that are lost for good. No majority decides it: if the lost are only cut off,
@@ -239,7 +224,7 @@
             EmergencyRejectedError: Its conditions do not hold (`EmergencyCall.next_state`).
             PolicyError: The new state cannot be encoded.
         """
-        state = self._emergency.next_state(lost, note, now_us)
+        state = self._emergency.next_state(lost_voters, note, now_us)
         data = policy_document.encode(state)
         self.counts["emergencies"] += 1
         digest = self.log.documents.add(data)
@@ -255,7 +240,7 @@
         self.log.decide(slot, digest)
         self.policy_error = self._check.policy_error()
         self.leases.on_decided(slot, now_us)
-        self._proposals.on_decided(slot, digest)
+        self.proposals.on_decided(slot, digest)
         self.transfer.on_decided(slot)
         self.leases.request(now_us)
 
@@ -280,7 +265,7 @@
         self.leases.answer(sender.member, sender.incarnation, message, now_us)
 
     def _handle_lease_reply(self, sender: Sender, message: LeaseReply, now_us: int) -> None:
-        self.leases.note_heard(sender.member, message.epoch, now_us)
+        self.leases.record_message(sender.member, message.epoch, now_us)
         self._learn(sender.member, message.epoch, message.digest, now_us)
         self.leases.record_answer(sender.member, message, now_us)
 
@@ -295,13 +280,13 @@
             self._context.send(sender.member, answer)
 
     def _handle_promise(self, sender: Sender, message: Promise, now_us: int) -> None:
-        self._proposals.on_promise(sender.member, message, now_us)
+        self.proposals.on_promise(sender.member, message, now_us)
 
     def _handle_accept_reply(self, sender: Sender, message: AcceptReply, now_us: int) -> None:
-        self._proposals.on_accepted(sender.member, message, now_us)
+        self.proposals.on_accepted(sender.member, message, now_us)
 
     def _handle_ballot_rejected(self, sender: Sender, message: BallotRejected, now_us: int) -> None:
-        self._proposals.on_rejected(message, now_us)
+        self.proposals.on_rejected(message, now_us)
 
     def _handle_check_request(self, sender: Sender, message: CheckRequest, now_us: int) -> None:
         """Answers whether this broker could decide by a state, which is transferred first."""
@@ -322,7 +307,7 @@
         self._context.send(sender.member, CheckReply(message.slot, message.digest, not reason, reason_bytes))
 
     def _handle_check_reply(self, sender: Sender, message: CheckReply, now_us: int) -> None:
-        self._proposals.on_check_reply(sender.member, message, now_us)
+        self.proposals.on_check_reply(sender.member, message, now_us)
 
     def _handle_chunk_request(self, sender: Sender, message: ChunkRequest, now_us: int) -> None:
         self.transfer.serve_chunk(sender.member, message)
@@ -336,7 +321,7 @@
         if complete.check is not None:
             source = Sender(complete.source, sender.incarnation)
             self._handle_check_request(source, complete.check, now_us)
-        self._proposals.resume_vote(now_us)
+        self.proposals.resume_vote(now_us)
 
     def _handle_chosen(self, sender: Sender, message: Chosen, now_us: int) -> None:
         self._learn(sender.member, message.slot, message.digest, now_us)
@@ -345,22 +330,26 @@
         """Time has passed: renews leases, repeats messages, takes over changes that nobody finishes."""
         self.leases.tick(now_us)
         self.transfer.tick(now_us)
-        if self.change is None and self.is_voter and self.log.acceptor.accepted_ballot:
+        if self.proposals.change is None and self.is_voter and self.log.acceptor.accepted_ballot:
             if self._acceptor.take_over_due(now_us):
-                self._proposals.take_over(now_us)
-        elif self._has_new_store() and self.change is None and self._holds_newest_alone(now_us):
+                self.proposals.take_over(now_us)
+        elif (
+            self._needs_admission()
+            and self.proposals.change is None
+            and self._uses_newest_epoch_alone(now_us)
+        ):
             with suppress(PolicyError):  # the state is too long with one more line of history
-                self._proposals.begin(self._state_with_own_vote(), now_us, is_own=False)
-        self._proposals.advance(now_us)
+                self.proposals.begin(self._state_with_own_vote(), now_us, is_own=False)
+        self.proposals.advance(now_us)
 
-    def _has_new_store(self) -> bool:
+    def _needs_admission(self) -> bool:
         """Whether this broker is one of the voters, and its store another than theirs."""
         return not self.is_voter and self._context.name in self.state.voters
 
     def next_tick_us(self, now_us: int) -> int:
         """When `tick` is to be called next, at the latest."""
         is_busy = (
-            self.change is not None
+            self.proposals.change is not None
             or self.transfer.transfers
             or self.log.acceptor.accepted_ballot
             or not self.leases.is_settled(now_us)
@@ -369,15 +358,12 @@
 
     def status(self, now_us: int) -> dict[str, object]:
         """What operators are shown, by the keys of the admin call `policy`."""
-        context, log, leases = self._context, self.log, self.leases
-        return {
-            **rollout_status.member_status(context, log, self.epochs_in_use(now_us), self.policy_error),
-            "lease_ms": max(0, leases.holder.expires_us() - now_us) // 1000,
-            **rollout_status.vote_status(context, log),
-            "under_way": rollout_status.change_status(context, self.change),
-            **rollout_status.lease_status(context, leases, now_us),
-            "results_ended": self.results_ended,
-            "results": [[one.outcome.value, one.reason, one.epoch] for one in self.results],
-            "history": list(self.state.history),
-            "counts": self.counts,
-        }
+        return rollout_status.status(
+            self._context,
+            self.log,
+            self.leases,
+            self.proposals,
+            self.epochs_in_use(now_us),
+            self.policy_error,
+            now_us,
+        )
--- a/lemonridge/rollout/source_proposal.py
+++ b/lemonridge/rollout/source_proposal.py
@@ -45,20 +45,20 @@
         Raises:
             ChangeRejectedError: It would; the text names the plan.
         """
-        for row, wanted in zip(policy.plan, self.applied_to(policy).plan, strict=True):
-            if row != wanted:
+        for row, proposed in zip(policy.plan, self.applied_to(policy).plan, strict=True):
+            if row != proposed:
                 raise ChangeRejectedError(f"plan '{row.name}' comes from etcd and is another there")
 
     def due(self, policy: Policy, now_us: int) -> Policy | None:
         """What to propose now in place of the policy in force, if anything."""
-        wanted = self.applied_to(policy)
-        if wanted == policy:
+        proposed = self.applied_to(policy)
+        if proposed == policy:
             self._differs_since_us = None
             return None
         if self._differs_since_us is None:
             self._differs_since_us = now_us
         due_us = max(self._differs_since_us + self.member * STAGGER_US, self._retry_at_us)
-        return wanted if now_us >= due_us else None
+        return proposed if now_us >= due_us else None
 
     def on_rejected(self, now_us: int) -> None:
         """A broker cannot decide by it: only time, or other plans, can help."""
--- a/tests/rollout/test_rollout_member.py
+++ b/tests/rollout/test_rollout_member.py
@@ -35,7 +35,7 @@
             net.step()
             rested += [mode for mode in net.modes().values() if mode == NO_EPOCHS]
         self.assertFalse(rested)  # the stricter of both meanwhile, never the floor
-        self.assertEqual(net.broker(1).results[-1].outcome, ChangeOutcome.IN_FORCE)
+        self.assertEqual(net.broker(1).proposals.results[-1].outcome, ChangeOutcome.IN_FORCE)
         self.assertEqual(net.broker(3).policy_for((1, 1)), policy(12))
 
     def test_with_one_member_dead_a_change_waits_for_its_lease_and_no_longer(self) -> None:
@@ -52,8 +52,8 @@
         net.validators[3] = invalid("class 'read' is not served here")
         net.broker(0).propose(policy(12), "half", net.now)
         net.run(3.0)
-        self.assertEqual(net.broker(0).results[-1].outcome, ChangeOutcome.NOWHERE)
-        self.assertIn("b3: class 'read'", net.broker(0).results[-1].reason)
+        self.assertEqual(net.broker(0).proposals.results[-1].outcome, ChangeOutcome.NOWHERE)
+        self.assertIn("b3: class 'read'", net.broker(0).proposals.results[-1].reason)
         self.assertTrue(net.everywhere(0))
 
     def test_a_member_that_cannot_decide_by_the_decided_policy_uses_the_floor_and_says_why(self) -> None:
@@ -106,7 +106,7 @@
             net.broker(0).propose(policy(12), "half", net.now)
             net.broker(4).propose(policy(48), "double", net.now)
             net.run(6.0)
-            ends = [net.broker(n).results[-1].outcome for n in (0, 4)]
+            ends = [net.broker(n).proposals.results[-1].outcome for n in (0, 4)]
             self.assertEqual(ends.count(ChangeOutcome.IN_FORCE), 1, ends)
             self.assertTrue(net.everywhere(1))
 
@@ -237,7 +237,7 @@
             rejection(net.broker(0).retire, "b1", net.now), ""
         )  # of b0 and b2 both would be needed
         net.run(7.0)
-        self.assertEqual(net.broker(0).results[-1].outcome, ChangeOutcome.NOWHERE)
+        self.assertEqual(net.broker(0).proposals.results[-1].outcome, ChangeOutcome.NOWHERE)
         net.start(2)
         net.until(lambda: net.broker(2).is_voter and net.everywhere(net.broker(0).state.epoch), 8.0)
 
@@ -279,7 +279,7 @@
         self.assertIn("they go by", checker.leases(two).broken)  # two voters at a time
 
         def earlier(made: leases.LeaseHolder, interval: leases.EpochInterval) -> list[tuple[int, ...]]:
-            return [made.voters if interval[0] == made.wanted else made.previous_voters]
+            return [made.voters if interval[0] == made.target_epoch else made.previous_voters]
 
         with mock.patch.object(
             leases.LeaseHolder, "_voters_by_epoch", earlier
--- a/tests/test_format_datagrams.py
+++ b/tests/test_format_datagrams.py
@@ -50,7 +50,9 @@
     "count": datagrams.UsageTotal(kind=2, key=0x5152535455565758, total=0x0000616263646566),
     "judge": datagrams.HealthReport(endpoint_id=0x7172737475767778, condition=4, weight=9, age_ms=1234),
     "presence": datagrams.Heartbeat(),
-    "lease question": datagrams.LeaseRequest(request_id=10, low=11, high=12, wanted=13, digest=STATE_NAME),
+    "lease question": datagrams.LeaseRequest(
+        request_id=10, low=11, high=12, target_epoch=13, digest=STATE_NAME
+    ),
     "lease": datagrams.LeaseReply(
         request_id=14, low=15, high=16, epoch=17, digest=STATE_NAME, store_id=0x0A0B0C0D0E0F1011
     ),
