--- a/lemonridge/cli/bench_commands.py
+++ b/lemonridge/cli/bench_commands.py
@@ -104,35 +104,19 @@
 def _bench_policy(options: argparse.Namespace) -> int:
     """What docs/policy-change.md states: 1 where a state is wrong."""
     if options.part in ("switch", "processes"):
-        from lemonridge.lab.measure import rollout as measured
-
-        rows = []
-        if options.part == "processes" or options.plot:
-            from lemonridge.lab.measure import rollout_live
-
-            for size in rollout_live.SIZES:
-                rows += rollout_live.figures(options.seed, (size,))
-                print(line(rows[-1]), flush=True)
-        if options.part == "switch":
-            model = measured.figures()
-            rows += model
-            for row in model:
-                print(line(row), flush=True)
-        if options.plot:
-            measured.plot(rows, options.plot)
-        return 0
+        return _bench_policy_switch(options)
     from lemonridge.lab.checkers import rollout
 
     broken = False
     searches = [(rollout.agreement(one), "agreement", one) for one in rollout.STATED_AGREEMENT]
     searches += [(rollout.leases(one), "leases", one) for one in rollout.STATED_LEASES]  # type: ignore[misc]
-    for found, what, bounds in searches:
+    for found, part, bounds in searches:
         broken = broken or bool(found.broken) or not found.whole
         print(
             line(
                 {
                     "bench": "policy",
-                    "part": what,
+                    "part": part,
                     "tries": sum(bounds.tries),
                     "wipes": bounds.wipes,
                     "crashes": bounds.crashes,
@@ -155,6 +139,27 @@
     return 1 if broken else 0
 
 
+def _bench_policy_switch(options: argparse.Namespace) -> int:
+    """How long a change of policy takes, on processes and in the model; drawn with `--plot`."""
+    from lemonridge.lab.measure import rollout
+
+    rows = []
+    if options.part == "processes" or options.plot:
+        from lemonridge.lab.measure import rollout_live
+
+        for size in rollout_live.SIZES:
+            rows += rollout_live.figures(options.seed, (size,))
+            print(line(rows[-1]), flush=True)
+    if options.part == "switch":
+        model = rollout.figures()
+        rows += model
+        for row in model:
+            print(line(row), flush=True)
+    if options.plot:
+        rollout.plot(rows, options.plot)
+    return 0
+
+
 BENCHES: dict[str, Callable[[argparse.Namespace], int]] = {
     "decisions": _bench_decisions,
     "extents": _bench_extents,
--- a/lemonridge/cli/lab_commands.py
+++ b/lemonridge/cli/lab_commands.py
@@ -20,17 +20,17 @@
     """Print what failed and what was skipped, then the counts; 0 only if nothing failed."""
     target = None
     if options.target:
-        at = Address.parse(options.target, "--target")
-        target = (at.host, at.port)
+        address = Address.parse(options.target, "--target")
+        target = (address.host, address.port)
 
-    def done(result: suite.Result) -> None:
+    def print_result(result: suite.Result) -> None:
         if options.json:
             print(orjson.dumps(vars(result)).decode())
         elif result.outcome != "passed":
             print(f"{result.outcome} {result.name} ({result.section}): {result.why}")
 
     try:
-        results = asyncio.run(suite.run(options.case, options.seed, target, done=done))
+        results = asyncio.run(suite.run(options.case, options.seed, target, done=print_result))
     except ProgramError as error:
         print(f"lemonridge: the broker failed: {error}", file=sys.stderr)
         return 1
@@ -42,7 +42,11 @@
 
 
 def demo(options: argparse.Namespace) -> int:
-    """`lemonridge demo`: 0 if most was served though a node died."""
+    """Print the figures; 0 if most requests were served though an endpoint died.
+
+    Raises:
+        ConfigError: the extra `lab` is missing, or an option lies outside its bounds.
+    """
     if not 2 <= options.seconds <= 3600:
         raise ConfigError("demo: --seconds must lie between 2 and 3600")
     try:
@@ -59,7 +63,11 @@
 
 
 def lab(options: argparse.Namespace) -> int:
-    """The parts of `lemonridge lab`."""
+    """Run one of the parts of `lab`; the exit status.
+
+    Raises:
+        ConfigError: the extra `lab` is missing, or a file or an option cannot be used.
+    """
     try:
         import numpy  # noqa: F401
         import simpy  # noqa: F401
--- a/lemonridge/cli/load_commands.py
+++ b/lemonridge/cli/load_commands.py
@@ -85,9 +85,9 @@
     if not 10 <= options.deadline_ms <= 60_000:
         raise ConfigError("load: --deadline-ms from 10 to 60000")
 
-    def plan(at: int) -> tool.Plan:
+    def plan(front_port: int) -> tool.Plan:
         return tool.Plan(
-            at,
+            front_port,
             options.rate,
             options.seconds,
             deadline_ms=options.deadline_ms,
@@ -96,17 +96,17 @@
             seed=options.seed,
         )
 
-    async def whole() -> tuple[Tally, dict[str, int]]:
+    async def run() -> tuple[Tally, dict[str, int]]:
         if port:
             return await tool.run(plan(port), print), {}
         async with tool.standing(
             options.serve_standins, deadline_ms=options.deadline_ms, seed=options.seed
-        ) as (program, at, _):
-            tally = await tool.run(plan(at), print)
+        ) as (program, front_port, _):
+            tally = await tool.run(plan(front_port), print)
         return tally, program.counts
 
     try:
-        tally, counts = asyncio.run(whole())
+        tally, counts = asyncio.run(run())
     except ProgramError as error:
         print(f"lemonridge: the broker failed: {error}", file=sys.stderr)
         return 1
@@ -123,5 +123,5 @@
 def _write_hdr(path: str, times: dict[str, Any]) -> None:
     """One HdrHistogram a kind, a line each: the kind, a comma, the histogram in its compressed form."""
     with open(path, "w", encoding="ascii") as file:
-        for kind, held in times.items():
-            file.write(f"{kind},{held.encode().decode()}\n")
+        for kind, histogram in times.items():
+            file.write(f"{kind},{histogram.encode().decode()}\n")
