--- a/lemonridge/net/http_endpoints.py
+++ b/lemonridge/net/http_endpoints.py
@@ -31,9 +31,9 @@
 class _EndpointReport(TypedDict):
     """What a response's headers tell beside its body; None: they do not."""
 
-    units_used: int | None
-    units_elsewhere: float | None
-    endpoint_load: float | None
+    volume_units: int | None
+    peer_units: float | None
+    endpoint_outstanding: float | None
 
 
 class HttpEndpoints:
@@ -74,7 +74,7 @@
             raise AttemptSuppressedError
         headers = dict(payload.headers)
         if self.epoch is not None:
-            epoch = self.epoch(attempt.decided_s)
+            epoch = self.epoch(attempt.decided_at_s)
             if epoch is None:
                 raise AttemptSuppressedError
             headers["X-Policy-Epoch"] = epoch
@@ -142,7 +142,7 @@
         """
         if self._directory.address(attempt.endpoint_id) != address:  # draining, removed, or moved
             raise AttemptSuppressedError
-        expires_s = attempt.decided_s + self._connector.connect_s + DECISION_EXPIRES_S
+        expires_s = attempt.decided_at_s + self._connector.connect_s + DECISION_EXPIRES_S
         if self.expires_decisions and self._loop.time() > expires_s:
             raise AttemptSuppressedError
 
@@ -158,9 +158,9 @@
             return Outcome(AttemptResult.ERROR)
         headers = response.headers
         report: _EndpointReport = {
-            "units_used": _parse_count(headers.get("X-Iops-Used"), 1),
-            "units_elsewhere": _parse_number(headers.get("X-Rho")),
-            "endpoint_load": _parse_load_report(headers.get("X-Load")).get(self._in_flight_field),
+            "volume_units": _parse_count(headers.get("X-Iops-Used"), 1),
+            "peer_units": _parse_number(headers.get("X-Rho")),
+            "endpoint_outstanding": _parse_load_report(headers.get("X-Load")).get(self._in_flight_field),
         }
         if response.status == 200:
             return Outcome(AttemptResult.OK, reply, **report)
