--- a/lemonridge/net/discovery.py
+++ b/lemonridge/net/discovery.py
@@ -89,12 +89,12 @@
         self,
         address: str,
         zones: tuple[str, ...],
-        directory: EndpointRegistry,
+        registry: EndpointRegistry,
         random: Random,
         counters: Counters,
         settings: Settings,
     ) -> None:
-        self._url, self._zones, self._directory = f"http://{address}/api/targets", zones, directory
+        self._url, self._zones, self._registry = f"http://{address}/api/targets", zones, registry
         self._polls = settings.polls_endpoint_list
         self._wait_s = POLL_WAIT_S if self._polls else AGENT_WAIT_S
         # An agent answers a call that does not wait at once, or its connection has fallen silent.
@@ -227,8 +227,8 @@
             )
         endpoints = answer.endpoints(self._zones)
         self._counters["discovery.answers"] += 1
-        self._directory.record_answer()
+        self._registry.record_answer()
         if endpoints or answer.is_snapshot:
             kind = EndpointListUpdate.SNAPSHOT if answer.is_snapshot else EndpointListUpdate.DELTA
-            self._directory.update(kind, endpoints)
+            self._registry.update(kind, endpoints)
         return answer.version
--- a/lemonridge/net/http_endpoints.py
+++ b/lemonridge/net/http_endpoints.py
@@ -40,9 +40,9 @@
     """Makes attempts at the platform's nodes."""
 
     def __init__(
-        self, directory: EndpointRegistry, clock: Clock, platform: PlatformConfig, counters: Counters
+        self, registry: EndpointRegistry, clock: Clock, platform: PlatformConfig, counters: Counters
     ) -> None:
-        self._directory, self._clock, self._in_flight_field = directory, clock, platform.in_flight_field
+        self._registry, self._clock, self._in_flight_field = registry, clock, platform.in_flight_field
         self._loop = asyncio.get_running_loop()
         # The policy's epoch at the time of a decision, in seconds on the loop's clock; None: it has ended.
         self.epoch: Callable[[float], str | None] | None = None
@@ -69,7 +69,7 @@
         """
         payload = attempt.request.payload
         assert isinstance(payload, Payload)
-        address = self._directory.address(attempt.endpoint_id)
+        address = self._registry.address(attempt.endpoint_id)
         if address is None:
             raise AttemptSuppressedError
         headers = dict(payload.headers)
@@ -140,7 +140,7 @@
 
         The endpoint list may have changed during the connect, or the process may have been stopped.
         """
-        if self._directory.address(attempt.endpoint_id) != address:  # draining, removed, or moved
+        if self._registry.address(attempt.endpoint_id) != address:  # draining, removed, or moved
             raise AttemptSuppressedError
         expires_s = attempt.decided_at_s + self._connector.connect_s + DECISION_EXPIRES_S
         if self.expires_decisions and self._loop.time() > expires_s:
--- a/lemonridge/net/http_front.py
+++ b/lemonridge/net/http_front.py
@@ -43,12 +43,12 @@
         self,
         platform: PlatformConfig,
         broker: Broker,
-        directory: EndpointRegistry,
+        registry: EndpointRegistry,
         clock: Clock,
         counters: Counters,
         lifecycle: Lifecycle,
     ) -> None:
-        self._broker, self._directory = broker, directory
+        self._broker, self._registry = broker, registry
         self._clock, self._counters, self._lifecycle = clock, counters, lifecycle
         self._table = ConnectionTable(clock, counters, lifecycle)
         # Whether the policy in force is known; replaced where the fleet decides on one.
@@ -197,7 +197,7 @@
     def _ready(self, http: web.BaseRequest) -> web.Response:
         if http.method != "GET" or http.path != "/-/ready":
             return web.Response(status=404)
-        up = self._directory.has_list and self._lifecycle.ready and self.has_lease()
+        up = self._registry.has_list and self._lifecycle.ready and self.has_lease()
         return web.Response(status=200 if up else 503)
 
 
