--- a/lemonridge/net/http_endpoints.py
+++ b/lemonridge/net/http_endpoints.py
@@ -4,6 +4,7 @@
 
 import asyncio
 from collections.abc import Callable
+from dataclasses import dataclass
 from types import SimpleNamespace
 from typing import TypedDict
 
@@ -36,6 +37,14 @@
     endpoint_outstanding: float | None
 
 
+@dataclass(frozen=True, slots=True)
+class _SendContext:
+    """What aiohttp's traces of a request need: its attempt, and the endpoint's address as it was decided."""
+
+    attempt: Attempt
+    address: str
+
+
 class HttpEndpoints:
     """Makes attempts at the platform's nodes."""
 
@@ -72,12 +81,7 @@
         address = self._registry.address(attempt.endpoint_id)
         if address is None:
             raise AttemptSuppressedError
-        headers = dict(payload.headers)
-        if self.epoch is not None:
-            epoch = self.epoch(attempt.decided_at_s)
-            if epoch is None:
-                raise AttemptSuppressedError
-            headers["X-Policy-Epoch"] = epoch
+        headers = self._headers(payload, attempt.decided_at_s)
         try:
             response = await self._session.request(
                 payload.method,
@@ -85,17 +89,9 @@
                 headers=headers,
                 data=payload.body or None,
                 allow_redirects=False,
-                trace_request_ctx=(attempt, address),
+                trace_request_ctx=_SendContext(attempt, address),
             )
-            outcome: Outcome | None = None
-            try:
-                outcome = await self._outcome(response)
-            finally:
-                if outcome is None:
-                    response.close()
-                elif not isinstance(outcome.reply, StreamedResponse):
-                    response.release()
-            return outcome
+            return await self._read_response(response)
         except aiohttp.ClientConnectorError as error:
             raise (
                 LocalFailureError if error.os_error.errno in LOCAL_ERRORS else ConnectFailedError
@@ -108,6 +104,28 @@
                 raise ConnectFailedError from None
             return Outcome(AttemptResult.RESET)
 
+    def _headers(self, payload: Payload, decided_at_s: float) -> dict[str, str]:
+        """The client's headers, with the epoch of the policy by which the attempt was decided."""
+        headers = dict(payload.headers)
+        if self.epoch is not None:
+            epoch = self.epoch(decided_at_s)
+            if epoch is None:
+                raise AttemptSuppressedError
+            headers["X-Policy-Epoch"] = epoch
+        return headers
+
+    async def _read_response(self, response: aiohttp.ClientResponse) -> Outcome:
+        """The outcome; the connection is given back, or closed where the response was not read to its end."""
+        outcome: Outcome | None = None
+        try:
+            outcome = await self._outcome(response)
+        finally:
+            if outcome is None:
+                response.close()
+            elif not isinstance(outcome.reply, StreamedResponse):
+                response.release()
+        return outcome
+
     async def close(self) -> None:
         """Close all connections."""
         await self._session.close()
@@ -120,36 +138,39 @@
         Aiohttp calls this once it has a connection, before it forms the head. A head alone is written in this
         step; before a body it waits for a turn of the loop, to leave together with it.
         """
-        attempt, address = context.trace_request_ctx
-        if attempt.request.payload.body:
-            self._check(attempt, address)
+        sending: _SendContext = context.trace_request_ctx
+        payload = sending.attempt.request.payload
+        assert isinstance(payload, Payload)
+        if payload.body:
+            self._check(sending)
         else:
-            self._begin(attempt, address)
-        left_us = attempt.request.deadline_us - self._clock.now_us()
+            self._begin(sending)
+        left_us = sending.attempt.request.deadline_us - self._clock.now_us()
         sent.headers["X-Deadline-Ms"] = str(forwarded_deadline_ms(left_us))
 
     async def _before_body(
         self, _: aiohttp.ClientSession, context: SimpleNamespace, __: aiohttp.TraceRequestChunkSentParams
     ) -> None:
         """Mark the attempt as begun; aiohttp calls this in the step in which it writes head and body."""
-        attempt, address = context.trace_request_ctx
-        self._begin(attempt, address)
+        self._begin(context.trace_request_ctx)
 
-    def _check(self, attempt: Attempt, address: str) -> None:
+    def _check(self, sending: _SendContext) -> None:
         """Raise `AttemptSuppressedError` where the decision no longer holds.
 
         The endpoint list may have changed during the connect, or the process may have been stopped.
         """
-        if self._registry.address(attempt.endpoint_id) != address:  # draining, removed, or moved
+        if (
+            self._registry.address(sending.attempt.endpoint_id) != sending.address
+        ):  # draining, removed, or moved
             raise AttemptSuppressedError
-        expires_s = attempt.decided_at_s + self._connector.connect_s + DECISION_EXPIRES_S
+        expires_s = sending.attempt.decided_at_s + self._connector.connect_s + DECISION_EXPIRES_S
         if self.expires_decisions and self._loop.time() > expires_s:
             raise AttemptSuppressedError
 
-    def _begin(self, attempt: Attempt, address: str) -> None:
+    def _begin(self, sending: _SendContext) -> None:
         """Begin in the step that writes the first byte, or raise `AttemptSuppressedError`."""
-        self._check(attempt, address)
-        attempt.begin()
+        self._check(sending)
+        sending.attempt.begin()
 
     async def _outcome(self, response: aiohttp.ClientResponse) -> Outcome:
         reply = await read_body(response)
