--- a/lemonridge/scheduling/actions.py
+++ b/lemonridge/scheduling/actions.py
@@ -24,12 +24,12 @@
         ROUTE_UNKNOWN: Nobody can say in time where its data is: `RequestLifecycle.migrate`.
     """
 
-    LIMIT_EXCEEDED = "limit"
-    SLOW_START = "cold"
-    OBJECTIVE_MISSED = "late"
-    ATTEMPTS_EXHAUSTED = "spent"
-    DEADLINE_EXCEEDED = "over"
-    ROUTE_UNKNOWN = "lost"
+    LIMIT_EXCEEDED = "limit_exceeded"
+    SLOW_START = "slow_start"
+    OBJECTIVE_MISSED = "objective_missed"
+    ATTEMPTS_EXHAUSTED = "attempts_exhausted"
+    DEADLINE_EXCEEDED = "deadline_exceeded"
+    ROUTE_UNKNOWN = "route_unknown"
 
 
 @dataclass(frozen=True, slots=True)
