--- a/lemonridge/config/platform.py
+++ b/lemonridge/config/platform.py
@@ -16,7 +16,7 @@
 from lemonridge.config.address import Address
 from lemonridge.config.errors import ConfigError
 from lemonridge.config.fleet import FleetConfig
-from lemonridge.config.scheduler_settings import SettingsError, held_field, names, settings_from
+from lemonridge.config.scheduler_settings import SettingsError, in_flight_field, row_names, settings_from
 from lemonridge.scheduling.settings import Settings
 
 SOCKETS_DEFAULT, MEMORY_DEFAULT_MIB = 1024, 192  # where the file gives no limit
@@ -152,7 +152,7 @@
     facts = values.get("settings")
     settings = settings_from(facts)
     assert isinstance(facts, dict)  # settings_from saw to it
-    classes = names(facts, "classes")
+    classes = row_names(facts, "classes")
     class_writes = facts["family-info"].get("class-writes")
     if not isinstance(class_writes, list) or len(class_writes) != len(classes):
         raise SettingsError("settings lack the list 'family-info.class-writes'")
@@ -166,14 +166,14 @@
         settings=settings,
         classes=classes,
         class_writes=tuple(map(bool, class_writes)),
-        plans=names(facts, "grades"),
+        plans=row_names(facts, "grades"),
         zones=tuple(map(str, facts.get("azs") or ())),
         connect_us=_required_limit(facts, "connect-timeout-us"),
         keepalive_us=_required_limit(facts, "keepalive-us"),
         sockets=int(_optional_number(limits, "sockets") or SOCKETS_DEFAULT),
         memory_bytes=int((_optional_number(limits, "memory_mb") or MEMORY_DEFAULT_MIB) * 2**20),
         shards=int(_optional_number(facts["family-info"], "n-shards")),
-        in_flight_field=held_field(facts),
+        in_flight_field=in_flight_field(facts),
         cached_endpoint_list=cached_list if isinstance(cached_list, dict) else {},
         file_values=file_values,
         fleet=_fleet(values, facts, settings.hosts),
--- a/lemonridge/config/scheduler_settings.py
+++ b/lemonridge/config/scheduler_settings.py
@@ -132,7 +132,7 @@
     )
 
 
-def held_field(facts: dict[str, Any]) -> str:
+def in_flight_field(facts: dict[str, Any]) -> str:
     """The field of a response's load report that says how many requests are at its endpoint.
 
     Empty where the settings name none, or where responses carry no reports.
@@ -144,7 +144,7 @@
     return next((one for one in fields if one in OUTSTANDING_FIELDS), "") if isinstance(fields, list) else ""
 
 
-def names(facts: dict[str, Any], table: str) -> tuple[str, ...]:
+def row_names(facts: dict[str, Any], table: str) -> tuple[str, ...]:
     """The names of a table's rows, in the order of their numbers.
 
     Raises:
--- a/lemonridge/operate/handover.py
+++ b/lemonridge/operate/handover.py
@@ -77,7 +77,7 @@
             },
             drain_began_us=None if self.drain_began_us is None else self.drain_began_us + shift_us,
             limit_levels={
-                volume: replace(level, owed_until_us=level.owed_until_us + shift_us)
+                volume: replace(level, predecessor_debt_until_us=level.predecessor_debt_until_us + shift_us)
                 for volume, level in self.limit_levels.items()
             },
             start_times={
--- a/lemonridge/operate/handover_format.py
+++ b/lemonridge/operate/handover_format.py
@@ -80,7 +80,10 @@
         },
         "drained_us": state.drain_began_us,
         "levels": [[volume, level.saved] for volume, level in state.limit_levels.items()],
-        "owed": [[volume, level.owed, level.owed_until_us] for volume, level in state.limit_levels.items()],
+        "owed": [
+            [volume, level.predecessor_debt, level.predecessor_debt_until_us]
+            for volume, level in state.limit_levels.items()
+        ],
         "rows": [
             [
                 row.endpoint.endpoint_id,
--- a/lemonridge/scheduling/events.py
+++ b/lemonridge/scheduling/events.py
@@ -35,13 +35,13 @@
 
     Attributes:
         saved: What its successor has saved from the start.
-        owed: What it may itself still send to an endpoint.
-        owed_until_us: Until when, in Unix microseconds.
+        predecessor_debt: What it may itself still send to an endpoint.
+        predecessor_debt_until_us: Until when, in Unix microseconds.
     """
 
     saved: float
-    owed: float = 0.0
-    owed_until_us: int = 0
+    predecessor_debt: float = 0.0
+    predecessor_debt_until_us: int = 0
 
 
 class EndpointState(Enum):
--- a/lemonridge/scheduling/volume_limits.py
+++ b/lemonridge/scheduling/volume_limits.py
@@ -101,7 +101,7 @@
         level = self.levels.pop(name, None)
         if level is not None:
             volume.bucket.tokens += level.saved
-            volume.bucket.set_predecessor_debt(level.owed, level.owed_until_us)
+            volume.bucket.set_predecessor_debt(level.predecessor_debt, level.predecessor_debt_until_us)
 
     def sweep(self) -> None:
         """Forgets idle volumes, once in `IDLE_VOLUME_TTL_US`.
--- a/tests/config/test_sites.py
+++ b/tests/config/test_sites.py
@@ -7,7 +7,7 @@
 
 from harness import ROOT
 
-from lemonridge.config.scheduler_settings import held_field
+from lemonridge.config.scheduler_settings import in_flight_field
 
 
 class Reports(unittest.TestCase):
@@ -21,7 +21,7 @@
             (None, ""),
             ([], ""),
         ):
-            self.assertEqual(held_field({"load-info": report}), field)
+            self.assertEqual(in_flight_field({"load-info": report}), field)
 
 
 class Sites(unittest.TestCase):
--- a/tests/scheduling/test_recorded_trace.py
+++ b/tests/scheduling/test_recorded_trace.py
@@ -199,7 +199,10 @@
 
 def plain_levels(levels: Any) -> list[tuple[int, float, float, int]]:
     """The limits that are handed over, by volume."""
-    return [(name, one.saved, one.owed, one.owed_until_us) for name, one in sorted(levels.items())]
+    return [
+        (name, one.saved, one.predecessor_debt, one.predecessor_debt_until_us)
+        for name, one in sorted(levels.items())
+    ]
 
 
 def made_levels(rows: list[tuple[int, float, float, int]]) -> Any:
--- a/tests/test_format_handover.py
+++ b/tests/test_format_handover.py
@@ -31,7 +31,7 @@
     returned={"s-2": ReturnedToService(banned_us=1, returned_us=4)},
     drain_began_us=7,
     limit_levels={
-        2**64 - 1: LimitLevel(saved=2.5, owed=3.25, owed_until_us=11),
+        2**64 - 1: LimitLevel(saved=2.5, predecessor_debt=3.25, predecessor_debt_until_us=11),
         4: LimitLevel(saved=1.0),
     },
     endpoints=(row(1, EndpointState.ACTIVE), row(2, EndpointState.DRAINING), row(3, EndpointState.REMOVED)),
--- a/tests/test_format_settings.py
+++ b/tests/test_format_settings.py
@@ -218,12 +218,12 @@
     ],
 )
 def test_the_field_that_says_what_a_node_holds(report: object, field: str) -> None:
-    assert scheduler_settings.held_field({"load-info": report}) == field
+    assert scheduler_settings.in_flight_field({"load-info": report}) == field
 
 
 def test_names_of_rows() -> None:
-    assert scheduler_settings.names(FACTS, "classes") == ("read", "write", "zoned", "celled", "order")
-    assert scheduler_settings.names(FACTS, "grades") == ("priority", "bare")
+    assert scheduler_settings.row_names(FACTS, "classes") == ("read", "write", "zoned", "celled", "order")
+    assert scheduler_settings.row_names(FACTS, "grades") == ("priority", "bare")
 
 
 # The platform's file
