--- a/lemonridge/coordination/policy_coordinator.py
+++ b/lemonridge/coordination/policy_coordinator.py
@@ -93,7 +93,7 @@
         self.lease_guard = PolicyLeaseGuard(self.rollout, own, clock, self._loop.time, peers, counters)
         self._source = SourceProposal(fleet.me)
         self._admin_calls = PolicyAdminCalls(self.rollout, self._source, clock, self._flush)
-        self._actions = ActionQueue(store, peers.post, self._loop, counters)
+        self._actions = ActionQueue(store, peers.send_rollout_items, self._loop, counters)
         self._results_logged = 0
         self._timer: asyncio.TimerHandle | None = None
         peers.coordinator, decision_host.lease_guard = self, self.lease_guard
@@ -106,7 +106,7 @@
 
     # Events
 
-    def heard(self, member: int, incarnation: int, item: Item) -> None:
+    def on_rollout_item(self, member: int, incarnation: int, item: Item) -> None:
         """A member's message about the policy arrived."""
         self.rollout.handle(member, incarnation, item, self._clock.now_us())
         self._flush()
--- a/lemonridge/fleet/datagram_sender.py
+++ b/lemonridge/fleet/datagram_sender.py
@@ -105,7 +105,7 @@
         if not part:
             self._counts[counters.ITEMS_DROPPED] += len(items)
             return []
-        if self._room(part, length_max) >= _UPDATE_BYTES:
+        if self._free_bytes(part, length_max) >= _UPDATE_BYTES:
             self._add_updates(receiver, part, length_max)
         if not self._afford(part, now_us):
             self._counts[counters.ITEMS_DROPPED] += len(part) + len(items)
@@ -134,19 +134,19 @@
         """Take the items of one datagram off the list, in the order of their priority."""
         items.sort(key=lambda item: _PRIORITY[type(item)])
         part: list[Item] = []
-        room = length_max - self._frame_bytes
-        while items and item_bytes(items[0]) <= room:
-            room -= item_bytes(items[0])
+        free_bytes = length_max - self._frame_bytes
+        while items and item_bytes(items[0]) <= free_bytes:
+            free_bytes -= item_bytes(items[0])
             part.append(items.pop(0))
         return part
 
-    def _room(self, part: list[Item], length_max: int) -> int:
+    def _free_bytes(self, part: list[Item], length_max: int) -> int:
         """Bytes that are left in a datagram."""
         return length_max - self._frame_bytes - sum(map(item_bytes, part))
 
     def _add_updates(self, receiver: int, part: list[Item], length_max: int) -> None:
         """Fill a datagram up with membership updates."""
-        part += self._membership.updates_for(receiver, self._room(part, length_max) // _UPDATE_BYTES)
+        part += self._membership.updates_for(receiver, self._free_bytes(part, length_max) // _UPDATE_BYTES)
 
     def _afford(self, part: list[Item], now_us: int) -> bool:
         """Take the datagram's bytes from the budget; False where there are too few."""
--- a/lemonridge/fleet/failure_detector.py
+++ b/lemonridge/fleet/failure_detector.py
@@ -156,10 +156,12 @@
     def _next_probed(self) -> int | None:
         """The next member of the shuffled order (SWIM, section 4.3), or now and then one that is dead."""
         self._period += 1
-        gone = [n for n in self._member_list.others if self._membership.members[n].state not in PROBED_STATES]
-        all_gone = len(gone) == self._member_list.size - 1
-        if (gone and self._period % DEAD_PROBE_PERIODS == 0) or all_gone:
-            return self._random.choice(gone) if gone else None
+        unreachable = [
+            n for n in self._member_list.others if self._membership.members[n].state not in PROBED_STATES
+        ]
+        all_unreachable = len(unreachable) == self._member_list.size - 1
+        if (unreachable and self._period % DEAD_PROBE_PERIODS == 0) or all_unreachable:
+            return self._random.choice(unreachable) if unreachable else None
         for _ in range(2):
             while self._probe_order:
                 member_id = self._probe_order.pop()
--- a/lemonridge/fleet/gossip.py
+++ b/lemonridge/fleet/gossip.py
@@ -96,11 +96,11 @@
         """A total arrived; None where it says nothing of what a volume was served of late."""
         counter = CounterKey(total.kind, total.key)
         units = self._usage.on_total(header.sender, header.incarnation, counter, total.total, now_us)
-        if units and total.kind == UsageKind.SERVED and self._all_heard_of_late(now_us):
+        if units and total.kind == UsageKind.SERVED and self._no_member_is_silent(now_us):
             return PeerUsageReceived(total.key, units)
         return None
 
-    def _all_heard_of_late(self, now_us: int) -> bool:
+    def _no_member_is_silent(self, now_us: int) -> bool:
         """Whether no live member is silent: what a silent one served is not known."""
         if self._member_list.size > FANOUT + 1:
             return False
--- a/lemonridge/fleet/health_gossip.py
+++ b/lemonridge/fleet/health_gossip.py
@@ -195,10 +195,10 @@
         ]
         if not current:
             return None
-        no_answer = (ReportedCondition.UNREACHABLE, ReportedCondition.UNRESPONSIVE)
+        not_answering = (ReportedCondition.UNREACHABLE, ReportedCondition.UNRESPONSIVE)
         groups: Iterable[list[PeerHealthReport]] = [
             [one for one in current if one.condition in conditions]
-            for conditions in (no_answer, (ReportedCondition.ERRORS,), (ReportedCondition.RESTARTED,))
+            for conditions in (not_answering, (ReportedCondition.ERRORS,), (ReportedCondition.RESTARTED,))
         ]
         most = max(groups, key=len)
         worst, oldest_us = min(one.condition for one in most), min(one.at_us for one in most)
--- a/lemonridge/fleet/membership.py
+++ b/lemonridge/fleet/membership.py
@@ -126,8 +126,8 @@
             self.confirm_suspicion(member, sender)
         if not newer and member.state >= MemberState.SUSPECT:
             return []
-        heard_of_late = member.last_received_us and now_us - member.last_received_us < PROBE_PERIOD_US
-        if heard_of_late and update.incarnation == member.incarnation:
+        received_recently = member.last_received_us and now_us - member.last_received_us < PROBE_PERIOD_US
+        if received_recently and update.incarnation == member.incarnation:
             known = MembershipUpdate(update.member_id, member.incarnation, member.state_version, member.state)
             return [(sender, known)]
         self.suspect(update.member_id, *version, sender, now_us)
--- a/lemonridge/fleet/quota_ledger.py
+++ b/lemonridge/fleet/quota_ledger.py
@@ -33,7 +33,7 @@
     LoanRequest,
 )
 
-WHOLE_PARTS = 1_000_000  # parts of a volume's limit, or of the rate of retries
+TOTAL_PARTS = 1_000_000  # parts of a volume's limit, or of the rate of retries
 LOAN_DURATION_US = 1_500_000
 REQUEST_INTERVAL_US = 400_000  # between requests for one budget: a loan outlives two lost requests
 FLOOR_DIVISOR = 20  # one of so many of its own parts is never lent
@@ -105,7 +105,7 @@
         """Parts that are never lent."""
         return self.owned // self.floor_divisor
 
-    def lent(self, now_us: int, except_to: int = -1) -> int:
+    def loaned_parts(self, now_us: int, except_to: int = -1) -> int:
         """Parts that others may be using, as far as this broker can know: the largest loan of each."""
         return sum(
             max((loan.parts for loan in loans if loan.end_us > now_us), default=0)
@@ -214,7 +214,7 @@
 
     def own_left(self, budget: Budget, now_us: int) -> int:
         """Parts of its own that are not lent; after a start no more than the floor."""
-        left = max(0, budget.owned - budget.lent(now_us))
+        left = max(0, budget.owned - budget.loaned_parts(now_us))
         return left if now_us >= self.floors_until_us else min(left, budget.floor)
 
     def borrowed_parts(self, key: BudgetKey, budget: Budget, now_us: int) -> int:
@@ -339,7 +339,7 @@
         is_limit = request.kind == BudgetKind.LIMIT
         if is_limit and request.hosts > 1 and (budget is None or not budget.used_here):
             # Not used here so far: a broker that may use it later can promise not to until the loan ends.
-            budget = self.open_budget(key, WHOLE_PARTS // request.hosts, request.hosts, False, now_us)
+            budget = self.open_budget(key, TOTAL_PARTS // request.hosts, request.hosts, False, now_us)
         if budget is None or budget.hosts != request.hosts:
             return refusal
         if request.kind == BudgetKind.SLOW_START and _began_before(request, budget):
@@ -355,7 +355,7 @@
         if now_us < self.floors_until_us:
             return refusal
         keep = max(budget.floor, min(budget.owned, budget.demand) if budget.used_here else 0)
-        parts = min(request.parts, budget.owned - keep - budget.lent(now_us, borrower))
+        parts = min(request.parts, budget.owned - keep - budget.loaned_parts(now_us, borrower))
         if parts < min(LOAN_MIN_PARTS, max(1, budget.owned // 100)):
             return refusal
         self.active.add(key)
--- a/lemonridge/fleet/quota_lending.py
+++ b/lemonridge/fleet/quota_lending.py
@@ -17,7 +17,7 @@
 from lemonridge.fleet.limit_registry import FANOUT, LimitRegistry
 from lemonridge.fleet.member_list import MemberList
 from lemonridge.fleet.membership import Membership
-from lemonridge.fleet.quota_ledger import WHOLE_PARTS, BudgetKey, BudgetKind, Quota, QuotaLedger
+from lemonridge.fleet.quota_ledger import TOTAL_PARTS, BudgetKey, BudgetKind, Quota, QuotaLedger
 
 RECALL_INTERVAL_US = 100_000  # between a fresh start's recalls to members that have not acknowledged
 IDLE_BUDGET_US = 30_000_000  # a budget without use or loans for so long is dropped
@@ -76,7 +76,7 @@
         self._quotas: dict[BudgetKey, Quota] = {}  # as the scheduler was told last
         self._recall_us = self._swept_us = now_us
         if retry_rate and member_list.size > 1:
-            ledger.open_budget(RETRIES, WHOLE_PARTS // member_list.size, member_list.size, True, now_us)
+            ledger.open_budget(RETRIES, TOTAL_PARTS // member_list.size, member_list.size, True, now_us)
 
     @property
     def in_use(self) -> bool:
@@ -100,7 +100,7 @@
         before = self._limits.get(volume)
         self._limits[volume] = _Limit(limit, now_us)
         self._demand.add(key, units, now_us, limit)
-        budget = self._ledger.open_budget(key, WHOLE_PARTS // hosts, hosts, True, now_us)
+        budget = self._ledger.open_budget(key, TOTAL_PARTS // hosts, hosts, True, now_us)
         self._registry.record_use(key)
         # After a while without requests the scheduler may have forgotten the volume and its quota.
         recent = before is not None and now_us - before.used_us < IDLE_BUDGET_US // 2
@@ -226,14 +226,14 @@
         estimator = self._slow_start_demand if is_slow_start else self._demand
         rate = estimator.rate(key, now_us) * DEMAND_HEADROOM
         if is_slow_start:
-            wanted = int(rate * MICRO * SLOW_START_DEMAND_MULTIPLE)
-            budget.demand = min(SLOW_START_PARTS_LIMIT - 1, wanted)
+            parts = int(rate * MICRO * SLOW_START_DEMAND_MULTIPLE)
+            budget.demand = min(SLOW_START_PARTS_LIMIT - 1, parts)
         elif key.kind == BudgetKind.LIMIT:
             limit = self._limits.get(key.key)
-            whole = limit.rate if limit is not None else 0.0
-            budget.demand = min(WHOLE_PARTS, int(rate / whole * WHOLE_PARTS)) if whole else 0
+            limit_rate = limit.rate if limit is not None else 0.0
+            budget.demand = min(TOTAL_PARTS, int(rate / limit_rate * TOTAL_PARTS)) if limit_rate else 0
         else:
-            budget.demand = min(WHOLE_PARTS, int(rate / self._retry_rate * WHOLE_PARTS))
+            budget.demand = min(TOTAL_PARTS, int(rate / self._retry_rate * TOTAL_PARTS))
         return self._ledger.return_loans(key) if budget.demand < budget.owned else []
 
     def _lenders(self, key: BudgetKey) -> list[int]:
@@ -257,5 +257,5 @@
             known = list(dict.fromkeys(named))[:FANOUT]
         else:
             known = [n for n in budget.loans_in if n in others][:FANOUT]
-        rest = [n for n in others if n not in known]
-        return known + self._random.sample(rest, min(len(rest), FANOUT - len(known)))
+        candidates = [n for n in others if n not in known]
+        return known + self._random.sample(candidates, min(len(candidates), FANOUT - len(known)))
--- a/lemonridge/fleet/replay_window.py
+++ b/lemonridge/fleet/replay_window.py
@@ -54,7 +54,7 @@
         if self.min_age_ms is None or datagram_age_ms < self.min_age_ms:
             self.min_age_ms = datagram_age_ms
 
-    def lost_fraction(self) -> float | None:
+    def loss_fraction(self) -> float | None:
         """The part of the sender's datagrams that was not received; None before the first one."""
         sent = self.highest_sequence - self.first_sequence + 1
         return 1 - self.received / sent if self.received and sent > 0 else None
--- a/lemonridge/fleet/scheduler_bridge.py
+++ b/lemonridge/fleet/scheduler_bridge.py
@@ -22,7 +22,7 @@
 from lemonridge.fleet.fleet_member import FleetMember
 from lemonridge.fleet.health_gossip import ObservedOutcome, PeerHealthSummary, ReportedCondition
 from lemonridge.fleet.member_list import MemberList, key_of
-from lemonridge.fleet.quota_ledger import WHOLE_PARTS, BudgetKind
+from lemonridge.fleet.quota_ledger import TOTAL_PARTS, BudgetKind
 from lemonridge.fleet.settings import CLOCK_ERROR_US, SEND_BUDGET_BYTES_S, MemberSettings
 from lemonridge.scheduling.actions import Action, SlowStartBegan
 from lemonridge.scheduling.events import (
@@ -191,19 +191,19 @@
     def _on_quota_updated(self, updated: QuotaUpdated, now_us: int) -> None:
         """Tell a quota: of the whole for limits and retries, as a difference to its own at an endpoint."""
         name: int | str = updated.key
-        base, whole = 0, float(WHOLE_PARTS)
+        base, total = 0, float(TOTAL_PARTS)
         if updated.kind is BudgetKind.SLOW_START:
             if updated.key not in self.endpoints:
                 return
-            name, base, whole = self.endpoints[updated.key], updated.owned, PARTS_PER_UNIT_US
+            name, base, total = self.endpoints[updated.key], updated.owned, PARTS_PER_UNIT_US
         quota = updated.quota
         self.events.append(
             QuotaChanged(
                 BUDGETS[updated.kind],
                 name,
-                (quota.parts - base) / whole,
+                (quota.parts - base) / total,
                 quota.until_us,
-                (quota.parts_after - base) / whole,
+                (quota.parts_after - base) / total,
                 now_us,
             )
         )
@@ -242,8 +242,9 @@
     pending: list[Event] = []
 
     def take_events() -> list[Event]:
-        taken, bridge.events = bridge.events, []
-        return taken
+        """The events for the scheduler since the last call."""
+        new_events, bridge.events = bridge.events, []
+        return new_events
 
     for source, data in received:
         bridge.on_datagram(source, data, now_us)
--- a/lemonridge/fleet/status_report.py
+++ b/lemonridge/fleet/status_report.py
@@ -12,7 +12,7 @@
 from lemonridge.fleet.datagrams import MemberState
 from lemonridge.fleet.fleet_member import FleetMember
 from lemonridge.fleet.health_gossip import ReportedCondition
-from lemonridge.fleet.quota_ledger import WHOLE_PARTS, BudgetKind
+from lemonridge.fleet.quota_ledger import TOTAL_PARTS, BudgetKind
 
 BUDGETS_SHOWN_MAX = 64  # those used last
 HEALTH_REPORTS_SHOWN_MAX = 64
@@ -59,14 +59,14 @@
 
 def _member(fleet: FleetMember, member_id: int, now_us: int) -> dict[str, Any]:
     member, window = fleet.membership.members[member_id], fleet.receiver.windows[member_id]
-    lost = window.lost_fraction()
+    loss = window.loss_fraction()
     return {
         "name": fleet.member_list.names[member_id],
         "state": STATE_WORDS[member.state],
         "life": member.incarnation,
         "for_ms": (now_us - member.state_since_us) // 1000,
         "heard_ms": (now_us - member.last_received_us) // 1000 if member.last_received_us else None,
-        "lost": round(lost, 3) if lost is not None else None,
+        "lost": round(loss, 3) if loss is not None else None,
         "clock_ms": window.min_age_ms,
         "deaths": member.deaths,
         "wrongly": member.refutations,
@@ -77,23 +77,23 @@
     rows, names = [], fleet.member_list.names
     by_use = sorted(fleet.ledger.budgets.items(), key=lambda one: -one[1].used_us)
     for key, budget in by_use[:BUDGETS_SHOWN_MAX]:
-        whole = WHOLE_PARTS if key.kind != BudgetKind.SLOW_START else max(1, budget.owned)
+        total = TOTAL_PARTS if key.kind != BudgetKind.SLOW_START else max(1, budget.owned)
         rows.append(
             {
                 "kind": BUDGET_WORDS[BudgetKind(key.kind)],
                 "key": f"{key.key:016x}",
                 "hosts": budget.hosts,
                 "uses": budget.used_here,
-                "own": budget.owned / whole,
-                "left": fleet.ledger.own_left(budget, now_us) / whole,
-                "has": fleet.ledger.quota(key, now_us).parts / whole,
-                "needs": min(1.0, budget.demand / whole),
+                "own": budget.owned / total,
+                "left": fleet.ledger.own_left(budget, now_us) / total,
+                "has": fleet.ledger.quota(key, now_us).parts / total,
+                "needs": min(1.0, budget.demand / total),
                 "lent": {
-                    names[borrower]: max(one.parts for one in loans) / whole
+                    names[borrower]: max(one.parts for one in loans) / total
                     for borrower, loans in budget.loans_out.items()
                 },
                 "borrowed": {
-                    names[lender]: one.parts / whole
+                    names[lender]: one.parts / total
                     for lender, one in budget.loans_in.items()
                     if one.end_us > now_us
                 },
@@ -107,6 +107,7 @@
     names, me = fleet.member_list.names, fleet.member_list.me
 
     def row(endpoint_key: int, condition: ReportedCondition, source: int, weight: int, at_us: int) -> Any:
+        """One report, as it is shown."""
         return {
             "node": endpoints.get(endpoint_key, f"{endpoint_key:016x}"),
             "what": CONDITION_WORDS[condition],
--- a/lemonridge/lab/checkers/escrow.py
+++ b/lemonridge/lab/checkers/escrow.py
@@ -15,7 +15,7 @@
 from lemonridge.fleet.datagrams import Item, LoanGrant, LoanRecall, LoanRecallAck, LoanRelease, LoanRequest
 from lemonridge.fleet.quota_ledger import (
     LOAN_DURATION_US,
-    WHOLE_PARTS,
+    TOTAL_PARTS,
     Budget,
     BudgetKey,
     BudgetKind,
@@ -118,7 +118,7 @@
     """Each user has had a request."""
     for key in bounds.budgets:
         if ledger.me in USERS[key]:
-            ledger.open_budget(key, WHOLE_PARTS // HOSTS[key], HOSTS[key], True, now_us)
+            ledger.open_budget(key, TOTAL_PARTS // HOSTS[key], HOSTS[key], True, now_us)
     return ledger
 
 
@@ -133,7 +133,7 @@
             for n in users
             if key in state.ledgers[n].budgets
         ]
-        if sum(parts) > WHOLE_PARTS:
+        if sum(parts) > TOTAL_PARTS:
             return f"{sum(parts)} parts of budget {key[1]} are in use: {parts}"
     return ""
 
@@ -199,7 +199,7 @@
             if to == number:
                 continue
             ledger = clone(state.ledgers[number])
-            ledger.budgets[key].demand = WHOLE_PARTS
+            ledger.budgets[key].demand = TOTAL_PARTS
             request = ledger.make_request(key, _clock_us(state, number))
             ledger.budgets[key].demand = 0  # nobody keeps more than its floor: the most is lent
             sent = Message(number, to, ledger.incarnation, request)
--- a/lemonridge/net/peer_transport.py
+++ b/lemonridge/net/peer_transport.py
@@ -54,8 +54,8 @@
 class RolloutItemHandler(Protocol):
     """The policy rollout's host, to which its items are delivered."""
 
-    def heard(self, who: int, incarnation: int, item: Item) -> None:
-        """An item arrived from member `who`'s incarnation."""
+    def on_rollout_item(self, member: int, incarnation: int, item: Item) -> None:
+        """An item arrived from `member`'s incarnation."""
 
 
 class PeerTransport(asyncio.DatagramProtocol):
@@ -169,9 +169,9 @@
         rollout_items, bridge.rollout_items = bridge.rollout_items, []
         if self.coordinator is not None:
             for one in rollout_items:
-                self.coordinator.heard(one.source, one.incarnation, one.item)
+                self.coordinator.on_rollout_item(one.source, one.incarnation, one.item)
 
-    def post(self, items: Iterable[tuple[int, Item]]) -> None:
+    def send_rollout_items(self, items: Iterable[tuple[int, Item]]) -> None:
         """Send items of the policy rollout, by receiver."""
         self._bridge.send_rollout_items(items, self._clock.now_us())
         self._flush()
--- a/tests/fleet/test_fleet_member.py
+++ b/tests/fleet/test_fleet_member.py
@@ -11,7 +11,7 @@
 from lemonridge.fleet.events import DatagramReceived, ShutdownBegan, TimerFired
 from lemonridge.fleet.health_gossip import ObservedOutcome
 from lemonridge.fleet.member_list import key_of
-from lemonridge.fleet.quota_ledger import LOAN_DURATION_US, WHOLE_PARTS, BudgetKey, BudgetKind
+from lemonridge.fleet.quota_ledger import LOAN_DURATION_US, TOTAL_PARTS, BudgetKey, BudgetKind
 from lemonridge.fleet.settings import MemberSettings
 
 SLOW_START = BudgetKey(int(BudgetKind.SLOW_START), 77)
@@ -151,7 +151,9 @@
         for _ in range(160):  # by then the spell is over
             fleet.members[0].record_shard_demand(4, 3.0, fleet.now_us)
             fleet.step()
-        self.assertEqual({one.ledger.budgets[SLOW_START].lent(fleet.now_us) for one in fleet.members}, {0})
+        self.assertEqual(
+            {one.ledger.budgets[SLOW_START].loaned_parts(fleet.now_us) for one in fleet.members}, {0}
+        )
 
     def test_a_slow_start_that_begins_again_uses_nothing_that_is_still_lent(self) -> None:
         fleet = VirtualFleet(3)
@@ -161,7 +163,7 @@
         for _ in range(60):
             fleet.members[0].record_shard_demand(4, 3.0, fleet.now_us)
             fleet.step()
-        lent = fleet.members[1].ledger.budgets[SLOW_START].lent(fleet.now_us)
+        lent = fleet.members[1].ledger.budgets[SLOW_START].loaned_parts(fleet.now_us)
         self.assertEqual(lent, 5 * 10**6)
         fleet.carry_out(1, fleet.members[1].handle(fleet.now_us, (fleet.slow_start_began(fleet.now_us + 1),)))
         self.assertLessEqual(fleet.quotas[1, BudgetKind.SLOW_START, 77].quota.parts, 10**7 - lent)
@@ -207,7 +209,7 @@
         ledger = fleet.members[0].ledger
         key = limit_key(5)
         before = ledger.quota(key, fleet.now_us)
-        self.assertFalse(ledger.on_grant(1, START_US, LoanGrant(*key, 12345, WHOLE_PARTS, 1), fleet.now_us))
+        self.assertFalse(ledger.on_grant(1, START_US, LoanGrant(*key, 12345, TOTAL_PARTS, 1), fleet.now_us))
         self.assertEqual(ledger.quota(key, fleet.now_us), before)
         request = ledger.make_request(key, fleet.now_us)
         self.assertFalse(
--- a/tests/fleet/test_quota_ledger.py
+++ b/tests/fleet/test_quota_ledger.py
@@ -14,7 +14,7 @@
 from lemonridge.fleet.quota_ledger import (
     FLOOR_DIVISOR,
     LOAN_DURATION_US,
-    WHOLE_PARTS,
+    TOTAL_PARTS,
     BudgetKey,
     BudgetKind,
     QuotaLedger,
@@ -71,7 +71,7 @@
             others = [o for o in range(brokers) if o != n]
             made = QuotaLedger(n, incarnation, random.randrange(1 << 20), error_us, clock(n), others)
             if n in users:
-                made.open_budget(key, WHOLE_PARTS // hosts, hosts, True, clock(n))
+                made.open_budget(key, TOTAL_PARTS // hosts, hosts, True, clock(n))
             return made
 
         key, largest = BudgetKey(int(BudgetKind.LIMIT), 7), 0
@@ -83,7 +83,7 @@
             n = random.randrange(brokers)
             draw = random.random()
             if draw < 0.3 and n in users:
-                ledgers[n].budgets[key].demand = random.choice((0, WHOLE_PARTS // 2, WHOLE_PARTS))
+                ledgers[n].budgets[key].demand = random.choice((0, TOTAL_PARTS // 2, TOTAL_PARTS))
                 request = ledgers[n].make_request(key, clock(n))
                 messages += [(n, o, ledgers[n].incarnation, request) for o in range(brokers) if o != n]
             elif draw < 0.33 and n in users:
@@ -119,9 +119,9 @@
             del messages[:-40]
             parts = [ledgers[u].quota(key, clock(u)).parts for u in users]
             largest = max(largest, *parts)
-            self.assertLessEqual(sum(parts), WHOLE_PARTS, parts)
+            self.assertLessEqual(sum(parts), TOTAL_PARTS, parts)
             for u in users:
-                self.assertGreaterEqual(parts[users.index(u)], WHOLE_PARTS // hosts // FLOOR_DIVISOR)
+                self.assertGreaterEqual(parts[users.index(u)], TOTAL_PARTS // hosts // FLOOR_DIVISOR)
 
 
 class OneLedger(unittest.TestCase):
@@ -130,45 +130,45 @@
     def pair(self, hosts: int = 2) -> tuple[QuotaLedger, QuotaLedger]:
         made = [escrow.make_ledger(n, 1, 0) for n in range(2)]
         for one in made:
-            one.open_budget(TWO_USE, WHOLE_PARTS // hosts, hosts, True, 0)
+            one.open_budget(TWO_USE, TOTAL_PARTS // hosts, hosts, True, 0)
             one.error_us = 50_000
         return made[0], made[1]
 
     def test_a_fresh_start_lends_nothing_and_has_its_floor(self) -> None:
         a, b = self.pair()
-        self.assertEqual(a.quota(TWO_USE, 10).parts, WHOLE_PARTS // 2 // FLOOR_DIVISOR)
+        self.assertEqual(a.quota(TWO_USE, 10).parts, TOTAL_PARTS // 2 // FLOOR_DIVISOR)
         self.assertEqual(b.on_request(0, 1, a.make_request(TWO_USE, 10), 10).parts, 0)
-        self.assertEqual(a.quota(TWO_USE, a.floors_until_us).parts, WHOLE_PARTS // 2)
+        self.assertEqual(a.quota(TWO_USE, a.floors_until_us).parts, TOTAL_PARTS // 2)
 
     def test_a_lender_keeps_what_it_needs_and_its_floor(self) -> None:
         a, b = self.pair()
         now = a.floors_until_us
-        a.budgets[TWO_USE].demand = WHOLE_PARTS
+        a.budgets[TWO_USE].demand = TOTAL_PARTS
         self.assertEqual(
             b.on_request(0, 1, a.make_request(TWO_USE, now), now).parts,
-            WHOLE_PARTS // 2 - WHOLE_PARTS // 2 // FLOOR_DIVISOR,
+            TOTAL_PARTS // 2 - TOTAL_PARTS // 2 // FLOOR_DIVISOR,
         )
-        b.budgets[TWO_USE].demand = WHOLE_PARTS // 4
-        self.assertEqual(b.on_request(0, 1, a.make_request(TWO_USE, now), now).parts, WHOLE_PARTS // 4)
-        self.assertEqual(b.quota(TWO_USE, now).parts, WHOLE_PARTS // 2 // FLOOR_DIVISOR)  # the largest counts
+        b.budgets[TWO_USE].demand = TOTAL_PARTS // 4
+        self.assertEqual(b.on_request(0, 1, a.make_request(TWO_USE, now), now).parts, TOTAL_PARTS // 4)
+        self.assertEqual(b.quota(TWO_USE, now).parts, TOTAL_PARTS // 2 // FLOOR_DIVISOR)  # the largest counts
 
     def test_a_request_with_another_number_of_hosts_changes_no_quota(self) -> None:
         a, b = self.pair()
         now = a.floors_until_us
-        grant = b.on_request(0, 1, LoanRequest(*TWO_USE, 200, 7, WHOLE_PARTS, 1500), now)
-        self.assertEqual((grant.parts, b.quota(TWO_USE, now).parts), (0, WHOLE_PARTS // 2))
+        grant = b.on_request(0, 1, LoanRequest(*TWO_USE, 200, 7, TOTAL_PARTS, 1500), now)
+        self.assertEqual((grant.parts, b.quota(TWO_USE, now).parts), (0, TOTAL_PARTS // 2))
 
     def test_too_many_loans_count_as_the_largest_and_longest(self) -> None:
         a, b = self.pair()
         now = a.floors_until_us
-        a.budgets[TWO_USE].demand = WHOLE_PARTS
+        a.budgets[TWO_USE].demand = TOTAL_PARTS
         for step in range(40):
             b.on_request(0, 1, a.make_request(TWO_USE, now + step), now + step)
         self.assertLessEqual(len(b.budgets[TWO_USE].loans_out[0]), 9)
         self.assertEqual(
-            b.quota(TWO_USE, now + LOAN_DURATION_US + 50_030).parts, WHOLE_PARTS // 2 // FLOOR_DIVISOR
+            b.quota(TWO_USE, now + LOAN_DURATION_US + 50_030).parts, TOTAL_PARTS // 2 // FLOOR_DIVISOR
         )
-        self.assertEqual(b.quota(TWO_USE, now + LOAN_DURATION_US + 50_040).parts, WHOLE_PARTS // 2)
+        self.assertEqual(b.quota(TWO_USE, now + LOAN_DURATION_US + 50_040).parts, TOTAL_PARTS // 2)
 
     def test_budgets_are_bounded_and_idle_ones_are_dropped(self) -> None:
         a, _ = self.pair()
--- a/tests/test_format_admin.py
+++ b/tests/test_format_admin.py
@@ -328,7 +328,9 @@
     store.create()
     loop = asyncio.get_running_loop()
     clock = SimpleNamespace(now_us=lambda: 10**9, loop_time=lambda at_us: loop.time() + 60)
-    peers = SimpleNamespace(incarnation=77, post=lambda items: None, configure=lambda settings: None)
+    peers = SimpleNamespace(
+        incarnation=77, send_rollout_items=lambda items: None, configure=lambda settings: None
+    )
     decider = SimpleNamespace(recheck_lease=lambda: None)
     here = Address("127.0.0.1", 1)
     plan = FleetConfig(
--- a/tests/virtual_fleet.py
+++ b/tests/virtual_fleet.py
@@ -14,7 +14,7 @@
 from lemonridge.fleet.events import DatagramReceived, SlowStartBegan, TimerFired
 from lemonridge.fleet.fleet_member import FleetMember
 from lemonridge.fleet.member_list import MemberList
-from lemonridge.fleet.quota_ledger import WHOLE_PARTS, BudgetKey, BudgetKind
+from lemonridge.fleet.quota_ledger import TOTAL_PARTS, BudgetKey, BudgetKind
 from lemonridge.fleet.settings import MemberSettings
 
 START_US = 1_800_000_000_000_000
@@ -92,7 +92,7 @@
         """What a member may use of a volume's limit now, of the whole."""
         quota = self.quotas[n, BudgetKind.LIMIT, volume].quota
         current = self.now_us < quota.until_us or quota.parts == quota.parts_after
-        return (quota.parts if current else quota.parts_after) / WHOLE_PARTS
+        return (quota.parts if current else quota.parts_after) / TOTAL_PARTS
 
     def slow_start_began(self, began_us: int, lasts_s: float = 10.0) -> SlowStartBegan:
         """An endpoint's slow start, of which 10 units a second are each member's own."""
