--- a/lemonridge/fleet/membership.py
+++ b/lemonridge/fleet/membership.py
@@ -1,14 +1,14 @@
-"""Which members are up, suspected, dead, joining or leaving, each by number and incarnation. Pure.
+"""Which members are up, suspected, dead, joining or draining, each by number and incarnation. Pure.
 
-SWIM (Das, Gupta, Motivala, 2002): each period one member is probed, in a shuffled order (section 4.3),
-through others if it does not answer (3.1), suspected before it is declared dead (4.2), and updates ride on
-other datagrams (4.1). From Lifeguard (Dadgar, Phillips, Currey, 2018) come the local health multiplier, by
-which a broker that is slow itself gives others more time (IV-A), suspicions that shorten with independent
-confirmations (IV-B), and that a suspected member is told so first (IV-C).
+SWIM (Das, Gupta, Motivala, 2002): a member that does not answer a probe (`failure_detector.py`) is suspected
+before it is declared dead (section 4.2), and updates ride on other datagrams (4.1). From Lifeguard (Dadgar,
+Phillips, Currey, 2018) come the local health multiplier, by which a broker that is slow itself gives others
+more time (IV-A), suspicions that shorten with independent confirmations (IV-B), and that a suspected member
+is told so first (IV-C).
 
 Differences from both: a member's own datagrams override what others say about it, since links are cut in one
 direction too; a process that finds that it was stopped suspects no one for what it missed; the member list is
-fixed, so dead members are probed further, seldom.
+fixed, so dead members are still probed now and then.
 
 Membership decides no right to anything: it says whom to ask first, and what operators are shown.
 """
@@ -118,7 +118,7 @@
         return []
 
     def _on_suspicion(self, sender: int, update: MembershipUpdate, now_us: int) -> list[tuple[int, Item]]:
-        """Another member suspects one: contradict it where that one was heard of late, else agree."""
+        """Another member suspects one: contradict it where that one was received recently, else agree."""
         member = self.members[update.member_id]
         version = (update.incarnation, update.state_version)
         newer = version > (member.incarnation, member.state_version)
--- a/lemonridge/lab/fleet_mutants.py
+++ b/lemonridge/lab/fleet_mutants.py
@@ -1,4 +1,4 @@
-"""The real program with a clock that is off, or with a fault planted in what the fleet shares and decides.
+"""Starts the real program with a clock that is off, or as a mutant of what the fleet shares and decides.
 
 `cli/mutant.py` starts it so, in place of the program, so that nothing of this stands in it.
 """
@@ -18,7 +18,8 @@
     time.time = lambda: real() + offset_ms / 1e3
 
 
-def _lends_unlowered() -> None:
+def _keep_lent_parts() -> None:
+    """The lender goes on using what it lends."""
     from lemonridge.fleet.quota_ledger import Budget, QuotaLedger
 
     def own_left(self: QuotaLedger, budget: Budget, now_us: int) -> int:
@@ -27,7 +28,8 @@
     QuotaLedger.own_left = own_left  # type: ignore[method-assign]
 
 
-def _keeps_for_ever() -> None:
+def _never_end_loans() -> None:
+    """A borrower goes on using a loan past its end."""
     from lemonridge.fleet import quota_ledger
     from lemonridge.fleet.datagrams import LoanGrant
 
@@ -45,7 +47,8 @@
     quota_ledger.QuotaLedger.on_grant = on_grant  # type: ignore[method-assign]
 
 
-def _forgets_its_loans() -> None:
+def _lift_floors_at_start() -> None:
+    """A fresh start believes that it has granted no loans."""
     from lemonridge.fleet import quota_ledger
 
     real = quota_ledger.QuotaLedger.__init__
@@ -65,11 +68,12 @@
     quota_ledger.QuotaLedger.__init__ = begin  # type: ignore[method-assign]
 
 
-def _spends_further() -> None:
+def _unbounded_retries() -> None:
+    """Retries draw on a budget without an end."""
     from lemonridge import scheduling
     from lemonridge.scheduling.token_bucket import TokenBucket
 
-    class Bottomless(TokenBucket):
+    class UnboundedBucket(TokenBucket):
         def refill(self, now_us: int) -> float:
             super().refill(now_us)
             return 1e9
@@ -80,13 +84,13 @@
         self: scheduling.Scheduler, settings: Settings, seed: int, host_confirms_start: bool = False
     ) -> None:
         real(self, settings, seed, host_confirms_start)
-        self.retries.fleet_retries = Bottomless(0)
+        self.retries.fleet_retries = UnboundedBucket(0)
 
     scheduling.Scheduler.__init__ = begin  # type: ignore[method-assign]
 
 
-def _liar() -> None:
-    """Says of every endpoint that it cannot be reached, all the time."""
+def _report_all_unreachable() -> None:
+    """Reports every endpoint as unreachable, all the time."""
     from lemonridge.fleet import gossip, health_gossip
 
     real = gossip.Gossip.record_outcome
@@ -101,21 +105,22 @@
     gossip.Gossip.record_outcome = record_outcome  # type: ignore[method-assign]
 
 
-def _believes_one() -> None:
+def _agree_with_one_report() -> None:
+    """One report on an endpoint counts as agreed."""
     from lemonridge.fleet import health_gossip
 
     health_gossip.AGREEMENT_MIN = 1
 
 
-def _decides_at_once() -> None:
-    """After a stop, by what was known before it."""
+def _decide_right_after_a_stop() -> None:
+    """Decides after a stop by what was known before it."""
     from lemonridge.core import stall_detector
 
     stall_detector.CATCH_UP_S = 0.0
 
 
-def _serves_on() -> None:
-    """Goes on by what it once had a lease for, whether it has ended or not."""
+def _ignore_lease_end() -> None:
+    """Decides by the epochs of its last lease, whether that has ended or not."""
     from lemonridge.rollout import leases
 
     def is_valid(self: leases.LeaseHolder, now_us: int) -> bool:
@@ -124,8 +129,8 @@
     leases.LeaseHolder.is_valid = is_valid  # type: ignore[method-assign]
 
 
-def _switches_at_once() -> None:
-    """Goes by a new policy alone as soon as it is known, and says so to nobody."""
+def _switch_before_leases_end() -> None:
+    """Decides by a new policy alone as soon as it is known."""
     from lemonridge.rollout import leases
 
     real = leases.LeaseHolder.on_epoch
@@ -141,13 +146,13 @@
 
 
 FAULTS: dict[str, Callable[[], None]] = {
-    "lends-unlowered": _lends_unlowered,
-    "keeps-for-ever": _keeps_for_ever,
-    "forgets-its-loans": _forgets_its_loans,
-    "spends-further": _spends_further,
-    "liar": _liar,
-    "believes-one": _believes_one,
-    "decides-at-once": _decides_at_once,
-    "serves-on": _serves_on,
-    "switches-at-once": _switches_at_once,
+    "lends-unlowered": _keep_lent_parts,
+    "keeps-for-ever": _never_end_loans,
+    "forgets-its-loans": _lift_floors_at_start,
+    "spends-further": _unbounded_retries,
+    "liar": _report_all_unreachable,
+    "believes-one": _agree_with_one_report,
+    "decides-at-once": _decide_right_after_a_stop,
+    "serves-on": _ignore_lease_end,
+    "switches-at-once": _switch_before_leases_end,
 }
