--- a/lemonridge/fleet/datagrams.py
+++ b/lemonridge/fleet/datagrams.py
@@ -187,30 +187,30 @@
     LAYOUT: ClassVar[Struct] = Struct("")
 
 
-# Items of the policy rollout (lemonridge/rollout). Each question is padded to the length of its answer. A
-# state is named by its BLAKE2s digest of 8 bytes; an epoch range is empty where `low` is above `high`.
+# Items of the policy rollout (lemonridge/rollout). Each request is padded to the length of its answer. A
+# state is identified by its digest; an epoch range is empty where `low` is above `high`.
 
 
 @dataclass(frozen=True, slots=True)
 class LeaseRequest:
-    """Asks for a lease: the sender decides by epochs `low` to `high`.
+    """Asks for a lease: the sender decides by epochs `low` to `high`, and would by `target_epoch` alone.
 
-    It would decide by `wanted_epoch`, whose state is `digest`, alone.
+    `digest` is that of the target epoch's state.
     """
 
     LAYOUT: ClassVar[Struct] = Struct("<IIII8s16x")
     request_id: int
     low: int
     high: int
-    wanted_epoch: int
+    target_epoch: int
     digest: bytes
 
 
 @dataclass(frozen=True, slots=True)
 class LeaseReply:
-    """Answers request `request_id`: the receiver may decide by epochs `low` to `high`; empty: no lease.
+    """Answers a lease request: the receiver may decide by epochs `low` to `high`; empty: no lease.
 
-    `epoch` with state `digest` is the newest that the sender knows to be decided, `store_id` names its store.
+    `epoch`, whose state has `digest`, is the newest that the sender knows to be decided.
     """
 
     LAYOUT: ClassVar[Struct] = Struct("<IIII8sQ")
@@ -233,7 +233,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Promise:
-    """Phase 1b: state `digest` was accepted so far, at `accepted_ballot` (0: none), by the store."""
+    """Phase 1b: `digest` was accepted before, at `accepted_ballot` (0: nothing was), by the store."""
 
     LAYOUT: ClassVar[Struct] = Struct("<III8sQ")
     slot: int
@@ -255,7 +255,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AcceptReply:
-    """Phase 2b: accepted, by the store `store_id`."""
+    """Phase 2b: accepted, by the store."""
 
     LAYOUT: ClassVar[Struct] = Struct("<IIQ")
     slot: int
@@ -273,8 +273,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Check:
-    """Asks whether the receiver could decide by state `digest`, which is to be proposed in `slot`."""
+class CheckRequest:
+    """Asks whether the receiver could decide by a state, which is to be proposed in `slot`."""
 
     LAYOUT: ClassVar[Struct] = Struct("<I8s101x")
     slot: int
@@ -282,32 +282,32 @@
 
 
 @dataclass(frozen=True, slots=True)
-class CheckResult:
-    """Whether the sender could decide by state `digest`; `reason` why not is UTF-8, padded with zeros."""
+class CheckReply:
+    """Whether the sender could decide by a state; the `reason` why not is UTF-8, padded with zeros."""
 
     LAYOUT: ClassVar[Struct] = Struct("<I8sB100s")
     slot: int
     digest: bytes
-    accepted: int
+    is_accepted: int
     reason: bytes
 
 
 @dataclass(frozen=True, slots=True)
 class ChunkRequest:
-    """Asks for chunk `index` of state `digest`."""
+    """Asks for a chunk of a state, by its number from 0."""
 
     LAYOUT: ClassVar[Struct] = Struct("<8sH179x")
     digest: bytes
-    index: int
+    number: int
 
 
 @dataclass(frozen=True, slots=True)
 class Chunk:
-    """A part of a state: chunk `index` of `count`, `size` bytes of `data`."""
+    """A chunk of a state, the first `size` bytes of `data`; the state has `count` chunks."""
 
     LAYOUT: ClassVar[Struct] = Struct("<8sHHB176s")
     digest: bytes
-    index: int
+    number: int
     count: int
     size: int
     data: bytes
@@ -315,7 +315,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Chosen:
-    """Slot `slot` is decided: state `digest`."""
+    """Slot `slot` is decided."""
 
     LAYOUT: ClassVar[Struct] = Struct("<I8s")
     slot: int
@@ -342,8 +342,8 @@
     | Accept
     | AcceptReply
     | BallotRejected
-    | Check
-    | CheckResult
+    | CheckRequest
+    | CheckReply
     | ChunkRequest
     | Chunk
     | Chosen
@@ -368,8 +368,8 @@
     Accept,
     AcceptReply,
     BallotRejected,
-    Check,
-    CheckResult,
+    CheckRequest,
+    CheckReply,
     ChunkRequest,
     Chunk,
     Chosen,
