--- a/lemonridge/fleet/datagram_receiver.py
+++ b/lemonridge/fleet/datagram_receiver.py
@@ -19,7 +19,7 @@
     def __init__(self, member_list: MemberList, signer: DatagramSigner | None, now_us: int) -> None:
         self.windows = [ReplayWindow() for _ in member_list.names]  # by member
         self.faults: defaultdict[DatagramFault, int] = defaultdict(int)
-        self._member_list, self._signer = member_list, signer
+        self._me, self._fingerprint, self._signer = member_list.me, member_list.fingerprint, signer
         self._read, self._second_began_us = 0, now_us
 
     def read(self, event: DatagramReceived, now_us: int) -> Datagram | None:
@@ -38,9 +38,9 @@
             raise DatagramRateError(DatagramFault.OVERRUN)
         if event.source is None:
             raise UntrustedDatagramError(DatagramFault.ADDRESS)
-        datagram = decode(event.data, self._member_list.fingerprint, self._signer)
+        datagram = decode(event.data, self._fingerprint, self._signer)
         sender = datagram.header.sender
-        if sender != event.source or sender == self._member_list.me:
+        if sender != event.source or sender == self._me:
             raise UntrustedDatagramError(DatagramFault.ADDRESS)
         self.windows[sender].accept(datagram.header, now_us)
         return datagram
--- a/lemonridge/fleet/datagram_sender.py
+++ b/lemonridge/fleet/datagram_sender.py
@@ -62,7 +62,8 @@
         counts: Counters,
         now_us: int,
     ) -> None:
-        self._member_list, self._membership, self._signer = member_list, membership, signer
+        self._me, self._fingerprint = member_list.me, member_list.fingerprint
+        self._membership, self._signer = membership, signer
         self._bytes_s, self._counts = bytes_s, counts
         self._frame_bytes = HEADER_BYTES + (TAG_BYTES if signer is not None else 0)
         self._queue: Queue = {}
@@ -162,14 +163,14 @@
     def _datagram(self, receiver: int, items: list[Item], now_us: int) -> SendDatagram:
         self._sequences[receiver] += 1
         header = DatagramHeader(
-            self._member_list.me,
+            self._me,
             self._membership.state,
             self._membership.incarnation,
             self._membership.state_version,
             self._sequences[receiver],
             now_us // 1000 % WRAP_MODULUS,
         )
-        data = encode(header, items, self._member_list.fingerprint, self._signer)
+        data = encode(header, items, self._fingerprint, self._signer)
         self._counts[counters.DATAGRAMS_SENT] += 1
         self._counts[counters.BYTES_SENT] += len(data)
         return SendDatagram(receiver, data)
--- a/lemonridge/fleet/failure_detector.py
+++ b/lemonridge/fleet/failure_detector.py
@@ -57,6 +57,7 @@
 
     def __init__(self, member_list: MemberList, membership: Membership, seed: int, now_us: int) -> None:
         self._member_list, self._membership = member_list, membership
+        self._others = member_list.others
         self._random = Random(f"{seed}/members")
         self._probe_order: list[int] = []
         self._probe: _Probe | None = None
@@ -156,9 +157,7 @@
     def _next_probed(self) -> int | None:
         """The next member of the shuffled order (SWIM, section 4.3), or now and then one that is dead."""
         self._period += 1
-        unreachable = [
-            n for n in self._member_list.others if self._membership.members[n].state not in PROBED_STATES
-        ]
+        unreachable = [n for n in self._others if self._membership.members[n].state not in PROBED_STATES]
         all_unreachable = len(unreachable) == self._member_list.size - 1
         if (unreachable and self._period % DEAD_PROBE_PERIODS == 0) or all_unreachable:
             return self._random.choice(unreachable) if unreachable else None
@@ -167,16 +166,12 @@
                 member_id = self._probe_order.pop()
                 if self._membership.members[member_id].state in PROBED_STATES:
                     return member_id
-            self._probe_order = list(self._member_list.others)
+            self._probe_order = list(self._others)
             self._random.shuffle(self._probe_order)
         return None
 
     def _indirect_probers(self, probed: int) -> list[int]:
-        able = [
-            n
-            for n in self._member_list.others
-            if n != probed and self._membership.members[n].state in ALIVE_STATES
-        ]
+        able = [n for n in self._others if n != probed and self._membership.members[n].state in ALIVE_STATES]
         return self._random.sample(able, min(INDIRECT_PROBERS, len(able)))
 
     def _on_probe_failed(self, probe: _Probe, now_us: int) -> None:
--- a/lemonridge/fleet/gossip.py
+++ b/lemonridge/fleet/gossip.py
@@ -46,6 +46,7 @@
         self._usage = UsageTotals()
         self._member_list, self._membership, self._random = member_list, membership, random
         self._shares_usage, self._counts = shares_usage, counts
+        self._others = member_list.others
 
     def record_outcome(self, endpoint_key: int, outcome: ObservedOutcome, now_us: int) -> bool:
         """An attempt at an endpoint ended; whether this is to be reported at once."""
@@ -104,7 +105,7 @@
         """Whether no live member is silent: what a silent one served is not known."""
         if self._member_list.size > FANOUT + 1:
             return False
-        members = (self._membership.members[n] for n in self._member_list.others)
+        members = (self._membership.members[n] for n in self._others)
         return all(
             one.state not in ALIVE_STATES or now_us - one.last_received_us <= 2 * REPORT_INTERVAL_US
             for one in members
--- a/lemonridge/fleet/membership.py
+++ b/lemonridge/fleet/membership.py
@@ -56,6 +56,7 @@
     def __init__(self, member_list: MemberList, incarnation: int, now_us: int) -> None:
         self.member_list, self.incarnation = member_list, incarnation
         self.state, self.state_version = MemberState.JOINING, 0
+        self._others = member_list.others
         self.members = [Member(state_since_us=now_us) for _ in member_list.names]
         self.local_health = 0  # Lifeguard's multiplier: 0 is healthy
         self.suspicions_of_self = 0
@@ -66,9 +67,7 @@
     def not_dead(self) -> tuple[int, ...]:
         """The members that are neither dead nor gone: suspected ones too, and those not heard of yet."""
         return tuple(
-            n
-            for n in self.member_list.others
-            if self.members[n].state not in (MemberState.DEAD, MemberState.LEFT)
+            n for n in self._others if self.members[n].state not in (MemberState.DEAD, MemberState.LEFT)
         )
 
     def announce(self, state: MemberState) -> None:
@@ -197,7 +196,7 @@
 
     def end_suspicions(self, now_us: int) -> None:
         """Declare the members dead that have not refuted their suspicion in time."""
-        for member_id in self.member_list.others:
+        for member_id in self._others:
             member = self.members[member_id]
             if member.state is MemberState.SUSPECT and now_us >= member.suspicion_ends_us:
                 self._set_state(member_id, MemberState.DEAD, member.incarnation, member.state_version, now_us)
@@ -235,7 +234,7 @@
         most = RETRANSMIT_MULTIPLE * max(1.0, log(self.member_list.size + 1, 2))
         pending = [
             n
-            for n in self.member_list.others
+            for n in self._others
             if n != receiver
             and self.members[n].state is not MemberState.ABSENT
             and self.members[n].transmissions < most
--- a/lemonridge/fleet/quota_lending.py
+++ b/lemonridge/fleet/quota_lending.py
@@ -69,7 +69,7 @@
     ) -> None:
         self._member_list, self._membership = member_list, membership
         self._ledger, self._registry, self._random = ledger, registry, random
-        self._retry_rate = retry_rate
+        self._others, self._retry_rate = member_list.others, retry_rate
         self._demand, self._slow_start_demand = DemandEstimator(), DemandEstimator(SLOW_START_DECAY_US)
         self._limits: dict[int, _Limit] = {}  # by volume
         self._slow_starts: dict[int, _SlowStart] = {}  # by shard
@@ -243,9 +243,7 @@
         and the rendezvous members; of other budgets those that have lent already, or quotas would wander; and
         some at random.
         """
-        others = [
-            n for n in self._member_list.others if self._membership.members[n].state is not MemberState.LEFT
-        ]
+        others = [n for n in self._others if self._membership.members[n].state is not MemberState.LEFT]
         if len(others) <= FANOUT:
             return others
         budget = self._ledger.budgets[key]
