--- a/lemonridge/fleet/datagram_sender.py
+++ b/lemonridge/fleet/datagram_sender.py
@@ -62,7 +62,8 @@
         counts: Counters,
         now_us: int,
     ) -> None:
-        self._member_list, self._membership, self._signer = member_list, membership, signer
+        self._me, self._fingerprint = member_list.me, member_list.fingerprint
+        self._membership, self._signer = membership, signer
         self._bytes_s, self._counts = bytes_s, counts
         self._frame_bytes = HEADER_BYTES + (TAG_BYTES if signer is not None else 0)
         self._queue: Queue = {}
@@ -105,7 +106,7 @@
         if not part:
             self._counts[counters.ITEMS_DROPPED] += len(items)
             return []
-        if self._room(part, length_max) >= _UPDATE_BYTES:
+        if self._free_bytes(part, length_max) >= _UPDATE_BYTES:
             self._add_updates(receiver, part, length_max)
         if not self._afford(part, now_us):
             self._counts[counters.ITEMS_DROPPED] += len(part) + len(items)
@@ -134,19 +135,19 @@
         """Take the items of one datagram off the list, in the order of their priority."""
         items.sort(key=lambda item: _PRIORITY[type(item)])
         part: list[Item] = []
-        room = length_max - self._frame_bytes
-        while items and item_bytes(items[0]) <= room:
-            room -= item_bytes(items[0])
+        free_bytes = length_max - self._frame_bytes
+        while items and item_bytes(items[0]) <= free_bytes:
+            free_bytes -= item_bytes(items[0])
             part.append(items.pop(0))
         return part
 
-    def _room(self, part: list[Item], length_max: int) -> int:
+    def _free_bytes(self, part: list[Item], length_max: int) -> int:
         """Bytes that are left in a datagram."""
         return length_max - self._frame_bytes - sum(map(item_bytes, part))
 
     def _add_updates(self, receiver: int, part: list[Item], length_max: int) -> None:
         """Fill a datagram up with membership updates."""
-        part += self._membership.updates_for(receiver, self._room(part, length_max) // _UPDATE_BYTES)
+        part += self._membership.updates_for(receiver, self._free_bytes(part, length_max) // _UPDATE_BYTES)
 
     def _afford(self, part: list[Item], now_us: int) -> bool:
         """Take the datagram's bytes from the budget; False where there are too few."""
@@ -162,14 +163,14 @@
     def _datagram(self, receiver: int, items: list[Item], now_us: int) -> SendDatagram:
         self._sequences[receiver] += 1
         header = DatagramHeader(
-            self._member_list.me,
+            self._me,
             self._membership.state,
             self._membership.incarnation,
             self._membership.state_version,
             self._sequences[receiver],
             now_us // 1000 % WRAP_MODULUS,
         )
-        data = encode(header, items, self._member_list.fingerprint, self._signer)
+        data = encode(header, items, self._fingerprint, self._signer)
         self._counts[counters.DATAGRAMS_SENT] += 1
         self._counts[counters.BYTES_SENT] += len(data)
         return SendDatagram(receiver, data)
--- a/lemonridge/fleet/gossip.py
+++ b/lemonridge/fleet/gossip.py
@@ -46,6 +46,7 @@
         self._usage = UsageTotals()
         self._member_list, self._membership, self._random = member_list, membership, random
         self._shares_usage, self._counts = shares_usage, counts
+        self._others = member_list.others
 
     def record_outcome(self, endpoint_key: int, outcome: ObservedOutcome, now_us: int) -> bool:
         """An attempt at an endpoint ended; whether this is to be reported at once."""
@@ -96,15 +97,15 @@
         """A total arrived; None where it says nothing of what a volume was served of late."""
         counter = CounterKey(total.kind, total.key)
         units = self._usage.on_total(header.sender, header.incarnation, counter, total.total, now_us)
-        if units and total.kind == UsageKind.SERVED and self._all_heard_of_late(now_us):
+        if units and total.kind == UsageKind.SERVED and self._no_member_is_silent(now_us):
             return PeerUsageReceived(total.key, units)
         return None
 
-    def _all_heard_of_late(self, now_us: int) -> bool:
+    def _no_member_is_silent(self, now_us: int) -> bool:
         """Whether no live member is silent: what a silent one served is not known."""
         if self._member_list.size > FANOUT + 1:
             return False
-        members = (self._membership.members[n] for n in self._member_list.others)
+        members = (self._membership.members[n] for n in self._others)
         return all(
             one.state not in ALIVE_STATES or now_us - one.last_received_us <= 2 * REPORT_INTERVAL_US
             for one in members
--- a/lemonridge/fleet/membership.py
+++ b/lemonridge/fleet/membership.py
@@ -1,14 +1,14 @@
-"""Which members are up, suspected, dead, joining or leaving, each by number and incarnation. Pure.
+"""Which members are up, suspected, dead, joining or draining, each by number and incarnation. Pure.
 
-SWIM (Das, Gupta, Motivala, 2002): each period one member is probed, in a shuffled order (section 4.3),
-through others if it does not answer (3.1), suspected before it is declared dead (4.2), and updates ride on
-other datagrams (4.1). From Lifeguard (Dadgar, Phillips, Currey, 2018) come the local health multiplier, by
-which a broker that is slow itself gives others more time (IV-A), suspicions that shorten with independent
-confirmations (IV-B), and that a suspected member is told so first (IV-C).
+SWIM (Das, Gupta, Motivala, 2002): a member that does not answer a probe (`failure_detector.py`) is suspected
+before it is declared dead (section 4.2), and updates ride on other datagrams (4.1). From Lifeguard (Dadgar,
+Phillips, Currey, 2018) come the local health multiplier, by which a broker that is slow itself gives others
+more time (IV-A), suspicions that shorten with independent confirmations (IV-B), and that a suspected member
+is told so first (IV-C).
 
 Differences from both: a member's own datagrams override what others say about it, since links are cut in one
 direction too; a process that finds that it was stopped suspects no one for what it missed; the member list is
-fixed, so dead members are probed further, seldom.
+fixed, so dead members are still probed now and then.
 
 Membership decides no right to anything: it says whom to ask first, and what operators are shown.
 """
@@ -56,6 +56,7 @@
     def __init__(self, member_list: MemberList, incarnation: int, now_us: int) -> None:
         self.member_list, self.incarnation = member_list, incarnation
         self.state, self.state_version = MemberState.JOINING, 0
+        self._others = member_list.others
         self.members = [Member(state_since_us=now_us) for _ in member_list.names]
         self.local_health = 0  # Lifeguard's multiplier: 0 is healthy
         self.suspicions_of_self = 0
@@ -66,9 +67,7 @@
     def not_dead(self) -> tuple[int, ...]:
         """The members that are neither dead nor gone: suspected ones too, and those not heard of yet."""
         return tuple(
-            n
-            for n in self.member_list.others
-            if self.members[n].state not in (MemberState.DEAD, MemberState.LEFT)
+            n for n in self._others if self.members[n].state not in (MemberState.DEAD, MemberState.LEFT)
         )
 
     def announce(self, state: MemberState) -> None:
@@ -118,7 +117,7 @@
         return []
 
     def _on_suspicion(self, sender: int, update: MembershipUpdate, now_us: int) -> list[tuple[int, Item]]:
-        """Another member suspects one: contradict it where that one was heard of late, else agree."""
+        """Another member suspects one: contradict it where that one was received recently, else agree."""
         member = self.members[update.member_id]
         version = (update.incarnation, update.state_version)
         newer = version > (member.incarnation, member.state_version)
@@ -126,8 +125,8 @@
             self.confirm_suspicion(member, sender)
         if not newer and member.state >= MemberState.SUSPECT:
             return []
-        heard_of_late = member.last_received_us and now_us - member.last_received_us < PROBE_PERIOD_US
-        if heard_of_late and update.incarnation == member.incarnation:
+        received_recently = member.last_received_us and now_us - member.last_received_us < PROBE_PERIOD_US
+        if received_recently and update.incarnation == member.incarnation:
             known = MembershipUpdate(update.member_id, member.incarnation, member.state_version, member.state)
             return [(sender, known)]
         self.suspect(update.member_id, *version, sender, now_us)
@@ -197,7 +196,7 @@
 
     def end_suspicions(self, now_us: int) -> None:
         """Declare the members dead that have not refuted their suspicion in time."""
-        for member_id in self.member_list.others:
+        for member_id in self._others:
             member = self.members[member_id]
             if member.state is MemberState.SUSPECT and now_us >= member.suspicion_ends_us:
                 self._set_state(member_id, MemberState.DEAD, member.incarnation, member.state_version, now_us)
@@ -235,7 +234,7 @@
         most = RETRANSMIT_MULTIPLE * max(1.0, log(self.member_list.size + 1, 2))
         pending = [
             n
-            for n in self.member_list.others
+            for n in self._others
             if n != receiver
             and self.members[n].state is not MemberState.ABSENT
             and self.members[n].transmissions < most
