--- a/lemonridge/coordination/policy_coordinator.py
+++ b/lemonridge/coordination/policy_coordinator.py
@@ -46,7 +46,7 @@
         previous_digest="",
         voters=dict.fromkeys(fleet.names[: policy_document.VOTERS_MAX], 0),
         policy=policy,
-        floor=policy_document.floor(policy, fleet.rollout.floor),
+        floor=policy_document.floor(policy, fleet.rollout.floor_fraction),
     )
 
 
@@ -76,7 +76,7 @@
         self._loop = asyncio.get_running_loop()
         try:
             self.rollout = RolloutMember(
-                fleet.me,
+                fleet.own_index,
                 fleet.names,
                 peers.incarnation,
                 first_state(fleet, own),
@@ -85,13 +85,13 @@
                 self._validate,
                 seed,
                 clock.now_us(),
-                fleet.rollout.span_us,
-                fleet.error_us,
+                fleet.rollout.lease_us,
+                fleet.clock_error_us,
             )
         except (PolicyError, msgspec.DecodeError) as error:
-            raise ConfigError(f"{fleet.rollout.store} cannot be used: {error}") from None
+            raise ConfigError(f"{fleet.rollout.votes_path} cannot be used: {error}") from None
         self.lease_guard = PolicyLeaseGuard(self.rollout, own, clock, self._loop.time, peers, counters)
-        self._source = SourceProposal(fleet.me)
+        self._source = SourceProposal(fleet.own_index)
         self._admin_calls = PolicyAdminCalls(self.rollout, self._source, clock, self._flush)
         self._actions = ActionQueue(store, peers.post, self._loop, counters)
         self._results_logged = 0
@@ -193,9 +193,9 @@
         """Whether this broker knows what to decide by."""
         return self.lease_guard.has_lease()
 
-    def epoch(self, decided_s: float) -> str | None:
+    def epoch(self, decided_at_s: float) -> str | None:
         """The epochs that an attempt decided on at a time names; None: it may not begin any more."""
-        return self.lease_guard.epoch(decided_s)
+        return self.lease_guard.epoch(decided_at_s)
 
     def act(self, request: AdminRequest) -> AdminReply:
         """Answers an operators' call about the policy."""
--- a/lemonridge/core/model.py
+++ b/lemonridge/core/model.py
@@ -77,7 +77,7 @@
     endpoint_id: str
     may_begin: Callable[[], bool] = lambda: True
     begun: bool = False
-    decided_s: float = 0.0
+    decided_at_s: float = 0.0
 
     def begin(self) -> None:
         """Marks the attempt as begun; to be called in the step that writes its first byte.
@@ -107,25 +107,25 @@
         result: The evidence of the end.
         reply: The endpoint's answer in the form of its protocol; after `DATA_MIGRATED`, what the endpoint
             knows of the new place.
-        units_used: Units of the volume that the endpoint has counted.
-        units_elsewhere: Units of the volume a second that come by other brokers, as the endpoint reports.
-        endpoint_load: Requests of all brokers at the endpoint, by its own report.
+        volume_units: Units of the volume that the endpoint has counted.
+        peer_units: Units of the volume that come by other brokers, as the endpoint reports.
+        endpoint_outstanding: Requests of all brokers at the endpoint, by its own report.
     """
 
     result: AttemptResult
     reply: object = None
-    units_used: int | None = None
-    units_elsewhere: float | None = None
-    endpoint_load: float | None = None
+    volume_units: int | None = None
+    peer_units: float | None = None
+    endpoint_outstanding: float | None = None
 
 
 class AnswerKind(Enum):
     """The final answers; the value is the name of the counter."""
 
     SERVED = "served"
-    REJECTED = "refused"
+    REJECTED = "rejected"
     FAILED = "failed"
-    CLIENT_GONE = "gone"  # nobody is left to answer
+    CLIENT_GONE = "client_gone"  # nobody is left to answer
 
 
 @dataclass(slots=True)
