--- a/lemonridge/lab/checkers/policy.py
+++ b/lemonridge/lab/checkers/policy.py
@@ -13,7 +13,7 @@
 from lemonridge.lab.checkers.fleet import ON_SOCKETS_S, Notes
 from lemonridge.lab.standins.cold import ReceivedAttempt
 
-APART_S = 0.05  # two logs of one moment
+CLOCK_TOLERANCE_S = 0.05  # two logs of one moment
 EDGE_S = 0.1  # before an epoch's first send and after its last it may be gone by
 
 
@@ -28,7 +28,7 @@
     sound: bool  # whether every broker could decide by it
     heard: bool = True  # whether one that could not was up and its links whole while it was asked
     end: str = ""  # in force, nowhere, another, unknown; empty: its proposer died, or said no at once
-    told_at: float = 0.0
+    reported_at: float = 0.0
     epoch: int = 0
 
 
@@ -90,7 +90,7 @@
         interval = epochs(one.epoch)
         if interval is None:
             continue
-        while waiting and waiting[0][0] < one.begun - APART_S:
+        while waiting and waiting[0][0] < one.begun - CLOCK_TOLERANCE_S:
             newest = max(newest, waiting.pop(0)[1])
         waiting.append((one.begun, interval[0]))
         if interval[1] < newest:
@@ -105,7 +105,7 @@
     found: Findings, ordered: Sequence[ReceivedAttempt], proposed: Sequence[Proposed], lease_s: float
 ) -> None:
     """Once an epoch is known to be decided, the one before it lasts for a lease and no longer."""
-    known = sorted((one.told_at + lease_s, one.epoch) for one in proposed if one.end == "in force")
+    known = sorted((one.reported_at + lease_s, one.epoch) for one in proposed if one.end == "in force")
     least, place = 0, 0
     for one in ordered:
         while place < len(known) and known[place][0] < one.begun:
@@ -167,16 +167,16 @@
         ]
         return max([floor, *used])
 
-    stores: dict[int, tuple[float, float]] = {}
+    buckets: dict[int, tuple[float, float]] = {}
     first: set[str] = set()
     for one in ordered:
         if one.volume not in volumes or one.ident in first:
             continue
         first.add(one.ident)
-        level, at = stores.get(one.volume, (burst, one.at))
+        level, at = buckets.get(one.volume, (burst, one.at))
         now = rate(at, one.at)
         level = min(burst, level + now * (one.at - at)) - one.units
-        stores[one.volume] = level, one.at
+        buckets[one.volume] = level, one.at
         if level < -(slack + now * ON_SOCKETS_S) - 1e-9:
             found.limit_excess += 1
             found.note(
--- a/lemonridge/lab/drills/policy.py
+++ b/lemonridge/lab/drills/policy.py
@@ -1,7 +1,7 @@
-"""The drill `policy`: a fleet's policy is changed every few seconds, while brokers are killed, stopped and
-cut off, also the one that proposes, stores of votes are lost or cut, and votes are taken away and given back.
+"""The drill `policy`: a fleet's policy is changed every few seconds under faults.
 
-Its last part is calm: there all have to come together.
+Brokers are killed, paused and cut off, also the one that proposes; vote stores are lost or truncated; voters
+are retired and admitted. The last part has no faults: there all brokers have to converge.
 """
 
 from __future__ import annotations
@@ -28,16 +28,18 @@
 LEASE_MS, CLOCK_MS, FLOOR = 1500.0, 50.0, 0.25
 LIMITS = (12.0, 18.0, 24.0, 36.0, 48.0)
 FLOODED = (1, 2)
-CALM_S = 6.0  # at the end, without faults and changes
-TOGETHER_S = 8.0  # in which all must hold one state then
+QUIET_END_S = 6.0  # at the end, without faults and changes
+CONVERGENCE_S = 8.0  # in which all must hold one state then
 WIPE_S = 8.0  # between two stores that are lost: one is let in again before another goes
 ENOUGH = 1 / 3  # of the sound proposals that must come into force
 UNSOUND = 0.2  # of the proposals one broker cannot decide by
-ASK_S = 0.1
+POLL_INTERVAL_S = 0.1
 VOTERS_LEAST = 4
 VOTE_S = 9.0  # between two votes that are taken away
 VOTE_LOOK_S = 0.5
-UP_S = LEASE_MS / 1000 + 0.3  # a voter that starts grants nothing for a lease and the error of clocks
+GRANTS_AGAIN_S = (
+    LEASE_MS / 1000 + 0.3
+)  # a voter that starts grants nothing for a lease and the error of clocks
 
 
 @dataclass(frozen=True)
@@ -68,8 +70,9 @@
         self.switches: list[float] = []
 
     @property
-    def calm_s(self) -> float:
-        return self.options.seconds - CALM_S
+    def quiet_from_s(self) -> float:
+        """When faults and changes end, in seconds of the run."""
+        return self.options.seconds - QUIET_END_S
 
     # Changes
 
@@ -77,7 +80,7 @@
         """Propose, again and again, at a broker that is drawn."""
         number, under_way = 0, list[asyncio.Task[None]]()
         await asyncio.sleep(2.5)  # all have their first leases
-        while self.rig.now() < self.calm_s:
+        while self.rig.now() < self.quiet_from_s:
             number += 1
             under_way.append(asyncio.create_task(self._propose(f"change {number}", self.options.faults)))
             await asyncio.sleep(self.random.uniform(1.0, 3.0))
@@ -92,7 +95,7 @@
         until the vote is given back; links do.
         """
         await asyncio.sleep(4.0)
-        while self.rig.now() < self.calm_s:
+        while self.rig.now() < self.quiet_from_s:
             broker = self.rig.brokers[self.voting.randrange(len(self.rig.brokers))]
             try:
                 voters = (await self.seen(broker))["voters"]
@@ -102,7 +105,7 @@
                     gone = next(one for one in self.rig.brokers if f"b{one.number}" not in voters)
                     await self.ask(gone, "policy-admit")
                     self.votes += 1
-                elif due and self._up_s() > UP_S:
+                elif due and self._up_s() > GRANTS_AGAIN_S:
                     self._voted_s = self.rig.now()
                     await self.ask(broker, f"policy-retire {self.voting.choice(voters)}")
                     self.votes += 1
@@ -123,7 +126,7 @@
         except CallError:
             return True
 
-    def _whole(self, broker: Broker) -> bool:
+    def _can_answer_check(self, broker: Broker) -> bool:
         """Whether the one that may have to reject is up, and what lies between it and a proposer whole."""
         one, other = self.rig.site.short, broker.number
         pairs = [(one, other), (other, one)] if one != other else []
@@ -151,7 +154,7 @@
                 )
                 for row in policy.classes
             )
-            told = Proposed(note, limit, broker.number, self.now(), sound, self._whole(broker))
+            told = Proposed(note, limit, broker.number, self.now(), sound, self._can_answer_check(broker))
             wanted = msgspec.to_builtins(msgspec.structs.replace(policy, plan=rows, classes=classes))
             line = orjson.dumps({"policy": wanted, "note": note}).decode()
             await self.ask(broker, f"policy-propose {line}")
@@ -160,13 +163,13 @@
         self.proposed.append(told)
         if dies and broker.number not in self.busy:
             await asyncio.sleep(after_s)
-            told.heard = told.heard and self._whole(broker)
+            told.heard = told.heard and self._can_answer_check(broker)
             await self.restart(broker, 0.3)
             return
         until = rig.now() + 7.0
         while rig.now() < until:
-            await asyncio.sleep(ASK_S)
-            told.heard = told.heard and self._whole(broker)
+            await asyncio.sleep(POLL_INTERVAL_S)
+            told.heard = told.heard and self._can_answer_check(broker)
             try:
                 seen = await self.seen(broker)
             except CallError:
@@ -175,15 +178,17 @@
                 return  # it died and came back: it does not know
             if seen["results_ended"] > before["results_ended"]:
                 told.end, _, told.epoch = seen["results"][-1]
-                told.told_at = self.now()
+                told.reported_at = self.now()
                 if told.end == "in force":
-                    self.switches.append(told.told_at)
+                    self.switches.append(told.reported_at)
                 return
 
     def now(self) -> float:
+        """Loop time in seconds."""
         return asyncio.get_running_loop().time()
 
     async def ask(self, broker: Broker, line: str) -> str:
+        """An admin call of a broker; CallError where it is down or rejects it."""
         return await call(Address("127.0.0.1", broker.admin), line)
 
     async def seen(self, broker: Broker) -> dict[str, Any]:
@@ -204,7 +209,7 @@
                         await self.seen(broker)
                     except CallError:
                         continue
-            await asyncio.sleep(ASK_S)
+            await asyncio.sleep(POLL_INTERVAL_S)
 
     # Faults
 
@@ -214,7 +219,7 @@
 
     async def _processes(self) -> None:
         turn = 0
-        while self.rig.now() < self.calm_s - 4.0:
+        while self.rig.now() < self.quiet_from_s - 4.0:
             await asyncio.sleep(self.chaos.uniform(0.3, 1.5))
             broker = self.rig.brokers[self.chaos.randrange(len(self.rig.brokers))]
             away = self.chaos.uniform(0.3, 3.0)
@@ -229,7 +234,7 @@
                 await self.rig.pause(broker, away)
                 self.busy.discard(broker.number)
 
-    async def restart(self, broker: Broker, away_s: float) -> None:
+    async def restart(self, broker: Broker, down_s: float) -> None:
         """Killed, perhaps without its store or with a part of it, and started again."""
         lost = self.chaos.random()
         wiped = lost < 0.35 and self.rig.now() - self._wiped_s > WIPE_S
@@ -245,13 +250,13 @@
         self.busy.add(broker.number)
         if wiped:
             self._wiped_s, self.wipes = self.rig.now(), self.wipes + 1
-        await self.rig.restart(broker, away_s, meanwhile)
+        await self.rig.restart(broker, down_s, meanwhile)
         self.busy.discard(broker.number)
 
     async def _links(self) -> None:
         turn = 0
         everyone = list(range(len(self.rig.brokers)))
-        while self.rig.now() < self.calm_s - 4.0:
+        while self.rig.now() < self.quiet_from_s - 4.0:
             await asyncio.sleep(self.chaos.uniform(0.5, 2.5))
             length = round(self.chaos.uniform(0.5, 3.0), 3)
             some = tuple(self.chaos.sample(everyone, self.chaos.randrange(1, max(2, len(everyone) // 2 + 1))))
@@ -275,14 +280,14 @@
 
     async def together(self) -> list[dict[str, Any]]:
         """All brokers' reports, once they hold one state and go by it alone, or when the time is over."""
-        until = self.rig.now() + TOGETHER_S
+        until = self.rig.now() + CONVERGENCE_S
         while True:
             ends = [await self.seen(broker) for broker in self.rig.brokers]
             alike = len({one["state"] for one in ends}) == 1
             alone = all(one["goes_by"] == [one["epoch"]] * 2 for one in ends)
             if (alike and alone) or self.rig.now() > until:
                 return ends
-            await asyncio.sleep(ASK_S)
+            await asyncio.sleep(POLL_INTERVAL_S)
 
 
 def askers(brokers: int, site: Site) -> list[VolumeTraffic]:
--- a/tests/lab/test_policy_checker.py
+++ b/tests/lab/test_policy_checker.py
@@ -16,7 +16,7 @@
     def test_reported_outcomes_are_compared_with_the_final_states(self) -> None:
         ends = [{"name": "a", "epoch": 2, "state": "x", "history": ["1 a: one", "2 a: two"]}] * 2
         told = [
-            Proposed(note, 1, 0, 0, True, end=end, told_at=1, epoch=epoch)
+            Proposed(note, 1, 0, 0, True, end=end, reported_at=1, epoch=epoch)
             for note, end, epoch in (("one", "in force", 1), ("two", "nowhere", 0), ("three", "in force", 2))
         ]
         found = check([], told, ends, {}, 1, (), 1, 1, 1)
