--- a/lemonridge/config/operator_schema.py
+++ b/lemonridge/config/operator_schema.py
@@ -1,6 +1,8 @@
-"""The operator's file as a schema: one definition for reading it, for its errors and for `lemonridge schema`.
+"""The operator's file as a schema: one definition for parsing it, for its errors and for `lemonridge schema`.
 
-Each struct is a table; unknown keys are refused by name and every bound stands with its key (msgspec).
+Each struct is a table of the file and each field a key, by its own name or by the one that `rename` gives.
+Unknown keys are rejected by name, and every bound stands with its key (msgspec). Names and docstrings of the
+structs are part of the printed schema.
 """
 
 from __future__ import annotations
@@ -12,7 +14,7 @@
 
 from lemonridge.config.errors import ConfigError
 
-T = TypeVar("T")
+TableT = TypeVar("TableT")
 IQN = r"^(iqn\.\d{4}-\d{2}\.[a-z0-9.:-]+|eui\.[0-9A-Fa-f]{16})$"
 
 Name = Annotated[str, Meta(min_length=1, max_length=223)]
@@ -20,10 +22,10 @@
 AddressText = Annotated[str, Meta(pattern=r"^.+:\d{1,5}$", description="HOST:PORT")]
 Prefix = Annotated[str, Meta(pattern=r"^/(.*/)?$", description="an etcd prefix: it begins and ends with /")]
 Count = Annotated[int, Meta(ge=1, le=1_000_000)]
-Whole = Annotated[int, Meta(ge=0, lt=1 << 31)]
-Big = Annotated[int, Meta(ge=0, lt=1 << 62)]
-Figure = Annotated[float, Meta(ge=0, lt=1e12)]
-Positive = Annotated[float, Meta(ge=1, lt=1e12)]
+UInt31 = Annotated[int, Meta(ge=0, lt=1 << 31)]
+UInt62 = Annotated[int, Meta(ge=0, lt=1 << 62)]
+Amount = Annotated[float, Meta(ge=0, lt=1e12)]
+AmountFromOne = Annotated[float, Meta(ge=1, lt=1e12)]
 
 
 class FrontTable(Struct, forbid_unknown_fields=True, frozen=True, kw_only=True):
@@ -49,7 +51,7 @@
     time2wait_s: Annotated[int, Meta(ge=0, le=3600)] = 2
     time2retain_s: Annotated[int, Meta(ge=0, le=3600)] = 20
     statuses_kept: Annotated[int, Meta(ge=8, le=4096)] = 128
-    ping_s: Figure = 30
+    ping_s: Amount = 30
     login_failures: Count = 10
     power_on_attention: bool = False
     secrets: str | None = None
@@ -84,8 +86,8 @@
     """[initiator]: towards the nodes."""
 
     name: Iqn
-    connect_timeout_ms: Positive = 250
-    idle_s: Positive = 60
+    connect_timeout_ms: AmountFromOne = 250
+    idle_s: AmountFromOne = 60
     digests: tuple[Literal["CRC32C", "None"], ...] = ("None", "CRC32C")
     chap: str | None = None
 
@@ -99,9 +101,9 @@
 ):
     """[classes.read] and [classes.write]."""
 
-    aim_ms: Positive
-    deadline_ms: Positive
-    priority_weight: Figure = 1.0
+    aim_ms: AmountFromOne
+    deadline_ms: AmountFromOne
+    priority_weight: Amount = 1.0
 
 
 # Without a docstring: the printed JSON schema would have it as a description.
@@ -124,33 +126,33 @@
 ):
     """[rules]: the figures of the rules on nodes."""
 
-    mean_request_units: Figure = 1.0
-    slow_start_units: Figure = 8.0
-    overload_multiple: Figure = 2.5
+    mean_request_units: Amount = 1.0
+    slow_start_units: Amount = 8.0
+    overload_multiple: Amount = 2.5
     max_attempts: Annotated[int, Meta(ge=1, le=4)] = 4
-    slow_start_initial_fraction: Figure = 0.2
-    ramp_s: Figure = 17
-    fall_ms: Figure = 1000
+    slow_start_initial_fraction: Amount = 0.2
+    ramp_s: Amount = 17
+    fall_ms: Amount = 1000
 
 
 class PlanTable(Struct, forbid_unknown_fields=True, frozen=True, kw_only=True):
     """[[plan]], and a key plans/NAME of etcd: rates in units a second; a limit of 0 is none."""
 
     name: Name = ""
-    rate: Figure = 0.0
-    reserve: Figure = 0.0
-    weight: Figure = 1.0
-    limit: Figure = 0.0
-    burst: Figure | None = None
+    rate: Amount = 0.0
+    reserve: Amount = 0.0
+    weight: Amount = 1.0
+    limit: Amount = 0.0
+    burst: Amount | None = None
 
 
 class ExtentTable(Struct, forbid_unknown_fields=True, frozen=True, kw_only=True):
     """[[lun.extent]], and a key extents/LUN/FIRST of etcd: a run of blocks on one shard."""
 
-    first: Big = 0
+    first: UInt62 = 0
     blocks: Annotated[int, Meta(ge=1, lt=1 << 62)]
-    shard: Whole
-    version: Big = 0
+    shard: UInt31
+    version: UInt62 = 0
 
 
 class LunTable(Struct, forbid_unknown_fields=True, frozen=True, kw_only=True):
@@ -158,7 +160,7 @@
 
     lun: Annotated[int, Meta(ge=0, lt=1 << 14)]
     plan: str
-    shard: Whole | None = None
+    shard: UInt31 | None = None
     extents: Literal["map"] | None = None
     extent: list[ExtentTable] = []
 
@@ -171,13 +173,13 @@
     max_pieces: Annotated[int, Meta(ge=1, le=256)] = 32
     max_redirects: Annotated[int, Meta(ge=1, le=64)] = 8
     max_refreshes: Annotated[int, Meta(ge=1, le=12)] = 6
-    read_age_s: Positive = 60
-    write_age_s: Positive = 15
+    read_age_s: AmountFromOne = 60
+    write_age_s: AmountFromOne = 15
     page: Annotated[int, Meta(ge=1, le=100_000)] = 2000
     file: str | None = None
     keep: str | None = None
     keep_mib: Annotated[int, Meta(ge=1, le=65536)] = 256
-    keep_age_s: Positive = 3600
+    keep_age_s: AmountFromOne = 3600
 
 
 class NodeTable(Struct, forbid_unknown_fields=True, frozen=True, kw_only=True):
@@ -186,9 +188,9 @@
     name: Name = ""
     address: AddressText
     target: Iqn
-    shard: Whole
+    shard: UInt31
     health: Literal["up", "draining"] = "up"
-    started_ms: Big = 0
+    started_ms: UInt62 = 0
 
 
 class EtcdTable(Struct, forbid_unknown_fields=True, frozen=True, kw_only=True):
@@ -222,7 +224,7 @@
     secret: str | None = None  # a file that only its owner can read
     clock_error_ms: Annotated[float, Meta(ge=1, le=1000)] = 50
     bytes_per_s: Annotated[float, Meta(ge=1024, lt=1e9)] = 8192
-    further_attempts: Figure = 0  # a second, of all brokers; 0: each class's own rules alone
+    further_attempts: Amount = 0  # a second, of all brokers; 0: each class's own rules alone
     admin: AddressText | None = None  # where operators call, if the platform names nowhere
     policy: PolicyTable | None = None
 
@@ -249,8 +251,17 @@
     fleet: FleetTable | None = None
 
 
-def read(kind: type[T], values: Any, path: str = "") -> T:
-    """Values of a parsed file or key as the struct `kind`; ConfigError names the key by its path."""
+def read(kind: type[TableT], values: Any, path: str = "") -> TableT:
+    """Values of a parsed file or key as the struct `kind`.
+
+    Args:
+        kind: the struct that says what the values may be.
+        values: as TOML or JSON gives them.
+        path: of the values in their file, for an error's message.
+
+    Raises:
+        ConfigError: a value is missing, unknown or out of its bounds; the message names its key by the path.
+    """
     try:
         return msgspec.convert(values, kind)
     except msgspec.ValidationError as error:
@@ -258,7 +269,7 @@
 
 
 def plain(text: str, path: str = "") -> str:
-    """Msgspec's words with the path first: `lun[2].shard: Expected ...`."""
+    """Msgspec's message with the path first: `lun[2].shard: Expected ...`."""
     words, _, where = text.partition(" - at `")
     where = where.rstrip("`").removeprefix("key in ").lstrip("$").lstrip(".")
     where = f"{path}.{where}" if path and where else path or where
