--- a/lemonridge/net/connection_table.py
+++ b/lemonridge/net/connection_table.py
@@ -57,7 +57,7 @@
         """Whether the system has not taken all that is written."""
         ...
 
-    def has_no_unread_data(self) -> bool:
+    def input_is_empty(self) -> bool:
         """Whether nothing waits to be read."""
         ...
 
@@ -122,7 +122,7 @@
             for candidate, since_s in itertools.islice(self._states[state].items(), EVICTION_CANDIDATES):
                 if since_s >= now_s - age_s:
                     break
-                if candidate.has_no_unread_data() and not candidate.has_unsent_data:
+                if candidate.input_is_empty() and not candidate.has_unsent_data:
                     self.counters["clients.evicted"] += 1
                     self.counters[f"clients.evicted.{state.name.lower()}"] += 1
                     if state is ConnectionState.RECEIVING:  # its last byte may be on its way: answer it
@@ -160,7 +160,7 @@
                 is_sending = state is ConnectionState.RECEIVING or (
                     state is ConnectionState.NEW and since_s > now_s - FIRST_BYTES_GRACE_S
                 )
-                if (patient and is_sending) or not connection.has_no_unread_data():
+                if (patient and is_sending) or not connection.input_is_empty():
                     left = True
                 else:
                     connection.close()
@@ -185,7 +185,7 @@
 
     def _close_late_requests(self, now_s: float) -> None:
         for connection in list(self._states[ConnectionState.RECEIVING]):
-            is_late = connection.receive_by_s < now_s and connection.has_no_unread_data()
+            is_late = connection.receive_by_s < now_s and connection.input_is_empty()
             if is_late or connection.receive_by_s < now_s - SWEEP_INTERVAL_S:
                 self.counters["clients.expired"] += 1
                 connection.close()
@@ -203,6 +203,6 @@
         for connection, since_s in list(self._states[state].items()):
             if since_s > before_s:
                 break
-            if connection.has_no_unread_data():  # else its next request crosses this close: it is served
+            if connection.input_is_empty():  # else its next request crosses this close: it is served
                 self.counters["clients.expired"] += 1
                 connection.close()
--- a/lemonridge/net/endpoint_connector.py
+++ b/lemonridge/net/endpoint_connector.py
@@ -14,7 +14,7 @@
 from lemonridge.core.counters import Counters
 from lemonridge.core.errors import ConnectFailedError
 from lemonridge.net.http_response import ResponseReader
-from lemonridge.net.sockets import has_no_unread_data
+from lemonridge.net.sockets import input_is_empty
 
 REUSE_DELAY_S = 0.01  # after a response: a surplus one, milliseconds late, must be seen before the reuse
 IDLE_FRACTION = 0.9  # of the time after which an endpoint closes an idle connection
@@ -93,7 +93,7 @@
                 connection.close()
                 raise
             transport = None if protocol is None or protocol.should_close else protocol.transport
-            if transport is not None and has_no_unread_data(transport):
+            if transport is not None and input_is_empty(transport):
                 return connection
             self._counters["connections.spoilt"] += 1
             connection.close()
--- a/lemonridge/net/http_connection.py
+++ b/lemonridge/net/http_connection.py
@@ -17,7 +17,7 @@
 from lemonridge.net.errors import MessageRejectedError
 from lemonridge.net.http_chunks import ChunkedBodyDecoder
 from lemonridge.net.http_limits import BODY_MAX_BYTES, HEAD_MAX_BYTES
-from lemonridge.net.sockets import has_no_unread_data, peer_has_closed
+from lemonridge.net.sockets import input_is_empty, peer_has_closed
 from lemonridge.operate.lifecycle import Phase
 
 HEAD_MAX_S = 2.3  # a client may take 2 s for a head; one that is owed an error has it, or the end, within 3 s
@@ -191,9 +191,9 @@
         self._transport.write_eof()
         self._table.move(self, ConnectionState.CLOSING)
 
-    def has_no_unread_data(self) -> bool:
+    def input_is_empty(self) -> bool:
         """Whether nothing waits to be read; to close the connection then loses no request."""
-        return self._transport.is_closing() or has_no_unread_data(self._transport)
+        return self._transport.is_closing() or input_is_empty(self._transport)
 
     def client_has_left(self) -> bool:
         """Whether the client has closed its side, also where that lies behind what is not read yet."""
--- a/lemonridge/net/http_endpoints.py
+++ b/lemonridge/net/http_endpoints.py
@@ -21,11 +21,11 @@
 from lemonridge.net.http_client import Payload, plain_session
 from lemonridge.net.http_response import StreamedResponse, read_body
 from lemonridge.net.sockets import LOCAL_ERRORS
+from lemonridge.scheduling.context import MAX_PROCESS_STALL_US
 from lemonridge.scheduling.events import AttemptResult
 
 READ_BUFFER_BYTES = 16 * 1024  # half of what is held of a response before its connection is read no more
 DECISION_EXPIRES_S = 0.25  # past the longest connect: an older decision is not carried out after a stop
-HOLD_UP_US = 150_000  # a process may be held up for so long between its clock and a write (STANDING)
 NUMBER_MAX = 1e12  # of a response's header
 
 
@@ -200,7 +200,7 @@
     Args:
         left_us: what is left to the client.
     """
-    return max(1, min(left_us, max(HOLD_UP_US, left_us - HOLD_UP_US)) // 1000)
+    return max(1, min(left_us, max(MAX_PROCESS_STALL_US, left_us - MAX_PROCESS_STALL_US)) // 1000)
 
 
 def _parse_number(text: str | None) -> float | None:
--- a/lemonridge/net/sockets.py
+++ b/lemonridge/net/sockets.py
@@ -23,7 +23,7 @@
 )
 
 
-def has_no_unread_data(transport: asyncio.BaseTransport) -> bool:
+def input_is_empty(transport: asyncio.BaseTransport) -> bool:
     """Whether nothing waits to be read on a connection, not even its end.
 
     The system is asked, since a busy event loop has not read yet what arrived.
