--- a/lemonridge/config/operator_file.py
+++ b/lemonridge/config/operator_file.py
@@ -37,7 +37,8 @@
     read,
 )
 from lemonridge.extents.config import ExtentsConfig
-from lemonridge.extents.extent_map import Extent, ExtentMap, MapError
+from lemonridge.extents.errors import MapError
+from lemonridge.extents.extent_map import Extent, ExtentMap
 from lemonridge.extents.routing import Limits
 from lemonridge.iscsi.chap import Account
 from lemonridge.iscsi.config import IscsiConfig, Lun
@@ -339,7 +340,7 @@
         luns[row.lun] = Lun(row.lun, plans.index(row.plan), -1 if row.shard is None else row.shard)
         fixed += [Extent(row.lun, one.first, one.blocks, one.shard, one.version) for one in row.extent]
     try:
-        ExtentMap(len(fixed)).whole(0, fixed)
+        ExtentMap(len(fixed)).replace_all(0, fixed)
     except MapError as error:
         raise ConfigError(f"lun.extent: {error}") from None
     return luns, tuple(fixed)
--- a/lemonridge/extents/etcd_source.py
+++ b/lemonridge/extents/etcd_source.py
@@ -18,7 +18,8 @@
 
 from lemonridge.coordination.errors import OutOfStepError
 from lemonridge.coordination.etcd_client import FAILURES, EtcdClient, Event
-from lemonridge.extents.extent_map import Change, ChangeResult, Extent, MapError
+from lemonridge.extents.errors import MapError, MapRecordError
+from lemonridge.extents.extent_map import Change, ChangeResult, Extent
 from lemonridge.extents.router import Router
 from lemonridge.net.watch_stream import open_session
 
@@ -43,10 +44,6 @@
     version: int
 
 
-class RowError(ValueError):
-    """A key or value of the map that cannot be read."""
-
-
 def key_of(volume: int, first: int) -> str:
     return f"{KIND}{volume}/{first:020d}"
 
@@ -55,7 +52,7 @@
     """Volume and first block of an extent's key."""
     volume, _, first = key.removeprefix(KIND).partition("/")
     if not _SPOT.fullmatch(key):
-        raise RowError(f"{key}: not map/extents/LUN/FIRST with 20 digits")
+        raise MapRecordError(f"{key}: not map/extents/LUN/FIRST with 20 digits")
     return int(volume), int(first)
 
 
@@ -64,7 +61,7 @@
     try:
         row = msgspec.json.decode(value, type=Row)
     except msgspec.DecodeError as error:
-        raise RowError(f"{key}: {error}") from None
+        raise MapRecordError(f"{key}: {error}") from None
     return Extent(volume, first, row.blocks, row.shard, row.version)
 
 
@@ -72,7 +69,7 @@
     try:
         return msgspec.json.decode(value, type=Head).version
     except msgspec.DecodeError as error:
-        raise RowError(f"{HEAD}: {error}") from None
+        raise MapRecordError(f"{HEAD}: {error}") from None
 
 
 class MapFeed:
@@ -105,9 +102,9 @@
     def finish_snapshot(self) -> None:
         """All of it is there, as of one revision."""
         if self._version < 0:
-            raise RowError("there is no map")
+            raise MapRecordError("there is no map")
         if not self._router.take(self._version, self._builder):
-            raise RowError("there is no map that can be used")
+            raise MapRecordError("there is no map that can be used")
         self.begin_snapshot()  # the gathered columns are not kept a second time
 
     def apply_changes(self, events: Sequence[Event]) -> None:
@@ -118,7 +115,7 @@
         for group in groups.values():
             try:
                 fit = self._router.change(self._change(group))
-            except RowError as error:
+            except MapRecordError as error:
                 log.error("change refused", extra={"error": str(error)})
                 self._router.counters["map.malformed"] += 1
                 raise OutOfStepError from None
@@ -146,23 +143,23 @@
 
     def _change(self, group: list[Event]) -> Change:
         version = -1
-        extents, dropped = list[Extent](), list[tuple[int, int]]()
+        extents, removed = list[Extent](), list[tuple[int, int]]()
         for event in group:
             if event.key == HEAD:
                 if event.value is None:
-                    raise RowError(f"{HEAD}: deleted")
+                    raise MapRecordError(f"{HEAD}: deleted")
                 version = head_of(event.value)
             elif event.value is not None:
                 extents.append(extent_of(event.key, event.value))
             else:
-                dropped.append(spot_of(event.key))
+                removed.append(spot_of(event.key))
         if version < 0:
-            raise RowError(f"revision {group[0].revision} changes extents without the map's version")
+            raise MapRecordError(f"revision {group[0].revision} changes extents without the map's version")
         return Change(
             version - 1,
             version,
             tuple(one for one in extents if one.volume in self._luns),
-            tuple(one for one in dropped if one[0] in self._luns),
+            tuple(one for one in removed if one[0] in self._luns),
         )
 
 
--- a/lemonridge/extents/extent_map.py
+++ b/lemonridge/extents/extent_map.py
@@ -1,6 +1,6 @@
-"""The extent map: volume -> ordered extents, each with a shard and a version; one version for the whole.
+"""The extent map: volume -> ordered extents, each with a shard and a version, and one version for the map.
 
-A volume's extents stand in leaves of parallel arrays under one sorted index of first blocks (a B+-tree of two
+A volume's extents are in leaves of parallel arrays under one sorted index of first blocks (a B+-tree of two
 levels: Comer, "The Ubiquitous B-Tree", 1979), so that a lookup is two bisections and a change touches one
 leaf. An extent takes 28 bytes. Blocks are counted in the volume's own block size; versions and blocks are
 below 2^63, shards below 2^31, and each volume covers its blocks from 0 on without a hole.
@@ -14,26 +14,32 @@
 from dataclasses import dataclass
 from enum import Enum
 
-LEAF = 512  # extents of a leaf, past which it is cut in two: memmove of 14 KiB against a longer index
-BLOCKS_TOP, SHARD_TOP = 1 << 63, 1 << 31
+from lemonridge.extents.errors import MapError
 
-
-class MapError(ValueError):
-    """Extents that no map can hold; the text names the volume and the block."""
+LEAF_EXTENTS_MAX = 512  # a larger leaf is split: 14 KiB to move at an insertion against a longer index
+BLOCK_LIMIT, SHARD_LIMIT = 1 << 63, 1 << 31
 
 
 class ChangeResult(Enum):
-    """How a change goes with the map that it is for."""
+    """What became of a change. The values are parts of counters' names."""
 
     APPLIED = "applied"
-    STALE = "stale"  # at or below the map's version: repeated, or overtaken
-    GAP = "gap"  # the version jumps: something before it was lost
-    BROKEN = "broken"  # it would leave an overlap or a hole, or takes a version back
+    STALE = "stale"  # not newer than the map: a repetition
+    GAP = "gap"  # it does not follow on the map's version: a change before it was lost
+    BROKEN = "broken"  # it would leave an overlap or a hole, or lower a version
 
 
 @dataclass(frozen=True, slots=True)
 class Extent:
-    """A run of blocks that lies whole on one shard; `version` rises with each hand-over."""
+    """A run of blocks on one shard.
+
+    Attributes:
+        volume: The LUN.
+        first: Its first block.
+        length: Number of blocks.
+        shard: The shard that has all of it.
+        version: Rises with each hand-over to another shard.
+    """
 
     volume: int
     first: int
@@ -43,36 +49,52 @@
 
     @property
     def end(self) -> int:
+        """The block behind the last one."""
         return self.first + self.length
 
 
 @dataclass(frozen=True, slots=True)
 class Change:
-    """What leads from the map's version `base` to `version`: extents that are set, and ones that are gone.
+    """A change of the map.
 
-    A cut or a join of extents drops those that it replaces and sets the others in the same change.
+    A split or a join of extents removes those that it replaces and sets the others in the same change.
+
+    Attributes:
+        base: The map's version before.
+        version: The map's version after.
+        extents: Extents that are set.
+        removed: Volume and first block of each extent that is removed.
     """
 
     base: int
     version: int
     extents: tuple[Extent, ...]
-    dropped: tuple[tuple[int, int], ...] = ()  # (volume, first)
+    removed: tuple[tuple[int, int], ...] = ()
 
 
 @dataclass(frozen=True, slots=True)
 class Piece:
-    """The part of a block range that lies in one extent, and what the map said of it."""
+    """The part of a block range that lies in one extent.
+
+    Attributes:
+        volume: The LUN.
+        first: The piece's first block.
+        length: Number of blocks of the piece.
+        extent: The first block of its extent.
+        shard: The extent's shard when it was looked up.
+        version: The extent's version when it was looked up.
+    """
 
     volume: int
     first: int
     length: int
-    extent: int  # the first block of its extent
+    extent: int
     shard: int
     version: int
 
 
 class _Leaf:
-    """A run of neighbouring extents."""
+    """Adjacent extents as parallel arrays, one row an extent."""
 
     __slots__ = ("first", "length", "shard", "version")
 
@@ -83,27 +105,27 @@
     def __len__(self) -> int:
         return len(self.first)
 
-    def put(self, at: int, extent: Extent, instead: bool) -> None:
+    def set_row(self, at: int, extent: Extent, replaces: bool) -> None:
         values = (extent.first, extent.length, extent.shard, extent.version)
         for column, value in zip((self.first, self.length, self.shard, self.version), values, strict=True):
-            if instead:
+            if replaces:
                 column[at] = value
             else:
                 column.insert(at, value)
 
-    def drop(self, at: int) -> None:
+    def remove_row(self, at: int) -> None:
         for column in (self.first, self.length, self.shard, self.version):
             del column[at]
 
     def part(self, rows: slice) -> _Leaf:
-        """A copy of some of its rows."""
+        """A copy of some rows."""
         other = _Leaf()
         for name in self.__slots__:
             setattr(other, name, getattr(self, name)[rows])
         return other
 
-    def cut(self) -> _Leaf:
-        """Its second half, which leaves it."""
+    def split(self) -> _Leaf:
+        """Removes and returns the second half."""
         half = len(self) // 2
         other = self.part(slice(half, None))
         for name in self.__slots__:
@@ -111,7 +133,7 @@
         return other
 
     def ordered(self) -> _Leaf:
-        """The same rows by their first block."""
+        """A copy with the rows sorted by first block."""
         order = sorted(range(len(self)), key=self.first.__getitem__)
         other = _Leaf()
         for name in self.__slots__:
@@ -135,42 +157,46 @@
         return other
 
     def find(self, block: int) -> tuple[int, int]:
-        """The leaf and the place in it of the last extent that begins at or before `block`; (-1, -1) if
-        none.
-        """
+        """Leaf and row of the last extent that begins at or before `block`; (-1, -1) if none."""
         leaf = bisect_right(self.index, block) - 1
         return (leaf, bisect_right(self.leaves[leaf].first, block) - 1) if leaf >= 0 else (-1, -1)
 
-    def at(self, volume: int, leaf: int, place: int) -> Extent:
-        row = self.leaves[leaf]
-        return Extent(volume, row.first[place], row.length[place], row.shard[place], row.version[place])
-
-    def after(self, leaf: int, place: int) -> tuple[int, int] | None:
-        if place + 1 < len(self.leaves[leaf]):
-            return leaf, place + 1
+    def at(self, volume: int, leaf: int, row_index: int) -> Extent:
+        rows = self.leaves[leaf]
+        return Extent(
+            volume,
+            rows.first[row_index],
+            rows.length[row_index],
+            rows.shard[row_index],
+            rows.version[row_index],
+        )
+
+    def after(self, leaf: int, row_index: int) -> tuple[int, int] | None:
+        if row_index + 1 < len(self.leaves[leaf]):
+            return leaf, row_index + 1
         return (leaf + 1, 0) if leaf + 1 < len(self.leaves) else None
 
-    def put(self, extent: Extent) -> None:
-        leaf, place = self.find(extent.first)
+    def set_extent(self, extent: Extent) -> None:
+        leaf, row_index = self.find(extent.first)
         if leaf < 0:
             if not self.leaves:
                 self.leaves.append(_Leaf())
                 self.index.append(extent.first)
-            leaf, place, self.index[0] = 0, -1, extent.first
-        row = self.leaves[leaf]
-        instead = place >= 0 and row.first[place] == extent.first
-        row.put(place if instead else place + 1, extent, instead)
-        self.count += not instead
-        if len(row) > LEAF:
-            other = row.cut()
+            leaf, row_index, self.index[0] = 0, -1, extent.first
+        leaf_rows = self.leaves[leaf]
+        replaces = row_index >= 0 and leaf_rows.first[row_index] == extent.first
+        leaf_rows.set_row(row_index if replaces else row_index + 1, extent, replaces)
+        self.count += not replaces
+        if len(leaf_rows) > LEAF_EXTENTS_MAX:
+            other = leaf_rows.split()
             self.leaves.insert(leaf + 1, other)
             self.index.insert(leaf + 1, other.first[0])
 
-    def drop(self, first: int) -> bool:
-        leaf, place = self.find(first)
-        if leaf < 0 or self.leaves[leaf].first[place] != first:
+    def remove_extent(self, first: int) -> bool:
+        leaf, row_index = self.find(first)
+        if leaf < 0 or self.leaves[leaf].first[row_index] != first:
             return False
-        self.leaves[leaf].drop(place)
+        self.leaves[leaf].remove_row(row_index)
         self.count -= 1
         if not len(self.leaves[leaf]):
             del self.leaves[leaf], self.index[leaf]
@@ -179,8 +205,8 @@
         return True
 
     def fill(self, columns: _Leaf) -> None:
-        """Take ordered extents into leaves that are three quarters full, so that the first cuts are far."""
-        step = LEAF * 3 // 4
+        """Fills an empty volume from sorted rows, leaves to three quarters so that few splits follow."""
+        step = LEAF_EXTENTS_MAX * 3 // 4
         for start in range(0, len(columns), step):
             leaf = columns.part(slice(start, start + step))
             self.leaves.append(leaf)
@@ -188,46 +214,60 @@
         self.count = len(columns)
 
 
-def sane(extent: Extent) -> None:
-    """Refuse an extent whose figures no map can hold."""
+def check_extent(extent: Extent) -> None:
+    """Checks an extent's numbers.
+
+    Raises:
+        MapError: A number is out of range.
+    """
     where = f"volume {extent.volume}, block {extent.first}"
-    if extent.first < 0 or extent.length < 1 or extent.end >= BLOCKS_TOP:
+    if extent.first < 0 or extent.length < 1 or extent.end >= BLOCK_LIMIT:
         raise MapError(f"{where}: {extent.length} blocks is no length")
-    if not 0 <= extent.shard < SHARD_TOP or not 0 <= extent.version < BLOCKS_TOP:
+    if not 0 <= extent.shard < SHARD_LIMIT or not 0 <= extent.version < BLOCK_LIMIT:
         raise MapError(f"{where}: shard {extent.shard} or version {extent.version} is out of range")
 
 
-class Builder:
-    """Gathers a whole map, extent by extent, in the room that the map itself will take.
+class MapBuilder:
+    """Collects a complete map, extent by extent, in as much memory as the map itself takes.
 
-    Extents that come in order, as sources tell them, are checked as they come.
+    Args:
+        extents_max: More extents are an error.
     """
 
     def __init__(self, extents_max: int) -> None:
         self._max, self.count = extents_max, 0
         self._columns: dict[int, _Leaf] = {}
-        self._loose: set[int] = set()  # volumes whose extents did not come in order
+        self._unordered: set[int] = set()  # volumes to be sorted at the end
 
     def add(self, extent: Extent) -> None:
-        """MapError on figures that no map can hold, on one extent too many, and on an overlap or a hole."""
-        sane(extent)
+        """Adds an extent, in any order.
+
+        Raises:
+            MapError: A number is out of range, or there are too many extents.
+        """
+        check_extent(extent)
         self.count += 1
         if self.count > self._max:
             raise MapError(f"more than {self._max} extents")
         columns = self._columns.setdefault(extent.volume, _Leaf())
         end = columns.first[-1] + columns.length[-1] if len(columns) else 0
         if extent.first != end:
-            self._loose.add(extent.volume)
-        columns.put(len(columns), extent, False)
+            self._unordered.add(extent.volume)
+        columns.set_row(len(columns), extent, False)
 
     def volumes(self) -> dict[int, _Volume]:
-        """The volumes, once all is there; MapError on an overlap or a hole."""
+        """The volumes, once all extents were added.
+
+        Raises:
+            MapError: Two extents overlap, or blocks between them are missing.
+        """
         made: dict[int, _Volume] = {}
-        for number, columns in self._columns.items():
-            if number in self._loose:
-                columns, end = columns.ordered(), 0
+        for number, rows in self._columns.items():
+            columns = rows
+            if number in self._unordered:
+                columns, end = rows.ordered(), 0
                 for first, length in zip(columns.first, columns.length, strict=True):
-                    _follows(number, end, first)
+                    _check_adjacent(number, end, first)
                     end = first + length
             made[number] = _Volume()
             made[number].fill(columns)
@@ -235,13 +275,20 @@
 
 
 class ExtentMap:
-    """The map as this broker holds it. Every method either does all that it says or nothing."""
+    """This broker's copy of the map. A method that raises or rejects leaves the map as it was.
+
+    Args:
+        extents_max: A map with more extents is rejected.
+
+    Attributes:
+        version: The map's version; -1 before the first map.
+    """
 
     def __init__(self, extents_max: int = 1_000_000) -> None:
-        self.version = -1  # no map yet
+        self.version = -1
         self._max = extents_max
         self._volumes: dict[int, _Volume] = {}
-        self._ahead: dict[tuple[int, int], int] = {}  # versions that a refresh brought before the changes
+        self._refreshed_versions: dict[tuple[int, int], int] = {}  # newer than the map's own version
 
     def __len__(self) -> int:
         return sum(volume.count for volume in self._volumes.values())
@@ -249,176 +296,211 @@
     def __iter__(self) -> Iterator[Extent]:
         for number, volume in self._volumes.items():
             for leaf in range(len(volume.leaves)):
-                for place in range(len(volume.leaves[leaf])):
-                    yield volume.at(number, leaf, place)
+                for row_index in range(len(volume.leaves[leaf])):
+                    yield volume.at(number, leaf, row_index)
 
     def copy(self) -> ExtentMap:
-        """A map of its own with the same extents; the columns are copied, not the extents one by one."""
+        """An independent map with the same extents; copies the arrays, not each extent."""
         other = ExtentMap(self._max)
-        other.version, other._ahead = self.version, dict(self._ahead)
+        other.version, other._refreshed_versions = self.version, dict(self._refreshed_versions)
         other._volumes = {number: volume.copy() for number, volume in self._volumes.items()}
         return other
 
     def volumes(self) -> list[int]:
+        """The volumes that have extents."""
         return list(self._volumes)
 
     def blocks(self, volume: int) -> int:
-        """The size of a volume; 0 if the map has none of it."""
-        held = self._volumes.get(volume)
-        return held.at(volume, len(held.leaves) - 1, len(held.leaves[-1]) - 1).end if held else 0
+        """The size of a volume in blocks; 0 if the map does not have it."""
+        found = self._volumes.get(volume)
+        return found.at(volume, len(found.leaves) - 1, len(found.leaves[-1]) - 1).end if found else 0
 
     def find(self, volume: int, block: int) -> Extent | None:
-        """The extent that holds a block."""
-        held = self._volumes.get(volume)
-        leaf, place = held.find(block) if held else (-1, -1)
-        if held is None or place < 0:
+        """The extent that contains a block; None if the map does not have the block."""
+        found = self._volumes.get(volume)
+        leaf, row_index = found.find(block) if found else (-1, -1)
+        if found is None or row_index < 0:
             return None
-        extent = held.at(volume, leaf, place)
+        extent = found.at(volume, leaf, row_index)
         return extent if block < extent.end else None
 
     def lookup(self, volume: int, first: int, length: int) -> list[Piece]:
-        """The pieces of a block range in order; MapError if the map does not hold all of it."""
-        held, pieces, block, end = self._volumes.get(volume), list[Piece](), first, first + length
-        spot: tuple[int, int] | None = held.find(first) if held else None
+        """The pieces of a block range, in order.
+
+        Raises:
+            MapError: The map does not have all of the blocks.
+        """
+        found, pieces, block, end = self._volumes.get(volume), list[Piece](), first, first + length
+        position: tuple[int, int] | None = found.find(first) if found else None
         while block < end:
-            if held is None or spot is None or spot[1] < 0:
+            if found is None or position is None or position[1] < 0:
                 raise MapError(f"volume {volume}, block {block}: not in the map")
-            extent = held.at(volume, *spot)
+            extent = found.at(volume, *position)
             until = min(end, extent.end)
             if until <= block:
                 raise MapError(f"volume {volume}, block {block}: not in the map")
             pieces.append(Piece(volume, block, until - block, extent.first, extent.shard, extent.version))
-            block, spot = until, held.after(*spot)
+            block, position = until, found.after(*position)
         return pieces
 
     def shards(self, volume: int) -> set[int]:
-        """Every shard that holds an extent of the volume."""
-        held = self._volumes.get(volume)
-        return {shard for leaf in held.leaves for shard in leaf.shard} if held else set()
+        """Every shard that has an extent of the volume."""
+        found = self._volumes.get(volume)
+        return {shard for leaf in found.leaves for shard in leaf.shard} if found else set()
 
-    def whole(self, version: int, extents: Iterable[Extent]) -> None:
-        """Take a whole map in one step; MapError, and nothing changed, on an overlap or a hole.
+    def replace_all(self, version: int, extents: Iterable[Extent]) -> None:
+        """Replaces the map, also by one of a lower version: the source alone decides.
 
-        A whole map goes before what is held even where its version is lower: the source alone says what
-        holds.
+        Raises:
+            MapError: Extents overlap, blocks are missing, a number is out of range or there are too many.
         """
-        builder = Builder(self._max)
+        builder = MapBuilder(self._max)
         for extent in extents:
             builder.add(extent)
-        self.take(version, builder)
+        self.replace_from(version, builder)
+
+    def builder(self) -> MapBuilder:
+        """A builder for `replace_from`, with this map's bound."""
+        return MapBuilder(self._max)
 
-    def builder(self) -> Builder:
-        """Gathers what `take` takes, under this map's bound."""
-        return Builder(self._max)
+    def replace_from(self, version: int, builder: MapBuilder) -> None:
+        """Replaces the map by a builder's extents; the builder must not be used again.
 
-    def take(self, version: int, builder: Builder) -> None:
-        """The same from a builder, which is not used again."""
-        self._volumes, self.version, self._ahead = builder.volumes(), version, {}
+        Raises:
+            MapError: Extents overlap or blocks are missing.
+        """
+        self._volumes, self.version, self._refreshed_versions = builder.volumes(), version, {}
 
     def apply(self, change: Change) -> tuple[ChangeResult, str]:
-        """Take a change, or say why not; the text tells what does not fit."""
+        """Applies a change.
+
+        Returns:
+            What became of it, and why it was not applied ("" where it was).
+        """
         if change.version <= self.version:
             return ChangeResult.STALE, f"version {change.version} at {self.version}"
         if change.base != self.version:
-            return ChangeResult.GAP, f"version {change.base} is wanted, {self.version} is held"
-        extents = tuple(extent for extent in change.extents if not self._overtaken(extent))
-        gone = dict.fromkeys(change.dropped)
-        dropped = [extent for volume, first in gone if (extent := self._exactly(volume, first)) is not None]
+            return ChangeResult.GAP, f"a change of version {change.base}, the map is at {self.version}"
+        extents = tuple(extent for extent in change.extents if not self._is_overtaken(extent))
         try:
-            if len(dropped) != len(gone):
-                raise MapError("an extent that is not held is dropped")
+            removed = self._extents_to_remove(change)
             for extent in extents:
-                sane(extent)
-                held = self._exactly(extent.volume, extent.first)
-                if held and held.version > extent.version:
-                    raise MapError(
-                        f"volume {extent.volume}, block {extent.first}: version {extent.version} "
-                        f"after {held.version}"
-                    )
+                self._check_settable(extent)
+            self._replace_extents(removed, extents)
         except MapError as error:
             return ChangeResult.BROKEN, str(error)
-        before = {(row.volume, row.first): self._exactly(row.volume, row.first) for row in extents}
-        for extent in dropped:
+        self.version = change.version
+        self._forget_refreshed_versions(change)
+        return ChangeResult.APPLIED, ""
+
+    def _extents_to_remove(self, change: Change) -> list[Extent]:
+        keys = dict.fromkeys(change.removed)
+        removed = [extent for key in keys if (extent := self._extent_at(*key)) is not None]
+        if len(removed) != len(keys):
+            raise MapError("an extent that is not in the map is removed")
+        return removed
+
+    def _check_settable(self, extent: Extent) -> None:
+        check_extent(extent)
+        current = self._extent_at(extent.volume, extent.first)
+        if current and current.version > extent.version:
+            raise MapError(
+                f"volume {extent.volume}, block {extent.first}: version {extent.version} "
+                f"after {current.version}"
+            )
+
+    def _replace_extents(self, removed: list[Extent], extents: tuple[Extent, ...]) -> None:
+        """Removes and sets extents; undoes it and raises MapError where the map would not be valid."""
+        before = {(row.volume, row.first): self._extent_at(row.volume, row.first) for row in extents}
+        for extent in removed:
             before[extent.volume, extent.first] = extent
-            self._drop(extent.volume, extent.first)
+            self._remove(extent.volume, extent.first)
         for extent in extents:
-            self._volumes.setdefault(extent.volume, _Volume()).put(extent)
+            self._volumes.setdefault(extent.volume, _Volume()).set_extent(extent)
         try:
             if len(self) > self._max:
                 raise MapError(f"more than {self._max} extents")
             self._check(before, extents)
-        except MapError as error:
+        except MapError:
             self._restore(before)
-            return ChangeResult.BROKEN, str(error)
-        self.version = change.version
-        if self._ahead:
-            for extent in change.extents:
-                if self._ahead.get((extent.volume, extent.first), extent.version + 1) <= extent.version:
-                    del self._ahead[extent.volume, extent.first]
-        return ChangeResult.APPLIED, ""
+            raise
+
+    def _forget_refreshed_versions(self, change: Change) -> None:
+        """Drops what a refresh had brought early and the change has now reached."""
+        if not self._refreshed_versions:
+            return
+        for extent in change.extents:
+            key = (extent.volume, extent.first)
+            if self._refreshed_versions.get(key, extent.version + 1) <= extent.version:
+                del self._refreshed_versions[key]
 
     def merge(self, extent: Extent) -> bool:
-        """Take what one refreshed read says of an extent, if it is newer; the map's own version stays.
+        """Sets one extent as a refresh has read it; the map's own version stays.
+
+        The change that set it comes from the source later and leaves a newer extent as it is.
 
-        The change that set it comes again by the source in its turn, and is then no news for the extent.
+        Returns:
+            Whether it was newer than the map's extent of the same blocks, and is set.
         """
-        held = self._exactly(extent.volume, extent.first)
-        if held is None or held.length != extent.length or held.version >= extent.version:
+        current = self._extent_at(extent.volume, extent.first)
+        if current is None or current.length != extent.length or current.version >= extent.version:
             return False
-        sane(extent)
-        self._volumes[extent.volume].put(extent)
-        self._ahead[extent.volume, extent.first] = extent.version
+        check_extent(extent)
+        self._volumes[extent.volume].set_extent(extent)
+        self._refreshed_versions[extent.volume, extent.first] = extent.version
         return True
 
-    def _overtaken(self, extent: Extent) -> bool:
-        """A refresh has brought a later version of this very extent already."""
-        if self._ahead.get((extent.volume, extent.first), -1) <= extent.version:
+    def _is_overtaken(self, extent: Extent) -> bool:
+        """Whether a refresh has already brought a later version of the same blocks."""
+        if self._refreshed_versions.get((extent.volume, extent.first), -1) <= extent.version:
             return False
-        held = self._exactly(extent.volume, extent.first)
-        return held is not None and held.length == extent.length
+        current = self._extent_at(extent.volume, extent.first)
+        return current is not None and current.length == extent.length
 
-    def _exactly(self, volume: int, first: int) -> Extent | None:
-        held = self.find(volume, first)
-        return held if held and held.first == first else None
+    def _extent_at(self, volume: int, first: int) -> Extent | None:
+        current = self.find(volume, first)
+        return current if current and current.first == first else None
 
-    def _drop(self, volume: int, first: int) -> None:
-        if self._volumes[volume].drop(first) and not self._volumes[volume].count:
+    def _remove(self, volume: int, first: int) -> None:
+        if self._volumes[volume].remove_extent(first) and not self._volumes[volume].count:
             del self._volumes[volume]
 
     def _restore(self, before: dict[tuple[int, int], Extent | None]) -> None:
-        """Undo a change that does not fit."""
+        """Undoes a change."""
         for (number, first), _ in before.items():
             if number in self._volumes:
-                self._drop(number, first)
+                self._remove(number, first)
         for extent in before.values():
             if extent is not None:
-                self._volumes.setdefault(extent.volume, _Volume()).put(extent)
-
-    def _check(self, before: dict[tuple[int, int], Extent | None], put: Iterable[Extent]) -> None:
-        """The neighbours of all that was touched join on to each other."""
-        spots = {(number, first) for number, first in before} | {(row.volume, row.end) for row in put}
-        spots |= {(row.volume, row.end) for row in before.values() if row is not None}
-        for number, block in spots:
+                self._volumes.setdefault(extent.volume, _Volume()).set_extent(extent)
+
+    def _check(self, before: dict[tuple[int, int], Extent | None], extents_set: Iterable[Extent]) -> None:
+        """Checks that changed extents are adjacent to their neighbours: no overlap and no hole."""
+        boundaries = {(number, first) for number, first in before} | {
+            (row.volume, row.end) for row in extents_set
+        }
+        boundaries |= {(row.volume, row.end) for row in before.values() if row is not None}
+        for number, block in boundaries:
             volume = self._volumes.get(number)
             if volume is None:
                 continue
-            leaf, place = volume.find(block)
-            if place < 0:
+            leaf, row_index = volume.find(block)
+            if row_index < 0:
                 raise MapError(f"volume {number}, block 0: a hole")
-            one = volume.at(number, leaf, place)
-            spot = volume.after(leaf, place)
-            if spot is not None:
-                _follows(number, one.end, volume.at(number, *spot).first)
-            if leaf == 0 and place == 0:
-                _follows(number, 0, one.first)
-            elif block == one.first:
-                back = volume.find(block - 1)
-                if back[1] < 0:
+            extent = volume.at(number, leaf, row_index)
+            position = volume.after(leaf, row_index)
+            if position is not None:
+                _check_adjacent(number, extent.end, volume.at(number, *position).first)
+            if leaf == 0 and row_index == 0:
+                _check_adjacent(number, 0, extent.first)
+            elif block == extent.first:
+                previous = volume.find(block - 1)
+                if previous[1] < 0:
                     raise MapError(f"volume {number}, block 0: a hole")
-                _follows(number, volume.at(number, *back).end, one.first)
+                _check_adjacent(number, volume.at(number, *previous).end, extent.first)
 
 
-def _follows(volume: int, end: int, first: int) -> None:
+def _check_adjacent(volume: int, end: int, first: int) -> None:
     if first > end:
         raise MapError(f"volume {volume}, block {end}: a hole")
     if first < end:
--- a/lemonridge/extents/map_cache.py
+++ b/lemonridge/extents/map_cache.py
@@ -22,7 +22,8 @@
 import lmdb
 import xxhash
 
-from lemonridge.extents.extent_map import Change, Extent, ExtentMap, MapError
+from lemonridge.extents.errors import MapCacheError, MapError
+from lemonridge.extents.extent_map import Change, Extent, ExtentMap
 
 T = TypeVar("T")
 log = logging.getLogger(__name__)
@@ -34,10 +35,6 @@
 NAME = b"\xffmeta"  # behind every extent's key, as volumes are below 2^14
 
 
-class KeepError(Exception):
-    """What is kept cannot be used; the text says why."""
-
-
 def _boot() -> bytes:
     """The machine's boot, which the time since it belongs to; `NO_BOOT` where it cannot be told."""
     try:
@@ -68,7 +65,7 @@
             os.replace(os.path.join(path, "data.mdb"), os.path.join(path, "data.mdb.spoilt"))
             self._store = self._open(path, size)
         except lmdb.Error as error:
-            raise KeepError(str(error)) from None
+            raise MapCacheError(str(error)) from None
         self._sum, self._count, self._broken = 0, 0, False
 
     @staticmethod
@@ -76,29 +73,29 @@
         return lmdb.open(path, map_size=size, subdir=True, max_dbs=0, mode=0o600, metasync=False)
 
     def load(self, age_us: int) -> tuple[int, list[Extent]]:
-        """The kept map's version and extents; KeepError if there is none, it is damaged or too old."""
+        """The kept map's version and extents; MapCacheError if there is none, it is damaged or too old."""
         with self._store.begin() as reading:
             meta = reading.get(NAME)
             if meta is None or len(meta) != META.size:
-                raise KeepError("no map is kept")
+                raise MapCacheError("no map is kept")
             version, written_us, count, total, since_boot_us, boot = META.unpack(meta)
             found, extents = 0, list[Extent]()
             for key, value in reading.cursor():
                 if key == NAME:
                     continue
                 if len(key) != KEY.size or len(value) != VALUE.size:
-                    raise KeepError("a record is damaged")
+                    raise MapCacheError("a record is damaged")
                 found ^= _hash(key, value)
                 volume, first = KEY.unpack(key)
                 length, shard, record = VALUE.unpack(value)
                 extents.append(Extent(volume, first, length, shard, record))
         if found != total or len(extents) != count:
-            raise KeepError("the checksum does not fit")
+            raise MapCacheError("the checksum does not fit")
         ages_us = [time.time_ns() // 1000 - written_us]
         if boot == _boot() != NO_BOOT:
             ages_us.append(_since_boot_us() - since_boot_us)
         if min(ages_us) < 0 or max(ages_us) > age_us:
-            raise KeepError("it is too old")
+            raise MapCacheError("it is too old")
         self._sum, self._count = found, count
         return version, extents
 
@@ -122,7 +119,7 @@
         before = self._sum, self._count
         try:
             with self._store.begin(write=True) as writing:
-                for volume, first in change.dropped:
+                for volume, first in change.removed:
                     self._drop(writing, KEY.pack(volume, first))
                 for extent in change.extents:
                     self._put(writing, extent)
--- a/lemonridge/extents/router.py
+++ b/lemonridge/extents/router.py
@@ -13,16 +13,17 @@
 from lemonridge.core.endpoint_registry import EndpointRegistry
 from lemonridge.core.model import Request
 from lemonridge.extents import routing
-from lemonridge.extents.extent_map import Builder, Change, ChangeResult, Extent, ExtentMap, MapError
-from lemonridge.extents.refresh import Batch, Refreshes, Spot
-from lemonridge.extents.routing import Decision, Limits, Redirect, Route, Standing, Verdict
+from lemonridge.extents.errors import MapError
+from lemonridge.extents.extent_map import Change, ChangeResult, Extent, ExtentMap, MapBuilder
+from lemonridge.extents.refresh import ExtentKey, RefreshBatch, RefreshQueue
+from lemonridge.extents.routing import Limits, MapTrust, Redirect, Route, RouteAction, RouteDecision
 
 log = logging.getLogger(__name__)
 
 REFRESH_S = 0.5  # for the source's answer to one refresh
 FOREVER_US = 1 << 62
 
-Reader = Callable[[tuple[Spot, ...]], Awaitable[list[Extent]]]
+Reader = Callable[[tuple[ExtentKey, ...]], Awaitable[list[Extent]]]
 
 
 class Keeper(Protocol):
@@ -42,14 +43,14 @@
         self, limits: Limits, extents_max: int, clock: Clock, directory: EndpointRegistry, counters: Counters
     ) -> None:
         self.limits, self.counters = limits, counters
-        self.map, self.standing = ExtentMap(extents_max), Standing()
+        self.map, self.trust = ExtentMap(extents_max), MapTrust()
         self.read: Reader | None = None  # how the source is asked about single extents
         self.keeper: Keeper | None = None
         self.resized: Callable[[list[int]], None] = lambda volumes: None  # whose sizes have changed
         self._clock, self._directory = clock, directory
-        self._refreshes = Refreshes()
+        self._refreshes = RefreshQueue()
         self._waiters: dict[int, asyncio.Future[None]] = {}
-        self._open: dict[Spot, dict[int, tuple[Route, Callable[[int], None]]]] = {}
+        self._open: dict[ExtentKey, dict[int, tuple[Route, Callable[[int], None]]]] = {}
         self._news: dict[int, asyncio.Future[None]] = {}  # of the routes that wait, by their identity
         self._running: asyncio.Task[None] | None = None
         self._timer: asyncio.TimerHandle | None = None
@@ -72,11 +73,11 @@
         self.counters["map.malformed"] += 1
         log.error("map refused", extra={"version": version, "error": str(error)})
 
-    def take(self, version: int, builder: Builder, confirmed: bool = True) -> bool:
+    def take(self, version: int, builder: MapBuilder, confirmed: bool = True) -> bool:
         """The same from a builder."""
         sizes = {volume: self.map.blocks(volume) for volume in self.map.volumes()}
         try:
-            self.map.take(version, builder)
+            self.map.replace_from(version, builder)
         except MapError as error:
             self.refused(version, error)
             return False
@@ -86,8 +87,8 @@
             self.confirm()
             if self.keeper is not None:
                 self.keeper.whole(self.map)
-        for spot in list(self._open):
-            self._tell(spot)
+        for key in list(self._open):
+            self._tell(key)
         self._sizes(sizes)
         return True
 
@@ -100,7 +101,7 @@
 
     def change(self, change: Change) -> ChangeResult:
         """Take a change. After a gap, or one that does not fit, the source must bring the whole map."""
-        touched = {extent.volume for extent in change.extents} | {volume for volume, _ in change.dropped}
+        touched = {extent.volume for extent in change.extents} | {volume for volume, _ in change.removed}
         sizes = {volume: self.map.blocks(volume) for volume in touched}
         fit, why = self.map.apply(change)
         self.counters[f"map.{fit.value}"] += 1
@@ -116,24 +117,26 @@
 
     def confirm(self, for_ever: bool = False) -> None:
         """The source has just said that the map is the newest."""
-        self.standing.confirmed = True
-        self.standing.confirmed_us = FOREVER_US if for_ever else self._clock.now_us()
+        self.trust.confirmed = True
+        self.trust.confirmed_us = FOREVER_US if for_ever else self._clock.now_us()
 
     def trust_kept(self) -> None:
         """A kept map serves reads, as old as if it had been confirmed at this moment, and no writes."""
-        self.standing.confirmed_us = self._clock.now_us()
+        self.trust.confirmed_us = self._clock.now_us()
 
     # What the front asks
 
-    def begin(self, volume: int, first: int, length: int, writes: bool) -> list[Route]:
+    def plan_routes(self, volume: int, first: int, length: int, writes: bool) -> list[Route]:
         """The routes of a command's pieces; RouteError where it cannot be begun now."""
-        return routing.begin(
-            self.map, self.standing, self.limits, volume, first, length, writes, self._clock.now_us()
+        return routing.plan_routes(
+            self.map, self.trust, self.limits, volume, first, length, writes, self._clock.now_us()
         )
 
-    def everywhere(self, volume: int, writes: bool) -> list[int]:
+    def shards_of_volume(self, volume: int, writes: bool) -> list[int]:
         """The shards of a command for the whole volume; RouteError as above."""
-        return routing.everywhere(self.map, self.standing, self.limits, volume, writes, self._clock.now_us())
+        return routing.shards_of_volume(
+            self.map, self.trust, self.limits, volume, writes, self._clock.now_us()
+        )
 
     # What the core asks
 
@@ -143,79 +146,79 @@
 
     def close(self, request: Request) -> None:
         route = _route(request)
-        spot = (route.piece.volume, route.piece.extent)
-        waiting = self._open.get(spot, {})
+        key = (route.piece.volume, route.piece.extent)
+        waiting = self._open.get(key, {})
         waiting.pop(id(route), None)
         if not waiting:
-            self._open.pop(spot, None)
+            self._open.pop(key, None)
 
     def current(self, request: Request) -> int:
         route = _route(request)
-        routing.caught_up(self.map, route)
+        routing.follow_newer_map(self.map, route)
         return route.shard
 
     async def reroute(self, request: Request, reply: object) -> int | None:
         route = _route(request)
         told = reply if isinstance(reply, Redirect) else Redirect()
         self.counters["redirects"] += 1
-        decision = routing.redirected(self.map, self.limits, route, told, self._directory.active_shards())
-        while decision.verdict is Verdict.WAIT:
-            decision = await self._news_of(route, decision)
-        if decision.verdict is Verdict.GIVE_UP:
-            assert decision.cause is not None
-            self.counters[f"routes.{decision.cause.value}"] += 1
+        decision = routing.on_redirect(self.map, self.limits, route, told, self._directory.active_shards())
+        while decision.action is RouteAction.REFRESH:
+            decision = await self._await_news(route, decision)
+        if decision.action is RouteAction.REJECT:
+            assert decision.reason is not None
+            self.counters[f"routes.{decision.reason.value}"] += 1
             log.info(
-                "route given up",
+                "route rejected",
                 extra={
                     "volume": route.piece.volume,
                     "block": route.piece.first,
-                    "cause": decision.cause.value,
+                    "reason": decision.reason.value,
                     "version": route.piece.version,
                     "redirects": route.redirects,
                 },
             )
             return None
-        self.counters["redirects.ahead"] += route.ahead
+        self.counters["redirects.ahead"] += route.ahead_of_map
         return route.shard
 
-    async def _news_of(self, route: Route, decision: Decision) -> Decision:
+    async def _await_news(self, route: Route, decision: RouteDecision) -> RouteDecision:
         """Wait for a refresh, or for the watch to bring the change first, and look again."""
         news = self._news[id(route)] = asyncio.get_running_loop().create_future()
-        spot = (route.piece.volume, route.piece.extent)
+        key = (route.piece.volume, route.piece.extent)
         try:
             if decision.pause_us:
                 at = self._clock.loop_time(self._clock.now_us() + decision.pause_us)
                 with contextlib.suppress(TimeoutError):
                     async with asyncio.timeout_at(at):
                         await asyncio.shield(news)
-            if not news.done() and (waiter := self._refresh(spot)) is not None:
+            if not news.done() and (waiter := self._refresh(key)) is not None:
                 await asyncio.wait((waiter, news), return_when=asyncio.FIRST_COMPLETED)
         finally:
             del self._news[id(route)]
-        return routing.refreshed(self.map, self.limits, route)
+        return routing.on_refresh(self.map, self.limits, route)
 
-    def _tell(self, spot: Spot) -> None:
+    def _tell(self, key: ExtentKey) -> None:
         """Requests that wait for an extent's old shard go on at its new one at once, and those that wait for
         news of it look again.
         """
-        for ident, (route, told) in list(self._open.get(spot, {}).items()):
+        for ident, (route, told) in list(self._open.get(key, {}).items()):
             news = self._news.get(ident)
             if news is not None:
                 if not news.done():
                     news.set_result(None)
                 continue
             shard = route.shard
-            if routing.caught_up(self.map, route) and route.shard != shard:
+            if routing.follow_newer_map(self.map, route) and route.shard != shard:
                 self.counters["redirects.queued"] += 1
                 told(route.shard)
 
     # Refreshes
 
-    def _refresh(self, spot: Spot) -> asyncio.Future[None] | None:
+    def _refresh(self, key: ExtentKey) -> asyncio.Future[None] | None:
         """Ends with the first refresh of an extent that begins from now on, good or not; None if there is
         none to be had.
         """
-        number = self._refreshes.want(spot) if self.read is not None else None
+        number = self._refreshes.enqueue(key) if self.read is not None else None
         if number is None:
             self.counters["refreshes.none"] += 1
             return None
@@ -228,10 +231,10 @@
 
     def _pump(self) -> None:
         """Begin the next refresh, now or when its pause is over."""
-        at = self._refreshes.due()
+        at = self._refreshes.next_start_us()
         if at is None:
             return
-        batch = self._refreshes.begin(self._clock.now_us())
+        batch = self._refreshes.start_batch(self._clock.now_us())
         if batch is not None:
             self.counters["refreshes"] += 1
             self._running = asyncio.create_task(self._run(batch))
@@ -243,12 +246,12 @@
         self._timer = None
         self._pump()
 
-    async def _run(self, batch: Batch) -> None:
+    async def _run(self, batch: RefreshBatch) -> None:
         good = False
         try:
             assert self.read is not None
             async with asyncio.timeout_at(asyncio.get_running_loop().time() + REFRESH_S):
-                extents = await self.read(batch.spots)
+                extents = await self.read(batch.keys)
             good = True
             for extent in extents:
                 if self.map.merge(extent):
@@ -258,7 +261,7 @@
             self.counters["refreshes.failed"] += 1
             log.warning("refresh failed", extra={"error": f"{type(error).__name__}: {error}"})
         finally:
-            number = self._refreshes.ended(self._clock.now_us(), good)
+            number = self._refreshes.finish_batch(self._clock.now_us(), good)
             waiter = self._waiters.pop(number, None)
             if waiter is not None and not waiter.done():
                 waiter.set_result(None)
--- a/lemonridge/extents/routing.py
+++ b/lemonridge/extents/routing.py
@@ -1,12 +1,12 @@
-"""The decisions of the routing: where a piece goes, and what follows when its node says that it has moved.
+"""The routing decisions: the shard of each piece of a command, and what follows a redirect.
 
-Pure: times are whole microseconds that the caller brings. What is decided here is where the data lies; which
-node of that shard serves, whether there is another attempt and what the client hears stays with the decision
-module, which is told of every move and of every end.
+Pure: times are whole microseconds that the caller passes. Decided here is where the data lies; the endpoint
+of that shard, further attempts and the client's answer are decided by `scheduling`, which is notified of
+every move and every end.
 
-Why no redirect can serve wrongly: an attempt names the version that it relies on, and a node runs it only
-under that very version. A wrong guess costs an attempt, never data. Why no redirect goes on for ever: the
-four attempts, the count of redirects, the count of refreshes and the deadline each end it.
+Why no redirect makes a node serve wrongly: an attempt names the version that it relies on, and a node runs it
+only under that very version. A wrong guess costs an attempt, never data. Why redirects end: the four
+attempts, the number of redirects, the number of refreshes and the deadline each bound them.
 """
 
 from __future__ import annotations
@@ -14,16 +14,25 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from lemonridge.extents.extent_map import Extent, ExtentMap, MapError, Piece
+from lemonridge.extents.errors import MapError, RouteError, RouteRejectReason
+from lemonridge.extents.extent_map import Extent, ExtentMap, Piece
+
+REFRESH_BACKOFF_US = 10_000  # before the second refresh of a route, doubled for each later one
 
 
 @dataclass(frozen=True, slots=True)
 class Limits:
-    """What one request may cost, and how old a map may be.
+    """Bounds of one command, and how old the map may be.
+
+    Reads may use an older map than writes: a node checks the version either way, but a write that waits for
+    moves which ended long ago holds its data for nothing.
 
-    `redirects` and `refreshes` count per piece, `pieces` per command; the ages are the time since the source
-    last confirmed the map. Reads outlive writes: a node checks the version either way, but a write that
-    waits for moves which are long over holds its data for nothing.
+    Attributes:
+        redirects: Redirects of one piece.
+        refreshes: Refreshes that one piece waits for.
+        pieces: Pieces of one command.
+        read_age_us: Time since the source last confirmed the map, for reads.
+        write_age_us: The same for writes.
     """
 
     redirects: int = 8
@@ -35,8 +44,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Redirect:
-    """What a node said when it refused an attempt unrun: which version it knows of the extent, and where that
-    one lies; -1 where it knows nothing.
+    """A node's statement when it refuses an attempt that did not run.
+
+    Attributes:
+        version: The extent's newest version that the node knows; -1 where it knows none.
+        shard: The shard that has the extent under that version; -1 where the node knows none.
     """
 
     version: int = -1
@@ -45,82 +57,85 @@
 
 @dataclass(slots=True)
 class Route:
-    """One piece on its way: what it relies on, and what its way has cost."""
+    """One piece of a command in progress.
+
+    Attributes:
+        piece: Its blocks, and the shard and version that it relies on.
+        writes: Whether the command writes.
+        redirects: Redirects so far.
+        refreshes: Refreshes so far.
+        attempt_in_flight: An attempt relies on the piece's shard and version.
+        ahead_of_map: The shard and version are a node's, which the map has not confirmed.
+    """
 
     piece: Piece
     writes: bool
     redirects: int = 0
     refreshes: int = 0
-    attempt_in_flight: bool = False  # an attempt is out on its word
-    ahead: bool = False  # it relies on a node's word that the map has not confirmed
+    attempt_in_flight: bool = False
+    ahead_of_map: bool = False
 
     @property
     def shard(self) -> int:
+        """The shard that the piece goes to."""
         return self.piece.shard
 
 
-class Verdict(Enum):
+class RouteAction(Enum):
     """What a redirect leads to."""
 
-    FOLLOW = "follow"  # go on at the route's shard under its version
-    WAIT = "wait"  # refresh the extent, then ask again with `refreshed`
-    GIVE_UP = "give-up"
-
-
-class Cause(Enum):
-    """Why a route is given up, or a command is not begun."""
-
-    REDIRECTS = "redirects"  # too many
-    UNCONFIRMED = "unconfirmed"  # refreshes brought nothing newer: two claims, or a node that is behind
-    RESHAPED = "reshaped"  # the extent was cut or joined under the command
-    ABSENT = "absent"  # the map does not hold the blocks
-    OLD = "old"  # the map is older than allowed
-    MAPLESS = "mapless"  # there is no map yet
-    UNTRUSTED = "untrusted"  # a kept map, which the source has not confirmed, and a write
-    PIECES = "pieces"  # more of them than a command may have
+    FOLLOW = "follow"  # continue at the route's shard under its version
+    REFRESH = "wait"  # refresh the extent, then decide by `on_refresh`
+    REJECT = "give-up"
 
 
 @dataclass(frozen=True, slots=True)
-class Decision:
-    """`pause_us` comes before a refresh: a hand-over takes its time, and the source is told of it last."""
-
-    verdict: Verdict
-    cause: Cause | None = None
-    pause_us: int = 0
-
+class RouteDecision:
+    """What to do with a route.
 
-FOLLOW = Decision(Verdict.FOLLOW)
-PAUSE_US = 10_000  # before the second refresh of a route, doubled for each later one
+    Attributes:
+        action: The next step.
+        reason: Why the route is rejected; None for the other actions.
+        pause_us: Wait before a refresh: a hand-over takes time, and the source is notified of it last.
+    """
 
+    action: RouteAction
+    reason: RouteRejectReason | None = None
+    pause_us: int = 0
 
-class RouteError(Exception):
-    """A command that cannot be routed now; nothing of it ran."""
 
-    def __init__(self, cause: Cause) -> None:
-        super().__init__(cause.value)
-        self.cause = cause
+FOLLOW = RouteDecision(RouteAction.FOLLOW)
 
 
 @dataclass(slots=True)
-class Standing:
-    """How far the map can be trusted: when the source last confirmed it, and whether it ever did."""
+class MapTrust:
+    """How far the map can be relied on.
+
+    Attributes:
+        confirmed_us: When the source last confirmed the map.
+        confirmed: Whether it ever did in this process; a cached map begins without.
+    """
 
     confirmed_us: int = 0
     confirmed: bool = False
 
-    def usable(self, held: ExtentMap, limits: Limits, writes: bool, now_us: int) -> None:
-        """RouteError if a command must not be routed by the map as it stands."""
-        if held.version < 0:
-            raise RouteError(Cause.MAPLESS)
+    def check_usable(self, extent_map: ExtentMap, limits: Limits, writes: bool, now_us: int) -> None:
+        """Checks that a command may be routed by the map as it is.
+
+        Raises:
+            RouteError: There is no map, it is older than allowed, or a write has only an unconfirmed one.
+        """
+        if extent_map.version < 0:
+            raise RouteError(RouteRejectReason.NO_MAP)
         if writes and not self.confirmed:
-            raise RouteError(Cause.UNTRUSTED)
+            raise RouteError(RouteRejectReason.MAP_UNCONFIRMED)
         if now_us - self.confirmed_us > (limits.write_age_us if writes else limits.read_age_us):
-            raise RouteError(Cause.OLD)
+            raise RouteError(RouteRejectReason.MAP_TOO_OLD)
 
 
-def begin(
-    held: ExtentMap,
-    standing: Standing,
+def plan_routes(
+    extent_map: ExtentMap,
+    trust: MapTrust,
     limits: Limits,
     volume: int,
     first: int,
@@ -128,94 +143,120 @@
     writes: bool,
     now_us: int,
 ) -> list[Route]:
-    """The routes of a command's pieces, in the order of their blocks."""
-    standing.usable(held, limits, writes, now_us)
+    """The routes of a command's pieces, in the order of their blocks.
+
+    Args:
+        extent_map: The map.
+        trust: How far it can be relied on.
+        limits: The operator's bounds.
+        volume: The LUN.
+        first: First block.
+        length: Number of blocks.
+        writes: Whether the command writes.
+        now_us: Time of the decision.
+
+    Raises:
+        RouteError: The map cannot be used, does not have all blocks, or there are too many pieces.
+    """
+    trust.check_usable(extent_map, limits, writes, now_us)
     try:
-        pieces = held.lookup(volume, first, length)
+        pieces = extent_map.lookup(volume, first, length)
     except MapError:
-        raise RouteError(Cause.ABSENT) from None
+        raise RouteError(RouteRejectReason.NOT_MAPPED) from None
     if len(pieces) > limits.pieces:
-        raise RouteError(Cause.PIECES)
+        raise RouteError(RouteRejectReason.TOO_MANY_PIECES)
     return [Route(piece, writes) for piece in pieces]
 
 
-def everywhere(
-    held: ExtentMap, standing: Standing, limits: Limits, volume: int, writes: bool, now_us: int
+def shards_of_volume(
+    extent_map: ExtentMap, trust: MapTrust, limits: Limits, volume: int, writes: bool, now_us: int
 ) -> list[int]:
-    """The shards for a command that concerns a whole volume."""
-    standing.usable(held, limits, writes, now_us)
-    shards = sorted(held.shards(volume))
+    """The shards of a command that concerns a whole volume, in ascending order.
+
+    Raises:
+        RouteError: The map cannot be used, does not have the volume, or there are too many shards.
+    """
+    trust.check_usable(extent_map, limits, writes, now_us)
+    shards = sorted(extent_map.shards(volume))
     if not shards:
-        raise RouteError(Cause.ABSENT)
+        raise RouteError(RouteRejectReason.NOT_MAPPED)
     if len(shards) > limits.pieces:
-        raise RouteError(Cause.PIECES)
+        raise RouteError(RouteRejectReason.TOO_MANY_PIECES)
     return shards
 
 
-def caught_up(held: ExtentMap, route: Route) -> bool:
-    """Go by the map where it knows better than the route; whether it did. Not while an attempt is out."""
-    now = _extent(held, route)
-    if route.attempt_in_flight or now is None or now.version <= route.piece.version:
+def follow_newer_map(extent_map: ExtentMap, route: Route) -> bool:
+    """Moves a route without an attempt in flight to a newer version in the map; whether there was one."""
+    current = _current_extent(extent_map, route)
+    if route.attempt_in_flight or current is None or current.version <= route.piece.version:
         return False
-    _follow(route, now.shard, now.version, ahead=False)
+    _follow(route, current.shard, current.version, ahead_of_map=False)
     return True
 
 
-def redirected(
-    held: ExtentMap, limits: Limits, route: Route, told: Redirect, known: frozenset[int]
-) -> Decision:
-    """A node refused the route's piece unrun. `known` are the shards that have a node.
+def on_redirect(
+    extent_map: ExtentMap, limits: Limits, route: Route, redirect: Redirect, known_shards: frozenset[int]
+) -> RouteDecision:
+    """Decides what follows when a node refuses the route's piece, which did not run.
 
-    The map goes first where it knows a newer version than the one that failed. Then comes the node's word, if
-    it is newer than both and names a shard that exists. What is as old as the route, or older, proves
-    nothing: a stale redirect, two nodes that point at each other, or a new owner that is not there yet.
+    The map decides where it has a newer version than the one that failed. Otherwise the redirect does, if its
+    version is newer than both and its shard has a node. A version that is not newer proves nothing: a stale
+    redirect, two nodes that name each other, or a new owner that has yet to learn of the hand-over.
+
+    Args:
+        extent_map: The map.
+        limits: The operator's bounds.
+        route: The piece; moved to the new shard where the decision is to follow.
+        redirect: The node's statement.
+        known_shards: The shards that have a node.
     """
     route.redirects += 1
     if route.redirects > limits.redirects:
-        return Decision(Verdict.GIVE_UP, Cause.REDIRECTS)
-    now = _extent(held, route)
-    if now is None:
-        return Decision(Verdict.GIVE_UP, Cause.RESHAPED)
-    relied = route.piece.version
-    if now.version > relied and now.version >= told.version:
-        return _follow(route, now.shard, now.version, ahead=False)
-    if told.version > max(relied, now.version) and told.shard in known:
-        return _follow(route, told.shard, told.version, ahead=True)
-    return _wait(limits, route)
-
-
-def refreshed(held: ExtentMap, limits: Limits, route: Route) -> Decision:
-    """A refresh that began after the refusal has ended, well or not: look again."""
-    now = _extent(held, route)
-    if now is None:
-        return Decision(Verdict.GIVE_UP, Cause.RESHAPED)
-    if now.version > route.piece.version:
-        return _follow(route, now.shard, now.version, ahead=False)
-    if route.ahead and now.version < route.piece.version and now.shard != route.piece.shard:
-        # A node's word led nowhere, and the source does not know of it: go by the source again.
-        return _follow(route, now.shard, now.version, ahead=False)
-    return _wait(limits, route)
-
-
-def _extent(held: ExtentMap, route: Route) -> Extent | None:
-    """The route's extent as the map has it now; None if it was cut or joined so that the piece lies
-    across.
-    """
-    now = held.find(route.piece.volume, route.piece.first)
-    if now is None or now.first != route.piece.extent or now.end < route.piece.first + route.piece.length:
+        return RouteDecision(RouteAction.REJECT, RouteRejectReason.TOO_MANY_REDIRECTS)
+    current = _current_extent(extent_map, route)
+    if current is None:
+        return RouteDecision(RouteAction.REJECT, RouteRejectReason.EXTENT_RESHAPED)
+    relied_on = route.piece.version
+    if current.version > relied_on and current.version >= redirect.version:
+        return _follow(route, current.shard, current.version, ahead_of_map=False)
+    if redirect.version > max(relied_on, current.version) and redirect.shard in known_shards:
+        return _follow(route, redirect.shard, redirect.version, ahead_of_map=True)
+    return _refresh_or_reject(limits, route)
+
+
+def on_refresh(extent_map: ExtentMap, limits: Limits, route: Route) -> RouteDecision:
+    """Decides what follows when a refresh that started after the redirect has ended, or failed."""
+    current = _current_extent(extent_map, route)
+    if current is None:
+        return RouteDecision(RouteAction.REJECT, RouteRejectReason.EXTENT_RESHAPED)
+    if current.version > route.piece.version:
+        return _follow(route, current.shard, current.version, ahead_of_map=False)
+    if route.ahead_of_map and current.version < route.piece.version and current.shard != route.piece.shard:
+        # The node's redirect led nowhere and the source does not have it: back to the source's shard.
+        return _follow(route, current.shard, current.version, ahead_of_map=False)
+    return _refresh_or_reject(limits, route)
+
+
+def _current_extent(extent_map: ExtentMap, route: Route) -> Extent | None:
+    """The route's extent as the map has it; None if it was split or joined so that the piece lies across."""
+    current = extent_map.find(route.piece.volume, route.piece.first)
+    if current is None or current.first != route.piece.extent:
         return None
-    return now
+    return current if route.piece.first + route.piece.length <= current.end else None
 
 
-def _follow(route: Route, shard: int, version: int, ahead: bool) -> Decision:
+def _follow(route: Route, shard: int, version: int, ahead_of_map: bool) -> RouteDecision:
     piece = route.piece
     route.piece = Piece(piece.volume, piece.first, piece.length, piece.extent, shard, version)
-    route.ahead = ahead
+    route.ahead_of_map = ahead_of_map
     return FOLLOW
 
 
-def _wait(limits: Limits, route: Route) -> Decision:
+def _refresh_or_reject(limits: Limits, route: Route) -> RouteDecision:
+    """The first refresh starts at once, the second after a pause that doubles for each later one."""
     route.refreshes += 1
     if route.refreshes > limits.refreshes:
-        return Decision(Verdict.GIVE_UP, Cause.UNCONFIRMED)
-    return Decision(Verdict.WAIT, pause_us=PAUSE_US << route.refreshes - 2 if route.refreshes > 1 else 0)
+        return RouteDecision(RouteAction.REJECT, RouteRejectReason.LOCATION_UNCONFIRMED)
+    if route.refreshes == 1:
+        return RouteDecision(RouteAction.REFRESH)
+    return RouteDecision(RouteAction.REFRESH, pause_us=REFRESH_BACKOFF_US << (route.refreshes - 2))
--- a/lemonridge/iscsi/mapped.py
+++ b/lemonridge/iscsi/mapped.py
@@ -10,9 +10,9 @@
 from lemonridge.core.counters import Counters
 from lemonridge.core.model import Answer, AnswerKind, Request
 from lemonridge.extents.carrier import Carrier
+from lemonridge.extents.errors import RouteError, RouteRejectReason
 from lemonridge.extents.joining import JoinResult
 from lemonridge.extents.router import Router
-from lemonridge.extents.routing import Cause, RouteError
 from lemonridge.iscsi import scsi
 from lemonridge.iscsi.config import READ, WRITE, IscsiConfig, Lun
 
@@ -100,10 +100,14 @@
             if command.cdb[0] in scsi.BLOCKS:
                 return await self._blocks(command, lun, deadline_us, abandoned)
             writes = command.cdb[0] in scsi.WRITES
-            shards = self._router.everywhere(command.lun, writes)
+            shards = self._router.shards_of_volume(command.lun, writes)
         except RouteError as error:
-            self._counters[f"routes.{error.cause.value}"] += 1
-            return scsi.invalid_field() if error.cause is Cause.PIECES else scsi.Reply(scsi.Status.BUSY)
+            self._counters[f"routes.{error.reason.value}"] += 1
+            return (
+                scsi.invalid_field()
+                if error.reason is RouteRejectReason.TOO_MANY_PIECES
+                else scsi.Reply(scsi.Status.BUSY)
+            )
         # SYNCHRONIZE CACHE concerns every shard that may hold written blocks: a hand-over makes durable what
         # it hands over, so that a shard which has just lost an extent owes nothing for it. The other commands
         # without blocks are answered alike by every node.
@@ -116,7 +120,7 @@
         first, blocks = scsi.span(command.cdb)
         writes, size = command.cdb[0] in scsi.WRITES, self._block
         requests = []
-        for route in self._router.begin(command.lun, first, blocks, writes):
+        for route in self._router.plan_routes(command.lun, first, blocks, writes):
             piece, start = route.piece, (route.piece.first - first) * size
             length = piece.length * size
             data = command.data[start : start + length] if writes else b""
@@ -141,17 +145,17 @@
         if len(requests) == 1:
             return reply_of(await self._broker.serve(requests[0]))
         joined, answers = await self._carrier.serve(requests, writes)
-        self._counters[f"joined.{joined.whole.value}"] += 1
-        if joined.whole is JoinResult.SERVED:
+        self._counters[f"joined.{joined.result.value}"] += 1
+        if joined.result is JoinResult.SERVED:
             parts = [reply_of(answer).data for answer in answers if answer is not None]
             wanted = [_length(piece) if command.reads else 0 for piece in requests]
             if [len(part) for part in parts] != wanted:  # joined, they would shift what follows
                 return scsi.unreachable()
             return scsi.Reply(scsi.Status.GOOD, b"".join(parts))
-        if joined.whole is JoinResult.REPORTED:
-            answer = answers[joined.piece]
+        if joined.result is JoinResult.REPORTED:
+            answer = answers[joined.piece_index]
             assert answer is not None
             return reply_of(answer)
         return reply_of(
-            Answer(AnswerKind.REJECTED if joined.whole is JoinResult.REFUSED else AnswerKind.FAILED)
+            Answer(AnswerKind.REJECTED if joined.result is JoinResult.REJECTED else AnswerKind.FAILED)
         )
--- a/lemonridge/lab/measure/extents.py
+++ b/lemonridge/lab/measure/extents.py
@@ -33,12 +33,12 @@
         gc.collect()
         tracemalloc.start()
         atlas = ExtentMap(size)
-        atlas.whole(0, _extents(size))
+        atlas.replace_all(0, _extents(size))
         held, peak = tracemalloc.get_traced_memory()
         tracemalloc.stop()
         began = time.perf_counter()
         atlas = ExtentMap(size)
-        atlas.whole(0, _extents(size))
+        atlas.replace_all(0, _extents(size))
         build = time.perf_counter() - began
         blocks = [random.randrange(size * 2048 - 1) for _ in range(LOOKUPS)]
         lookups, changes = [], []
--- a/lemonridge/service/iscsi.py
+++ b/lemonridge/service/iscsi.py
@@ -14,6 +14,7 @@
 from lemonridge.coordination.etcd_source import EndpointsFeed, EtcdSource
 from lemonridge.core.broker import Broker
 from lemonridge.core.counters import Counters
+from lemonridge.extents.errors import MapCacheError
 from lemonridge.extents.etcd_source import MapFeed, Refresher
 from lemonridge.extents.file_source import FileSource
 from lemonridge.extents.router import Router
@@ -126,16 +127,16 @@
     Raises:
         ConfigError: The file cannot be used at all.
     """
-    from lemonridge.extents.map_cache import Background, KeepError, MapCache  # only here is LMDB loaded
+    from lemonridge.extents.map_cache import Background, MapCache  # only here is LMDB loaded
 
     try:
         cache = MapCache(path, size_bytes)
-    except (KeepError, OSError) as error:
+    except (MapCacheError, OSError) as error:
         raise ConfigError(f"extents.keep: cannot use {path}: {error}") from None
     try:
         version, extents = cache.load(age_max_us)
         if router.whole(version, extents, confirmed=False):
             router.trust_kept()
-    except KeepError as error:
+    except MapCacheError as error:
         log.info("cached map not used", extra={"path": path, "error": str(error)})
     router.keeper = Background(cache)
--- a/tests/extents/test_extent_map.py
+++ b/tests/extents/test_extent_map.py
@@ -9,11 +9,18 @@
 from hypothesis import strategies as st
 
 from lemonridge.extents import joining, routing
+from lemonridge.extents.errors import MapError, RouteError, RouteRejectReason
 from lemonridge.extents.etcd_source import FreshnessCheck
-from lemonridge.extents.extent_map import LEAF, Change, ChangeResult, Extent, ExtentMap, MapError, Piece
-from lemonridge.extents.joining import End, Joined, JoinResult
-from lemonridge.extents.refresh import BATCH, PAUSE_TOP_US, PAUSE_US, WANTED_MAX, Refreshes
-from lemonridge.extents.routing import Cause, Limits, Redirect, Route, RouteError, Standing, Verdict
+from lemonridge.extents.extent_map import LEAF_EXTENTS_MAX, Change, ChangeResult, Extent, ExtentMap, Piece
+from lemonridge.extents.joining import JoinedOutcome, JoinResult, PieceOutcome
+from lemonridge.extents.refresh import (
+    BATCH_EXTENTS_MAX,
+    REFRESH_INTERVAL_MAX_US,
+    REFRESH_INTERVAL_US,
+    WAITING_EXTENTS_MAX,
+    RefreshQueue,
+)
+from lemonridge.extents.routing import Limits, MapTrust, Redirect, Route, RouteAction
 
 LIMITS = Limits()
 
@@ -24,7 +31,7 @@
 
 def held(count: int = 8) -> ExtentMap:
     made = ExtentMap()
-    made.whole(1, row(count))
+    made.replace_all(1, row(count))
     return made
 
 
@@ -41,16 +48,16 @@
 
 
 @settings(max_examples=200, derandomize=True, deadline=None)
-@given(count=st.integers(1, 3 * LEAF), todo=steps)
+@given(count=st.integers(1, 3 * LEAF_EXTENTS_MAX), todo=steps)
 def test_any_sequence_of_changes_is_as_in_a_plain_model(count: int, todo: list[Step]) -> None:
     """The model is a list that is rebuilt for each change; what it refuses must change nothing."""
     atlas = ExtentMap()
     model = row(count)
-    atlas.whole(5, reversed(model))
+    atlas.replace_all(5, reversed(model))
     version = 5
     for kind, pick, shard, cut, jump in todo:
         place = pick % len(model)
-        one, dropped = model[place], ()
+        one, removed = model[place], ()
         put = [replace(one, shard=shard, version=one.version + 1)]
         base, to = version, version + 1
         if kind == "split":
@@ -64,7 +71,7 @@
         elif kind == "join":
             if place + 1 == len(model):
                 continue
-            dropped = ((0, model[place + 1].first),)
+            removed = ((0, model[place + 1].first),)
             put = [replace(one, length=one.length + model[place + 1].length)]
         elif kind == "gap":
             base, to = version + jump, version + jump + 1
@@ -80,12 +87,12 @@
             if place + 1 == len(model):
                 put = [Extent(0, one.end + jump, 5, shard, 1)]
             else:
-                put, dropped = [], ((0, one.first),)
+                put, removed = [], ((0, one.first),)
         elif kind == "back":
             put = [replace(one, version=one.version - 1)]
             if one.version == 0:
                 continue
-        fit, _ = atlas.apply(Change(base, to, tuple(put), dropped))
+        fit, _ = atlas.apply(Change(base, to, tuple(put), removed))
         wanted = {
             "gap": ChangeResult.GAP,
             "stale": ChangeResult.STALE,
@@ -96,7 +103,7 @@
         assert fit is wanted, (kind, fit)
         if fit is ChangeResult.APPLIED:
             version = to
-            gone = {first for _, first in dropped} | {extent.first for extent in put}
+            gone = {first for _, first in removed} | {extent.first for extent in put}
             model = sorted([old for old in model if old.first not in gone] + put, key=lambda old: old.first)
         assert atlas.version == version
         block = pick % model[-1].end
@@ -125,9 +132,9 @@
 )
 def test_a_whole_map_that_does_not_fit_leaves_the_old_one(extents: list[Extent], word: str) -> None:
     atlas = ExtentMap(8)
-    atlas.whole(3, row(4))
+    atlas.replace_all(3, row(4))
     with pytest.raises(MapError, match=word):
-        atlas.whole(4, extents)
+        atlas.replace_all(4, extents)
     assert (atlas.version, len(atlas)) == (3, 4)
 
 
@@ -150,7 +157,7 @@
     # From here on a version that goes back is a broken source again, and a whole map forgets all.
     assert atlas.apply(Change(3, 4, (replace(news, version=2),)))[0] is ChangeResult.BROKEN
     assert atlas.merge(replace(news, version=9))
-    atlas.whole(4, row(8))
+    atlas.replace_all(4, row(8))
     assert atlas.apply(Change(4, 5, (replace(news, version=2),)))[0] is ChangeResult.APPLIED
 
 
@@ -168,27 +175,27 @@
 def test_a_map_is_used_only_as_far_as_it_can_be_trusted() -> None:
     now, atlas = 10**9, held()
     for standing, writes, cause in (
-        (Standing(now, False), True, Cause.UNTRUSTED),
-        (Standing(now, False), False, None),
-        (Standing(now - LIMITS.write_age_us - 1, True), True, Cause.OLD),
-        (Standing(now - LIMITS.write_age_us - 1, True), False, None),
-        (Standing(now - LIMITS.read_age_us - 1, True), False, Cause.OLD),
-        (Standing(now, True), True, None),
+        (MapTrust(now, False), True, RouteRejectReason.MAP_UNCONFIRMED),
+        (MapTrust(now, False), False, None),
+        (MapTrust(now - LIMITS.write_age_us - 1, True), True, RouteRejectReason.MAP_TOO_OLD),
+        (MapTrust(now - LIMITS.write_age_us - 1, True), False, None),
+        (MapTrust(now - LIMITS.read_age_us - 1, True), False, RouteRejectReason.MAP_TOO_OLD),
+        (MapTrust(now, True), True, None),
     ):
         if cause is None:
-            routing.begin(atlas, standing, LIMITS, 0, 0, 5, writes, now)
+            routing.plan_routes(atlas, standing, LIMITS, 0, 0, 5, writes, now)
             continue
         with pytest.raises(RouteError, match=cause.value):
-            routing.begin(atlas, standing, LIMITS, 0, 0, 5, writes, now)
-    good = Standing(now, True)
-    for where, cause in ((ExtentMap(), Cause.MAPLESS), (atlas, Cause.ABSENT)):
+            routing.plan_routes(atlas, standing, LIMITS, 0, 0, 5, writes, now)
+    good = MapTrust(now, True)
+    for where, cause in ((ExtentMap(), RouteRejectReason.NO_MAP), (atlas, RouteRejectReason.NOT_MAPPED)):
         with pytest.raises(RouteError, match=cause.value):
-            routing.begin(where, good, LIMITS, 0, 79, 5, False, now)
+            routing.plan_routes(where, good, LIMITS, 0, 79, 5, False, now)
     with pytest.raises(RouteError, match="pieces"):
-        routing.begin(atlas, good, replace(LIMITS, pieces=2), 0, 5, 20, False, now)
-    assert routing.everywhere(atlas, good, LIMITS, 0, True, now) == [0, 1, 2, 3]
+        routing.plan_routes(atlas, good, replace(LIMITS, pieces=2), 0, 5, 20, False, now)
+    assert routing.shards_of_volume(atlas, good, LIMITS, 0, True, now) == [0, 1, 2, 3]
     with pytest.raises(RouteError, match="absent"):
-        routing.everywhere(atlas, good, LIMITS, 7, True, now)
+        routing.shards_of_volume(atlas, good, LIMITS, 7, True, now)
 
 
 # Redirects
@@ -206,15 +213,15 @@
 
 def test_a_newer_word_of_a_node_is_followed_before_the_map_knows() -> None:
     one = route()
-    assert routing.redirected(held(), LIMITS, one, Redirect(2, 3), ALL).verdict is Verdict.FOLLOW
-    assert (one.shard, one.piece.version, one.ahead) == (3, 2, True)
+    assert routing.on_redirect(held(), LIMITS, one, Redirect(2, 3), ALL).action is RouteAction.FOLLOW
+    assert (one.shard, one.piece.version, one.ahead_of_map) == (3, 2, True)
 
 
 def test_the_map_goes_before_a_word_that_is_older() -> None:
     atlas, one = held(), route()
     moved(atlas, 2, 3)
-    assert routing.redirected(atlas, LIMITS, one, Redirect(2, 1), ALL).verdict is Verdict.FOLLOW
-    assert (one.shard, one.piece.version, one.ahead) == (2, 3, False)
+    assert routing.on_redirect(atlas, LIMITS, one, Redirect(2, 1), ALL).action is RouteAction.FOLLOW
+    assert (one.shard, one.piece.version, one.ahead_of_map) == (2, 3, False)
 
 
 def test_a_redirect_that_is_older_than_the_map_waits_and_is_given_up() -> None:
@@ -222,61 +229,63 @@
     atlas = held()
     moved(atlas, 2, 3)
     one = route(3, 2)
-    decision = routing.redirected(atlas, LIMITS, one, Redirect(2, 1), ALL)
+    decision = routing.on_redirect(atlas, LIMITS, one, Redirect(2, 1), ALL)
     pauses = []
-    while decision.verdict is Verdict.WAIT:
+    while decision.action is RouteAction.REFRESH:
         pauses.append(decision.pause_us)
-        decision = routing.refreshed(atlas, LIMITS, one)
-    assert decision.cause is Cause.UNCONFIRMED
-    assert pauses == [0] + [routing.PAUSE_US << n for n in range(LIMITS.refreshes - 1)]
+        decision = routing.on_refresh(atlas, LIMITS, one)
+    assert decision.reason is RouteRejectReason.LOCATION_UNCONFIRMED
+    assert pauses == [0] + [routing.REFRESH_BACKOFF_US << n for n in range(LIMITS.refreshes - 1)]
 
 
 def test_a_word_that_names_a_shard_without_a_node_waits_for_the_map() -> None:
     atlas, one = held(), route()
-    assert routing.redirected(atlas, LIMITS, one, Redirect(2, 9), ALL).verdict is Verdict.WAIT
+    assert routing.on_redirect(atlas, LIMITS, one, Redirect(2, 9), ALL).action is RouteAction.REFRESH
     moved(atlas, 3, 2)
-    assert routing.refreshed(atlas, LIMITS, one).verdict is Verdict.FOLLOW
+    assert routing.on_refresh(atlas, LIMITS, one).action is RouteAction.FOLLOW
     assert one.shard == 3
 
 
 def test_two_nodes_that_point_at_each_other_end() -> None:
     """With one version it waits for the source; with rising ones the count ends it."""
     one = route()
-    assert routing.redirected(held(), LIMITS, one, Redirect(2, 1), ALL).verdict is Verdict.FOLLOW
-    assert routing.redirected(held(), LIMITS, one, Redirect(2, 0), ALL).verdict is Verdict.WAIT
-    assert routing.refreshed(held(), LIMITS, one).verdict is Verdict.FOLLOW  # back to what the source says
-    assert (one.shard, one.piece.version, one.ahead) == (0, 1, False)
+    assert routing.on_redirect(held(), LIMITS, one, Redirect(2, 1), ALL).action is RouteAction.FOLLOW
+    assert routing.on_redirect(held(), LIMITS, one, Redirect(2, 0), ALL).action is RouteAction.REFRESH
+    assert (
+        routing.on_refresh(held(), LIMITS, one).action is RouteAction.FOLLOW
+    )  # back to what the source says
+    assert (one.shard, one.piece.version, one.ahead_of_map) == (0, 1, False)
     one, count = route(), 0
     while True:
-        decision = routing.redirected(held(), LIMITS, one, Redirect(count + 2, count % 2), ALL)
+        decision = routing.on_redirect(held(), LIMITS, one, Redirect(count + 2, count % 2), ALL)
         if decision is not routing.FOLLOW:
             break
         count += 1
-    assert (decision.cause, count) == (Cause.REDIRECTS, LIMITS.redirects)
+    assert (decision.reason, count) == (RouteRejectReason.TOO_MANY_REDIRECTS, LIMITS.redirects)
 
 
 def test_an_extent_that_moves_twice_on_the_way_and_one_that_comes_back() -> None:
     atlas, one = held(), route()
-    assert routing.redirected(atlas, LIMITS, one, Redirect(2, 1), ALL).verdict is Verdict.FOLLOW
+    assert routing.on_redirect(atlas, LIMITS, one, Redirect(2, 1), ALL).action is RouteAction.FOLLOW
     moved(atlas, 1, 2)
     moved(atlas, 0, 3)  # back at the first node, under another version
-    assert routing.redirected(atlas, LIMITS, one, Redirect(3, 0), ALL).verdict is Verdict.FOLLOW
+    assert routing.on_redirect(atlas, LIMITS, one, Redirect(3, 0), ALL).action is RouteAction.FOLLOW
     assert (one.shard, one.piece.version) == (0, 3)
 
 
 def test_a_refresh_that_is_lost_is_asked_for_again() -> None:
     atlas, one = held(), route()
-    assert routing.redirected(atlas, LIMITS, one, Redirect(), ALL).verdict is Verdict.WAIT
-    assert routing.refreshed(atlas, LIMITS, one).verdict is Verdict.WAIT  # it brought nothing
+    assert routing.on_redirect(atlas, LIMITS, one, Redirect(), ALL).action is RouteAction.REFRESH
+    assert routing.on_refresh(atlas, LIMITS, one).action is RouteAction.REFRESH  # it brought nothing
     moved(atlas, 1, 2)
-    assert routing.refreshed(atlas, LIMITS, one).verdict is Verdict.FOLLOW
+    assert routing.on_refresh(atlas, LIMITS, one).action is RouteAction.FOLLOW
 
 
 def test_a_move_that_both_claim_goes_by_the_higher_version_only() -> None:
     """The old node still claims version 1 and the new one has 2: no word of 1 leads back."""
     atlas, one = held(), route(2, 1)
     moved(atlas, 1, 2)
-    assert routing.redirected(atlas, LIMITS, one, Redirect(1, 0), ALL).verdict is Verdict.WAIT
+    assert routing.on_redirect(atlas, LIMITS, one, Redirect(1, 0), ALL).action is RouteAction.REFRESH
     assert (one.shard, one.piece.version) == (1, 2)
 
 
@@ -284,63 +293,71 @@
     atlas = held()
     atlas.apply(Change(1, 2, (Extent(0, 0, 3, 0, 2), Extent(0, 3, 7, 1, 2))))
     for decision in (
-        routing.redirected(atlas, LIMITS, route(), Redirect(2, 0), ALL),
-        routing.refreshed(atlas, LIMITS, route()),
+        routing.on_redirect(atlas, LIMITS, route(), Redirect(2, 0), ALL),
+        routing.on_refresh(atlas, LIMITS, route()),
     ):
-        assert decision.cause is Cause.RESHAPED
+        assert decision.reason is RouteRejectReason.EXTENT_RESHAPED
 
 
 def test_what_waits_goes_by_the_map_and_what_flies_does_not() -> None:
     atlas, one, two = held(), route(), route()
     two.attempt_in_flight = True
     moved(atlas, 3, 2)
-    assert routing.caught_up(atlas, one) and not routing.caught_up(atlas, one)
-    assert not routing.caught_up(atlas, two) and (one.shard, two.shard) == (3, 0)
+    assert routing.follow_newer_map(atlas, one) and not routing.follow_newer_map(atlas, one)
+    assert not routing.follow_newer_map(atlas, two) and (one.shard, two.shard) == (3, 0)
 
 
 # Refreshes
 
 
 def test_a_thousand_that_find_one_stale_entry_cause_one_refresh() -> None:
-    asked = Refreshes()
-    numbers = {asked.want((0, 0)) for _ in range(1000)}
-    batch = asked.begin(0)
-    assert numbers == {1} and batch is not None and batch.spots == ((0, 0),) and asked.begin(0) is None
+    asked = RefreshQueue()
+    numbers = {asked.enqueue((0, 0)) for _ in range(1000)}
+    batch = asked.start_batch(0)
+    assert numbers == {1} and batch is not None and batch.keys == ((0, 0),) and asked.start_batch(0) is None
     # One that asks while it is out takes part in the next: this one may have been read before its move.
-    assert asked.want((0, 0)) == 2 and asked.due() is None
-    assert asked.ended(10, True) == 1
-    assert asked.begin(10) is None and asked.due() == PAUSE_US
-    after = asked.begin(PAUSE_US)
+    assert asked.enqueue((0, 0)) == 2 and asked.next_start_us() is None
+    assert asked.finish_batch(10, True) == 1
+    assert asked.start_batch(10) is None and asked.next_start_us() == REFRESH_INTERVAL_US
+    after = asked.start_batch(REFRESH_INTERVAL_US)
     assert after is not None and after.number == 2
 
 
 def test_many_extents_go_in_batches_and_past_the_bound_nothing_waits() -> None:
-    asked = Refreshes()
-    numbers = [asked.want((0, n)) for n in range(WANTED_MAX + 3)]
-    assert numbers[-3:] == [None] * 3 and numbers[:WANTED_MAX] == [n // BATCH + 1 for n in range(WANTED_MAX)]
+    asked = RefreshQueue()
+    numbers = [asked.enqueue((0, n)) for n in range(WAITING_EXTENTS_MAX + 3)]
+    assert numbers[-3:] == [None] * 3 and numbers[:WAITING_EXTENTS_MAX] == [
+        n // BATCH_EXTENTS_MAX + 1 for n in range(WAITING_EXTENTS_MAX)
+    ]
     now, seen = 0, 0
-    while (at := asked.due()) is not None:
+    while (at := asked.next_start_us()) is not None:
         now = max(now, at)
-        batch = asked.begin(now)
-        assert batch is not None and [numbers[spot[1]] for spot in batch.spots] == [batch.number] * BATCH
-        seen += len(batch.spots)
-        asked.ended(now, True)
-    assert seen == WANTED_MAX
+        batch = asked.start_batch(now)
+        assert (
+            batch is not None
+            and [numbers[spot[1]] for spot in batch.keys] == [batch.number] * BATCH_EXTENTS_MAX
+        )
+        seen += len(batch.keys)
+        asked.finish_batch(now, True)
+    assert seen == WAITING_EXTENTS_MAX
 
 
 def test_the_pause_doubles_with_each_failure_up_to_a_top() -> None:
-    asked, now, pauses = Refreshes(), 0, []
+    asked, now, pauses = RefreshQueue(), 0, []
     for _ in range(12):
-        asked.want((0, 0))
-        now = asked.due() or now
-        asked.begin(now)
-        asked.ended(now, False)
-        pauses.append(asked.next_us - now)
-    assert pauses[:3] == [PAUSE_US * 2, PAUSE_US * 4, PAUSE_US * 8] and pauses[-1] == PAUSE_TOP_US
-    asked.want((0, 0))
-    asked.begin(now + PAUSE_TOP_US)
-    asked.ended(now, True)
-    assert asked.failed == 0
+        asked.enqueue((0, 0))
+        now = asked.next_start_us() or now
+        asked.start_batch(now)
+        asked.finish_batch(now, False)
+        pauses.append(asked.earliest_start_us - now)
+    assert (
+        pauses[:3] == [REFRESH_INTERVAL_US * 2, REFRESH_INTERVAL_US * 4, REFRESH_INTERVAL_US * 8]
+        and pauses[-1] == REFRESH_INTERVAL_MAX_US
+    )
+    asked.enqueue((0, 0))
+    asked.start_batch(now + REFRESH_INTERVAL_MAX_US)
+    asked.finish_batch(now, True)
+    assert asked.consecutive_failures == 0
 
 
 def test_a_map_behind_its_source_twice_has_lost_something() -> None:
@@ -359,28 +376,35 @@
 def test_every_combination_of_the_ends_of_three_pieces() -> None:
     """Stated as the rules say it, for each combination: what an answer promises must be true."""
     for writes in (False, True):
-        for a in End:
-            for b in End:
-                for c in End:
+        for a in PieceOutcome:
+            for b in PieceOutcome:
+                for c in PieceOutcome:
                     ends = [a, b, c]
                     got = joining.join(writes, ends, [3, 9, 4])
                     ran, all_ran = (
-                        [end in (End.GOOD, End.BAD, End.FAILED) for end in ends],
-                        [end in (End.GOOD, End.BAD) for end in ends],
+                        [
+                            end in (PieceOutcome.SUCCEEDED, PieceOutcome.NODE_ERROR, PieceOutcome.UNKNOWN)
+                            for end in ends
+                        ],
+                        [end in (PieceOutcome.SUCCEEDED, PieceOutcome.NODE_ERROR) for end in ends],
                     )
-                    if got.whole is JoinResult.SERVED:
-                        assert ends == [End.GOOD] * 3
-                    elif got.whole is JoinResult.REPORTED:
-                        assert ends[got.piece] is End.BAD and End.FAILED not in ends or not writes
-                        assert ends.index(End.BAD) == got.piece
-                        assert not writes or End.REFUSED not in ends
-                    elif got.whole is JoinResult.REFUSED:
+                    if got.result is JoinResult.SERVED:
+                        assert ends == [PieceOutcome.SUCCEEDED] * 3
+                    elif got.result is JoinResult.REPORTED:
+                        assert (
+                            ends[got.piece_index] is PieceOutcome.NODE_ERROR
+                            and PieceOutcome.UNKNOWN not in ends
+                            or not writes
+                        )
+                        assert ends.index(PieceOutcome.NODE_ERROR) == got.piece_index
+                        assert not writes or PieceOutcome.REJECTED not in ends
+                    elif got.result is JoinResult.REJECTED:
                         assert not writes or not any(ran), ends
                         assert got.backoff_us == 9 and not all(all_ran)
                     else:
-                        assert any(ran) and ends != [End.GOOD] * 3
+                        assert any(ran) and ends != [PieceOutcome.SUCCEEDED] * 3
                     if writes and any(ran) and not all_ran[0]:
-                        assert got.whole is not JoinResult.REFUSED
+                        assert got.result is not JoinResult.REJECTED
     with pytest.raises(ValueError, match="at least one"):
         joining.join(True, [])
 
@@ -388,23 +412,27 @@
 @pytest.mark.parametrize(
     ("writes", "ends", "whole"),
     [
-        (True, [End.GOOD, End.REFUSED, End.UNSENT], JoinResult.FAILED),
-        (True, [End.REFUSED, End.UNSENT], JoinResult.REFUSED),
-        (True, [End.GOOD, End.FAILED], JoinResult.FAILED),
-        (True, [End.BAD, End.UNSENT], JoinResult.REPORTED),
-        (True, [End.GOOD, End.UNSENT], JoinResult.FAILED),
-        (False, [End.GOOD, End.REFUSED], JoinResult.REFUSED),
-        (False, [End.GOOD, End.FAILED], JoinResult.FAILED),
-        (False, [End.REFUSED, End.BAD], JoinResult.REPORTED),
-        (True, [End.GOOD, End.GOOD], JoinResult.SERVED),
+        (True, [PieceOutcome.SUCCEEDED, PieceOutcome.REJECTED, PieceOutcome.NOT_SENT], JoinResult.FAILED),
+        (True, [PieceOutcome.REJECTED, PieceOutcome.NOT_SENT], JoinResult.REJECTED),
+        (True, [PieceOutcome.SUCCEEDED, PieceOutcome.UNKNOWN], JoinResult.FAILED),
+        (True, [PieceOutcome.NODE_ERROR, PieceOutcome.NOT_SENT], JoinResult.REPORTED),
+        (True, [PieceOutcome.SUCCEEDED, PieceOutcome.NOT_SENT], JoinResult.FAILED),
+        (False, [PieceOutcome.SUCCEEDED, PieceOutcome.REJECTED], JoinResult.REJECTED),
+        (False, [PieceOutcome.SUCCEEDED, PieceOutcome.UNKNOWN], JoinResult.FAILED),
+        (False, [PieceOutcome.REJECTED, PieceOutcome.NODE_ERROR], JoinResult.REPORTED),
+        (True, [PieceOutcome.SUCCEEDED, PieceOutcome.SUCCEEDED], JoinResult.SERVED),
     ],
 )
-def test_joined_ends(writes: bool, ends: list[End], whole: JoinResult) -> None:
-    assert joining.join(writes, ends).whole is whole
+def test_joined_ends(writes: bool, ends: list[PieceOutcome], whole: JoinResult) -> None:
+    assert joining.join(writes, ends).result is whole
 
 
 def test_a_write_goes_on_only_while_all_went_well() -> None:
-    assert joining.goes_on(True, []) and joining.goes_on(True, [End.GOOD])
-    assert not any(joining.goes_on(True, [End.GOOD, end]) for end in End if end is not End.GOOD)
-    assert joining.goes_on(False, [End.REFUSED])
-    assert joining.join(False, [End.GOOD]) == Joined(JoinResult.SERVED)
+    assert joining.may_continue(True, []) and joining.may_continue(True, [PieceOutcome.SUCCEEDED])
+    assert not any(
+        joining.may_continue(True, [PieceOutcome.SUCCEEDED, end])
+        for end in PieceOutcome
+        if end is not PieceOutcome.SUCCEEDED
+    )
+    assert joining.may_continue(False, [PieceOutcome.REJECTED])
+    assert joining.join(False, [PieceOutcome.SUCCEEDED]) == JoinedOutcome(JoinResult.SERVED)
--- a/tests/extents/test_map_sources.py
+++ b/tests/extents/test_map_sources.py
@@ -19,9 +19,10 @@
 from lemonridge.coordination.errors import OutOfStepError
 from lemonridge.coordination.etcd_client import Event
 from lemonridge.core.counters import Counters
-from lemonridge.extents.etcd_source import HEAD, MapFeed, RowError, key_of
-from lemonridge.extents.extent_map import Builder, Change, ChangeResult, Extent, ExtentMap
-from lemonridge.extents.map_cache import Background, KeepError, MapCache
+from lemonridge.extents.errors import MapCacheError, MapRecordError
+from lemonridge.extents.etcd_source import HEAD, MapFeed, key_of
+from lemonridge.extents.extent_map import Change, ChangeResult, Extent, ExtentMap, MapBuilder
+from lemonridge.extents.map_cache import Background, MapCache
 from lemonridge.iscsi.config import IscsiConfig
 
 ROOT = Path(__file__).resolve().parents[2]
@@ -33,8 +34,8 @@
     def __init__(self) -> None:
         self.map, self.counters, self.refusals = ExtentMap(100), Counters(), 0
 
-    def take(self, version: int, builder: Builder) -> bool:
-        self.map.take(version, builder)
+    def take(self, version: int, builder: MapBuilder) -> bool:
+        self.map.replace_from(version, builder)
         return True
 
     def refused(self, version: int, error: Exception) -> None:
@@ -108,7 +109,7 @@
             with self.subTest(events=events), self.assertRaises(OutOfStepError):
                 self.feed.apply_changes(events)
             self.assertEqual([(one.first, one.shard) for one in self.holder.map], [(0, 0), (10, 0)])
-        self.assertRaises(RowError, self.feed.add_page, [Event(key_of(0, 0) + "/x", b"{}", 1)])
+        self.assertRaises(MapRecordError, self.feed.add_page, [Event(key_of(0, 0) + "/x", b"{}", 1)])
 
 
 class OnDisk(unittest.TestCase):
@@ -117,7 +118,9 @@
         self.addCleanup(folder.cleanup)
         self.path = str(Path(folder.name) / "map")
         self.map = ExtentMap()
-        self.map.whole(7, [Extent(volume, n * 10, 10, n % 4, n) for volume in (0, 3) for n in range(50)])
+        self.map.replace_all(
+            7, [Extent(volume, n * 10, 10, n % 4, n) for volume in (0, 3) for n in range(50)]
+        )
 
     def test_what_was_kept_is_found(self) -> None:
         keeper = Background(MapCache(self.path, 1 << 20))
@@ -129,10 +132,10 @@
         again = MapCache(self.path, 1 << 20)
         version, extents = again.load(10**9)
         self.assertEqual((version, extents), (8, sorted(self.map, key=lambda one: (one.volume, one.first))))
-        self.assertRaisesRegex(KeepError, "too old", again.load, -1)
+        self.assertRaisesRegex(MapCacheError, "too old", again.load, -1)
         with again._store.begin(write=True) as writing:
             writing.delete(next(iter(writing.cursor()))[0])
-        self.assertRaisesRegex(KeepError, "checksum", again.load, 10**9)
+        self.assertRaisesRegex(MapCacheError, "checksum", again.load, 10**9)
         again.close()
 
     def test_a_wall_clock_that_is_stepped_back_makes_no_old_map_young(self) -> None:
@@ -145,19 +148,19 @@
             self.assertEqual(keeper.load(age_us)[0], 7)
             later_ns = since_boot_ns + 70 * 60 * 10**9
             with mock.patch.object(time, "clock_gettime_ns", lambda _: later_ns):
-                self.assertRaisesRegex(KeepError, "too old", keeper.load, age_us)
+                self.assertRaisesRegex(MapCacheError, "too old", keeper.load, age_us)
         keeper.close()
 
     def test_nothing_kept_is_said(self) -> None:
         keeper = MapCache(self.path, 1 << 20)
-        self.assertRaisesRegex(KeepError, "no map", keeper.load, 10**9)
+        self.assertRaisesRegex(MapCacheError, "no map", keeper.load, 10**9)
         keeper.close()
 
     def test_a_full_store_keeps_what_it_has_and_stops(self) -> None:
         keeper = MapCache(self.path, 64 * 1024)
         keeper.whole(self.map)
         big = ExtentMap()
-        big.whole(9, [Extent(0, n, 1, 0, 0) for n in range(5000)])
+        big.replace_all(9, [Extent(0, n, 1, 0, 0) for n in range(5000)])
         with self.assertLogs(level="ERROR"):
             keeper.whole(big)
         keeper.change(Change(9, 10, (Extent(0, 0, 1, 1, 1),)))
--- a/tests/test_format_extent_map.py
+++ b/tests/test_format_extent_map.py
@@ -17,9 +17,10 @@
 
 from lemonridge.extents import etcd_source
 from lemonridge.extents import map_cache as kept_map
+from lemonridge.extents.errors import MapCacheError, MapRecordError
 from lemonridge.extents.extent_map import Change, Extent, ExtentMap
 from lemonridge.extents.file_source import MapFile
-from lemonridge.extents.map_cache import KeepError, MapCache
+from lemonridge.extents.map_cache import MapCache
 
 WRITTEN_NS = 1_700_000_000_123_456_000
 BOOT, SINCE_BOOT_US = bytes(range(16)), 777
@@ -29,7 +30,7 @@
 def held() -> ExtentMap:
     """Version 42: two volumes, with figures that need all of their bytes."""
     made = ExtentMap(10)
-    made.whole(42, [Extent(1, 0, 8, 3, 2), Extent(1, 8, 1 << 33, 4, 1 << 40), Extent(258, 0, 16, 0, 1)])
+    made.replace_all(42, [Extent(1, 0, 8, 3, 2), Extent(1, 8, 1 << 33, 4, 1 << 40), Extent(258, 0, 16, 0, 1)])
     return made
 
 
@@ -139,18 +140,18 @@
         self.put(RECORDS_43)
         with at(bytes(16), 0, WRITTEN_NS + 5_000):
             self.assertEqual(self.load(5)[0], 43)
-            self.assertRaisesRegex(KeepError, "too old", self.load, 4)
+            self.assertRaisesRegex(MapCacheError, "too old", self.load, 4)
 
     def test_the_time_since_the_boot_is_read_in_microseconds(self) -> None:
         self.put(RECORDS_43)
         with at(BOOT, SINCE_BOOT_US + 5, WRITTEN_NS):
             self.assertEqual(self.load(5)[0], 43)
-            self.assertRaisesRegex(KeepError, "too old", self.load, 4)
+            self.assertRaisesRegex(MapCacheError, "too old", self.load, 4)
 
     def test_a_checksum_that_does_not_fit_is_refused(self) -> None:
         self.put([RECORDS_42[0], RECORDS_42[3]])
         with at(BOOT, SINCE_BOOT_US, WRITTEN_NS):
-            self.assertRaisesRegex(KeepError, "the checksum does not fit", self.load)
+            self.assertRaisesRegex(MapCacheError, "the checksum does not fit", self.load)
 
 
 class InEtcd(unittest.TestCase):
@@ -192,7 +193,7 @@
             ),
             (lambda: etcd_source.head_of(b"{}"), "map/version: Object missing required field `version`"),
         ):
-            with self.subTest(words=words), self.assertRaises(etcd_source.RowError) as caught:
+            with self.subTest(words=words), self.assertRaises(MapRecordError) as caught:
                 call()
             self.assertEqual(str(caught.exception), words)
 
