--- a/lemonridge/cli/configuration.py
+++ b/lemonridge/cli/configuration.py
@@ -105,7 +105,7 @@
         f"blocks of {extents.block_bytes}, "
         f"reads on a map of {extents.limits.read_age_us / 1e6:g} s at most, "
         f"writes of {extents.limits.write_age_us / 1e6:g} s, "
-        f"kept in {extents.keep or 'no place'}"
+        f"kept in {extents.cache_path or 'no place'}"
     )
 
 
--- a/lemonridge/extents/config.py
+++ b/lemonridge/extents/config.py
@@ -1,4 +1,4 @@
-"""What the operator's file says of the extent map."""
+"""The settings of the extent map, as parsed from the operator's file."""
 
 from __future__ import annotations
 
@@ -10,14 +10,26 @@
 
 @dataclass(frozen=True, slots=True)
 class ExtentsConfig:
-    """How the extent map is followed, cached on disk and trusted."""
+    """How the extent map is followed, cached on disk and relied on.
+
+    Attributes:
+        block_bytes: Size of a block.
+        extents_max: A map with more extents is rejected.
+        page: Keys of one answer of etcd.
+        limits: Bounds of a command, and how old the map may be.
+        fixed: The extents of the operator's file itself, if it has any.
+        file: Path of a file of its own that has the map.
+        cache_path: Directory of the cache on disk; None turns it off.
+        cache_bytes: Size limit of that cache.
+        cache_age_max_us: An older cache is not used.
+    """
 
     block_bytes: int
     extents_max: int
-    page: int  # keys of one answer of etcd
+    page: int
     limits: Limits
-    fixed: tuple[Extent, ...]  # of the operator's file itself
-    file: str | None  # path of a file of its own that holds the map
-    keep: str | None  # path of the cache on disk
-    keep_bytes: int  # size limit of that cache
-    keep_age_us: int  # an older cache is not used
+    fixed: tuple[Extent, ...]
+    file: str | None
+    cache_path: str | None
+    cache_bytes: int
+    cache_age_max_us: int
--- a/lemonridge/extents/errors.py
+++ b/lemonridge/extents/errors.py
@@ -29,7 +29,7 @@
     EXTENT_RESHAPED = "reshaped"  # the extent was split or joined under the command
     NOT_MAPPED = "absent"  # the map does not have the blocks
     MAP_TOO_OLD = "old"  # the source's last confirmation is older than allowed
-    NO_MAP = "mapless"  # no map was loaded yet
+    MAP_MISSING = "mapless"  # no map was loaded yet
     MAP_UNCONFIRMED = "untrusted"  # a write by a cached map that the source has not confirmed
     TOO_MANY_PIECES = "pieces"  # more than `Limits.pieces`
 
--- a/lemonridge/extents/extent_map.py
+++ b/lemonridge/extents/extent_map.py
@@ -106,6 +106,7 @@
         return len(self.first)
 
     def set_row(self, at: int, extent: Extent, replaces: bool) -> None:
+        """Writes an extent over row `at`, or inserts it there."""
         values = (extent.first, extent.length, extent.shard, extent.version)
         for column, value in zip((self.first, self.length, self.shard, self.version), values, strict=True):
             if replaces:
@@ -114,6 +115,7 @@
                 column.insert(at, value)
 
     def remove_row(self, at: int) -> None:
+        """Removes row `at`."""
         for column in (self.first, self.length, self.shard, self.version):
             del column[at]
 
@@ -151,6 +153,7 @@
         self.index, self.leaves, self.count = array("q"), list[_Leaf](), 0
 
     def copy(self) -> _Volume:
+        """An independent volume with the same extents."""
         other = _Volume()
         other.index, other.count = self.index[:], self.count
         other.leaves = [leaf.part(slice(None)) for leaf in self.leaves]
@@ -162,6 +165,7 @@
         return (leaf, bisect_right(self.leaves[leaf].first, block) - 1) if leaf >= 0 else (-1, -1)
 
     def at(self, volume: int, leaf: int, row_index: int) -> Extent:
+        """The extent in a row of a leaf; `volume` is this volume's number."""
         rows = self.leaves[leaf]
         return Extent(
             volume,
@@ -172,11 +176,13 @@
         )
 
     def after(self, leaf: int, row_index: int) -> tuple[int, int] | None:
+        """Leaf and row of the next extent; None after the last."""
         if row_index + 1 < len(self.leaves[leaf]):
             return leaf, row_index + 1
         return (leaf + 1, 0) if leaf + 1 < len(self.leaves) else None
 
     def set_extent(self, extent: Extent) -> None:
+        """Sets an extent; replaces one with the same first block, and splits a leaf that is full."""
         leaf, row_index = self.find(extent.first)
         if leaf < 0:
             if not self.leaves:
@@ -193,6 +199,7 @@
             self.index.insert(leaf + 1, other.first[0])
 
     def remove_extent(self, first: int) -> bool:
+        """Removes the extent that begins at block `first`; whether there was one."""
         leaf, row_index = self.find(first)
         if leaf < 0 or self.leaves[leaf].first[row_index] != first:
             return False
--- a/lemonridge/extents/routing.py
+++ b/lemonridge/extents/routing.py
@@ -126,7 +126,7 @@
             RouteError: There is no map, it is older than allowed, or a write has only an unconfirmed one.
         """
         if extent_map.version < 0:
-            raise RouteError(RouteRejectReason.NO_MAP)
+            raise RouteError(RouteRejectReason.MAP_MISSING)
         if writes and not self.confirmed:
             raise RouteError(RouteRejectReason.MAP_UNCONFIRMED)
         if now_us - self.confirmed_us > (limits.write_age_us if writes else limits.read_age_us):
--- a/lemonridge/lab/drills/extents.py
+++ b/lemonridge/lab/drills/extents.py
@@ -138,7 +138,7 @@
 
     async def _loaded(self, program: Program) -> None:
         """Until the program has its map: before it, everything is refused, which proves nothing."""
-        event = "map taken" if self.options.mapped else "endpoint listed"
+        event = "map replaced" if self.options.mapped else "endpoint listed"
         taken = asyncio.Event()
         program.heard.append(lambda _, pairs: taken.set() if pairs.get("event") == event else None)
         async with asyncio.timeout_at(asyncio.get_running_loop().time() + 10):
--- a/lemonridge/lab/standins/mover.py
+++ b/lemonridge/lab/standins/mover.py
@@ -11,7 +11,7 @@
 from random import Random
 from typing import Any
 
-from lemonridge.extents.etcd_source import HEAD, key_of
+from lemonridge.extents.etcd_source import VERSION_KEY, extent_key
 from lemonridge.extents.routing import Redirect
 from lemonridge.lab.standins.etcd import Etcd
 from lemonridge.lab.standins.node import ExtentNode, Hold, Key
@@ -48,13 +48,13 @@
             self.owner[key] = node
             self.ledger[key] = [Owned(self.ticks(), node.name, 1)]
             rows.update(self._row(key))
-        return {**rows, self.prefix + HEAD: {"version": self.version}}
+        return {**rows, self.prefix + VERSION_KEY: {"version": self.version}}
 
     def _row(self, key: Key) -> dict[str, Any]:
         node = self.owner[key]
         hold = node.holds[key]
         value = {"blocks": hold.length, "shard": node.shard, "version": hold.version}
-        return {self.prefix + key_of(*key): value}
+        return {self.prefix + extent_key(*key): value}
 
     async def move(self, key: Key, to: ExtentNode, copy_s: float = 0.0, publish: bool = True) -> bool:
         """One hand-over; False if a node died on the way, and then nothing has moved."""
@@ -86,4 +86,4 @@
         rows: dict[str, Any] = {}
         for key in keys:
             rows.update(self._row(key))
-        self.etcd.txn({**rows, self.prefix + HEAD: {"version": self.version}})
+        self.etcd.txn({**rows, self.prefix + VERSION_KEY: {"version": self.version}})
--- a/lemonridge/service/iscsi.py
+++ b/lemonridge/service/iscsi.py
@@ -74,7 +74,7 @@
     if router is not None and not config.extents.fixed and config.extents.file is None:
         feeds[MapFeed.KIND] = MapFeed(router, config.mapped)
         refresher = Refresher(etcd.client)
-        router.read = refresher.read
+        router.read_extents = refresher.read
     service.follow(etcd.run(feeds))
     return refresher
 
@@ -92,7 +92,7 @@
         config, broker, service.clock, service.registry, service.counters, mapped, reservations
     )
     if router is not None:
-        router.resized = lambda luns: front.device.tell(CAPACITY_CHANGED, luns)
+        router.on_resize = lambda luns: front.device.tell(CAPACITY_CHANGED, luns)
     return front
 
 
@@ -109,14 +109,14 @@
     extents = config.extents
     router = Router(extents.limits, extents.extents_max, service.clock, service.registry, service.counters)
     if extents.fixed:
-        router.whole(0, extents.fixed)
-        router.confirm(for_ever=True)
+        router.replace_map(0, extents.fixed)
+        router.confirm(permanently=True)
         return router
-    if extents.keep is not None:
-        _load_cached_map(extents.keep, extents.keep_bytes, extents.keep_age_us, router)
+    if extents.cache_path is not None:
+        _load_cached_map(extents.cache_path, extents.cache_bytes, extents.cache_age_max_us, router)
     if extents.file is not None:
         file = FileSource(extents.file, router, config.mapped)
-        router.read = file.read
+        router.read_extents = file.read
         service.follow(file.run(), "map")
     return router
 
@@ -127,7 +127,7 @@
     Raises:
         ConfigError: The file cannot be used at all.
     """
-    from lemonridge.extents.map_cache import Background, MapCache  # only here is LMDB loaded
+    from lemonridge.extents.map_cache import BackgroundMapWriter, MapCache  # only here is LMDB loaded
 
     try:
         cache = MapCache(path, size_bytes)
@@ -135,8 +135,8 @@
         raise ConfigError(f"extents.keep: cannot use {path}: {error}") from None
     try:
         version, extents = cache.load(age_max_us)
-        if router.whole(version, extents, confirmed=False):
-            router.trust_kept()
+        if router.replace_map(version, extents, confirmed=False):
+            router.trust_cached_map()
     except MapCacheError as error:
         log.info("cached map not used", extra={"path": path, "error": str(error)})
-    router.keeper = Background(cache)
+    router.map_writer = BackgroundMapWriter(cache)
--- a/tests/extents/test_extent_map.py
+++ b/tests/extents/test_extent_map.py
@@ -10,7 +10,7 @@
 
 from lemonridge.extents import joining, routing
 from lemonridge.extents.errors import MapError, RouteError, RouteRejectReason
-from lemonridge.extents.etcd_source import FreshnessCheck
+from lemonridge.extents.etcd_source import Freshness, FreshnessCheck
 from lemonridge.extents.extent_map import LEAF_EXTENTS_MAX, Change, ChangeResult, Extent, ExtentMap, Piece
 from lemonridge.extents.joining import JoinedOutcome, JoinResult, PieceOutcome
 from lemonridge.extents.refresh import (
@@ -188,7 +188,7 @@
         with pytest.raises(RouteError, match=cause.value):
             routing.plan_routes(atlas, standing, LIMITS, 0, 0, 5, writes, now)
     good = MapTrust(now, True)
-    for where, cause in ((ExtentMap(), RouteRejectReason.NO_MAP), (atlas, RouteRejectReason.NOT_MAPPED)):
+    for where, cause in ((ExtentMap(), RouteRejectReason.MAP_MISSING), (atlas, RouteRejectReason.NOT_MAPPED)):
         with pytest.raises(RouteError, match=cause.value):
             routing.plan_routes(where, good, LIMITS, 0, 79, 5, False, now)
     with pytest.raises(RouteError, match="pieces"):
@@ -361,13 +361,13 @@
 
 
 def test_a_map_behind_its_source_twice_has_lost_something() -> None:
-    judge = FreshnessCheck()
-    assert judge.told(5, 5) == (True, False)
-    assert judge.told(6, 5) == (False, False)  # the watch may be bringing it
-    assert judge.told(7, 6) == (False, False)  # it brought that one
-    assert judge.told(7, 6) == (False, True)
-    assert judge.told(8, 6) == (False, False)  # judged anew after the whole map
-    assert judge.told(-1, 6) == (True, False)
+    check = FreshnessCheck()
+    assert check.check(5, 5) is Freshness.CONFIRMED
+    assert check.check(6, 5) is Freshness.BEHIND  # the watch may be bringing it
+    assert check.check(7, 6) is Freshness.BEHIND  # it brought that one
+    assert check.check(7, 6) is Freshness.CHANGE_MISSED
+    assert check.check(8, 6) is Freshness.BEHIND  # judged anew after the whole map
+    assert check.check(-1, 6) is Freshness.CONFIRMED
 
 
 # Joining
--- a/tests/extents/test_map_sources.py
+++ b/tests/extents/test_map_sources.py
@@ -20,9 +20,9 @@
 from lemonridge.coordination.etcd_client import Event
 from lemonridge.core.counters import Counters
 from lemonridge.extents.errors import MapCacheError, MapRecordError
-from lemonridge.extents.etcd_source import HEAD, MapFeed, key_of
+from lemonridge.extents.etcd_source import VERSION_KEY, MapFeed, extent_key
 from lemonridge.extents.extent_map import Change, ChangeResult, Extent, ExtentMap, MapBuilder
-from lemonridge.extents.map_cache import Background, MapCache
+from lemonridge.extents.map_cache import BackgroundMapWriter, MapCache
 from lemonridge.iscsi.config import IscsiConfig
 
 ROOT = Path(__file__).resolve().parents[2]
@@ -34,24 +34,24 @@
     def __init__(self) -> None:
         self.map, self.counters, self.refusals = ExtentMap(100), Counters(), 0
 
-    def take(self, version: int, builder: MapBuilder) -> bool:
+    def replace_map_from(self, version: int, builder: MapBuilder) -> bool:
         self.map.replace_from(version, builder)
         return True
 
-    def refused(self, version: int, error: Exception) -> None:
+    def reject_map(self, version: int, error: Exception) -> None:
         self.refusals += 1
 
-    def change(self, change: Change) -> ChangeResult:
+    def apply_change(self, change: Change) -> ChangeResult:
         return self.map.apply(change)[0]
 
 
 def extent(first: int, shard: int = 0, version: int = 1, revision: int = 5, lun: int = 0) -> Event:
     value = {"blocks": 10, "shard": shard, "version": version}
-    return Event(key_of(lun, first), msgspec.json.encode(value), revision)
+    return Event(extent_key(lun, first), msgspec.json.encode(value), revision)
 
 
 def head(version: int, revision: int = 5) -> Event:
-    return Event(HEAD, msgspec.json.encode({"version": version}), revision)
+    return Event(VERSION_KEY, msgspec.json.encode({"version": version}), revision)
 
 
 class FromEtcd(unittest.TestCase):
@@ -74,9 +74,9 @@
         for rows in (
             [extent(0)],
             [extent(10), head(5)],
-            [Event(key_of(0, 0), b"{}", 1), head(5)],
+            [Event(extent_key(0, 0), b"{}", 1), head(5)],
             [Event("map/extents/0/7", b"{}", 1), head(5)],
-            [extent(0), Event(HEAD, b"5", 1)],
+            [extent(0), Event(VERSION_KEY, b"5", 1)],
         ):
             with self.subTest(rows=rows), self.assertRaises(ValueError):
                 self.whole(rows)
@@ -93,7 +93,7 @@
             self.assertEqual([one.shard for one in self.holder.map], [3, 3])
         split = [extent(0, 3, 3, 8), extent(10, 3, 3, 8), extent(20, 1, 1, 8), head(7, 8)]
         self.feed.apply_changes(split)
-        self.feed.apply_changes([Event(key_of(0, 20), None, 9), head(8, 9)])
+        self.feed.apply_changes([Event(extent_key(0, 20), None, 9), head(8, 9)])
         self.assertEqual((self.holder.map.version, len(self.holder.map)), (8, 2))
 
     def test_what_does_not_follow_asks_for_the_whole(self) -> None:
@@ -101,15 +101,15 @@
         for events in (
             [extent(0, 3, 2), head(6)],
             [extent(0, 3, 2)],
-            [Event(HEAD, None, 6)],
+            [Event(VERSION_KEY, None, 6)],
             [extent(0, 3, 0), head(5)],
-            [Event(key_of(0, 0), None, 6), head(5)],
-            [Event(key_of(0, 0), b"[]", 6), head(5)],
+            [Event(extent_key(0, 0), None, 6), head(5)],
+            [Event(extent_key(0, 0), b"[]", 6), head(5)],
         ):
             with self.subTest(events=events), self.assertRaises(OutOfStepError):
                 self.feed.apply_changes(events)
             self.assertEqual([(one.first, one.shard) for one in self.holder.map], [(0, 0), (10, 0)])
-        self.assertRaises(MapRecordError, self.feed.add_page, [Event(key_of(0, 0) + "/x", b"{}", 1)])
+        self.assertRaises(MapRecordError, self.feed.add_page, [Event(extent_key(0, 0) + "/x", b"{}", 1)])
 
 
 class OnDisk(unittest.TestCase):
@@ -123,71 +123,74 @@
         )
 
     def test_what_was_kept_is_found(self) -> None:
-        keeper = Background(MapCache(self.path, 1 << 20))
-        keeper.whole(self.map)
+        cache = BackgroundMapWriter(MapCache(self.path, 1 << 20))
+        cache.save_map(self.map)
         change = Change(7, 8, (Extent(0, 0, 5, 9, 60), Extent(0, 5, 15, 9, 60)), ((0, 10),))
         self.assertIs(self.map.apply(change)[0], ChangeResult.APPLIED)
-        keeper.change(change)
-        keeper.close()
+        cache.save_change(change)
+        cache.close()
         again = MapCache(self.path, 1 << 20)
         version, extents = again.load(10**9)
         self.assertEqual((version, extents), (8, sorted(self.map, key=lambda one: (one.volume, one.first))))
         self.assertRaisesRegex(MapCacheError, "too old", again.load, -1)
-        with again._store.begin(write=True) as writing:
+        with again._environment.begin(write=True) as writing:
             writing.delete(next(iter(writing.cursor()))[0])
         self.assertRaisesRegex(MapCacheError, "checksum", again.load, 10**9)
         again.close()
 
     def test_a_wall_clock_that_is_stepped_back_makes_no_old_map_young(self) -> None:
         """Kept for 70 minutes, of which the wall clock, an hour back by then, shows ten."""
-        keeper = MapCache(self.path, 1 << 20)
-        keeper.whole(self.map)
+        cache = MapCache(self.path, 1 << 20)
+        cache.save_map(self.map)
         age_us, wall_ns = 30 * 60 * 10**6, time.time_ns()
         since_boot_ns = time.clock_gettime_ns(time.CLOCK_BOOTTIME)
         with mock.patch.object(time, "time_ns", lambda: wall_ns + 10 * 60 * 10**9):
-            self.assertEqual(keeper.load(age_us)[0], 7)
+            self.assertEqual(cache.load(age_us)[0], 7)
             later_ns = since_boot_ns + 70 * 60 * 10**9
             with mock.patch.object(time, "clock_gettime_ns", lambda _: later_ns):
-                self.assertRaisesRegex(MapCacheError, "too old", keeper.load, age_us)
-        keeper.close()
+                self.assertRaisesRegex(MapCacheError, "too old", cache.load, age_us)
+        cache.close()
 
     def test_nothing_kept_is_said(self) -> None:
-        keeper = MapCache(self.path, 1 << 20)
-        self.assertRaisesRegex(MapCacheError, "no map", keeper.load, 10**9)
-        keeper.close()
+        cache = MapCache(self.path, 1 << 20)
+        self.assertRaisesRegex(MapCacheError, "no map", cache.load, 10**9)
+        cache.close()
 
     def test_a_full_store_keeps_what_it_has_and_stops(self) -> None:
-        keeper = MapCache(self.path, 64 * 1024)
-        keeper.whole(self.map)
+        cache = MapCache(self.path, 64 * 1024)
+        cache.save_map(self.map)
         big = ExtentMap()
         big.replace_all(9, [Extent(0, n, 1, 0, 0) for n in range(5000)])
         with self.assertLogs(level="ERROR"):
-            keeper.whole(big)
-        keeper.change(Change(9, 10, (Extent(0, 0, 1, 1, 1),)))
-        self.assertEqual((keeper.load(10**9)[0], len(keeper.load(10**9)[1])), (7, 100))
-        keeper.close()
+            cache.save_map(big)
+        cache.save_change(Change(9, 10, (Extent(0, 0, 1, 1, 1),)))
+        self.assertEqual((cache.load(10**9)[0], len(cache.load(10**9)[1])), (7, 100))
+        cache.close()
 
     def test_a_slow_disk_is_not_waited_for(self) -> None:
         class Slow:
             changes = 0
 
-            def change(self, change: Change) -> None:
+            def save_change(self, change: Change) -> None:
                 Slow.changes += 1
 
-            def whole(self, held: ExtentMap) -> None: ...
+            def save_map(self, extent_map: ExtentMap) -> None: ...
 
             def close(self) -> None: ...
 
-        with mock.patch("lemonridge.extents.map_cache.PENDING_MAX", 3), self.assertLogs(level="ERROR"):
-            keeper = Background(Slow())  # type: ignore[arg-type]
-            keeper._pending = 3
+        with (
+            mock.patch("lemonridge.extents.map_cache.PENDING_CHANGES_MAX", 3),
+            self.assertLogs(level="ERROR"),
+        ):
+            cache = BackgroundMapWriter(Slow())  # type: ignore[arg-type]
+            cache._pending = 3
             for _ in range(5):
-                keeper.change(Change(0, 1, ()))
-            keeper._pending = 0
-            keeper.change(Change(0, 1, ()))  # something was lost: nothing more before a whole map
-            keeper.whole(self.map)
-            keeper.change(Change(0, 1, ()))
-            keeper.close()
+                cache.save_change(Change(0, 1, ()))
+            cache._pending = 0
+            cache.save_change(Change(0, 1, ()))  # something was lost: nothing more before a whole map
+            cache.save_map(self.map)
+            cache.save_change(Change(0, 1, ()))
+            cache.close()
         self.assertEqual(Slow.changes, 1)
 
 
@@ -204,7 +207,9 @@
                 line.removeprefix("# ") if line.startswith("# keep") else line for line in text.splitlines()
             )
         )
-        self.assertEqual((kept.extents.keep, kept.extents.keep_bytes), ("/var/lib/lemonridge/map", 256 << 20))
+        self.assertEqual(
+            (kept.extents.cache_path, kept.extents.cache_bytes), ("/var/lib/lemonridge/map", 256 << 20)
+        )
 
     def test_what_is_wrong_is_said_by_its_key(self) -> None:
         text = (ROOT / "deploy" / "extents.toml").read_text()
--- a/tests/integration/test_extents_live.py
+++ b/tests/integration/test_extents_live.py
@@ -73,7 +73,7 @@
         self.path = Path(self.folder.name) / "t.toml"
         await self.launch()
 
-    async def launch(self, wait: str = "map taken") -> None:
+    async def launch(self, wait: str = "map replaced") -> None:
         extents = self.extents.format(folder=self.folder.name)
         text = TEXT.format(port=self.etcd.port, deadline=self.deadline_ms)
         self.path.write_text(f"{text}{self.luns}[extents]\n{extents}\n")
@@ -166,7 +166,7 @@
         self.etcd.mangle = lambda revision, events: [(0.0, events), (0.0, events)]
         await self.move(2, 1)
         await self.program.line("etcd watch out of step")
-        await self.program.line("map taken")
+        await self.program.line("map replaced")
         self.assertEqual(await self.read(16, 32), (GOOD, bytes(32 * BLOCK)))
         self.assertEqual(sum(node.refused for node in self.nodes), 0)
 
@@ -303,7 +303,7 @@
         self.session.close()
         self.assertEqual(await self.program.end(), 0)
         Path(self.folder.name, "map", "data.mdb").write_bytes(b"spoilt" * 4096)
-        await self.launch(wait="kept map spoilt")
+        await self.launch(wait="cached map corrupt")
         async with asyncio.timeout(10):
             while await self.write(2, 0, 64) != GOOD:
                 await asyncio.sleep(0.01)
@@ -317,7 +317,7 @@
         f"[[lun.extent]]\nfirst = {n * 16}\nblocks = 16\nshard = {n % 3}\nversion = 1\n" for n in range(4)
     )
 
-    async def launch(self, wait: str = "map taken") -> None:
+    async def launch(self, wait: str = "map replaced") -> None:
         await super().launch(wait)
 
     async def test_it_serves_and_follows_the_nodes_word(self) -> None:
@@ -340,7 +340,7 @@
         made.write_bytes(msgspec.json.encode({"version": version, "extents": rows}))
         made.rename(Path(self.folder.name, "map.json"))
 
-    async def launch(self, wait: str = "map taken") -> None:
+    async def launch(self, wait: str = "map replaced") -> None:
         self.put(1)
         await super().launch(wait)
 
@@ -348,7 +348,7 @@
         self.assertEqual(await self.write(1, 0, 64), GOOD)
         await self.move(1, 2, publish=False)
         self.put(2)
-        await self.program.line("map taken")
+        await self.program.line("map replaced")
         self.assertEqual(await self.write(2, 0, 64), GOOD)
         self.put(1)
         await self.program.line("map file is older")
--- a/tests/test_format_extent_map.py
+++ b/tests/test_format_extent_map.py
@@ -15,8 +15,7 @@
 import lmdb
 import msgspec
 
-from lemonridge.extents import etcd_source
-from lemonridge.extents import map_cache as kept_map
+from lemonridge.extents import etcd_source, map_cache
 from lemonridge.extents.errors import MapCacheError, MapRecordError
 from lemonridge.extents.extent_map import Change, Extent, ExtentMap
 from lemonridge.extents.file_source import MapFile
@@ -48,8 +47,8 @@
 def at(boot: bytes, since_boot_us: int, wall_ns: int) -> Iterator[None]:
     """At a moment of both clocks."""
     with (
-        mock.patch.object(kept_map, "_boot", return_value=boot),
-        mock.patch.object(kept_map, "_since_boot_us", return_value=since_boot_us),
+        mock.patch.object(map_cache, "_boot_id", return_value=boot),
+        mock.patch.object(map_cache, "_since_boot_us", return_value=since_boot_us),
         mock.patch("time.time_ns", return_value=wall_ns),
     ):
         yield
@@ -93,12 +92,12 @@
         self.path = str(Path(folder.name) / "map")
 
     def keep(self, *works: Callable[[MapCache], None]) -> None:
-        """Let a keeper write."""
+        """Let a cache write."""
         with at(BOOT, SINCE_BOOT_US, WRITTEN_NS):
-            keeper = MapCache(self.path, 1 << 20)
+            cache = MapCache(self.path, 1 << 20)
             for work in works:
-                work(keeper)
-            keeper.close()
+                work(cache)
+            cache.close()
 
     def records(self) -> list[tuple[str, str]]:
         with lmdb.open(self.path, readonly=True) as store, store.begin() as reading:
@@ -111,16 +110,16 @@
                 writing.put(bytes.fromhex(key), bytes.fromhex(value))
 
     def load(self, age_us: int = ANY_AGE_US) -> tuple[int, list[tuple[int, int, int, int, int]]]:
-        with closing(MapCache(self.path, 1 << 20)) as keeper:
-            version, extents = keeper.load(age_us)
+        with closing(MapCache(self.path, 1 << 20)) as cache:
+            version, extents = cache.load(age_us)
         return version, [figures(one) for one in extents]
 
     def test_a_whole_map_is_written_so(self) -> None:
-        self.keep(lambda keeper: keeper.whole(held()))
+        self.keep(lambda cache: cache.save_map(held()))
         self.assertEqual(self.records(), RECORDS_42)
 
     def test_a_change_is_written_so(self) -> None:
-        self.keep(lambda keeper: keeper.whole(held()), lambda keeper: keeper.change(move()))
+        self.keep(lambda cache: cache.save_map(held()), lambda cache: cache.save_change(move()))
         self.assertEqual(self.records(), RECORDS_43)
 
     def test_records_of_before_are_read(self) -> None:
@@ -133,7 +132,7 @@
 
     def test_a_change_goes_on_from_records_of_before(self) -> None:
         self.put(RECORDS_42)
-        self.keep(lambda keeper: keeper.load(ANY_AGE_US), lambda keeper: keeper.change(move()))
+        self.keep(lambda cache: cache.load(ANY_AGE_US), lambda cache: cache.save_change(move()))
         self.assertEqual(self.records(), RECORDS_43)
 
     def test_the_time_of_writing_is_read_in_microseconds(self) -> None:
@@ -148,50 +147,54 @@
             self.assertEqual(self.load(5)[0], 43)
             self.assertRaisesRegex(MapCacheError, "too old", self.load, 4)
 
-    def test_a_checksum_that_does_not_fit_is_refused(self) -> None:
+    def test_a_checksum_that_does_not_match_is_refused(self) -> None:
         self.put([RECORDS_42[0], RECORDS_42[3]])
         with at(BOOT, SINCE_BOOT_US, WRITTEN_NS):
-            self.assertRaisesRegex(MapCacheError, "the checksum does not fit", self.load)
+            self.assertRaisesRegex(MapCacheError, "the checksum does not match", self.load)
 
 
 class InEtcd(unittest.TestCase):
     """The keys below the prefix, and their values."""
 
     def test_the_keys_are_written_so(self) -> None:
-        self.assertEqual(etcd_source.key_of(7, 4096), "map/extents/7/00000000000000004096")
+        self.assertEqual(etcd_source.extent_key(7, 4096), "map/extents/7/00000000000000004096")
         self.assertEqual(
-            (etcd_source.HEAD, etcd_source.KIND, etcd_source.MapFeed.KIND),
+            (etcd_source.VERSION_KEY, etcd_source.EXTENTS_PREFIX, etcd_source.MapFeed.KIND),
             ("map/version", "map/extents/", "map/"),
         )
 
     def test_an_extent_is_read(self) -> None:
-        # The keys of the value are derived from the fields' names (`Row`): a rename needs `rename=`.
-        extent = etcd_source.extent_of(
+        # The keys of the value are derived from the fields' names (`ExtentRecord`): a rename needs `rename=`.
+        extent = etcd_source.parse_extent(
             "map/extents/7/00000000000000004096", b'{"blocks":8,"shard":3,"version":2}'
         )
         self.assertEqual(figures(extent), (7, 4096, 8, 3, 2))
 
     def test_the_version_is_read(self) -> None:
-        # The key is derived from the field's name (`Head`): a rename needs `rename=`. Further keys may stand.
-        self.assertEqual(etcd_source.head_of(b'{"version":42}'), 42)
-        self.assertEqual(etcd_source.head_of(b'{"version":42,"by":"a tool"}'), 42)
+        # The key is derived from the field's name (`VersionRecord`): a rename needs `rename=`. Further keys
+        # may stand.
+        self.assertEqual(etcd_source.parse_version(b'{"version":42}'), 42)
+        self.assertEqual(etcd_source.parse_version(b'{"version":42,"by":"a tool"}'), 42)
 
     def test_what_cannot_be_read_is_named(self) -> None:
         key = "map/extents/7/00000000000000004096"
         for call, words in (
             (
-                lambda: etcd_source.extent_of(key, b'{"blocks":8,"shard":3,"version":2,"odd":1}'),
+                lambda: etcd_source.parse_extent(key, b'{"blocks":8,"shard":3,"version":2,"odd":1}'),
                 f"{key}: Object contains unknown field `odd`",
             ),
             (
-                lambda: etcd_source.extent_of(key, b'{"blocks":8,"shard":3}'),
+                lambda: etcd_source.parse_extent(key, b'{"blocks":8,"shard":3}'),
                 f"{key}: Object missing required field `version`",
             ),
             (
-                lambda: etcd_source.extent_of("map/extents/7/4096", b"{}"),
+                lambda: etcd_source.parse_extent("map/extents/7/4096", b"{}"),
                 "map/extents/7/4096: not map/extents/LUN/FIRST with 20 digits",
             ),
-            (lambda: etcd_source.head_of(b"{}"), "map/version: Object missing required field `version`"),
+            (
+                lambda: etcd_source.parse_version(b"{}"),
+                "map/version: Object missing required field `version`",
+            ),
         ):
             with self.subTest(words=words), self.assertRaises(MapRecordError) as caught:
                 call()
