--- a/tests/extents/test_extent_map.py
+++ b/tests/extents/test_extent_map.py
@@ -29,7 +29,7 @@
     return [Extent(volume, n * length, length, n % 4, 1) for n in range(count)]
 
 
-def held(count: int = 8) -> ExtentMap:
+def map_of_extents(count: int = 8) -> ExtentMap:
     made = ExtentMap()
     made.replace_all(1, row(count))
     return made
@@ -49,11 +49,11 @@
 
 @settings(max_examples=200, derandomize=True, deadline=None)
 @given(count=st.integers(1, 3 * LEAF_EXTENTS_MAX), todo=steps)
-def test_any_sequence_of_changes_is_as_in_a_plain_model(count: int, todo: list[Step]) -> None:
+def test_any_sequence_of_changes_equals_a_plain_model(count: int, todo: list[Step]) -> None:
     """The model is a list that is rebuilt for each change; what it refuses must change nothing."""
-    atlas = ExtentMap()
+    extent_map = ExtentMap()
     model = row(count)
-    atlas.replace_all(5, reversed(model))
+    extent_map.replace_all(5, reversed(model))
     version = 5
     for kind, pick, shard, cut, jump in todo:
         place = pick % len(model)
@@ -92,7 +92,7 @@
             put = [replace(one, version=one.version - 1)]
             if one.version == 0:
                 continue
-        fit, _ = atlas.apply(Change(base, to, tuple(put), removed))
+        fit, _ = extent_map.apply(Change(base, to, tuple(put), removed))
         wanted = {
             "gap": ChangeResult.GAP,
             "stale": ChangeResult.STALE,
@@ -105,16 +105,16 @@
             version = to
             gone = {first for _, first in removed} | {extent.first for extent in put}
             model = sorted([old for old in model if old.first not in gone] + put, key=lambda old: old.first)
-        assert atlas.version == version
+        assert extent_map.version == version
         block = pick % model[-1].end
         want = [old for old in model if old.first < block + 25 and old.end > block]
         end = min(block + 25, model[-1].end)
-        pieces = atlas.lookup(0, block, end - block)
+        pieces = extent_map.lookup(0, block, end - block)
         assert [(piece.extent, piece.shard, piece.version) for piece in pieces] == [
             (old.first, old.shard, old.version) for old in want
         ]
         assert sum(piece.length for piece in pieces) == end - block and pieces[0].first == block
-    assert list(atlas) == model == list(atlas.copy())
+    assert list(extent_map) == model == list(extent_map.copy())
 
 
 @pytest.mark.parametrize(
@@ -130,51 +130,51 @@
         (row(9), "more than 8"),
     ],
 )
-def test_a_whole_map_that_does_not_fit_leaves_the_old_one(extents: list[Extent], word: str) -> None:
-    atlas = ExtentMap(8)
-    atlas.replace_all(3, row(4))
+def test_a_malformed_map_leaves_the_present_one(extents: list[Extent], word: str) -> None:
+    extent_map = ExtentMap(8)
+    extent_map.replace_all(3, row(4))
     with pytest.raises(MapError, match=word):
-        atlas.replace_all(4, extents)
-    assert (atlas.version, len(atlas)) == (3, 4)
+        extent_map.replace_all(4, extents)
+    assert (extent_map.version, len(extent_map)) == (3, 4)
 
 
 def test_a_refreshed_extent_goes_in_once_and_its_own_change_still_applies() -> None:
-    atlas = held()
-    news = Extent(0, 20, 10, 3, 2)
-    assert atlas.merge(news) and not atlas.merge(news)
-    assert not atlas.merge(replace(news, version=1)) and not atlas.merge(Extent(0, 21, 9, 0, 9))
-    assert atlas.version == 1 and atlas.find(0, 25) == news
-    assert atlas.apply(Change(1, 2, (news,)))[0] is ChangeResult.APPLIED
+    extent_map = map_of_extents()
+    newer = Extent(0, 20, 10, 3, 2)
+    assert extent_map.merge(newer) and not extent_map.merge(newer)
+    assert not extent_map.merge(replace(newer, version=1)) and not extent_map.merge(Extent(0, 21, 9, 0, 9))
+    assert extent_map.version == 1 and extent_map.find(0, 25) == newer
+    assert extent_map.apply(Change(1, 2, (newer,)))[0] is ChangeResult.APPLIED
 
 
 def test_a_refresh_that_is_two_moves_ahead_of_the_watch_outlasts_the_first() -> None:
-    atlas = held()
-    news = Extent(0, 20, 10, 3, 3)
-    assert atlas.merge(news)
-    assert atlas.apply(Change(1, 2, (replace(news, shard=1, version=2),)))[0] is ChangeResult.APPLIED
-    assert atlas.find(0, 25) == news
-    assert atlas.apply(Change(2, 3, (news,)))[0] is ChangeResult.APPLIED
+    extent_map = map_of_extents()
+    newer = Extent(0, 20, 10, 3, 3)
+    assert extent_map.merge(newer)
+    assert extent_map.apply(Change(1, 2, (replace(newer, shard=1, version=2),)))[0] is ChangeResult.APPLIED
+    assert extent_map.find(0, 25) == newer
+    assert extent_map.apply(Change(2, 3, (newer,)))[0] is ChangeResult.APPLIED
     # From here on a version that goes back is a broken source again, and a whole map forgets all.
-    assert atlas.apply(Change(3, 4, (replace(news, version=2),)))[0] is ChangeResult.BROKEN
-    assert atlas.merge(replace(news, version=9))
-    atlas.replace_all(4, row(8))
-    assert atlas.apply(Change(4, 5, (replace(news, version=2),)))[0] is ChangeResult.APPLIED
+    assert extent_map.apply(Change(3, 4, (replace(newer, version=2),)))[0] is ChangeResult.BROKEN
+    assert extent_map.merge(replace(newer, version=9))
+    extent_map.replace_all(4, row(8))
+    assert extent_map.apply(Change(4, 5, (replace(newer, version=2),)))[0] is ChangeResult.APPLIED
 
 
 def test_blocks_outside_the_map_are_an_error() -> None:
-    atlas = held()
+    extent_map = map_of_extents()
     for volume, first, length in ((1, 0, 1), (0, 75, 10), (0, 80, 1)):
         with pytest.raises(MapError, match="not in the map"):
-            atlas.lookup(volume, first, length)
-    assert (atlas.blocks(0), atlas.blocks(1), atlas.find(0, 80)) == (80, 0, None)
+            extent_map.lookup(volume, first, length)
+    assert (extent_map.blocks(0), extent_map.blocks(1), extent_map.find(0, 80)) == (80, 0, None)
 
 
 # Whether a map may be used
 
 
-def test_a_map_is_used_only_as_far_as_it_can_be_trusted() -> None:
-    now, atlas = 10**9, held()
-    for standing, writes, cause in (
+def test_a_command_is_rejected_where_the_map_is_missing_unconfirmed_or_too_old() -> None:
+    now, extent_map = 10**9, map_of_extents()
+    for trust, writes, cause in (
         (MapTrust(now, False), True, RouteRejectReason.MAP_UNCONFIRMED),
         (MapTrust(now, False), False, None),
         (MapTrust(now - LIMITS.write_age_us - 1, True), True, RouteRejectReason.MAP_TOO_OLD),
@@ -183,19 +183,22 @@
         (MapTrust(now, True), True, None),
     ):
         if cause is None:
-            routing.plan_routes(atlas, standing, LIMITS, 0, 0, 5, writes, now)
+            routing.plan_routes(extent_map, trust, LIMITS, 0, 0, 5, writes, now)
             continue
         with pytest.raises(RouteError, match=cause.value):
-            routing.plan_routes(atlas, standing, LIMITS, 0, 0, 5, writes, now)
+            routing.plan_routes(extent_map, trust, LIMITS, 0, 0, 5, writes, now)
     good = MapTrust(now, True)
-    for where, cause in ((ExtentMap(), RouteRejectReason.MAP_MISSING), (atlas, RouteRejectReason.NOT_MAPPED)):
+    for where, cause in (
+        (ExtentMap(), RouteRejectReason.MAP_MISSING),
+        (extent_map, RouteRejectReason.NOT_MAPPED),
+    ):
         with pytest.raises(RouteError, match=cause.value):
             routing.plan_routes(where, good, LIMITS, 0, 79, 5, False, now)
     with pytest.raises(RouteError, match="pieces"):
-        routing.plan_routes(atlas, good, replace(LIMITS, pieces=2), 0, 5, 20, False, now)
-    assert routing.shards_of_volume(atlas, good, LIMITS, 0, True, now) == [0, 1, 2, 3]
+        routing.plan_routes(extent_map, good, replace(LIMITS, pieces=2), 0, 5, 20, False, now)
+    assert routing.shards_of_volume(extent_map, good, LIMITS, 0, True, now) == [0, 1, 2, 3]
     with pytest.raises(RouteError, match="absent"):
-        routing.shards_of_volume(atlas, good, LIMITS, 7, True, now)
+        routing.shards_of_volume(extent_map, good, LIMITS, 7, True, now)
 
 
 # Redirects
@@ -207,160 +210,166 @@
     return Route(Piece(0, first, 3, 0, shard, version), writes=True)
 
 
-def moved(atlas: ExtentMap, shard: int, version: int) -> None:
-    atlas.apply(Change(atlas.version, atlas.version + 1, (Extent(0, 0, 10, shard, version),)))
+def moved(extent_map: ExtentMap, shard: int, version: int) -> None:
+    extent_map.apply(Change(extent_map.version, extent_map.version + 1, (Extent(0, 0, 10, shard, version),)))
 
 
-def test_a_newer_word_of_a_node_is_followed_before_the_map_knows() -> None:
+def test_a_redirect_that_is_newer_than_the_map_is_followed() -> None:
     one = route()
-    assert routing.on_redirect(held(), LIMITS, one, Redirect(2, 3), ALL).action is RouteAction.FOLLOW
+    assert (
+        routing.on_redirect(map_of_extents(), LIMITS, one, Redirect(2, 3), ALL).action is RouteAction.FOLLOW
+    )
     assert (one.shard, one.piece.version, one.ahead_of_map) == (3, 2, True)
 
 
-def test_the_map_goes_before_a_word_that_is_older() -> None:
-    atlas, one = held(), route()
-    moved(atlas, 2, 3)
-    assert routing.on_redirect(atlas, LIMITS, one, Redirect(2, 1), ALL).action is RouteAction.FOLLOW
+def test_a_map_that_is_newer_than_the_redirect_is_followed() -> None:
+    extent_map, one = map_of_extents(), route()
+    moved(extent_map, 2, 3)
+    assert routing.on_redirect(extent_map, LIMITS, one, Redirect(2, 1), ALL).action is RouteAction.FOLLOW
     assert (one.shard, one.piece.version, one.ahead_of_map) == (2, 3, False)
 
 
-def test_a_redirect_that_is_older_than_the_map_waits_and_is_given_up() -> None:
+def test_a_redirect_that_is_older_than_the_map_is_refreshed_then_rejected() -> None:
     """The node we were sent to says that it has yet to hear of the version that the map has."""
-    atlas = held()
-    moved(atlas, 2, 3)
+    extent_map = map_of_extents()
+    moved(extent_map, 2, 3)
     one = route(3, 2)
-    decision = routing.on_redirect(atlas, LIMITS, one, Redirect(2, 1), ALL)
+    decision = routing.on_redirect(extent_map, LIMITS, one, Redirect(2, 1), ALL)
     pauses = []
     while decision.action is RouteAction.REFRESH:
         pauses.append(decision.pause_us)
-        decision = routing.on_refresh(atlas, LIMITS, one)
+        decision = routing.on_refresh(extent_map, LIMITS, one)
     assert decision.reason is RouteRejectReason.LOCATION_UNCONFIRMED
     assert pauses == [0] + [routing.REFRESH_BACKOFF_US << n for n in range(LIMITS.refreshes - 1)]
 
 
-def test_a_word_that_names_a_shard_without_a_node_waits_for_the_map() -> None:
-    atlas, one = held(), route()
-    assert routing.on_redirect(atlas, LIMITS, one, Redirect(2, 9), ALL).action is RouteAction.REFRESH
-    moved(atlas, 3, 2)
-    assert routing.on_refresh(atlas, LIMITS, one).action is RouteAction.FOLLOW
+def test_a_redirect_to_a_shard_without_a_node_waits_for_a_refresh() -> None:
+    extent_map, one = map_of_extents(), route()
+    assert routing.on_redirect(extent_map, LIMITS, one, Redirect(2, 9), ALL).action is RouteAction.REFRESH
+    moved(extent_map, 3, 2)
+    assert routing.on_refresh(extent_map, LIMITS, one).action is RouteAction.FOLLOW
     assert one.shard == 3
 
 
-def test_two_nodes_that_point_at_each_other_end() -> None:
+def test_redirects_between_two_nodes_that_name_each_other_end() -> None:
     """With one version it waits for the source; with rising ones the count ends it."""
     one = route()
-    assert routing.on_redirect(held(), LIMITS, one, Redirect(2, 1), ALL).action is RouteAction.FOLLOW
-    assert routing.on_redirect(held(), LIMITS, one, Redirect(2, 0), ALL).action is RouteAction.REFRESH
     assert (
-        routing.on_refresh(held(), LIMITS, one).action is RouteAction.FOLLOW
+        routing.on_redirect(map_of_extents(), LIMITS, one, Redirect(2, 1), ALL).action is RouteAction.FOLLOW
+    )
+    assert (
+        routing.on_redirect(map_of_extents(), LIMITS, one, Redirect(2, 0), ALL).action is RouteAction.REFRESH
+    )
+    assert (
+        routing.on_refresh(map_of_extents(), LIMITS, one).action is RouteAction.FOLLOW
     )  # back to what the source says
     assert (one.shard, one.piece.version, one.ahead_of_map) == (0, 1, False)
     one, count = route(), 0
     while True:
-        decision = routing.on_redirect(held(), LIMITS, one, Redirect(count + 2, count % 2), ALL)
+        decision = routing.on_redirect(map_of_extents(), LIMITS, one, Redirect(count + 2, count % 2), ALL)
         if decision is not routing.FOLLOW:
             break
         count += 1
     assert (decision.reason, count) == (RouteRejectReason.TOO_MANY_REDIRECTS, LIMITS.redirects)
 
 
-def test_an_extent_that_moves_twice_on_the_way_and_one_that_comes_back() -> None:
-    atlas, one = held(), route()
-    assert routing.on_redirect(atlas, LIMITS, one, Redirect(2, 1), ALL).action is RouteAction.FOLLOW
-    moved(atlas, 1, 2)
-    moved(atlas, 0, 3)  # back at the first node, under another version
-    assert routing.on_redirect(atlas, LIMITS, one, Redirect(3, 0), ALL).action is RouteAction.FOLLOW
+def test_an_extent_that_moves_twice_and_returns_is_followed() -> None:
+    extent_map, one = map_of_extents(), route()
+    assert routing.on_redirect(extent_map, LIMITS, one, Redirect(2, 1), ALL).action is RouteAction.FOLLOW
+    moved(extent_map, 1, 2)
+    moved(extent_map, 0, 3)  # back at the first node, under another version
+    assert routing.on_redirect(extent_map, LIMITS, one, Redirect(3, 0), ALL).action is RouteAction.FOLLOW
     assert (one.shard, one.piece.version) == (0, 3)
 
 
-def test_a_refresh_that_is_lost_is_asked_for_again() -> None:
-    atlas, one = held(), route()
-    assert routing.on_redirect(atlas, LIMITS, one, Redirect(), ALL).action is RouteAction.REFRESH
-    assert routing.on_refresh(atlas, LIMITS, one).action is RouteAction.REFRESH  # it brought nothing
-    moved(atlas, 1, 2)
-    assert routing.on_refresh(atlas, LIMITS, one).action is RouteAction.FOLLOW
+def test_a_refresh_that_brings_nothing_is_repeated() -> None:
+    extent_map, one = map_of_extents(), route()
+    assert routing.on_redirect(extent_map, LIMITS, one, Redirect(), ALL).action is RouteAction.REFRESH
+    assert routing.on_refresh(extent_map, LIMITS, one).action is RouteAction.REFRESH  # it brought nothing
+    moved(extent_map, 1, 2)
+    assert routing.on_refresh(extent_map, LIMITS, one).action is RouteAction.FOLLOW
 
 
-def test_a_move_that_both_claim_goes_by_the_higher_version_only() -> None:
+def test_of_two_owners_the_one_with_the_higher_version_is_used() -> None:
     """The old node still claims version 1 and the new one has 2: no word of 1 leads back."""
-    atlas, one = held(), route(2, 1)
-    moved(atlas, 1, 2)
-    assert routing.on_redirect(atlas, LIMITS, one, Redirect(1, 0), ALL).action is RouteAction.REFRESH
+    extent_map, one = map_of_extents(), route(2, 1)
+    moved(extent_map, 1, 2)
+    assert routing.on_redirect(extent_map, LIMITS, one, Redirect(1, 0), ALL).action is RouteAction.REFRESH
     assert (one.shard, one.piece.version) == (1, 2)
 
 
-def test_an_extent_that_was_cut_under_the_command_gives_up() -> None:
-    atlas = held()
-    atlas.apply(Change(1, 2, (Extent(0, 0, 3, 0, 2), Extent(0, 3, 7, 1, 2))))
+def test_a_route_whose_extent_was_split_is_rejected() -> None:
+    extent_map = map_of_extents()
+    extent_map.apply(Change(1, 2, (Extent(0, 0, 3, 0, 2), Extent(0, 3, 7, 1, 2))))
     for decision in (
-        routing.on_redirect(atlas, LIMITS, route(), Redirect(2, 0), ALL),
-        routing.on_refresh(atlas, LIMITS, route()),
+        routing.on_redirect(extent_map, LIMITS, route(), Redirect(2, 0), ALL),
+        routing.on_refresh(extent_map, LIMITS, route()),
     ):
         assert decision.reason is RouteRejectReason.EXTENT_RESHAPED
 
 
-def test_what_waits_goes_by_the_map_and_what_flies_does_not() -> None:
-    atlas, one, two = held(), route(), route()
+def test_a_queued_route_follows_the_map_and_one_in_flight_does_not() -> None:
+    extent_map, one, two = map_of_extents(), route(), route()
     two.attempt_in_flight = True
-    moved(atlas, 3, 2)
-    assert routing.follow_newer_map(atlas, one) and not routing.follow_newer_map(atlas, one)
-    assert not routing.follow_newer_map(atlas, two) and (one.shard, two.shard) == (3, 0)
+    moved(extent_map, 3, 2)
+    assert routing.follow_newer_map(extent_map, one) and not routing.follow_newer_map(extent_map, one)
+    assert not routing.follow_newer_map(extent_map, two) and (one.shard, two.shard) == (3, 0)
 
 
 # Refreshes
 
 
-def test_a_thousand_that_find_one_stale_entry_cause_one_refresh() -> None:
-    asked = RefreshQueue()
-    numbers = {asked.enqueue((0, 0)) for _ in range(1000)}
-    batch = asked.start_batch(0)
-    assert numbers == {1} and batch is not None and batch.keys == ((0, 0),) and asked.start_batch(0) is None
+def test_a_thousand_requests_for_one_extent_cause_one_refresh() -> None:
+    queue = RefreshQueue()
+    numbers = {queue.enqueue((0, 0)) for _ in range(1000)}
+    batch = queue.start_batch(0)
+    assert numbers == {1} and batch is not None and batch.keys == ((0, 0),) and queue.start_batch(0) is None
     # One that asks while it is out takes part in the next: this one may have been read before its move.
-    assert asked.enqueue((0, 0)) == 2 and asked.next_start_us() is None
-    assert asked.finish_batch(10, True) == 1
-    assert asked.start_batch(10) is None and asked.next_start_us() == REFRESH_INTERVAL_US
-    after = asked.start_batch(REFRESH_INTERVAL_US)
+    assert queue.enqueue((0, 0)) == 2 and queue.next_start_us() is None
+    assert queue.finish_batch(10, True) == 1
+    assert queue.start_batch(10) is None and queue.next_start_us() == REFRESH_INTERVAL_US
+    after = queue.start_batch(REFRESH_INTERVAL_US)
     assert after is not None and after.number == 2
 
 
-def test_many_extents_go_in_batches_and_past_the_bound_nothing_waits() -> None:
-    asked = RefreshQueue()
-    numbers = [asked.enqueue((0, n)) for n in range(WAITING_EXTENTS_MAX + 3)]
+def test_extents_are_refreshed_in_batches_and_rejected_past_the_bound() -> None:
+    queue = RefreshQueue()
+    numbers = [queue.enqueue((0, n)) for n in range(WAITING_EXTENTS_MAX + 3)]
     assert numbers[-3:] == [None] * 3 and numbers[:WAITING_EXTENTS_MAX] == [
         n // BATCH_EXTENTS_MAX + 1 for n in range(WAITING_EXTENTS_MAX)
     ]
     now, seen = 0, 0
-    while (at := asked.next_start_us()) is not None:
+    while (at := queue.next_start_us()) is not None:
         now = max(now, at)
-        batch = asked.start_batch(now)
+        batch = queue.start_batch(now)
         assert (
             batch is not None
             and [numbers[spot[1]] for spot in batch.keys] == [batch.number] * BATCH_EXTENTS_MAX
         )
         seen += len(batch.keys)
-        asked.finish_batch(now, True)
+        queue.finish_batch(now, True)
     assert seen == WAITING_EXTENTS_MAX
 
 
-def test_the_pause_doubles_with_each_failure_up_to_a_top() -> None:
-    asked, now, pauses = RefreshQueue(), 0, []
+def test_the_interval_doubles_with_each_failure_up_to_its_bound() -> None:
+    queue, now, pauses = RefreshQueue(), 0, []
     for _ in range(12):
-        asked.enqueue((0, 0))
-        now = asked.next_start_us() or now
-        asked.start_batch(now)
-        asked.finish_batch(now, False)
-        pauses.append(asked.earliest_start_us - now)
+        queue.enqueue((0, 0))
+        now = queue.next_start_us() or now
+        queue.start_batch(now)
+        queue.finish_batch(now, False)
+        pauses.append(queue.earliest_start_us - now)
     assert (
         pauses[:3] == [REFRESH_INTERVAL_US * 2, REFRESH_INTERVAL_US * 4, REFRESH_INTERVAL_US * 8]
         and pauses[-1] == REFRESH_INTERVAL_MAX_US
     )
-    asked.enqueue((0, 0))
-    asked.start_batch(now + REFRESH_INTERVAL_MAX_US)
-    asked.finish_batch(now, True)
-    assert asked.consecutive_failures == 0
+    queue.enqueue((0, 0))
+    queue.start_batch(now + REFRESH_INTERVAL_MAX_US)
+    queue.finish_batch(now, True)
+    assert queue.consecutive_failures == 0
 
 
-def test_a_map_behind_its_source_twice_has_lost_something() -> None:
+def test_a_map_that_is_still_behind_at_the_next_poll_has_missed_a_change() -> None:
     check = FreshnessCheck()
     assert check.check(5, 5) is Freshness.CONFIRMED
     assert check.check(6, 5) is Freshness.BEHIND  # the watch may be bringing it
@@ -373,7 +382,7 @@
 # Joining
 
 
-def test_every_combination_of_the_ends_of_three_pieces() -> None:
+def test_every_combination_of_three_outcomes_gives_a_true_answer() -> None:
     """Stated as the rules say it, for each combination: what an answer promises must be true."""
     for writes in (False, True):
         for a in PieceOutcome:
@@ -423,11 +432,11 @@
         (True, [PieceOutcome.SUCCEEDED, PieceOutcome.SUCCEEDED], JoinResult.SERVED),
     ],
 )
-def test_joined_ends(writes: bool, ends: list[PieceOutcome], whole: JoinResult) -> None:
+def test_joined_outcomes(writes: bool, ends: list[PieceOutcome], whole: JoinResult) -> None:
     assert joining.join(writes, ends).result is whole
 
 
-def test_a_write_goes_on_only_while_all_went_well() -> None:
+def test_a_write_continues_only_while_every_piece_succeeded() -> None:
     assert joining.may_continue(True, []) and joining.may_continue(True, [PieceOutcome.SUCCEEDED])
     assert not any(
         joining.may_continue(True, [PieceOutcome.SUCCEEDED, end])
--- a/tests/extents/test_map_sources.py
+++ b/tests/extents/test_map_sources.py
@@ -1,4 +1,4 @@
-"""What brings the map and what keeps it: etcd's keys, the disk, the operator's file."""
+"""The map's sources and its cache: keys in etcd, records on disk, the operator's file."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 ROOT = Path(__file__).resolve().parents[2]
 
 
-class Holder:
+class MapHolder:
     """The router's part that a source needs."""
 
     def __init__(self) -> None:
@@ -56,7 +56,7 @@
 
 class FromEtcd(unittest.TestCase):
     def setUp(self) -> None:
-        self.holder = Holder()
+        self.holder = MapHolder()
         self.feed = MapFeed(self.holder, frozenset((0,)))  # type: ignore[arg-type]
 
     def whole(self, *pages: Sequence[Event]) -> None:
@@ -69,7 +69,7 @@
         self.whole([extent(0), extent(10, 1)], [extent(20, 2), extent(0, lun=7), head(4)])
         self.assertEqual((self.holder.map.version, len(self.holder.map)), (4, 3))
 
-    def test_a_map_that_cannot_be_used_is_left(self) -> None:
+    def test_a_malformed_snapshot_leaves_the_present_map(self) -> None:
         self.whole([extent(0), head(4)])
         for rows in (
             [extent(0)],
@@ -85,7 +85,7 @@
             self.whole([extent(n * 10) for n in range(101)])
         self.assertEqual(self.holder.refusals, 1)
 
-    def test_each_revision_is_a_change_and_what_comes_again_is_no_news(self) -> None:
+    def test_each_revision_is_a_change_and_a_repetition_is_stale(self) -> None:
         self.whole([extent(0), extent(10), head(4)])
         events = [extent(0, 3, 2, 6), head(5, 6), extent(10, 3, 2, 7), head(6, 7)]
         for _ in range(2):
@@ -96,7 +96,7 @@
         self.feed.apply_changes([Event(extent_key(0, 20), None, 9), head(8, 9)])
         self.assertEqual((self.holder.map.version, len(self.holder.map)), (8, 2))
 
-    def test_what_does_not_follow_asks_for_the_whole(self) -> None:
+    def test_a_change_that_does_not_apply_is_out_of_step(self) -> None:
         self.whole([extent(0), extent(10), head(4)])
         for events in (
             [extent(0, 3, 2), head(6)],
@@ -122,7 +122,7 @@
             7, [Extent(volume, n * 10, 10, n % 4, n) for volume in (0, 3) for n in range(50)]
         )
 
-    def test_what_was_kept_is_found(self) -> None:
+    def test_the_cached_map_is_loaded_and_damage_is_detected(self) -> None:
         cache = BackgroundMapWriter(MapCache(self.path, 1 << 20))
         cache.save_map(self.map)
         change = Change(7, 8, (Extent(0, 0, 5, 9, 60), Extent(0, 5, 15, 9, 60)), ((0, 10),))
@@ -151,12 +151,12 @@
                 self.assertRaisesRegex(MapCacheError, "too old", cache.load, age_us)
         cache.close()
 
-    def test_nothing_kept_is_said(self) -> None:
+    def test_loading_an_empty_cache_is_an_error(self) -> None:
         cache = MapCache(self.path, 1 << 20)
         self.assertRaisesRegex(MapCacheError, "no map", cache.load, 10**9)
         cache.close()
 
-    def test_a_full_store_keeps_what_it_has_and_stops(self) -> None:
+    def test_a_full_disk_leaves_the_cached_map_and_stops_writing(self) -> None:
         cache = MapCache(self.path, 64 * 1024)
         cache.save_map(self.map)
         big = ExtentMap()
@@ -167,7 +167,7 @@
         self.assertEqual((cache.load(10**9)[0], len(cache.load(10**9)[1])), (7, 100))
         cache.close()
 
-    def test_a_slow_disk_is_not_waited_for(self) -> None:
+    def test_changes_past_the_bound_are_dropped_until_a_complete_map(self) -> None:
         class Slow:
             changes = 0
 
@@ -211,7 +211,7 @@
             (kept.extents.cache_path, kept.extents.cache_bytes), ("/var/lib/lemonridge/map", 256 << 20)
         )
 
-    def test_what_is_wrong_is_said_by_its_key(self) -> None:
+    def test_a_wrong_setting_is_rejected_by_its_key(self) -> None:
         text = (ROOT / "deploy" / "extents.toml").read_text()
         tables = "[[lun.extent]]\nfirst = {}\nblocks = 5\nshard = 0\n"
         for old, new, word in (
