--- a/tests/extents/test_extent_map.py
+++ b/tests/extents/test_extent_map.py
@@ -9,11 +9,18 @@
 from hypothesis import strategies as st
 
 from lemonridge.extents import joining, routing
-from lemonridge.extents.etcd_source import FreshnessCheck
-from lemonridge.extents.extent_map import LEAF, Change, ChangeResult, Extent, ExtentMap, MapError, Piece
-from lemonridge.extents.joining import End, Joined, JoinResult
-from lemonridge.extents.refresh import BATCH, PAUSE_TOP_US, PAUSE_US, WANTED_MAX, Refreshes
-from lemonridge.extents.routing import Cause, Limits, Redirect, Route, RouteError, Standing, Verdict
+from lemonridge.extents.errors import MapError, RouteError, RouteRejectReason
+from lemonridge.extents.etcd_source import Freshness, FreshnessCheck
+from lemonridge.extents.extent_map import LEAF_EXTENTS_MAX, Change, ChangeResult, Extent, ExtentMap, Piece
+from lemonridge.extents.joining import JoinedOutcome, JoinResult, PieceOutcome
+from lemonridge.extents.refresh import (
+    BATCH_EXTENTS_MAX,
+    REFRESH_INTERVAL_MAX_US,
+    REFRESH_INTERVAL_US,
+    WAITING_EXTENTS_MAX,
+    RefreshQueue,
+)
+from lemonridge.extents.routing import Limits, MapTrust, Redirect, Route, RouteAction
 
 LIMITS = Limits()
 
@@ -22,9 +29,9 @@
     return [Extent(volume, n * length, length, n % 4, 1) for n in range(count)]
 
 
-def held(count: int = 8) -> ExtentMap:
+def map_of_extents(count: int = 8) -> ExtentMap:
     made = ExtentMap()
-    made.whole(1, row(count))
+    made.replace_all(1, row(count))
     return made
 
 
@@ -41,16 +48,16 @@
 
 
 @settings(max_examples=200, derandomize=True, deadline=None)
-@given(count=st.integers(1, 3 * LEAF), todo=steps)
-def test_any_sequence_of_changes_is_as_in_a_plain_model(count: int, todo: list[Step]) -> None:
+@given(count=st.integers(1, 3 * LEAF_EXTENTS_MAX), todo=steps)
+def test_any_sequence_of_changes_equals_a_plain_model(count: int, todo: list[Step]) -> None:
     """The model is a list that is rebuilt for each change; what it refuses must change nothing."""
-    atlas = ExtentMap()
+    extent_map = ExtentMap()
     model = row(count)
-    atlas.whole(5, reversed(model))
+    extent_map.replace_all(5, reversed(model))
     version = 5
     for kind, pick, shard, cut, jump in todo:
         place = pick % len(model)
-        one, dropped = model[place], ()
+        one, removed = model[place], ()
         put = [replace(one, shard=shard, version=one.version + 1)]
         base, to = version, version + 1
         if kind == "split":
@@ -64,7 +71,7 @@
         elif kind == "join":
             if place + 1 == len(model):
                 continue
-            dropped = ((0, model[place + 1].first),)
+            removed = ((0, model[place + 1].first),)
             put = [replace(one, length=one.length + model[place + 1].length)]
         elif kind == "gap":
             base, to = version + jump, version + jump + 1
@@ -80,12 +87,12 @@
             if place + 1 == len(model):
                 put = [Extent(0, one.end + jump, 5, shard, 1)]
             else:
-                put, dropped = [], ((0, one.first),)
+                put, removed = [], ((0, one.first),)
         elif kind == "back":
             put = [replace(one, version=one.version - 1)]
             if one.version == 0:
                 continue
-        fit, _ = atlas.apply(Change(base, to, tuple(put), dropped))
+        fit, _ = extent_map.apply(Change(base, to, tuple(put), removed))
         wanted = {
             "gap": ChangeResult.GAP,
             "stale": ChangeResult.STALE,
@@ -96,18 +103,18 @@
         assert fit is wanted, (kind, fit)
         if fit is ChangeResult.APPLIED:
             version = to
-            gone = {first for _, first in dropped} | {extent.first for extent in put}
+            gone = {first for _, first in removed} | {extent.first for extent in put}
             model = sorted([old for old in model if old.first not in gone] + put, key=lambda old: old.first)
-        assert atlas.version == version
+        assert extent_map.version == version
         block = pick % model[-1].end
         want = [old for old in model if old.first < block + 25 and old.end > block]
         end = min(block + 25, model[-1].end)
-        pieces = atlas.lookup(0, block, end - block)
+        pieces = extent_map.lookup(0, block, end - block)
         assert [(piece.extent, piece.shard, piece.version) for piece in pieces] == [
             (old.first, old.shard, old.version) for old in want
         ]
         assert sum(piece.length for piece in pieces) == end - block and pieces[0].first == block
-    assert list(atlas) == model == list(atlas.copy())
+    assert list(extent_map) == model == list(extent_map.copy())
 
 
 @pytest.mark.parametrize(
@@ -123,72 +130,75 @@
         (row(9), "more than 8"),
     ],
 )
-def test_a_whole_map_that_does_not_fit_leaves_the_old_one(extents: list[Extent], word: str) -> None:
-    atlas = ExtentMap(8)
-    atlas.whole(3, row(4))
+def test_a_malformed_map_leaves_the_present_one(extents: list[Extent], word: str) -> None:
+    extent_map = ExtentMap(8)
+    extent_map.replace_all(3, row(4))
     with pytest.raises(MapError, match=word):
-        atlas.whole(4, extents)
-    assert (atlas.version, len(atlas)) == (3, 4)
+        extent_map.replace_all(4, extents)
+    assert (extent_map.version, len(extent_map)) == (3, 4)
 
 
 def test_a_refreshed_extent_goes_in_once_and_its_own_change_still_applies() -> None:
-    atlas = held()
-    news = Extent(0, 20, 10, 3, 2)
-    assert atlas.merge(news) and not atlas.merge(news)
-    assert not atlas.merge(replace(news, version=1)) and not atlas.merge(Extent(0, 21, 9, 0, 9))
-    assert atlas.version == 1 and atlas.find(0, 25) == news
-    assert atlas.apply(Change(1, 2, (news,)))[0] is ChangeResult.APPLIED
+    extent_map = map_of_extents()
+    newer = Extent(0, 20, 10, 3, 2)
+    assert extent_map.merge(newer) and not extent_map.merge(newer)
+    assert not extent_map.merge(replace(newer, version=1)) and not extent_map.merge(Extent(0, 21, 9, 0, 9))
+    assert extent_map.version == 1 and extent_map.find(0, 25) == newer
+    assert extent_map.apply(Change(1, 2, (newer,)))[0] is ChangeResult.APPLIED
 
 
 def test_a_refresh_that_is_two_moves_ahead_of_the_watch_outlasts_the_first() -> None:
-    atlas = held()
-    news = Extent(0, 20, 10, 3, 3)
-    assert atlas.merge(news)
-    assert atlas.apply(Change(1, 2, (replace(news, shard=1, version=2),)))[0] is ChangeResult.APPLIED
-    assert atlas.find(0, 25) == news
-    assert atlas.apply(Change(2, 3, (news,)))[0] is ChangeResult.APPLIED
+    extent_map = map_of_extents()
+    newer = Extent(0, 20, 10, 3, 3)
+    assert extent_map.merge(newer)
+    assert extent_map.apply(Change(1, 2, (replace(newer, shard=1, version=2),)))[0] is ChangeResult.APPLIED
+    assert extent_map.find(0, 25) == newer
+    assert extent_map.apply(Change(2, 3, (newer,)))[0] is ChangeResult.APPLIED
     # From here on a version that goes back is a broken source again, and a whole map forgets all.
-    assert atlas.apply(Change(3, 4, (replace(news, version=2),)))[0] is ChangeResult.BROKEN
-    assert atlas.merge(replace(news, version=9))
-    atlas.whole(4, row(8))
-    assert atlas.apply(Change(4, 5, (replace(news, version=2),)))[0] is ChangeResult.APPLIED
+    assert extent_map.apply(Change(3, 4, (replace(newer, version=2),)))[0] is ChangeResult.BROKEN
+    assert extent_map.merge(replace(newer, version=9))
+    extent_map.replace_all(4, row(8))
+    assert extent_map.apply(Change(4, 5, (replace(newer, version=2),)))[0] is ChangeResult.APPLIED
 
 
 def test_blocks_outside_the_map_are_an_error() -> None:
-    atlas = held()
+    extent_map = map_of_extents()
     for volume, first, length in ((1, 0, 1), (0, 75, 10), (0, 80, 1)):
         with pytest.raises(MapError, match="not in the map"):
-            atlas.lookup(volume, first, length)
-    assert (atlas.blocks(0), atlas.blocks(1), atlas.find(0, 80)) == (80, 0, None)
+            extent_map.lookup(volume, first, length)
+    assert (extent_map.blocks(0), extent_map.blocks(1), extent_map.find(0, 80)) == (80, 0, None)
 
 
 # Whether a map may be used
 
 
-def test_a_map_is_used_only_as_far_as_it_can_be_trusted() -> None:
-    now, atlas = 10**9, held()
-    for standing, writes, cause in (
-        (Standing(now, False), True, Cause.UNTRUSTED),
-        (Standing(now, False), False, None),
-        (Standing(now - LIMITS.write_age_us - 1, True), True, Cause.OLD),
-        (Standing(now - LIMITS.write_age_us - 1, True), False, None),
-        (Standing(now - LIMITS.read_age_us - 1, True), False, Cause.OLD),
-        (Standing(now, True), True, None),
+def test_a_command_is_rejected_where_the_map_is_missing_unconfirmed_or_too_old() -> None:
+    now, extent_map = 10**9, map_of_extents()
+    for trust, writes, cause in (
+        (MapTrust(now, False), True, RouteRejectReason.MAP_UNCONFIRMED),
+        (MapTrust(now, False), False, None),
+        (MapTrust(now - LIMITS.write_age_us - 1, True), True, RouteRejectReason.MAP_TOO_OLD),
+        (MapTrust(now - LIMITS.write_age_us - 1, True), False, None),
+        (MapTrust(now - LIMITS.read_age_us - 1, True), False, RouteRejectReason.MAP_TOO_OLD),
+        (MapTrust(now, True), True, None),
     ):
         if cause is None:
-            routing.begin(atlas, standing, LIMITS, 0, 0, 5, writes, now)
+            routing.plan_routes(extent_map, trust, LIMITS, 0, 0, 5, writes, now)
             continue
         with pytest.raises(RouteError, match=cause.value):
-            routing.begin(atlas, standing, LIMITS, 0, 0, 5, writes, now)
-    good = Standing(now, True)
-    for where, cause in ((ExtentMap(), Cause.MAPLESS), (atlas, Cause.ABSENT)):
+            routing.plan_routes(extent_map, trust, LIMITS, 0, 0, 5, writes, now)
+    good = MapTrust(now, True)
+    for where, cause in (
+        (ExtentMap(), RouteRejectReason.MAP_MISSING),
+        (extent_map, RouteRejectReason.NOT_MAPPED),
+    ):
         with pytest.raises(RouteError, match=cause.value):
-            routing.begin(where, good, LIMITS, 0, 79, 5, False, now)
+            routing.plan_routes(where, good, LIMITS, 0, 79, 5, False, now)
     with pytest.raises(RouteError, match="pieces"):
-        routing.begin(atlas, good, replace(LIMITS, pieces=2), 0, 5, 20, False, now)
-    assert routing.everywhere(atlas, good, LIMITS, 0, True, now) == [0, 1, 2, 3]
+        routing.plan_routes(extent_map, good, replace(LIMITS, pieces=2), 0, 5, 20, False, now)
+    assert routing.shards_of_volume(extent_map, good, LIMITS, 0, True, now) == [0, 1, 2, 3]
     with pytest.raises(RouteError, match="absent"):
-        routing.everywhere(atlas, good, LIMITS, 7, True, now)
+        routing.shards_of_volume(extent_map, good, LIMITS, 7, True, now)
 
 
 # Redirects
@@ -200,187 +210,210 @@
     return Route(Piece(0, first, 3, 0, shard, version), writes=True)
 
 
-def moved(atlas: ExtentMap, shard: int, version: int) -> None:
-    atlas.apply(Change(atlas.version, atlas.version + 1, (Extent(0, 0, 10, shard, version),)))
+def moved(extent_map: ExtentMap, shard: int, version: int) -> None:
+    extent_map.apply(Change(extent_map.version, extent_map.version + 1, (Extent(0, 0, 10, shard, version),)))
 
 
-def test_a_newer_word_of_a_node_is_followed_before_the_map_knows() -> None:
+def test_a_redirect_that_is_newer_than_the_map_is_followed() -> None:
     one = route()
-    assert routing.redirected(held(), LIMITS, one, Redirect(2, 3), ALL).verdict is Verdict.FOLLOW
-    assert (one.shard, one.piece.version, one.ahead) == (3, 2, True)
+    assert (
+        routing.on_redirect(map_of_extents(), LIMITS, one, Redirect(2, 3), ALL).action is RouteAction.FOLLOW
+    )
+    assert (one.shard, one.piece.version, one.ahead_of_map) == (3, 2, True)
 
 
-def test_the_map_goes_before_a_word_that_is_older() -> None:
-    atlas, one = held(), route()
-    moved(atlas, 2, 3)
-    assert routing.redirected(atlas, LIMITS, one, Redirect(2, 1), ALL).verdict is Verdict.FOLLOW
-    assert (one.shard, one.piece.version, one.ahead) == (2, 3, False)
+def test_a_map_that_is_newer_than_the_redirect_is_followed() -> None:
+    extent_map, one = map_of_extents(), route()
+    moved(extent_map, 2, 3)
+    assert routing.on_redirect(extent_map, LIMITS, one, Redirect(2, 1), ALL).action is RouteAction.FOLLOW
+    assert (one.shard, one.piece.version, one.ahead_of_map) == (2, 3, False)
 
 
-def test_a_redirect_that_is_older_than_the_map_waits_and_is_given_up() -> None:
+def test_a_redirect_that_is_older_than_the_map_is_refreshed_then_rejected() -> None:
     """The node we were sent to says that it has yet to hear of the version that the map has."""
-    atlas = held()
-    moved(atlas, 2, 3)
+    extent_map = map_of_extents()
+    moved(extent_map, 2, 3)
     one = route(3, 2)
-    decision = routing.redirected(atlas, LIMITS, one, Redirect(2, 1), ALL)
+    decision = routing.on_redirect(extent_map, LIMITS, one, Redirect(2, 1), ALL)
     pauses = []
-    while decision.verdict is Verdict.WAIT:
+    while decision.action is RouteAction.REFRESH:
         pauses.append(decision.pause_us)
-        decision = routing.refreshed(atlas, LIMITS, one)
-    assert decision.cause is Cause.UNCONFIRMED
-    assert pauses == [0] + [routing.PAUSE_US << n for n in range(LIMITS.refreshes - 1)]
+        decision = routing.on_refresh(extent_map, LIMITS, one)
+    assert decision.reason is RouteRejectReason.LOCATION_UNCONFIRMED
+    assert pauses == [0] + [routing.REFRESH_BACKOFF_US << n for n in range(LIMITS.refreshes - 1)]
 
 
-def test_a_word_that_names_a_shard_without_a_node_waits_for_the_map() -> None:
-    atlas, one = held(), route()
-    assert routing.redirected(atlas, LIMITS, one, Redirect(2, 9), ALL).verdict is Verdict.WAIT
-    moved(atlas, 3, 2)
-    assert routing.refreshed(atlas, LIMITS, one).verdict is Verdict.FOLLOW
+def test_a_redirect_to_a_shard_without_a_node_waits_for_a_refresh() -> None:
+    extent_map, one = map_of_extents(), route()
+    assert routing.on_redirect(extent_map, LIMITS, one, Redirect(2, 9), ALL).action is RouteAction.REFRESH
+    moved(extent_map, 3, 2)
+    assert routing.on_refresh(extent_map, LIMITS, one).action is RouteAction.FOLLOW
     assert one.shard == 3
 
 
-def test_two_nodes_that_point_at_each_other_end() -> None:
+def test_redirects_between_two_nodes_that_name_each_other_end() -> None:
     """With one version it waits for the source; with rising ones the count ends it."""
     one = route()
-    assert routing.redirected(held(), LIMITS, one, Redirect(2, 1), ALL).verdict is Verdict.FOLLOW
-    assert routing.redirected(held(), LIMITS, one, Redirect(2, 0), ALL).verdict is Verdict.WAIT
-    assert routing.refreshed(held(), LIMITS, one).verdict is Verdict.FOLLOW  # back to what the source says
-    assert (one.shard, one.piece.version, one.ahead) == (0, 1, False)
+    assert (
+        routing.on_redirect(map_of_extents(), LIMITS, one, Redirect(2, 1), ALL).action is RouteAction.FOLLOW
+    )
+    assert (
+        routing.on_redirect(map_of_extents(), LIMITS, one, Redirect(2, 0), ALL).action is RouteAction.REFRESH
+    )
+    assert (
+        routing.on_refresh(map_of_extents(), LIMITS, one).action is RouteAction.FOLLOW
+    )  # back to what the source says
+    assert (one.shard, one.piece.version, one.ahead_of_map) == (0, 1, False)
     one, count = route(), 0
     while True:
-        decision = routing.redirected(held(), LIMITS, one, Redirect(count + 2, count % 2), ALL)
+        decision = routing.on_redirect(map_of_extents(), LIMITS, one, Redirect(count + 2, count % 2), ALL)
         if decision is not routing.FOLLOW:
             break
         count += 1
-    assert (decision.cause, count) == (Cause.REDIRECTS, LIMITS.redirects)
+    assert (decision.reason, count) == (RouteRejectReason.TOO_MANY_REDIRECTS, LIMITS.redirects)
 
 
-def test_an_extent_that_moves_twice_on_the_way_and_one_that_comes_back() -> None:
-    atlas, one = held(), route()
-    assert routing.redirected(atlas, LIMITS, one, Redirect(2, 1), ALL).verdict is Verdict.FOLLOW
-    moved(atlas, 1, 2)
-    moved(atlas, 0, 3)  # back at the first node, under another version
-    assert routing.redirected(atlas, LIMITS, one, Redirect(3, 0), ALL).verdict is Verdict.FOLLOW
+def test_an_extent_that_moves_twice_and_returns_is_followed() -> None:
+    extent_map, one = map_of_extents(), route()
+    assert routing.on_redirect(extent_map, LIMITS, one, Redirect(2, 1), ALL).action is RouteAction.FOLLOW
+    moved(extent_map, 1, 2)
+    moved(extent_map, 0, 3)  # back at the first node, under another version
+    assert routing.on_redirect(extent_map, LIMITS, one, Redirect(3, 0), ALL).action is RouteAction.FOLLOW
     assert (one.shard, one.piece.version) == (0, 3)
 
 
-def test_a_refresh_that_is_lost_is_asked_for_again() -> None:
-    atlas, one = held(), route()
-    assert routing.redirected(atlas, LIMITS, one, Redirect(), ALL).verdict is Verdict.WAIT
-    assert routing.refreshed(atlas, LIMITS, one).verdict is Verdict.WAIT  # it brought nothing
-    moved(atlas, 1, 2)
-    assert routing.refreshed(atlas, LIMITS, one).verdict is Verdict.FOLLOW
+def test_a_refresh_that_brings_nothing_is_repeated() -> None:
+    extent_map, one = map_of_extents(), route()
+    assert routing.on_redirect(extent_map, LIMITS, one, Redirect(), ALL).action is RouteAction.REFRESH
+    assert routing.on_refresh(extent_map, LIMITS, one).action is RouteAction.REFRESH  # it brought nothing
+    moved(extent_map, 1, 2)
+    assert routing.on_refresh(extent_map, LIMITS, one).action is RouteAction.FOLLOW
 
 
-def test_a_move_that_both_claim_goes_by_the_higher_version_only() -> None:
+def test_of_two_owners_the_one_with_the_higher_version_is_used() -> None:
     """The old node still claims version 1 and the new one has 2: no word of 1 leads back."""
-    atlas, one = held(), route(2, 1)
-    moved(atlas, 1, 2)
-    assert routing.redirected(atlas, LIMITS, one, Redirect(1, 0), ALL).verdict is Verdict.WAIT
+    extent_map, one = map_of_extents(), route(2, 1)
+    moved(extent_map, 1, 2)
+    assert routing.on_redirect(extent_map, LIMITS, one, Redirect(1, 0), ALL).action is RouteAction.REFRESH
     assert (one.shard, one.piece.version) == (1, 2)
 
 
-def test_an_extent_that_was_cut_under_the_command_gives_up() -> None:
-    atlas = held()
-    atlas.apply(Change(1, 2, (Extent(0, 0, 3, 0, 2), Extent(0, 3, 7, 1, 2))))
+def test_a_route_whose_extent_was_split_is_rejected() -> None:
+    extent_map = map_of_extents()
+    extent_map.apply(Change(1, 2, (Extent(0, 0, 3, 0, 2), Extent(0, 3, 7, 1, 2))))
     for decision in (
-        routing.redirected(atlas, LIMITS, route(), Redirect(2, 0), ALL),
-        routing.refreshed(atlas, LIMITS, route()),
+        routing.on_redirect(extent_map, LIMITS, route(), Redirect(2, 0), ALL),
+        routing.on_refresh(extent_map, LIMITS, route()),
     ):
-        assert decision.cause is Cause.RESHAPED
+        assert decision.reason is RouteRejectReason.EXTENT_RESHAPED
 
 
-def test_what_waits_goes_by_the_map_and_what_flies_does_not() -> None:
-    atlas, one, two = held(), route(), route()
+def test_a_queued_route_follows_the_map_and_one_in_flight_does_not() -> None:
+    extent_map, one, two = map_of_extents(), route(), route()
     two.attempt_in_flight = True
-    moved(atlas, 3, 2)
-    assert routing.caught_up(atlas, one) and not routing.caught_up(atlas, one)
-    assert not routing.caught_up(atlas, two) and (one.shard, two.shard) == (3, 0)
+    moved(extent_map, 3, 2)
+    assert routing.follow_newer_map(extent_map, one) and not routing.follow_newer_map(extent_map, one)
+    assert not routing.follow_newer_map(extent_map, two) and (one.shard, two.shard) == (3, 0)
 
 
 # Refreshes
 
 
-def test_a_thousand_that_find_one_stale_entry_cause_one_refresh() -> None:
-    asked = Refreshes()
-    numbers = {asked.want((0, 0)) for _ in range(1000)}
-    batch = asked.begin(0)
-    assert numbers == {1} and batch is not None and batch.spots == ((0, 0),) and asked.begin(0) is None
+def test_a_thousand_requests_for_one_extent_cause_one_refresh() -> None:
+    queue = RefreshQueue()
+    numbers = {queue.enqueue((0, 0)) for _ in range(1000)}
+    batch = queue.start_batch(0)
+    assert numbers == {1} and batch is not None and batch.keys == ((0, 0),) and queue.start_batch(0) is None
     # One that asks while it is out takes part in the next: this one may have been read before its move.
-    assert asked.want((0, 0)) == 2 and asked.due() is None
-    assert asked.ended(10, True) == 1
-    assert asked.begin(10) is None and asked.due() == PAUSE_US
-    after = asked.begin(PAUSE_US)
+    assert queue.enqueue((0, 0)) == 2 and queue.next_start_us() is None
+    assert queue.finish_batch(10, True) == 1
+    assert queue.start_batch(10) is None and queue.next_start_us() == REFRESH_INTERVAL_US
+    after = queue.start_batch(REFRESH_INTERVAL_US)
     assert after is not None and after.number == 2
 
 
-def test_many_extents_go_in_batches_and_past_the_bound_nothing_waits() -> None:
-    asked = Refreshes()
-    numbers = [asked.want((0, n)) for n in range(WANTED_MAX + 3)]
-    assert numbers[-3:] == [None] * 3 and numbers[:WANTED_MAX] == [n // BATCH + 1 for n in range(WANTED_MAX)]
+def test_extents_are_refreshed_in_batches_and_rejected_past_the_bound() -> None:
+    queue = RefreshQueue()
+    numbers = [queue.enqueue((0, n)) for n in range(WAITING_EXTENTS_MAX + 3)]
+    assert numbers[-3:] == [None] * 3 and numbers[:WAITING_EXTENTS_MAX] == [
+        n // BATCH_EXTENTS_MAX + 1 for n in range(WAITING_EXTENTS_MAX)
+    ]
     now, seen = 0, 0
-    while (at := asked.due()) is not None:
+    while (at := queue.next_start_us()) is not None:
         now = max(now, at)
-        batch = asked.begin(now)
-        assert batch is not None and [numbers[spot[1]] for spot in batch.spots] == [batch.number] * BATCH
-        seen += len(batch.spots)
-        asked.ended(now, True)
-    assert seen == WANTED_MAX
-
-
-def test_the_pause_doubles_with_each_failure_up_to_a_top() -> None:
-    asked, now, pauses = Refreshes(), 0, []
+        batch = queue.start_batch(now)
+        assert (
+            batch is not None
+            and [numbers[spot[1]] for spot in batch.keys] == [batch.number] * BATCH_EXTENTS_MAX
+        )
+        seen += len(batch.keys)
+        queue.finish_batch(now, True)
+    assert seen == WAITING_EXTENTS_MAX
+
+
+def test_the_interval_doubles_with_each_failure_up_to_its_bound() -> None:
+    queue, now, pauses = RefreshQueue(), 0, []
     for _ in range(12):
-        asked.want((0, 0))
-        now = asked.due() or now
-        asked.begin(now)
-        asked.ended(now, False)
-        pauses.append(asked.next_us - now)
-    assert pauses[:3] == [PAUSE_US * 2, PAUSE_US * 4, PAUSE_US * 8] and pauses[-1] == PAUSE_TOP_US
-    asked.want((0, 0))
-    asked.begin(now + PAUSE_TOP_US)
-    asked.ended(now, True)
-    assert asked.failed == 0
-
-
-def test_a_map_behind_its_source_twice_has_lost_something() -> None:
-    judge = FreshnessCheck()
-    assert judge.told(5, 5) == (True, False)
-    assert judge.told(6, 5) == (False, False)  # the watch may be bringing it
-    assert judge.told(7, 6) == (False, False)  # it brought that one
-    assert judge.told(7, 6) == (False, True)
-    assert judge.told(8, 6) == (False, False)  # judged anew after the whole map
-    assert judge.told(-1, 6) == (True, False)
+        queue.enqueue((0, 0))
+        now = queue.next_start_us() or now
+        queue.start_batch(now)
+        queue.finish_batch(now, False)
+        pauses.append(queue.earliest_start_us - now)
+    assert (
+        pauses[:3] == [REFRESH_INTERVAL_US * 2, REFRESH_INTERVAL_US * 4, REFRESH_INTERVAL_US * 8]
+        and pauses[-1] == REFRESH_INTERVAL_MAX_US
+    )
+    queue.enqueue((0, 0))
+    queue.start_batch(now + REFRESH_INTERVAL_MAX_US)
+    queue.finish_batch(now, True)
+    assert queue.consecutive_failures == 0
+
+
+def test_a_map_that_is_still_behind_at_the_next_poll_has_missed_a_change() -> None:
+    check = FreshnessCheck()
+    assert check.check(5, 5) is Freshness.CONFIRMED
+    assert check.check(6, 5) is Freshness.BEHIND  # the watch may be bringing it
+    assert check.check(7, 6) is Freshness.BEHIND  # it brought that one
+    assert check.check(7, 6) is Freshness.CHANGE_MISSED
+    assert check.check(8, 6) is Freshness.BEHIND  # judged anew after the whole map
+    assert check.check(-1, 6) is Freshness.CONFIRMED
 
 
 # Joining
 
 
-def test_every_combination_of_the_ends_of_three_pieces() -> None:
+def test_every_combination_of_three_outcomes_gives_a_true_answer() -> None:
     """Stated as the rules say it, for each combination: what an answer promises must be true."""
     for writes in (False, True):
-        for a in End:
-            for b in End:
-                for c in End:
+        for a in PieceOutcome:
+            for b in PieceOutcome:
+                for c in PieceOutcome:
                     ends = [a, b, c]
                     got = joining.join(writes, ends, [3, 9, 4])
                     ran, all_ran = (
-                        [end in (End.GOOD, End.BAD, End.FAILED) for end in ends],
-                        [end in (End.GOOD, End.BAD) for end in ends],
+                        [
+                            end in (PieceOutcome.SUCCEEDED, PieceOutcome.NODE_ERROR, PieceOutcome.UNKNOWN)
+                            for end in ends
+                        ],
+                        [end in (PieceOutcome.SUCCEEDED, PieceOutcome.NODE_ERROR) for end in ends],
                     )
-                    if got.whole is JoinResult.SERVED:
-                        assert ends == [End.GOOD] * 3
-                    elif got.whole is JoinResult.REPORTED:
-                        assert ends[got.piece] is End.BAD and End.FAILED not in ends or not writes
-                        assert ends.index(End.BAD) == got.piece
-                        assert not writes or End.REFUSED not in ends
-                    elif got.whole is JoinResult.REFUSED:
+                    if got.result is JoinResult.SERVED:
+                        assert ends == [PieceOutcome.SUCCEEDED] * 3
+                    elif got.result is JoinResult.REPORTED:
+                        assert (
+                            ends[got.piece_index] is PieceOutcome.NODE_ERROR
+                            and PieceOutcome.UNKNOWN not in ends
+                            or not writes
+                        )
+                        assert ends.index(PieceOutcome.NODE_ERROR) == got.piece_index
+                        assert not writes or PieceOutcome.REJECTED not in ends
+                    elif got.result is JoinResult.REJECTED:
                         assert not writes or not any(ran), ends
                         assert got.backoff_us == 9 and not all(all_ran)
                     else:
-                        assert any(ran) and ends != [End.GOOD] * 3
+                        assert any(ran) and ends != [PieceOutcome.SUCCEEDED] * 3
                     if writes and any(ran) and not all_ran[0]:
-                        assert got.whole is not JoinResult.REFUSED
+                        assert got.result is not JoinResult.REJECTED
     with pytest.raises(ValueError, match="at least one"):
         joining.join(True, [])
 
@@ -388,23 +421,27 @@
 @pytest.mark.parametrize(
     ("writes", "ends", "whole"),
     [
-        (True, [End.GOOD, End.REFUSED, End.UNSENT], JoinResult.FAILED),
-        (True, [End.REFUSED, End.UNSENT], JoinResult.REFUSED),
-        (True, [End.GOOD, End.FAILED], JoinResult.FAILED),
-        (True, [End.BAD, End.UNSENT], JoinResult.REPORTED),
-        (True, [End.GOOD, End.UNSENT], JoinResult.FAILED),
-        (False, [End.GOOD, End.REFUSED], JoinResult.REFUSED),
-        (False, [End.GOOD, End.FAILED], JoinResult.FAILED),
-        (False, [End.REFUSED, End.BAD], JoinResult.REPORTED),
-        (True, [End.GOOD, End.GOOD], JoinResult.SERVED),
+        (True, [PieceOutcome.SUCCEEDED, PieceOutcome.REJECTED, PieceOutcome.NOT_SENT], JoinResult.FAILED),
+        (True, [PieceOutcome.REJECTED, PieceOutcome.NOT_SENT], JoinResult.REJECTED),
+        (True, [PieceOutcome.SUCCEEDED, PieceOutcome.UNKNOWN], JoinResult.FAILED),
+        (True, [PieceOutcome.NODE_ERROR, PieceOutcome.NOT_SENT], JoinResult.REPORTED),
+        (True, [PieceOutcome.SUCCEEDED, PieceOutcome.NOT_SENT], JoinResult.FAILED),
+        (False, [PieceOutcome.SUCCEEDED, PieceOutcome.REJECTED], JoinResult.REJECTED),
+        (False, [PieceOutcome.SUCCEEDED, PieceOutcome.UNKNOWN], JoinResult.FAILED),
+        (False, [PieceOutcome.REJECTED, PieceOutcome.NODE_ERROR], JoinResult.REPORTED),
+        (True, [PieceOutcome.SUCCEEDED, PieceOutcome.SUCCEEDED], JoinResult.SERVED),
     ],
 )
-def test_joined_ends(writes: bool, ends: list[End], whole: JoinResult) -> None:
-    assert joining.join(writes, ends).whole is whole
-
-
-def test_a_write_goes_on_only_while_all_went_well() -> None:
-    assert joining.goes_on(True, []) and joining.goes_on(True, [End.GOOD])
-    assert not any(joining.goes_on(True, [End.GOOD, end]) for end in End if end is not End.GOOD)
-    assert joining.goes_on(False, [End.REFUSED])
-    assert joining.join(False, [End.GOOD]) == Joined(JoinResult.SERVED)
+def test_joined_outcomes(writes: bool, ends: list[PieceOutcome], whole: JoinResult) -> None:
+    assert joining.join(writes, ends).result is whole
+
+
+def test_a_write_continues_only_while_every_piece_succeeded() -> None:
+    assert joining.may_continue(True, []) and joining.may_continue(True, [PieceOutcome.SUCCEEDED])
+    assert not any(
+        joining.may_continue(True, [PieceOutcome.SUCCEEDED, end])
+        for end in PieceOutcome
+        if end is not PieceOutcome.SUCCEEDED
+    )
+    assert joining.may_continue(False, [PieceOutcome.REJECTED])
+    assert joining.join(False, [PieceOutcome.SUCCEEDED]) == JoinedOutcome(JoinResult.SERVED)
