--- a/tests/test_format_operator_file.py
+++ b/tests/formats/test_format_operator_file.py
@@ -22,7 +22,7 @@
 from lemonridge.config.errors import ConfigError
 from lemonridge.config.operator_schema import FleetFile, OperatorFile, SecretsFile, read
 
-ROOT = Path(__file__).resolve().parent.parent
+ROOT = Path(__file__).resolve().parents[2]
 
 # Every key once, none of them at its default.
 ALL_KEYS = """\
