--- a/lemonridge/cli/simulator.py
+++ b/lemonridge/cli/simulator.py
@@ -81,7 +81,7 @@
         endpoint_id=row[5],
         shard=row[4],
         zone=row[6],
-        condition=ENDPOINT_STATES[row[1]],
+        state=ENDPOINT_STATES[row[1]],
         started_us=row[3] or 0,
     )
 
--- a/lemonridge/config/operator_rows.py
+++ b/lemonridge/config/operator_rows.py
@@ -38,7 +38,7 @@
         endpoint_id=row.name,
         shard=row.shard,
         zone=0,
-        condition=ENDPOINT_STATES[row.health],
+        state=ENDPOINT_STATES[row.health],
         started_us=row.started_ms * 1000,
     )
     return EndpointAddress(endpoint, f"{address}/{row.target}")
--- a/lemonridge/coordination/etcd_source.py
+++ b/lemonridge/coordination/etcd_source.py
@@ -80,7 +80,7 @@
             removed = self._endpoints.pop(name, None)
             if removed is None:
                 return None
-            return replace(removed, endpoint=replace(removed.endpoint, condition=EndpointState.REMOVED))
+            return replace(removed, endpoint=replace(removed.endpoint, state=EndpointState.REMOVED))
         try:
             row = orjson.loads(event.value)
             if isinstance(row, dict):
--- a/lemonridge/core/endpoint_registry.py
+++ b/lemonridge/core/endpoint_registry.py
@@ -79,7 +79,7 @@
             self._source_list, self._endpoints = {}, {}
         new = [one for one in changes if before.get(one.endpoint.endpoint_id) != one]
         for change in changes:
-            if change.endpoint.condition is EndpointState.REMOVED:
+            if change.endpoint.state is EndpointState.REMOVED:
                 self._source_list.pop(change.endpoint.endpoint_id, None)
             else:
                 self._source_list[change.endpoint.endpoint_id] = change
@@ -106,7 +106,7 @@
                 "endpoint listed",
                 extra={
                     "endpoint": endpoint.endpoint_id,
-                    "state": endpoint.condition.value,
+                    "state": endpoint.state.value,
                     "shard": endpoint.shard,
                     "started_us": endpoint.started_us,
                     "address": change.address,
@@ -128,7 +128,7 @@
         """Applies the bans to these endpoints, and gives them to the scheduler."""
         changes = [EndpointAddress(self._maintenance.apply(one.endpoint), one.address) for one in changes]
         for change in changes:
-            if change.endpoint.condition is EndpointState.REMOVED:
+            if change.endpoint.state is EndpointState.REMOVED:
                 self._endpoints.pop(change.endpoint.endpoint_id, None)
             else:
                 self._endpoints[change.endpoint.endpoint_id] = change
@@ -192,7 +192,7 @@
     def address(self, endpoint_id: str) -> str | None:
         """Where to send new work for an endpoint; None where it may get none."""
         listing = self._endpoints.get(endpoint_id)
-        if listing is None or listing.endpoint.condition is not EndpointState.ACTIVE:
+        if listing is None or listing.endpoint.state is not EndpointState.ACTIVE:
             return None
         return listing.address
 
@@ -206,12 +206,12 @@
         return frozenset(
             one.endpoint.shard
             for one in self._endpoints.values()
-            if one.endpoint.condition is EndpointState.ACTIVE
+            if one.endpoint.state is EndpointState.ACTIVE
         )
 
     def shard_state(self, shard: int) -> EndpointState:
         """The best state among a shard's endpoints; `REMOVED` where it has none."""
-        found = {one.endpoint.condition for one in self._endpoints.values() if one.endpoint.shard == shard}
+        found = {one.endpoint.state for one in self._endpoints.values() if one.endpoint.shard == shard}
         for state in (EndpointState.ACTIVE, EndpointState.DRAINING):
             if state in found:
                 return state
--- a/lemonridge/lab/model/baselines.py
+++ b/lemonridge/lab/model/baselines.py
@@ -72,7 +72,7 @@
             self._nodes = {}
         for entry in event.entries:
             self._nodes[entry.endpoint_id] = entry
-        usable = [one for one in self._nodes.values() if one.condition is EndpointState.ACTIVE]
+        usable = [one for one in self._nodes.values() if one.state is EndpointState.ACTIVE]
         self._all, self._shards = [one.endpoint_id for one in usable], {}
         for one in usable:
             self._shards.setdefault(one.shard, []).append(one.endpoint_id)
--- a/lemonridge/lab/soak_mutants.py
+++ b/lemonridge/lab/soak_mutants.py
@@ -36,7 +36,7 @@
     real = EndpointRegistry._publish
 
     def tell(self: EndpointRegistry, kind: EndpointListUpdate, changes: list[EndpointAddress]) -> None:
-        real(self, kind, [one for one in changes if one.endpoint.condition is EndpointState.ACTIVE])
+        real(self, kind, [one for one in changes if one.endpoint.state is EndpointState.ACTIVE])
 
     EndpointRegistry._publish = tell  # type: ignore[method-assign]
 
--- a/lemonridge/net/discovery_format.py
+++ b/lemonridge/net/discovery_format.py
@@ -84,10 +84,10 @@
         endpoint_id=endpoint_id,
         shard=shard,
         zone=_zone_number(row["site"], zones),
-        condition=ENDPOINT_STATES[row["health"]],
+        state=ENDPOINT_STATES[row["health"]],
         started_us=int(started_ms) * 1000,
     )
-    if endpoint.condition is EndpointState.REMOVED:
+    if endpoint.state is EndpointState.REMOVED:
         return EndpointAddress(endpoint, "")  # nobody connects to it
     return EndpointAddress(endpoint, str(Address.parse(row["dial"], "'dial'")))
 
--- a/lemonridge/operate/handover_format.py
+++ b/lemonridge/operate/handover_format.py
@@ -89,7 +89,7 @@
                 row.endpoint.endpoint_id,
                 row.endpoint.shard,
                 row.endpoint.zone,
-                WORD_OF_STATE[row.endpoint.condition],
+                WORD_OF_STATE[row.endpoint.state],
                 row.endpoint.started_us,
                 row.address,
             ]
--- a/lemonridge/operate/maintenance.py
+++ b/lemonridge/operate/maintenance.py
@@ -86,8 +86,8 @@
         late: until it does, the endpoint counts as started with its return, so that its slow start is whole.
         """
         if endpoint.endpoint_id in self._banned:
-            active = endpoint.condition is EndpointState.ACTIVE
-            return replace(endpoint, condition=EndpointState.DRAINING) if active else endpoint
+            active = endpoint.state is EndpointState.ACTIVE
+            return replace(endpoint, state=EndpointState.DRAINING) if active else endpoint
         returned = self._returned.get(endpoint.endpoint_id)
         if returned is not None and endpoint.started_us < returned.banned_us:
             return replace(endpoint, started_us=returned.returned_us)
--- a/lemonridge/scheduling/endpoint.py
+++ b/lemonridge/scheduling/endpoint.py
@@ -39,7 +39,7 @@
 
     def __init__(self, entry: Endpoint, window: float) -> None:
         self.id, self.shard, self.zone = entry.endpoint_id, entry.shard, entry.zone
-        self.state = entry.condition
+        self.state = entry.state
         self.registered = False
         self.window = window
         self.window_reduced_us = 0
--- a/lemonridge/scheduling/endpoint_list.py
+++ b/lemonridge/scheduling/endpoint_list.py
@@ -87,10 +87,10 @@
         fresh = entry.started_us and entry.started_us + settings.slow_start_ramp_us > now_us
         if fresh and (began_us is None or entry.started_us > began_us):
             self._slow_start.begin(endpoint, entry.started_us)
-        if entry.condition is not EndpointState.ACTIVE:
+        if entry.state is not EndpointState.ACTIVE:
             self._slow_start.freeze_baseline_traffic(endpoint.shard)
         self._register(endpoint, entry.shard)
-        endpoint.zone, endpoint.state = entry.zone, entry.condition
+        endpoint.zone, endpoint.state = entry.zone, entry.state
         self.remove_if_idle(endpoint)
 
     def _register(self, endpoint: TrackedEndpoint, shard: int) -> None:
--- a/lemonridge/scheduling/events.py
+++ b/lemonridge/scheduling/events.py
@@ -166,7 +166,7 @@
     endpoint_id: str
     shard: int
     zone: int
-    condition: EndpointState
+    state: EndpointState
     started_us: int
 
 
--- a/tests/formats/test_format_etcd.py
+++ b/tests/formats/test_format_etcd.py
@@ -212,13 +212,13 @@
 
         self.assertIs(kind, EndpointListUpdate.SNAPSHOT)
         self.assertEqual((one.endpoint.endpoint_id, one.endpoint.shard), ("n1", 3))
-        self.assertIs(one.endpoint.condition, EndpointState.DRAINING)
+        self.assertIs(one.endpoint.state, EndpointState.DRAINING)
         self.assertEqual(one.endpoint.started_us, 1_700_000_000_123_000)
         self.assertEqual(one.address, "127.0.0.1:3260/iqn.2026-12.org.lemonridge:n1")
         self.assertEqual(
             (other.endpoint.endpoint_id, other.endpoint.shard, other.endpoint.started_us), ("n2", 0, 0)
         )
-        self.assertIs(other.endpoint.condition, EndpointState.ACTIVE)
+        self.assertIs(other.endpoint.state, EndpointState.ACTIVE)
 
     def test_a_plan_is_read(self) -> None:
         told = self.plans(
--- a/tests/formats/test_format_handover.py
+++ b/tests/formats/test_format_handover.py
@@ -21,8 +21,8 @@
 from lemonridge.scheduling.events import Endpoint, EndpointState, LimitLevel
 
 
-def row(number: int, condition: EndpointState) -> handover.HandedOverEndpoint:
-    endpoint = Endpoint(endpoint_id=f"s-{number}", shard=3, zone=1, condition=condition, started_us=9)
+def row(number: int, state: EndpointState) -> handover.HandedOverEndpoint:
+    endpoint = Endpoint(endpoint_id=f"s-{number}", shard=3, zone=1, state=state, started_us=9)
     return handover.HandedOverEndpoint(endpoint=endpoint, address=f"127.0.0.1:{number}")
 
 
--- a/tests/operate/test_maintenance.py
+++ b/tests/operate/test_maintenance.py
@@ -11,8 +11,8 @@
 from lemonridge.scheduling.events import Endpoint, EndpointState
 
 
-def endpoint(started_us: int = 0, condition: EndpointState = EndpointState.ACTIVE) -> Endpoint:
-    return Endpoint("s-1", 0, 0, condition, started_us)
+def endpoint(started_us: int = 0, state: EndpointState = EndpointState.ACTIVE) -> Endpoint:
+    return Endpoint("s-1", 0, 0, state, started_us)
 
 
 class Bans(unittest.TestCase):
@@ -21,11 +21,11 @@
         self.assertFalse(bans.enable("s-1", 5))
         for now in (10, 20):
             self.assertTrue(bans.disable("s-1", now))
-        for condition in EndpointState:
-            self.assertIsNot(bans.apply(endpoint(condition=condition)).condition, EndpointState.ACTIVE)
-        self.assertIs(bans.apply(endpoint(condition=EndpointState.REMOVED)).condition, EndpointState.REMOVED)
+        for state in EndpointState:
+            self.assertIsNot(bans.apply(endpoint(state=state)).state, EndpointState.ACTIVE)
+        self.assertIs(bans.apply(endpoint(state=EndpointState.REMOVED)).state, EndpointState.REMOVED)
         self.assertTrue(bans.enable("s-1", 30))
-        self.assertIs(bans.apply(endpoint()).condition, EndpointState.ACTIVE)
+        self.assertIs(bans.apply(endpoint()).state, EndpointState.ACTIVE)
 
     def test_a_returned_endpoint_counts_as_started_until_discovery_has_its_start(self) -> None:
         bans = Maintenance()
--- a/tests/scheduling/test_many_brokers_one_node.py
+++ b/tests/scheduling/test_many_brokers_one_node.py
@@ -50,10 +50,10 @@
         kind: EndpointListUpdate,
         started_us: int,
         node: str = "a",
-        condition: EndpointState = EndpointState.ACTIVE,
+        state: EndpointState = EndpointState.ACTIVE,
         hosts: slice = slice(None),
     ) -> None:
-        entry = Endpoint(node, 0, 0, condition, started_us)
+        entry = Endpoint(node, 0, 0, state, started_us)
         for n, host in list(enumerate(self.hosts))[hosts]:
             self.take(n, host.handle(self.now, [EndpointsChanged(kind, (entry,))]))
 
@@ -120,7 +120,7 @@
     """A node goes and its successor comes, told `late_us` after its start."""
     fleet = Fleet(hosts)
     fleet.run(FAIL_US, 60.0)
-    fleet.tell(EndpointListUpdate.DELTA, 0, condition=EndpointState.DRAINING)
+    fleet.tell(EndpointListUpdate.DELTA, 0, state=EndpointState.DRAINING)
     fleet.run(1_000_000, 150.0)
     born = fleet.now
     fleet.run(late_us, 150.0)
