--- a/lemonridge/core/decision_host.py
+++ b/lemonridge/core/decision_host.py
@@ -165,7 +165,7 @@
             return False
         if self.lease_guard is not None and self.lease_guard.epoch(mailbox.decided_at_s) is None:
             return False
-        return self._scheduler.begins(self.clock.now_us(), mailbox.name, number)
+        return self._scheduler.may_begin(self.clock.now_us(), mailbox.name, number)
 
     def deliver(self, event: Event) -> None:
         """Queues an event for the scheduler, which gets it at the end of this turn of the loop."""
--- a/lemonridge/scheduling/context.py
+++ b/lemonridge/scheduling/context.py
@@ -23,7 +23,7 @@
 
     Attributes:
         settings: The settings in force.
-        host_confirms_start: The host calls `Scheduler.begins` before the first byte of each attempt;
+        host_confirms_start: The host calls `Scheduler.may_begin` before the first byte of each attempt;
             otherwise an attempt starts when it is sent.
         first_byte_delay_us: The longest time between that moment and the first byte.
         now_us: The time of the events that are handled.
--- a/lemonridge/scheduling/scheduler.py
+++ b/lemonridge/scheduling/scheduler.py
@@ -56,7 +56,7 @@
     Args:
         settings: The settings to start with.
         seed: Of its random numbers.
-        host_confirms_start: The host calls `begins` before the first byte of each attempt; otherwise an
+        host_confirms_start: The host calls `may_begin` before the first byte of each attempt; otherwise an
             attempt starts when it is sent.
     """
 
@@ -141,7 +141,7 @@
         self._set_host_timer()
         return context.actions
 
-    def begins(self, now_us: int, request: str, attempt: int) -> bool:
+    def may_begin(self, now_us: int, request: str, attempt: int) -> bool:
         """Whether an attempt may still begin; asked right before its first byte.
 
         Args:
--- a/tests/core/core_case.py
+++ b/tests/core/core_case.py
@@ -30,7 +30,7 @@
         self.batches.append(events)
         return [action for event in events for action in self.react(event)]
 
-    def begins(self, _: int, __: str, ___: int) -> bool:
+    def may_begin(self, _: int, __: str, ___: int) -> bool:
         return self.allows
 
     def of(self, kind: type) -> list[Event]:
--- a/tests/formats/test_format_settings.py
+++ b/tests/formats/test_format_settings.py
@@ -4,7 +4,7 @@
 from a name of the code are only the three keys of the file that a variable goes before: a running program
 compares `name`, `listen` and `discovery` with the fields of `PlatformConfig` that have the same names
 (`getattr` in `platform.load`), and the variables are these keys in capitals. The words of `classes.group` and
-of a endpoint's state are values of `DeduplicationScope` and `EndpointState`, not names.
+of an endpoint's state are values of `DeduplicationScope` and `EndpointState`, not names.
 """
 
 from __future__ import annotations
--- a/tests/scheduling/test_limits.py
+++ b/tests/scheduling/test_limits.py
@@ -105,7 +105,7 @@
         rig.arrive(1, shard=shard, plan=1, units=5.0)
         rig.now_us += 1_000_000  # time to fill up again
         rig.volume(1).bucket.refill(rig.now_us)
-    assert [rig.scheduler.begins(rig.now_us, name, 0) for name in ("r1", "r2")] == [True, True]
+    assert [rig.scheduler.may_begin(rig.now_us, name, 0) for name in ("r1", "r2")] == [True, True]
     bucket = rig.volume(1).bucket
     assert bucket.tokens == pytest.approx(bucket.capacity - 10.0)
     rig.now_us += 100_000
@@ -133,7 +133,7 @@
         return tokens
 
     assert ended(0, AttemptResult.CONNECT_FAILED, False) == bucket.capacity  # as if it had not been sent
-    assert rig.scheduler.begins(rig.now_us, name, 1) and bucket.refill(rig.now_us) == pytest.approx(
+    assert rig.scheduler.may_begin(rig.now_us, name, 1) and bucket.refill(rig.now_us) == pytest.approx(
         bucket.capacity - 5.0
     )
     assert ended(1, AttemptResult.RESET, True) == pytest.approx(bucket.capacity - 5.0)
@@ -181,7 +181,7 @@
     assert len(rig.scheduler.open_attempts) == len(names) and bucket.capacity == 44.0
     rig.now_us += 5_000_000  # time to fill up again
     for name in names:
-        assert rig.scheduler.begins(rig.now_us, name, 0)
+        assert rig.scheduler.may_begin(rig.now_us, name, 0)
         rig.end_attempt(name, AttemptResult.RESET)
     sent = sends(rig.advance(2_000_000))
     assert sorted(sent) == sorted(names)
--- a/tests/scheduling/test_recorded_trace.py
+++ b/tests/scheduling/test_recorded_trace.py
@@ -238,7 +238,7 @@
         return [plain(action) for action in self._scheduler.handle(now_us, events)]
 
     def begins(self, now_us: int, request: str, attempt: int) -> bool:
-        return self._scheduler.begins(now_us, request, attempt)
+        return self._scheduler.may_begin(now_us, request, attempt)
 
     def export_limits(self) -> list[tuple[int, float, float, int]]:
         return plain_levels(self._scheduler.export_limits())
--- a/tests/scheduling/test_slow_start_budget.py
+++ b/tests/scheduling/test_slow_start_budget.py
@@ -177,7 +177,7 @@
     def begin(self, number: int, incarnation: int, action: Send, attempt: int) -> None:
         if self.incarnations[number] != incarnation:
             return
-        begun = self.brokers[number].begins(self.now_us, action.request, attempt)
+        begun = self.brokers[number].may_begin(self.now_us, action.request, attempt)
         endpoint, units = self.endpoints[action.endpoint_id], self.units[action.request]
         answered_us = endpoint.receive(units, self.now_us) if begun else None
         result = (
