--- a/lemonridge/scheduling/__init__.py
+++ b/lemonridge/scheduling/__init__.py
@@ -1,29 +1,29 @@
-"""The decisions of one host's I/O scheduler, pure: a time and events in, actions out.
+"""The I/O scheduler of one host: a deterministic state machine that turns a time and events into actions.
 
-The interface:
-    `events`, `actions`, `settings`: what goes in, what comes out, and what it goes by.
-    `scheduler`: the state machine that applies events and timers; the place to start reading.
+Interface:
+    `events`, `actions`, `settings`: the inputs, the outputs and the configuration.
+    `scheduler`: the state machine that applies events and timers; start reading here.
 
 Requests:
-    `request_lifecycle`: arrival, attempts, retries, migration, final answer.
-    `admission`: the objective of a request that arrives, and its rejection by its limit.
-    `final_answers`: a rejection or a failure, and Retry-After.
-    `retries`, `retry_budget`: whether a request may be attempted again, and when.
-    `key_order`: one request of an ordering key at a time.
-    `requests`: a request, its queue and its volume.
+    `request_lifecycle`: arrival, attempts, retries, migration and final answer.
+    `admission`: the objective of an arriving request, and its rejection by the limit of its volume.
+    `final_answers`: rejection or failure, and Retry-After.
+    `retries`, `retry_budget`: whether and when a request may be retried.
+    `key_order`: serial execution of requests with the same ordering key.
+    `requests`: the state of a request, its queue and its volume.
 
 Queues and limits:
-    `volume_queues`: which request is sent next, and which waits in vain.
-    `volume_limits`, `token_bucket`: the limits of volumes and this host's part of them.
+    `volume_queues`: which request is sent next, and which requests expire.
+    `volume_limits`, `token_bucket`: the limits of volumes and this host's share of them.
 
 Endpoints:
-    `endpoint_list`, `list_polling`: the endpoints that discovery lists.
-    `endpoint_health`: which endpoint to send to; windows, silence, probes.
-    `slow_start`: what may be sent to an endpoint that has started anew.
-    `endpoint`, `rate_estimators`: what is known of one, and estimates of rates.
+    `endpoint_list`, `list_polling`: the endpoints listed by discovery.
+    `endpoint_health`: selection of endpoints; windows, silence and probes.
+    `slow_start`: how much may be sent to a restarted endpoint.
+    `endpoint`, `rate_estimators`: the state of an endpoint, and estimators of rates.
 
 Shared:
-    `context`, `timers`.
+    `context`, `timers`: shared state and the timer queue.
 """
 
 from __future__ import annotations
--- a/lemonridge/scheduling/actions.py
+++ b/lemonridge/scheduling/actions.py
@@ -1,6 +1,6 @@
-"""The actions that the decisions ask of the host, and the reasons of a rejection.
+"""The actions that the scheduler requests from the host, and the reasons for rejections.
 
-All times are whole microseconds of the host's clock.
+All times are integer microseconds of the host's clock.
 """
 
 from __future__ import annotations
@@ -10,20 +10,21 @@
 
 
 class RejectReason(Enum):
-    """Why a request was rejected, and where that is decided; the values are the words of the counters.
+    """Why a request was rejected, and which method decides it. The values are part of the counter names.
 
     Attributes:
-        LIMIT_EXCEEDED: Its volume's limit has no capacity in time: `Admission.exceeds_limit`.
-        SLOW_START: Its endpoint is in slow start, and the wait for this host's budget there is too long:
+        LIMIT_EXCEEDED: The limit of the volume has no capacity in time: `Admission.exceeds_limit`.
+        SLOW_START: The endpoint is in slow start, and the wait for this host's budget is too long:
             `VolumeQueues.expire`.
-        OBJECTIVE_MISSED: No endpoint had a free slot in time, or the volume's limit stayed empty after the
-            request was admitted: `VolumeQueues.expire`, and `VolumeQueues.may_wait_until_us` for how long it
-            waits.
-        ATTEMPTS_EXHAUSTED: Its class, its attempts, the budgets or its time allow no retry:
-            `RetryRules.another_attempt_allowed`.
+        OBJECTIVE_MISSED: No endpoint had a free slot in time, or the limit of the volume had no capacity
+            after the request was admitted: `VolumeQueues.expire`. `VolumeQueues.may_wait_until_us` determines
+            how long the request waits.
+        ATTEMPTS_EXHAUSTED: The request's class, its number of attempts, the retry budgets or the time left
+            allow no retry: `RetryRules.another_attempt_allowed`.
         OVERLOADED: More requests are open than the host may hold: `RequestLifecycle.shed_load`.
-        DEADLINE_EXCEEDED: Its deadline came without a response: `Scheduler._on_request_deadline`.
-        ROUTE_UNKNOWN: Nobody can say in time where its data is: `RequestLifecycle.migrate`.
+        DEADLINE_EXCEEDED: The deadline passed without a response: `Scheduler._on_request_deadline`.
+        ROUTE_UNKNOWN: The shard that holds the data is not known in time:
+            `RequestLifecycle.handle_migration`.
     """
 
     LIMIT_EXCEEDED = "limit_exceeded"
@@ -37,7 +38,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Send:
-    """Make an attempt, which lasts until the request's deadline at most."""
+    """Send an attempt to an endpoint. The attempt lasts until the deadline of the request at most.
+
+    Attributes:
+        request: The id of the request.
+        endpoint_id: The id of the endpoint.
+    """
 
     request: str
     endpoint_id: str
@@ -45,7 +51,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Cancel:
-    """Cancel an attempt; its `AttemptEnded` follows."""
+    """Cancel an attempt; the host reports its end with an `AttemptEnded` event.
+
+    Attributes:
+        request: The id of the request.
+        attempt: The number of the attempt, starting at 0.
+    """
 
     request: str
     attempt: int
@@ -53,12 +64,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Reject:
-    """Final answer: not done, and a retry does no harm.
+    """Final answer: the request is rejected, and the client can safely retry it.
 
     Attributes:
-        request: The request's id.
-        backoff_us: When the client should come back (Retry-After); 0: no advice.
-        reason: Why.
+        request: The id of the request.
+        backoff_us: After how many microseconds the client should retry (Retry-After); 0 if none is given.
+        reason: The reason for the rejection.
     """
 
     request: str
@@ -68,7 +79,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Fail:
-    """Final answer: failed, and it may have run."""
+    """Final answer: the request failed, and it may have been executed.
+
+    Attributes:
+        request: The id of the request.
+        reason: The reason for the failure.
+    """
 
     request: str
     reason: RejectReason
@@ -76,26 +92,30 @@
 
 @dataclass(frozen=True, slots=True)
 class SetTimer:
-    """Send `TimerFired` at or after a time."""
+    """Send a `TimerFired` event at or after a given time.
+
+    Attributes:
+        at_us: The time.
+    """
 
     at_us: int
 
 
 @dataclass(frozen=True, slots=True)
 class Subscribe:
-    """Watch the endpoint list, and send its changes as `EndpointsChanged`."""
+    """Watch the endpoint list, and report its changes as `EndpointsChanged` events."""
 
 
 @dataclass(frozen=True, slots=True)
 class SlowStartBegan:
-    """An endpoint's slow start has begun for this host, which may lend its part to others.
+    """The slow start of an endpoint has begun; this host may lend its share of the budget to other hosts.
 
     Attributes:
-        endpoint_id: The endpoint.
-        shard: Its shard.
-        began_us: When the endpoint started.
-        rate: This host's part there, in units a second.
-        until_us: When the slow start ends.
+        endpoint_id: The id of the endpoint.
+        shard: The shard of the endpoint.
+        began_us: The time at which the endpoint started.
+        rate: The rate of this host's share, in units per second.
+        until_us: The time at which the slow start ends.
     """
 
     endpoint_id: str
--- a/lemonridge/scheduling/admission.py
+++ b/lemonridge/scheduling/admission.py
@@ -1,4 +1,4 @@
-"""What is decided about a request as it arrives: its latency objective, and whether its limit admits it."""
+"""Decisions about an arriving request: its latency objective and whether its volume's limit admits it."""
 
 from __future__ import annotations
 
@@ -9,32 +9,36 @@
 
 
 class Admission:
-    """The rules for a request that arrives."""
+    """Estimates the latency objective of an arriving request and checks the limit of its volume."""
 
     def __init__(self, context: DecisionContext) -> None:
         self._context = context
-        self._longest_deadline_us: list[int] = []  # the longest time left seen at an arrival, by class
+        self._longest_time_left_us: list[int] = []  # longest time until the deadline at any arrival, by class
 
     def configure(self, settings: Settings) -> None:
-        """Applies new settings, whose classes may be numbered anew."""
-        self._longest_deadline_us = [0] * len(settings.classes)
+        """Applies new settings and resets the statistics of each class, as classes may have new indices."""
+        self._longest_time_left_us = [0] * len(settings.classes)
 
     def objective_at_us(self, event: RequestArrived, request_class: RequestClass) -> int:
-        """Estimates when the latency objective of a request ends.
+        """Returns the estimated time at which the latency objective of a request ends, in microseconds.
 
-        The objective counts from the client's first attempt. The first attempt is taken to have had the
-        longest time that was seen in the class, so a request with less time left began that much earlier.
-        Any client may give less time, so the estimate decides the order of requests alone and rejects none.
+        The objective is measured from the client's first attempt. The estimate assumes that the first attempt
+        had the longest time until its deadline that was seen in the class. A request with less time left is
+        assumed to be a retry whose first attempt was sent earlier by the difference. As a client may also
+        choose a shorter deadline, the estimate only affects the order of requests and never rejects one.
         """
-        left_us = event.deadline_us - self._context.now_us
-        longest_us = min(request_class.deadline_us, max(self._longest_deadline_us[event.cls], left_us))
-        self._longest_deadline_us[event.cls] = longest_us
-        return event.deadline_us - longest_us + request_class.latency_objective_us
+        time_left_us = event.deadline_us - self._context.now_us
+        first_time_left_us = min(
+            request_class.deadline_us, max(self._longest_time_left_us[event.cls], time_left_us)
+        )
+        self._longest_time_left_us[event.cls] = first_time_left_us
+        return event.deadline_us - first_time_left_us + request_class.latency_objective_us
 
     def exceeds_limit(self, request: Request) -> bool:
-        """Whether a request's limit will have no capacity for it before it is of no use.
+        """Returns whether the volume's limit has no capacity for a request before the request expires.
 
-        It is rejected at once then: a surge would otherwise fill the queues with requests that expire.
+        Such a request is rejected on arrival. Otherwise a surge would fill the queues with requests that
+        expire.
         """
         volume, now_us = request.volume, self._context.now_us
         if not volume.plan.limit:
--- a/lemonridge/scheduling/endpoint.py
+++ b/lemonridge/scheduling/endpoint.py
@@ -1,4 +1,4 @@
-"""What this host knows of one endpoint."""
+"""The state of one endpoint, as observed by this host."""
 
 from __future__ import annotations
 
@@ -8,33 +8,42 @@
 
 
 class TrackedEndpoint:
-    """The state of one endpoint, as this host sees it.
+    """The state of one endpoint, as observed by this host.
 
     Attributes:
-        state: What the endpoint list says.
-        registered: It is in the endpoint list, under its shard.
-        window: How many attempts may be open there; below 1 it is a pause after each response.
-        window_reduced_us: When the window was last reduced; results of earlier attempts no longer reduce it.
-        cooldown_until_us: Until when a window below 1 pauses.
-        open_attempts: Attempts of this host that count against the window.
-        expected_responses: Of these, those with time enough for their silence to say something.
-        silent_since_us: Since when such responses are out and none has come; None without any.
-        outstanding_by_report: Requests of all hosts there, by its last load report.
-        latency_ewma_us: The latency of a request of mean size, averaged; 0 before the first response.
-        latency_deviation_us: The mean deviation of that.
+        id: The id of the endpoint.
+        shard: The shard of the endpoint.
+        zone: The zone of the endpoint.
+        state: The state of the endpoint in the endpoint list.
+        registered: Whether the endpoint is registered in `EndpointList`, under its shard.
+        window: How many attempts may be open at the endpoint. A window below 1 means a pause after each
+            response.
+        window_reduced_us: The time of the last reduction of the window. The results of attempts that were
+            sent earlier do not reduce it again.
+        cooldown_until_us: The time at which the pause ends if the window is below 1.
+        open_attempts: The number of open attempts of this host that count against the window.
+        expected_responses: The number of those attempts whose missing response counts against the endpoint.
+        silent_since_us: The start of the time during which responses have been expected and none has arrived,
+            or None if no response is expected.
+        reported_outstanding: The outstanding requests of all hosts at the endpoint, by its last load report.
+        latency_ewma_us: The moving average of the latency of a request of mean size; 0 before the first
+            response.
+        latency_deviation_us: The moving average of the absolute deviation from `latency_ewma_us`.
         largest_open_size: The relative size of the largest open request.
-        next_probe_us: When a suspect endpoint is probed next.
-        probe_count: Probes since its last response, at most 16.
-        connect_failures: Failed connects since its last response.
-        unreachable_since_us: When the first of them failed.
-        last_response_us: When its last response came.
-        slow_start_began_us: The start of its slow start; None when it is warm.
-        slow_start_sent: What was sent to it within the overload window of the settings, in units.
-        slow_start_tokens: What this host may send to it in slow start, in units; negative is a debt.
-        slow_start_rate: How fast that refills, in units a microsecond.
-        slow_start_refilled_us: When it was last refilled.
-        capacity_fraction: The part of its full capacity that it has at least.
-        borrowed_quota: What other hosts lend this host there, less what it lends: units a microsecond.
+        next_probe_us: The earliest time of the next probe, if the endpoint is suspect.
+        probe_count: The number of probes since the last response, at most 16.
+        connect_failures: The number of failed connects since the last response.
+        unreachable_since_us: The time of the first of these failures.
+        last_response_us: The time of the last response.
+        slow_start_began_us: The start time of the slow start, or None if the endpoint is not in slow start.
+        slow_start_sent: The units that this host sent within the overload window of the settings.
+        slow_start_tokens: The units that this host may send during the slow start; a negative value is a
+            debt.
+        slow_start_rate: The refill rate of `slow_start_tokens`, in units per microsecond.
+        slow_start_refilled_us: The time at which `slow_start_tokens` was last refilled.
+        capacity_fraction: A lower bound of the current capacity, as a fraction of the full capacity.
+        borrowed_quota: The rate that other hosts lend this host at the endpoint, less the rate that this host
+            lends, in units per microsecond.
     """
 
     def __init__(self, entry: Endpoint, window: float) -> None:
@@ -47,7 +56,7 @@
         self.open_attempts = 0
         self.expected_responses = 0
         self.silent_since_us: int | None = None
-        self.outstanding_by_report = 0.0
+        self.reported_outstanding = 0.0
         self.latency_ewma_us = 0.0
         self.latency_deviation_us = 0.0
         self.largest_open_size = 1.0
@@ -65,21 +74,29 @@
         self.borrowed_quota = QuotaSchedule(0.0)
 
     def expected_latency_us(self) -> float:
-        """The usual latency of a request of mean size, with its deviation; 0 before the first response."""
+        """Returns the average latency of a request of mean size plus its deviation; 0 before any response."""
         return self.latency_ewma_us + self.latency_deviation_us
 
     def expect_response(self, now_us: int) -> None:
-        """Counts an attempt whose silence says something of the endpoint."""
+        """Records an attempt whose missing response counts against the endpoint."""
         self.expected_responses += 1
         if self.silent_since_us is None:
             self.silent_since_us = now_us
 
     def restart_silence(self, now_us: int) -> None:
-        """Counts silence from now on: the endpoint has responded, or an attempt no longer counts."""
+        """Measures silence from now on, after a response or when an attempt no longer counts."""
         self.silent_since_us = now_us if self.expected_responses else None
 
     def count_slow_start_units(self, now_us: int, units: float) -> int | None:
-        """Counts units that are sent in slow start; returns the start of it, None when it is warm."""
+        """Counts units against the slow-start budget, if the endpoint is in slow start.
+
+        Args:
+            now_us: The current time.
+            units: The units that are sent.
+
+        Returns:
+            The start time of the slow start, or None if the endpoint is not in slow start.
+        """
         if self.slow_start_began_us is not None:
             self.slow_start_sent.add(now_us, units)
             self.slow_start_tokens -= units
--- a/lemonridge/scheduling/endpoint_list.py
+++ b/lemonridge/scheduling/endpoint_list.py
@@ -1,4 +1,4 @@
-"""The endpoints that discovery lists: by id, by shard, and in the order that random choices need."""
+"""The endpoints listed by discovery, indexed by id and shard, and ordered for random selection."""
 
 from __future__ import annotations
 
@@ -11,27 +11,29 @@
 from lemonridge.scheduling.events import Endpoint, EndpointListUpdate, EndpointsChanged, EndpointState
 from lemonridge.scheduling.slow_start import SlowStart
 
-MAX_SCANNED_ENDPOINTS = 32  # of up to this many endpoints, all are compared for a new object
-MAX_SUBSET_ENDPOINTS = 256  # of more than this many, a host sends new objects to a subset
+MAX_SCANNED_ENDPOINTS = 32  # up to this many endpoints, all are candidates for a new object
+MAX_SUBSET_ENDPOINTS = 256  # above this many endpoints, a host sends new objects to a subset of this size
 
 
 class EndpointList:
-    """Applies the changes of the list. The cost of a change goes with its shard, not with the list's length.
+    """Maintains the endpoint list.
+
+    The cost of a change depends on the size of the affected shard, not on the length of the list.
 
     Attributes:
-        endpoints: All of them by id, also removed ones with open attempts.
-        shards: The same by shard.
+        endpoints: All endpoints by id, including removed endpoints that still have open attempts.
+        endpoints_by_shard: The same endpoints by shard.
     """
 
     def __init__(self, context: DecisionContext, slow_start: SlowStart) -> None:
         self._context, self._slow_start = context, slow_start
         self.endpoints: dict[str, TrackedEndpoint] = {}
-        self.shards: dict[int, list[TrackedEndpoint]] = {}
-        self._order: list[TrackedEndpoint] = []  # all, in order of registration
-        self._ranked: list[tuple[float, str, TrackedEndpoint]] = []  # all by rank; the subset is at its head
+        self.endpoints_by_shard: dict[int, list[TrackedEndpoint]] = {}
+        self._registration_order: list[TrackedEndpoint] = []  # all endpoints, sampled for new objects
+        self._ranked: list[tuple[float, str, TrackedEndpoint]] = []  # all by rank; the subset comes first
 
     def apply(self, event: EndpointsChanged) -> None:
-        """Applies a list or a change of it; endpoints that a full list lacks are removed."""
+        """Applies a change to the list, or a full list, which removes the endpoints not contained in it."""
         for entry in event.entries:
             self._apply_entry(entry, event.kind)
         if event.kind is not EndpointListUpdate.DELTA:
@@ -40,41 +42,42 @@
                 self.remove_if_idle(self.endpoints[name])
 
     def remove_if_idle(self, endpoint: TrackedEndpoint) -> None:
-        """Forgets an endpoint that was removed from the list, once no attempt is open there."""
+        """Deletes the state of an endpoint that was removed from the list, once it has no open attempts."""
         if endpoint.state is EndpointState.REMOVED and not endpoint.open_attempts and endpoint.registered:
             endpoint.registered = False
             self.endpoints.pop(endpoint.id, None)
-            self._order.remove(endpoint)
+            self._registration_order.remove(endpoint)
             del self._ranked[bisect_left(self._ranked, (self._rank(endpoint), endpoint.id))]
-            self.shards[endpoint.shard].remove(endpoint)
-            if not self.shards[endpoint.shard]:
-                del self.shards[endpoint.shard]
+            self.endpoints_by_shard[endpoint.shard].remove(endpoint)
+            if not self.endpoints_by_shard[endpoint.shard]:
+                del self.endpoints_by_shard[endpoint.shard]
 
     def candidates(self) -> Iterable[TrackedEndpoint]:
-        """The endpoints to choose from for a new object.
+        """Returns the candidate endpoints for a new object.
 
-        All of a few; of more, some at random, so that a choice costs the same however many there are
-        (Mitzenmacher, "The Power of Two Choices in Randomized Load Balancing", 2001). Of very many, these
-        come from a subset that differs from host to host: a host that sends to all of them would open a
-        connection for nearly every request.
+        Up to `MAX_SCANNED_ENDPOINTS`, all endpoints are candidates. Above that number the candidates are a
+        random sample, so that the cost of a selection does not depend on the number of endpoints
+        (Mitzenmacher, "The Power of Two Choices in Randomized Load Balancing", 2001). Above
+        `MAX_SUBSET_ENDPOINTS` the sample comes from a subset that differs from host to host: a host that sent
+        to all endpoints would open a connection for nearly every request.
         """
         if len(self.endpoints) <= MAX_SCANNED_ENDPOINTS:
             return self.endpoints.values()
         draw, count = self._context.random.random, MAX_SCANNED_ENDPOINTS // 2
-        if len(self._order) > MAX_SUBSET_ENDPOINTS:
+        if len(self._registration_order) > MAX_SUBSET_ENDPOINTS:
             return [self._ranked[int(draw() * MAX_SUBSET_ENDPOINTS)][2] for _ in range(count)]
-        order = self._order
+        order = self._registration_order
         return [order[int(draw() * len(order))] for _ in range(count)]
 
     def _rank(self, endpoint: TrackedEndpoint) -> float:
-        """A number from 0 to 1 by the endpoint's id and this host's seed."""
+        """Returns a number between 0 and 1 derived from the endpoint's id and this host's seed."""
         return Random(f"{self._context.seed}/{endpoint.id}").random()
 
     def _apply_entry(self, entry: Endpoint, kind: EndpointListUpdate) -> None:
-        """Adds or changes one endpoint, and begins its slow start where it has started anew.
+        """Adds or updates one endpoint, and begins its slow start if the endpoint has started or restarted.
 
-        A new entry in a change of the list is an endpoint that has just started; in a full list it may have
-        been there before, unless its start time says otherwise.
+        A new entry in a change to the list is an endpoint that has just started. A new entry in a full list
+        may have existed before, unless its start time is recent.
         """
         now_us, settings = self._context.now_us, self._context.settings
         endpoint = self.endpoints.get(entry.endpoint_id)
@@ -94,12 +97,12 @@
         self.remove_if_idle(endpoint)
 
     def _register(self, endpoint: TrackedEndpoint, shard: int) -> None:
-        """Puts an endpoint under its shard, and moves it there from another."""
+        """Registers an endpoint under its shard, or moves it from its previous shard."""
         if endpoint.registered and endpoint.shard != shard:
-            self.shards[endpoint.shard].remove(endpoint)
+            self.endpoints_by_shard[endpoint.shard].remove(endpoint)
         if not endpoint.registered:
-            self._order.append(endpoint)
+            self._registration_order.append(endpoint)
             insort(self._ranked, (self._rank(endpoint), endpoint.id, endpoint))
         if not endpoint.registered or endpoint.shard != shard:
-            self.shards.setdefault(shard, []).append(endpoint)
+            self.endpoints_by_shard.setdefault(shard, []).append(endpoint)
         endpoint.registered, endpoint.shard = True, shard
--- a/lemonridge/scheduling/events.py
+++ b/lemonridge/scheduling/events.py
@@ -1,6 +1,6 @@
-"""The events that the host hands to the decisions.
+"""The events that the host passes to the scheduler.
 
-All times are whole microseconds of the host's clock; units are the work units of the settings.
+All times are integer microseconds of the host's clock; units are the work units of the settings.
 """
 
 from __future__ import annotations
@@ -12,10 +12,19 @@
 
 
 class AttemptResult(IntEnum):
-    """How an attempt ended.
+    """The result of an attempt.
 
-    DATA_MIGRATED: the endpoint answered at once that it no longer has the data, and ran nothing.
-    NOT_SENT: the attempt never left this host.
+    Attributes:
+        OK: The endpoint executed the request and responded.
+        ERROR: The endpoint responded with an error.
+        QUEUE_FULL: The endpoint rejected the request because its queue was full.
+        TIMEOUT: The attempt ended without a response in time.
+        CONNECT_FAILED: No connection to the endpoint could be opened.
+        RESET: The connection was closed before the response was complete.
+        CANCELLED: The host cancelled the attempt.
+        NOT_SENT: The attempt never left this host.
+        DATA_MIGRATED: The endpoint responded immediately that it no longer has the data, and executed
+            nothing.
     """
 
     OK = 0
@@ -31,12 +40,12 @@
 
 @dataclass(frozen=True, slots=True)
 class LimitLevel:
-    """What a process hands over of a volume's limit, in units.
+    """The state of a volume's limit that a process hands over to its successor.
 
     Attributes:
-        saved: What its successor has saved from the start.
-        predecessor_debt: What it may itself still send to an endpoint.
-        predecessor_debt_until_us: Until when, in Unix microseconds.
+        saved: The units that the successor's token bucket starts with.
+        predecessor_debt: The units that the predecessor may still send to endpoints.
+        predecessor_debt_until_us: Until when it may send them, in Unix microseconds.
     """
 
     saved: float
@@ -45,7 +54,7 @@
 
 
 class EndpointState(Enum):
-    """What the endpoint list says of an endpoint."""
+    """The state of an endpoint in the endpoint list."""
 
     ACTIVE = "active"
     DRAINING = "draining"
@@ -53,15 +62,22 @@
 
 
 class SharedBudget(Enum):
-    """What hosts share by quotas."""
+    """A budget that hosts share by quotas."""
 
     LIMIT = "limit"  # the limit of a volume
-    SLOW_START = "slow start"  # what an endpoint in slow start bears
-    RETRIES = "retries"  # the retries of all hosts
+    SLOW_START = "slow start"  # the load that an endpoint in slow start can sustain
+    RETRIES = "retries"  # the retry rate of all hosts
 
 
 class EndpointListUpdate(Enum):
-    """What an event of the endpoint list holds."""
+    """The kind of an `EndpointsChanged` event.
+
+    Attributes:
+        DELTA: Changed entries only.
+        SNAPSHOT: A complete, current list.
+        CACHED: A complete list that may be outdated.
+        WATCH_FAILED: No entries: the watch of the list has failed.
+    """
 
     DELTA = "delta"
     SNAPSHOT = "snapshot"
@@ -71,19 +87,19 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestArrived:
-    """A client's request.
+    """A request of a client has arrived.
 
     Attributes:
-        request: Its id, of which no other open request has the same.
-        shard: Where its data is; -1 for a new object.
-        volume: The volume's number.
-        deadline_us: When its client gives up.
-        key: Its ordering key; None where it has no order.
-        cls: The place of its class in the settings.
-        plan: The place of its volume's plan in the settings.
-        units: What it is expected to cost.
-        hosts: How many hosts serve the volume.
-        repeat: The client has marked it as a retry.
+        request: The id of the request, unique among open requests.
+        shard: The shard that holds the data; -1 for a new object.
+        volume: The number of the volume.
+        deadline_us: The time at which the client gives up.
+        key: The ordering key, or None if the request may run in any order.
+        cls: The index of the request's class in the settings.
+        plan: The index of the volume's plan in the settings.
+        units: The expected cost of the request.
+        hosts: The number of hosts that serve the volume.
+        repeat: Whether the client has marked the request as a retry.
     """
 
     request: str
@@ -100,7 +116,12 @@
 
 @dataclass(frozen=True, slots=True)
 class ResponseStarted:
-    """The response to an attempt has started to stream; the deadline no longer applies."""
+    """The response to an attempt has started to stream, so the deadline no longer applies.
+
+    Attributes:
+        request: The id of the request.
+        attempt: The number of the attempt, starting at 0.
+    """
 
     request: str
     attempt: int
@@ -111,16 +132,18 @@
     """An attempt has ended.
 
     Attributes:
-        request: The request's id.
-        attempt: The attempt's number, from 0.
-        endpoint_id: Where it was sent.
-        result: How it ended.
-        latency_us: The time from its start to its end.
-        finished: The request has its final answer by it.
-        volume_units: What the volume has used at the endpoint; None where the response does not say.
-        peer_units: What other hosts served the volume; None where the response does not say.
-        endpoint_outstanding: Requests of all hosts at the endpoint; None where the response does not say.
-        begun: A part of it was sent, or may have been; otherwise it uses nothing of a limit.
+        request: The id of the request.
+        attempt: The number of the attempt, starting at 0.
+        endpoint_id: The id of the endpoint that the attempt was sent to.
+        result: The result of the attempt.
+        latency_us: The time from the start to the end of the attempt.
+        finished: Whether the result is the final answer to the request.
+        volume_units: The units of the volume used at the endpoint; None if not reported in the response.
+        peer_units: The units that other hosts served for the volume; None if not reported in the response.
+        endpoint_outstanding: The outstanding requests of all hosts at the endpoint; None if not reported in
+            the response.
+        begun: Whether any part of the attempt was sent or may have been sent. Otherwise the attempt does not
+            count against a limit.
     """
 
     request: str
@@ -137,10 +160,14 @@
 
 @dataclass(frozen=True, slots=True)
 class DataMigrated:
-    """The data of a request is on another shard now; `shard` None: nobody can say which in time.
+    """The data of a request has migrated to another shard.
+
+    A request whose attempt ended with DATA_MIGRATED waits for this event. The event has no effect while an
+    attempt of the request is open.
 
-    A request whose attempt ended as DATA_MIGRATED waits for this event. It has no effect while an attempt
-    is open.
+    Attributes:
+        request: The id of the request.
+        shard: The new shard, or None if it cannot be determined in time.
     """
 
     request: str
@@ -149,19 +176,31 @@
 
 @dataclass(frozen=True, slots=True)
 class ClientDisconnected:
-    """The client no longer waits; the request needs no answer."""
+    """The client has disconnected, so the request needs no answer.
+
+    Attributes:
+        request: The id of the request.
+    """
 
     request: str
 
 
 @dataclass(frozen=True, slots=True)
 class TimerFired:
-    """The time of a `SetTimer` has come, or another reason to look at the timers."""
+    """The time of a `SetTimer` action has passed, or the timers have to be checked for another reason."""
 
 
 @dataclass(frozen=True, slots=True)
 class Endpoint:
-    """One entry of the endpoint list; `started_us` 0 is long ago."""
+    """One entry of the endpoint list.
+
+    Attributes:
+        endpoint_id: The id of the endpoint.
+        shard: The shard of the endpoint.
+        zone: The zone of the endpoint.
+        state: The state of the endpoint.
+        started_us: The time at which the endpoint started; 0 if that was long ago.
+    """
 
     endpoint_id: str
     shard: int
@@ -172,7 +211,12 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointsChanged:
-    """A full endpoint list, a change of it, or a failed watch without entries."""
+    """The endpoint list has changed, or the watch of it has failed.
+
+    Attributes:
+        kind: The kind of the change.
+        entries: The entries of the full list, or the changed entries; empty after a failed watch.
+    """
 
     kind: EndpointListUpdate
     entries: tuple[Endpoint, ...]
@@ -180,12 +224,12 @@
 
 @dataclass(frozen=True, slots=True)
 class SettingsChanged:
-    """New settings, by which the requests that follow number their classes and plans.
+    """The settings have changed; later requests use the indices of classes and plans in the new settings.
 
     Attributes:
         settings: The new settings.
-        indices_unchanged: Classes and plans have kept their places, so open requests and volumes take the
-            new plans too.
+        indices_unchanged: Whether classes and plans have kept their indices. If so, the new plans also apply
+            to known volumes and their open requests.
     """
 
     settings: Settings
@@ -197,13 +241,14 @@
     """This host's quota of a shared budget has changed.
 
     Attributes:
-        budget: Which budget.
-        name: The volume's number, the endpoint's id, or 0 for retries.
-        part: The quota until `until_us`: a fraction of the limit or of the retries; at an endpoint in slow
-            start what other hosts lend this one less what it lends, in units a microsecond.
-        until_us: When `part` ends.
-        after: The quota from then on.
-        since_us: When this quota began; the one before counts up to then.
+        budget: The shared budget.
+        name: The number of the volume, the id of the endpoint, or 0 for retries.
+        part: The quota until `until_us`. For limits and retries it is a fraction of the total rate. For an
+            endpoint in slow start it is the rate that other hosts lend this host, less the rate that this
+            host lends, in units per microsecond.
+        until_us: The time at which `part` ends.
+        after: The quota from `until_us` on.
+        since_us: The start time of this quota; the previous quota applies up to it.
     """
 
     budget: SharedBudget
@@ -216,7 +261,12 @@
 
 @dataclass(frozen=True, slots=True)
 class PeerUsageReported:
-    """Other hosts served a volume some units of late; reported by all hosts that may serve it."""
+    """Other hosts have recently served units for a volume; reported by all hosts that may serve the volume.
+
+    Attributes:
+        volume: The number of the volume.
+        units: The units that other hosts served.
+    """
 
     volume: int
     units: float
@@ -224,13 +274,13 @@
 
 @dataclass(frozen=True, slots=True)
 class PeerHealthReported:
-    """Other hosts report that an endpoint gives no good response.
+    """Other hosts report that an endpoint does not respond successfully.
 
     Attributes:
-        endpoint_id: The endpoint.
-        sources: How many hosts have seen it themselves.
-        agreed: They are enough for the endpoint to be probed.
-        at_us: When they saw it, or later.
+        endpoint_id: The id of the endpoint.
+        sources: The number of hosts that have observed this themselves.
+        agreed: Whether these hosts are enough for the endpoint to be probed.
+        at_us: The time of the observation, or a later time.
     """
 
     endpoint_id: str
--- a/lemonridge/scheduling/final_answers.py
+++ b/lemonridge/scheduling/final_answers.py
@@ -1,4 +1,4 @@
-"""The final answer to a request that is not served: `Reject` (503) or `Fail` (502)."""
+"""The final answer to a request that is not served: `Reject` (429 or 503) or `Fail` (502)."""
 
 from __future__ import annotations
 
@@ -10,27 +10,33 @@
 
 
 def final_answer(context: DecisionContext, request: Request, reason: RejectReason) -> Reject | Fail:
-    """Returns a rejection where a retry does no harm, else a failure.
+    """Returns a rejection if the client can safely retry the request, and a failure otherwise.
 
-    A rejection (429 or 503) promises that the client may try again (PROTOCOL). That holds where no attempt
-    may have run, where the class is idempotent, and where every endpoint discards a repeat by its key.
+    A rejection (429 or 503) guarantees that the client may retry (PROTOCOL). A retry is safe if no attempt
+    may have run, if the class is idempotent, or if every endpoint discards a duplicate by its idempotency
+    key.
+
+    Args:
+        context: The state shared by all parts of the scheduler.
+        request: The request.
+        reason: The reason for the rejection or failure.
     """
     request_class = request.request_class
     may_have_run = request.first_run_endpoint is not None or request.open_endpoint is not None
-    repeat_is_discarded = (
+    duplicate_is_discarded = (
         request_class.idempotency is IdempotencyKind.WITH_IDEMPOTENCY_KEY
         and request_class.deduplication_scope is DeduplicationScope.ALL
     )
-    if not may_have_run or request_class.idempotency is IdempotencyKind.IDEMPOTENT or repeat_is_discarded:
+    if not may_have_run or request_class.idempotency is IdempotencyKind.IDEMPOTENT or duplicate_is_discarded:
         return Reject(request.id, backoff_us(context, request), reason)
     return Fail(request.id, reason)
 
 
 def backoff_us(context: DecisionContext, request: Request) -> int:
-    """When the client should come back, in microseconds: its Retry-After.
+    """Returns the Retry-After of a rejection, in microseconds.
 
-    Once its limit has capacity, and not before an endpoint in trouble is probed again; at most what the
-    settings allow, which is 0 where they allow no advice.
+    The client should retry when the limit of the volume has capacity again, and not before a suspect endpoint
+    is probed again. The settings determine the maximum; if it is 0, no Retry-After is given.
     """
     volume = request.volume
     wait_us = PROBE_INTERVAL_US
--- a/lemonridge/scheduling/request_lifecycle.py
+++ b/lemonridge/scheduling/request_lifecycle.py
@@ -1,4 +1,4 @@
-"""The life of a request: arrival, attempts, retries, migration of its data, and its final answer."""
+"""The lifecycle of a request: arrival, attempts, retries, migration of its data, and the final answer."""
 
 from __future__ import annotations
 
@@ -24,22 +24,32 @@
 
 @dataclass(slots=True)
 class OpenAttempt:
-    """An attempt that was sent and has not ended; `written_off` ones no longer count against the window."""
+    """An attempt that was sent and has not ended.
+
+    Attributes:
+        request: The request that the attempt belongs to.
+        endpoint: The endpoint that the attempt was sent to.
+        sent_us: The time at which the attempt was sent.
+        presumed_lost: Whether the request or its response is presumed lost. Such an attempt no longer counts
+            against the window of its endpoint.
+    """
 
     request: Request
     endpoint: TrackedEndpoint
     sent_us: int
-    written_off: bool = False
+    presumed_lost: bool = False
 
 
 class RequestLifecycle:
-    """Takes each request from its arrival to its final answer.
+    """Manages each request from its arrival to its final answer.
 
     Attributes:
-        requests: The requests without a final answer, by id.
-        open_attempts: The attempts that have not ended, by request id and number, also of requests that
-            have their final answer.
-        queues: The requests that wait.
+        admission: The rules for arriving requests.
+        key_order: The order of requests with the same ordering key.
+        queues: The queued requests of all volumes.
+        requests: The requests that have no final answer yet, by id.
+        open_attempts: The attempts that have not ended, by request id and attempt number. They include
+            attempts of requests that already have their final answer.
     """
 
     def __init__(
@@ -65,12 +75,12 @@
 
     # Arrival
 
-    def arrive(self, event: RequestArrived) -> None:
-        """Admits a request and queues it, or rejects it with LIMIT_EXCEEDED."""
+    def handle_arrival(self, event: RequestArrived) -> None:
+        """Admits and queues an arriving request, or rejects it with LIMIT_EXCEEDED."""
         context = self._context
         now_us, request_class = context.now_us, context.settings.classes[event.cls]
         self._retries.record_request()
-        volume = self._limits.volume_of(event)
+        volume = self._limits.volume_for_request(event)
         objective_at_us = self.admission.objective_at_us(event, request_class)
         request = Request(event, request_class, volume, objective_at_us, now_us)
         self.requests[request.id] = request
@@ -79,18 +89,19 @@
         if self.admission.exceeds_limit(request):
             self.reject(request, RejectReason.LIMIT_EXCEEDED)
             return
-        volume.request_admitted(request)
+        volume.record_admission(request)
         if self.key_order.add(request):
             self.queues.enqueue(request)
 
     def shed_load(self, open_requests_max: int) -> None:
-        """Rejects waiting requests while more than so many are open.
+        """Rejects queued requests until at most `open_requests_max` requests are open.
 
-        Each open request holds its client's connection. A surge that waits for its objectives would hold them
-        all, and requests that could be served, or rejected at once, would find none.
+        Each open request occupies a client connection. In a surge, requests that stay queued until their
+        objectives pass would occupy all connections, leaving none for requests that could be served or
+        rejected immediately.
         """
         while len(self.requests) > open_requests_max:
-            request = self.queues.least_urgent()
+            request = self.queues.least_urgent_request()
             if request is None:
                 return
             self.reject(request, RejectReason.OVERLOADED)
@@ -98,10 +109,14 @@
     # Attempts
 
     def send(self, request: Request, endpoint: TrackedEndpoint) -> None:
-        """Sends an attempt, and counts it against limit, reservation, retry budget, window and slow start."""
+        """Sends an attempt of a request to an endpoint.
+
+        The attempt is counted against the volume's limit and reservation, the retry budget, the endpoint's
+        window and, if the endpoint is in slow start, against its slow-start budget.
+        """
         context, volume = self._context, request.volume
         now_us = context.now_us
-        volume.attempt_sent(request, now_us, context.host_confirms_start)
+        volume.record_attempt_sent(request, now_us, context.host_confirms_start)
         self._retries.record_attempt(request)
         volume.debit(request.units, context.settings.largest_request_units)
         request.counted_slow_start_us = endpoint.count_slow_start_units(now_us, request.units)
@@ -123,16 +138,16 @@
         context.actions.append(Send(request.id, endpoint.id))
 
     def may_begin(self, request_id: str, attempt: int) -> bool:
-        """Whether an attempt may still write its first byte.
+        """Returns whether the host may still send the first byte of an attempt.
 
-        A connection takes time to open; since the attempt was sent its request may have ended, its
-        idempotency key's window may have passed (WIRE, rule 2), and its endpoint may have started anew, in
-        which case the attempt is counted in that slow start.
+        Opening a connection takes time. Meanwhile the request may have ended, the deduplication window of its
+        idempotency key may have passed (WIRE, rule 2), or its endpoint may have restarted. After a restart
+        the attempt is counted against the budget of the new slow start.
         """
-        attempt_state = self.open_attempts.get((request_id, attempt))
-        if attempt_state is None:
+        open_attempt = self.open_attempts.get((request_id, attempt))
+        if open_attempt is None:
             return False
-        request, endpoint = attempt_state.request, attempt_state.endpoint
+        request, endpoint = open_attempt.request, open_attempt.endpoint
         if request.done or not self._retries.repeatable(request, endpoint):
             return False
         if (
@@ -147,20 +162,20 @@
         return True
 
     def end_attempt(self, event: AttemptEnded) -> None:
-        """Learns from an ended attempt, then finishes its request, retries it or rejects it."""
+        """Records the result of an ended attempt, then finishes, retries or rejects its request."""
         attempt = self.open_attempts.pop((event.request, event.attempt), None)
         if attempt is None:
             return
         request, endpoint = attempt.request, attempt.endpoint
         request.open_endpoint = None
         response_expected, request.response_expected = request.response_expected, False
-        if not attempt.written_off:
+        if not attempt.presumed_lost:
             endpoint.open_attempts -= 1
             endpoint.expected_responses -= response_expected
         self._health.observe(endpoint, event, request, attempt.sent_us, response_expected)
         request.attempts_unstarted += not event.begun
         request.attempts_uncounted += event.result is AttemptResult.NOT_SENT and not event.begun
-        request.volume.attempt_ended(request, event, self._context.now_us)
+        request.volume.record_attempt_ended(request, event, self._context.now_us)
         if event.result not in PROVEN_NOT_RUN and request.first_run_endpoint is None:
             request.first_run_endpoint = endpoint
             request.first_run_at_us = attempt.sent_us
@@ -169,17 +184,19 @@
         if event.finished:
             self.finish(request)
         elif request.done:
-            self._start_next_of_key(request)
-        elif event.result is not AttemptResult.DATA_MIGRATED:  # that one waits for `DataMigrated`
+            self._enqueue_next_of_key(request)
+        elif event.result is not AttemptResult.DATA_MIGRATED:  # otherwise the `DataMigrated` event follows
             self._retry_or_reject(request, event.result)
         self._endpoint_list.remove_if_idle(endpoint)
         self._context.mark_for_dispatch(endpoint.shard)
 
     def _retry_or_reject(self, request: Request, result: AttemptResult) -> None:
-        """Retries a request after a pause, where that is allowed and may be in time; rejects it otherwise.
+        """Schedules a retry of a request, or rejects the request.
 
-        An attempt that timed out has used up the request's time. A request with an idempotency key that is
-        known to one shard only is retried there, as only there a repeat is discarded (WIRE, rule 2).
+        The request is retried if the retry rules allow it and the retry pause ends before the deadline. There
+        is no retry after a timeout, as the attempt has used up the request's time. If the deduplication scope
+        of the request's class is SHARD, the retry goes to the shard of the first attempt that may have run,
+        as only that shard discards the duplicate (WIRE, rule 2).
         """
         context, request_class = self._context, request.request_class
         pause_us = self._retries.pause_us(request, result)
@@ -196,17 +213,24 @@
             self.reject(request, RejectReason.ATTEMPTS_EXHAUSTED)
 
     def end_retry_pause(self, request: Request) -> None:
-        """Queues a request for its next attempt, unless it is over, or was queued as its data migrated."""
+        """Queues a request for its next attempt when its retry pause ends.
+
+        Does nothing if the request has its final answer, or if the migration of its data has already caused
+        it to be queued or sent.
+        """
         if not request.done and not request.queued and request.open_endpoint is None:
             self.queues.enqueue(request)
 
-    def attempt_overdue(self, request_id: str, number: int) -> None:
-        """Decides about an attempt that has had no response for longer than is usual at its endpoint.
+    def handle_overdue_attempt(self, request_id: str, number: int) -> None:
+        """Handles an attempt without a response for longer than the silence limit of its endpoint.
+
+        If the endpoint has responded to later requests, the request or its response is presumed lost and the
+        attempt no longer counts against the window. Otherwise lost requests would fill the window until the
+        clients' deadlines. If the attempt is only slow, the endpoint receives one request more than its
+        window allows.
 
-        Where requests that were sent later are answered, the request or its response is lost: the attempt
-        leaves the window, which lost requests would fill until the clients' deadlines. If it is only slow,
-        the endpoint is sent one request more than its window. Where nothing is answered, the window is cut
-        as for a timeout, long before the client's deadline, and the attempt is examined again later.
+        If the endpoint has not responded since, its window is reduced as after a timeout, long before the
+        client's deadline, and the attempt is checked again later.
         """
         attempt = self.open_attempts.get((request_id, number))
         if attempt is None:
@@ -214,7 +238,7 @@
         context, request, endpoint = self._context, attempt.request, attempt.endpoint
         expected_us = endpoint.expected_latency_us() * request.relative_size
         if endpoint.last_response_us - attempt.sent_us > expected_us:
-            attempt.written_off = True
+            attempt.presumed_lost = True
             endpoint.open_attempts -= 1
             endpoint.expected_responses -= request.response_expected
             endpoint.restart_silence(context.now_us)
@@ -222,19 +246,21 @@
                 context.actions.append(Cancel(request_id, number))
             context.mark_for_dispatch(endpoint.shard)
         else:
-            late_us = (context.now_us - attempt.sent_us) / request.relative_size
-            self._health.adapt_window(endpoint, attempt.sent_us, late_us, True, AttemptResult.TIMEOUT)
+            elapsed_us = (context.now_us - attempt.sent_us) / request.relative_size
+            self._health.adapt_window(endpoint, attempt.sent_us, elapsed_us, True, AttemptResult.TIMEOUT)
             context.set_timer(
                 context.now_us + self._health.silence_limit_us(endpoint), AttemptOverdue(request_id, number)
             )
 
     def _useful_to_cancel(self, request: Request, endpoint: TrackedEndpoint, expected_us: float) -> bool:
-        """Whether to cancel a request's lost attempt: a retry is allowed and can meet the objective.
+        """Returns whether to cancel an attempt that is presumed lost.
+
+        The attempt is cancelled if a retry is allowed and can still meet the latency objective.
 
         Args:
             request: The request, whose attempt is still open.
-            endpoint: Where the attempt was sent.
-            expected_us: How long an attempt of this size usually takes there.
+            endpoint: The endpoint that the attempt was sent to.
+            expected_us: The expected latency of a request of this size at the endpoint, in microseconds.
         """
         context = self._context
         return (
@@ -247,10 +273,11 @@
 
     # Migration
 
-    def migrate(self, event: DataMigrated) -> None:
-        """Sends a request on to the shard that holds its data, as one of its attempts.
+    def handle_migration(self, event: DataMigrated) -> None:
+        """Queues a request for the shard that its data has migrated to.
 
-        It is rejected with ROUTE_UNKNOWN where that shard is not known or no attempt is left.
+        Sending it there counts as one of the request's attempts. The request is rejected with ROUTE_UNKNOWN
+        if the new shard is unknown or the retry rules allow no further attempt.
         """
         request = self.requests.get(event.request)
         if request is None or request.open_endpoint is not None:
@@ -263,39 +290,42 @@
         else:
             self.reject(request, RejectReason.ROUTE_UNKNOWN)
 
-    # The end
+    # Final answer
 
     def reject(self, request: Request, reason: RejectReason) -> None:
-        """Gives a request its final answer without a response: `final_answer` has the rule."""
+        """Closes a request with a rejection or a failure; `final_answer` decides which of the two."""
         self._context.actions.append(final_answer(self._context, request, reason))
         self.finish(request)
 
     def finish(self, request: Request) -> None:
-        """Closes a request with a final answer or without a client; an attempt may still be open."""
+        """Closes a request that has its final answer or whose client has disconnected.
+
+        An attempt of the request may still be open.
+        """
         if not request.done:
             request.done = True
             self.queues.dequeue(request)
             self.requests.pop(request.id, None)
-            request.volume.request_finished(request, self._context.now_us)
+            request.volume.record_request_finished(request, self._context.now_us)
             self._record_baseline_demand(request)
-        self._start_next_of_key(request)
+        self._enqueue_next_of_key(request)
 
     def _record_baseline_demand(self, request: Request) -> None:
-        """Counts a finished request in its shard's baseline traffic, up to its volume's base rate.
+        """Adds a finished request to the baseline traffic of its shard, up to the volume's base rate.
 
-        Demand counts only where the shard has served this host nothing yet. It counts at the end of a
-        request, so that none makes room for itself at an endpoint in slow start.
+        Demand counts only while the shard has not served any request of this host. It is recorded when the
+        request finishes, so that a request does not raise its own slow-start budget at an endpoint.
         """
         now_us, volume = self._context.now_us, request.volume
         baseline = self._slow_start.baseline_traffic[request.shard]
         rate = volume.plan.base_rate
-        saved_units = volume.settings.largest_request_units + MAX_CREDIT_S * rate
-        units = volume.in_rate_demand.take_within(request.units, now_us, rate, saved_units)
-        if not baseline.has_served:
+        capacity_units = volume.settings.largest_request_units + MAX_CREDIT_S * rate
+        units = volume.demand_rate_cap.take_within_rate(request.units, now_us, rate, capacity_units)
+        if not baseline.was_served:
             baseline.add(units, now_us)
 
-    def _start_next_of_key(self, request: Request) -> None:
-        """Queues the next request with the same ordering key, if its turn has come."""
-        following = self.key_order.next_ready(request)
-        if following is not None:
-            self.queues.enqueue(following)
+    def _enqueue_next_of_key(self, request: Request) -> None:
+        """Queues the next request with the same ordering key, if it may be sent now."""
+        next_request = self.key_order.next_ready(request)
+        if next_request is not None:
+            self.queues.enqueue(next_request)
--- a/lemonridge/scheduling/scheduler.py
+++ b/lemonridge/scheduling/scheduler.py
@@ -1,8 +1,8 @@
-"""The scheduler: events of one moment in, actions out.
+"""The scheduler: a state machine that turns events into actions.
 
-The state machine of the decisions. `Scheduler.handle` applies each event by the handler of its type, then
-the timers that are due, and then dispatches the queues of the shards in which something has changed. It has
-no clock, no input and no output.
+`Scheduler.handle` takes all events of one point in time. It passes each event to the handler for its type,
+runs the timers that are due, and then dispatches the queues of every shard whose state has changed. The
+scheduler reads no clock and performs no I/O.
 """
 
 from __future__ import annotations
@@ -49,18 +49,20 @@
 
 
 class Scheduler:
-    """Decides which endpoint gets which request, when and how often, and which request is rejected.
+    """Decides where and when each request is sent or retried, and which requests are rejected.
 
-    A pure state machine: the same settings, seed and events give the same actions.
+    The scheduler is a deterministic state machine: the same settings, seed and events produce the same
+    actions.
 
     Args:
-        settings: The settings to start with.
-        seed: Of its random numbers.
-        host_confirms_start: The host calls `may_begin` before the first byte of each attempt; otherwise an
-            attempt starts when it is sent.
+        settings: The initial settings.
+        seed: The seed of the random number generator.
+        host_confirms_start: Whether the host calls `may_begin` before it sends the first byte of each
+            attempt. Otherwise an attempt starts as soon as the scheduler emits its `Send` action.
 
     Attributes:
-        open_requests_max: How many requests may be open before waiting ones are rejected; None: no bound.
+        open_requests_max: The maximum number of open requests. Above it, queued requests are rejected. None
+            means that there is no maximum.
     """
 
     def __init__(self, settings: Settings, seed: int, host_confirms_start: bool = False) -> None:
@@ -76,13 +78,15 @@
         )
         self.queues = self.lifecycle.queues
         self._list_polling = ListPolling(context)
-        self._timer_set_for_us: int | None = None  # the time of the last `SetTimer`, until it has passed
-        self._next_cycle_us = 0  # when the queues of all shards are dispatched next
+        self._timer_set_for_us: int | None = (
+            None  # time of the last `SetTimer`; None once that time has passed
+        )
+        self._next_cycle_us = 0  # time of the next dispatch of all shards
         self._event_handlers: dict[type[Event], Callable[..., None]] = {
-            RequestArrived: self.lifecycle.arrive,
+            RequestArrived: self.lifecycle.handle_arrival,
             ResponseStarted: self._handle_response_started,
             AttemptEnded: self.lifecycle.end_attempt,
-            DataMigrated: self.lifecycle.migrate,
+            DataMigrated: self.lifecycle.handle_migration,
             ClientDisconnected: self._handle_client_disconnected,
             TimerFired: self._handle_timer_fired,
             EndpointsChanged: self._handle_endpoints_changed,
@@ -103,25 +107,26 @@
 
     @property
     def requests(self) -> dict[str, Request]:
-        """The requests without a final answer, by id."""
+        """The requests that have no final answer yet, by id."""
         return self.lifecycle.requests
 
     @property
     def open_attempts(self) -> dict[tuple[str, int], OpenAttempt]:
-        """The attempts that have not ended, by request id and number."""
+        """The attempts that have not ended, by request id and attempt number."""
         return self.lifecycle.open_attempts
 
     # Called by the host
 
     def handle(self, now_us: int, events: Iterable[Event]) -> list[Action]:
-        """Applies the events of one moment and returns what the host is to do.
+        """Applies the events of one point in time and returns the actions for the host to perform.
 
         Args:
-            now_us: The time, in microseconds of the host's clock; never earlier than at the last call.
-            events: The events since the last call, in order.
+            now_us: The current time in microseconds of the host's clock. It must not be earlier than in the
+                previous call.
+            events: The events since the previous call, in order.
 
         Returns:
-            The actions, in the order in which they were decided.
+            The actions, in the order in which the host has to perform them.
         """
         context = self.context
         context.now_us, context.actions = now_us, []
@@ -131,8 +136,8 @@
             self._event_handlers[type(event)](event)
         if self._timer_set_for_us is not None and self._timer_set_for_us <= now_us:
             self._timer_set_for_us = None
-        # Once in a cycle: every attempt sets a timer, and a dispatch of all shards at each would cost too
-        # much.
+        # All shards are dispatched at most once per cycle: every attempt sets a timer, and dispatching all
+        # shards each time a timer fires would cost too much.
         if self.queues.rotation_by_shard and now_us >= self._next_cycle_us:
             self._next_cycle_us = now_us + DISPATCH_CYCLE_US
             self.queues.mark_all_for_dispatch()
@@ -148,51 +153,59 @@
         return context.actions
 
     def may_begin(self, now_us: int, request: str, attempt: int) -> bool:
-        """Whether an attempt may still begin; asked right before its first byte.
+        """Returns whether the host may still start an attempt.
+
+        The host calls this method immediately before it sends the first byte of the attempt.
 
         Args:
-            now_us: The time, in microseconds of the host's clock.
-            request: The request's id.
-            attempt: The attempt's number, from 0.
+            now_us: The current time in microseconds of the host's clock.
+            request: The id of the request.
+            attempt: The number of the attempt, starting at 0.
         """
         self.context.now_us = now_us
         return self.lifecycle.may_begin(request, attempt)
 
     def export_limits(self) -> dict[int, LimitLevel]:
-        """Hands the limits over to another process of this host, by volume; this one's no longer refill."""
+        """Returns the limit state by volume for a handover to another process of this host.
+
+        After this call the token buckets of this process are no longer refilled.
+        """
         return self.limits.export_levels()
 
     def import_limits(self, now_us: int, levels: Mapping[int, LimitLevel]) -> None:
-        """Takes limits over from another process of this host; they refill here from `now_us` on."""
+        """Applies the limit state that another process of this host handed over.
+
+        The token buckets of this process are refilled from `now_us` on.
+        """
         self.context.started_us = now_us
         self.limits.import_levels(now_us, levels)
 
     # Events
 
     def _start(self, now_us: int) -> None:
-        """Starts the buckets at the time of the first events, and subscribes to a list that is polled."""
+        """Sets the start time of the token buckets and, if the endpoint list is polled, subscribes to it."""
         self.context.started_us = self.retries.fleet_retries.refilled_us = now_us
         self.limits.begin(now_us)
         if self.context.settings.polls_endpoint_list:
             self.context.actions.append(Subscribe())
 
     def _handle_response_started(self, event: ResponseStarted) -> None:
-        """The deadline no longer applies to a request whose response streams."""
+        """Marks a request as having a streaming response, so its deadline no longer applies."""
         request = self.requests.get(event.request)
         if request is not None:
             request.response_started = True
 
     def _handle_client_disconnected(self, event: ClientDisconnected) -> None:
-        """Nobody waits for this answer."""
+        """Closes the request without a final answer, as its client no longer waits for one."""
         request = self.requests.get(event.request)
         if request is not None:
             self.lifecycle.finish(request)
 
     def _handle_timer_fired(self, event: TimerFired) -> None:
-        """Nothing to apply: `handle` runs the timers that are due after each batch of events."""
+        """Does nothing: `handle` runs all due timers after each batch of events."""
 
     def _handle_endpoints_changed(self, event: EndpointsChanged) -> None:
-        """Applies a list or a change of it, or schedules the next poll after a failed watch."""
+        """Applies an endpoint list or a change to it, or schedules the next poll after a failed watch."""
         if event.kind is EndpointListUpdate.WATCH_FAILED:
             self._list_polling.watch_failed()
             return
@@ -204,7 +217,7 @@
         self._configure(event.settings, event.indices_unchanged)
 
     def _handle_quota_changed(self, event: QuotaChanged) -> None:
-        """Applies another part of what hosts share; the previous part counts up to its start."""
+        """Applies a new quota of a shared budget; the previous quota applies until the new one starts."""
         part = (event.part, event.until_us, event.after)
         if event.budget is SharedBudget.LIMIT:
             volume = self.limits.set_quota(event)
@@ -215,12 +228,12 @@
         elif event.budget is SharedBudget.SLOW_START:
             endpoint = self.endpoint_list.endpoints.get(str(event.name))
             if endpoint is not None:
-                self.slow_start.in_slow_start(endpoint)  # refills the bucket by the previous part
+                self.slow_start.in_slow_start(endpoint)  # refills the bucket at the previous quota
                 endpoint.borrowed_quota.set(*part)
                 self.context.mark_for_dispatch(endpoint.shard)
 
     def _handle_peer_usage_reported(self, event: PeerUsageReported) -> None:
-        """Debits what other hosts served a volume from its reservation."""
+        """Debits the units that other hosts served for a volume from the volume's reservation."""
         volume = self.limits.volumes.get(event.volume)
         if volume is not None:
             volume.peer_usage_at_us = self.context.now_us
@@ -229,16 +242,20 @@
     def _configure(self, settings: Settings, indices_unchanged: bool = False) -> None:
         """Applies new settings.
 
-        A request keeps the class it came with. A volume keeps its plan until its next request, or takes the
-        new plan at once with `indices_unchanged`: classes and plans have the same indices as before.
+        An open request keeps the class that it had at arrival. A volume switches to its new plan at its next
+        request, or immediately if `indices_unchanged` is set.
+
+        Args:
+            settings: The new settings.
+            indices_unchanged: Whether classes and plans have the same indices as in the previous settings.
         """
-        hosts_before = self.context.settings.hosts
+        previous_hosts = self.context.settings.hosts
         self.context.configure(settings)
         if indices_unchanged:
             for volume in self.limits.configure(settings):
                 self.queues.resume_volume(volume)
         self.lifecycle.admission.configure(settings)
-        self.retries.configure(settings, hosts_before)
+        self.retries.configure(settings, previous_hosts)
 
     # Timers
 
@@ -246,7 +263,7 @@
         self.context.actions.append(Subscribe())
 
     def _on_request_deadline(self, timer: RequestDeadline) -> None:
-        """Rejects a request at its deadline, unless its response has started."""
+        """Rejects a request that reaches its deadline, unless its response has started."""
         if not timer.request.done and not timer.request.response_started:
             self.lifecycle.reject(timer.request, RejectReason.DEADLINE_EXCEEDED)
 
@@ -254,7 +271,7 @@
         self.lifecycle.end_retry_pause(timer.request)
 
     def _on_attempt_overdue(self, timer: AttemptOverdue) -> None:
-        self.lifecycle.attempt_overdue(timer.request_id, timer.attempt)
+        self.lifecycle.handle_overdue_attempt(timer.request_id, timer.attempt)
 
     def _on_key_quarantine_ended(self, timer: KeyQuarantineEnded) -> None:
         request = self.lifecycle.key_order.end_quarantine(timer.key)
@@ -266,7 +283,10 @@
             self.queues.resume(timer.queue)
 
     def _set_host_timer(self) -> None:
-        """Asks for one timer, for the earliest time at which something is due without an event."""
+        """Requests a host timer for the earliest scheduled work, unless one is already set for that time.
+
+        Scheduled work is the earliest internal timer and, while requests are queued, the next dispatch cycle.
+        """
         due_us = self.context.timers.next_us()
         if self.queues.rotation_by_shard and (due_us is None or due_us > self._next_cycle_us):
             due_us = self._next_cycle_us
--- a/lemonridge/scheduling/settings.py
+++ b/lemonridge/scheduling/settings.py
@@ -1,7 +1,7 @@
-"""The settings of the decisions, as the host hands them over.
+"""The settings of the scheduler, as the host passes them.
 
-All times are whole microseconds of the host's clock. The keys of the operators' pages are mapped to these
-names in `lemonridge.config.scheduler_settings`.
+All times are integer microseconds of the host's clock. `lemonridge.config.scheduler_settings` maps the keys
+of the operators' pages to these names.
 """
 
 from __future__ import annotations
@@ -11,7 +11,13 @@
 
 
 class IdempotencyKind(Enum):
-    """What a class allows once an attempt may have run: any repeat, one that is discarded, or none."""
+    """Which retries a class allows after an attempt that may have run.
+
+    Attributes:
+        IDEMPOTENT: Any retry.
+        WITH_IDEMPOTENCY_KEY: A retry that endpoints recognize as a duplicate by its key and discard.
+        NOT_IDEMPOTENT: No retry.
+    """
 
     IDEMPOTENT = "idempotent"
     WITH_IDEMPOTENCY_KEY = "with idempotency key"
@@ -19,7 +25,13 @@
 
 
 class DeduplicationScope(Enum):
-    """Which endpoints discard a repeat of a request with an idempotency key."""
+    """Which endpoints discard a duplicate of a request with an idempotency key.
+
+    Attributes:
+        ALL: All endpoints.
+        ZONE: The endpoints in the zone of the first attempt.
+        SHARD: The endpoints of the shard of the first attempt.
+    """
 
     ALL = "all"
     ZONE = "zone"
@@ -31,12 +43,13 @@
     """One class of requests.
 
     Attributes:
-        latency_objective_us: The time within which an answer earns the full value.
-        deadline_us: The longest time that clients of the class wait.
-        idempotency: What it allows once an attempt may have run.
-        deduplication_scope: Which endpoints discard a repeat; for WITH_IDEMPOTENCY_KEY alone.
-        deduplication_window_us: For how long they do, from the first attempt on; as above.
-        sequential: Requests with one ordering key run one at a time.
+        latency_objective_us: The latency within which an answer earns its full value.
+        deadline_us: The longest time that clients of the class wait for an answer.
+        idempotency: Which retries are allowed after an attempt that may have run.
+        deduplication_scope: Which endpoints discard a duplicate; used for WITH_IDEMPOTENCY_KEY only.
+        deduplication_window_us: How long after the first attempt they discard a duplicate; used for
+            WITH_IDEMPOTENCY_KEY only.
+        sequential: Whether requests with the same ordering key run one at a time.
         priority_weight: The value of one unit.
     """
 
@@ -51,15 +64,16 @@
 
 @dataclass(frozen=True, slots=True)
 class VolumePlan:
-    """One plan; its figures hold for each volume over all hosts and endpoints. A limit of 0 is none.
+    """A plan. Its values apply to each volume of the plan, in total over all hosts and endpoints.
 
     Attributes:
-        base_rate: The rate of a volume's usual demand, in units a second.
-        reserve: The reserved rate, in units a second.
-        weight: Its part of what is left, where nothing is reserved.
-        limit: The rate that it may not exceed, in units a second.
-        burst: The units that it may use at once beside that rate.
-        slack: The units by which the limit is allowed to be passed.
+        base_rate: The rate of a volume's normal demand, in units per second.
+        reserve: The reserved rate, in units per second; 0 if nothing is reserved.
+        weight: The volume's share of the unreserved capacity, relative to other volumes, if nothing is
+            reserved.
+        limit: The maximum rate, in units per second; 0 if there is no limit.
+        burst: The units that may be used at once in addition to that rate.
+        slack: The units by which the limit may be exceeded.
     """
 
     base_rate: float
@@ -72,35 +86,38 @@
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """The settings of a host. A figure of a rule that is not in force is 0.
+    """The settings of a host. Values that belong to a disabled rule are 0.
 
     Attributes:
-        hosts: How many hosts there are.
-        classes: The classes of requests, by their numbers.
-        plans: The plans of volumes, by their numbers.
-        polls_endpoint_list: The endpoint list is polled; otherwise its changes are pushed.
+        hosts: The number of hosts.
+        classes: The request classes, by index.
+        plans: The volume plans, by index.
+        polls_endpoint_list: Whether the endpoint list is polled. Otherwise its changes are pushed.
         largest_request_units: The units of the largest request.
         mean_request_units: The units of a mean request.
-        slow_start_units: What all hosts may send an endpoint at the start of its slow start, in an overload
-            window.
-        overload_multiple: An endpoint in slow start fails under this many times its capacity.
-        reports_peer_usage: Responses say what other hosts served the volume.
-        usage_meter_period_us: How often endpoints meter that.
-        max_attempts: Attempts of one request.
-        may_cancel: The host can cancel an attempt.
-        max_backoff_us: The longest Retry-After; 0: none is given.
-        tick_us: How late the host's timers and first bytes may be.
-        poll_within_us: A change of the list counts as known after this time; 0: the settings do not say.
-        slow_start_initial_fraction: The capacity of an endpoint that has just started, of its full one.
-        slow_start_ramp_us: How long an endpoint takes to its full capacity.
-        overload_window_us: The window in which the load of an endpoint in slow start is counted.
-        drain_grace_us: How long a draining endpoint still answers.
-        retry_budget_window_us: The window of a host's retry budget.
-        retry_budget_floor: Retries that each window allows without requests.
-        retry_budget_ratio: Retries that each request of a window allows beside these.
-        key_quarantine_us: How long the next request of a key waits after an attempt that may still run.
-        retry_rate: Retries a second of all hosts; 0: they are not limited together.
-        clients_mark_retries: Clients mark their retries.
+        slow_start_units: The units that all hosts together may send to an endpoint per overload window at the
+            beginning of its slow start.
+        overload_multiple: The multiple of its current capacity at which an endpoint in slow start fails.
+        reports_peer_usage: Whether responses report the units that other hosts served for the volume.
+        usage_meter_period_us: The period at which endpoints measure that usage.
+        max_attempts: The maximum number of attempts of one request.
+        may_cancel: Whether the host can cancel an attempt.
+        max_backoff_us: The maximum Retry-After; 0 if none is given.
+        tick_us: The maximum delay of the host's timers and first bytes.
+        poll_within_us: The time after which a change to the endpoint list counts as known; 0 if not
+            specified.
+        slow_start_initial_fraction: The capacity of an endpoint that has just started, as a fraction of its
+            full capacity.
+        slow_start_ramp_us: The time that an endpoint takes to reach its full capacity.
+        overload_window_us: The window over which the load of an endpoint in slow start is measured.
+        drain_grace_us: How long a draining endpoint still responds.
+        retry_budget_window_us: The window of the host's retry budget.
+        retry_budget_floor: The number of retries allowed per window regardless of requests.
+        retry_budget_ratio: The number of additional retries allowed per request in the window.
+        key_quarantine_us: How long the next request of an ordering key is delayed after an attempt that may
+            still be running.
+        retry_rate: The maximum number of retries per second of all hosts; 0 if there is no common limit.
+        clients_mark_retries: Whether clients mark their retries.
     """
 
     hosts: int
--- a/lemonridge/scheduling/slow_start.py
+++ b/lemonridge/scheduling/slow_start.py
@@ -1,9 +1,10 @@
-"""Slow start of an endpoint that has started anew: what this host may send to it (WIRE, rule 4).
+"""Slow start: limits what this host sends to a restarted endpoint (WIRE, rule 4).
 
-An endpoint in slow start fails under the load that all hosts send it together. Each host keeps to an even
-part of what any such endpoint bears, or to its own baseline traffic there scaled by the slowest ramp that the
-settings allow. All hosts together were served within the endpoint's full capacity, so the parts add up to no
-more than it bears (the operators' notes).
+An endpoint in slow start has a reduced capacity, and the combined load of all hosts can make it fail. Each
+host therefore sends at most an equal share of the load that any such endpoint can sustain, or its own
+baseline traffic to the endpoint, scaled by the slowest ramp that the settings allow. The baseline traffic of
+all hosts together was served within the full capacity of the endpoint, so the sum of their shares does not
+exceed what it can sustain (the operators' notes).
 """
 
 from __future__ import annotations
@@ -17,17 +18,18 @@
 from lemonridge.scheduling.requests import Request
 from lemonridge.scheduling.token_bucket import QuotaSchedule
 
-SLOW_START_FRACTION = 0.5  # part of the load that overloads the endpoint which all hosts together use
-SLOW_START_FRACTION_GROWS_AT = 1.5  # times its initial capacity: from there on that part grows
-SLOW_START_BURST_DIVISOR = 4.0  # in a large fleet a host saves up the mean of all hosts divided by this
+SLOW_START_FRACTION = 0.5  # fraction of the overload threshold that all hosts together use
+SLOW_START_FRACTION_GROWS_AT = 1.5  # multiple of the initial capacity above which the fraction grows
+SLOW_START_BURST_DIVISOR = 4.0  # large fleets: burst capacity is all hosts' mean per window, over this
 
 
 class SlowStart:
-    """Each endpoint's slow start, and what paces it: this host's baseline traffic to each shard.
+    """Manages the slow starts of all endpoints, based on this host's baseline traffic to each shard.
 
     Attributes:
-        baseline_traffic: By shard, in units a microsecond.
-        warm_latency_us: The average latency of a request of mean size at warm endpoints; 0: not known.
+        baseline_traffic: The baseline traffic of this host by shard, in units per microsecond.
+        warm_latency_us: The average latency of a request of mean size at endpoints that are not in slow
+            start, in microseconds; 0 if it is not known yet.
     """
 
     def __init__(self, context: DecisionContext) -> None:
@@ -40,8 +42,8 @@
     def begin(self, endpoint: TrackedEndpoint, began_us: int) -> None:
         """Begins the slow start of an endpoint that started at `began_us`.
 
-        Its bucket starts with a random debt, where that of a busy endpoint would stand at any moment: hosts
-        that all have requests waiting would otherwise send their first ones together.
+        The bucket starts with a random debt, in the range that the bucket of a busy endpoint has at any time.
+        Otherwise all hosts with queued requests would send their first request at the same time.
         """
         context, settings = self._context, self._context.settings
         baseline = self.baseline_traffic[endpoint.shard]
@@ -50,7 +52,7 @@
         endpoint.slow_start_began_us = began_us
         endpoint.slow_start_refilled_us = context.now_us
         endpoint.window = context.initial_window
-        # From here on the slow start paces it, not the probes.
+        # From now on the slow-start budget limits the requests to the endpoint, not the probe schedule.
         endpoint.connect_failures = endpoint.probe_count = endpoint.next_probe_us = 0
         mean_units = settings.mean_request_units or settings.largest_request_units
         endpoint.slow_start_tokens = -mean_units * context.random.random()
@@ -66,15 +68,15 @@
         )
 
     def freeze_baseline_traffic(self, shard: int) -> None:
-        """Keeps a shard's baseline traffic as it is while its endpoint does not serve as baseline."""
+        """Freezes the baseline traffic of a shard while its endpoint does not serve normal traffic."""
         baseline = self.baseline_traffic[shard]
         baseline.decay_to(self._context.now_us)
         baseline.frozen = True
 
     def in_slow_start(self, endpoint: TrackedEndpoint) -> bool:
-        """Whether an endpoint is in slow start; refills this host's bucket there.
+        """Returns whether an endpoint is in slow start; if so, refills this host's bucket for it.
 
-        The endpoint's capacity is taken as it was one overload window ago: it has at least that now.
+        The capacity is computed for one overload window earlier, as a lower bound of the current capacity.
         """
         if endpoint.slow_start_began_us is None:
             return False
@@ -85,42 +87,51 @@
             return False
         endpoint.slow_start_sent.drop_before(now_us - settings.overload_window_us)
         initial = settings.slow_start_initial_fraction
-        aged_us = max(0, now_us - endpoint.slow_start_began_us - settings.overload_window_us)
-        endpoint.capacity_fraction = initial + (1 - initial) * (aged_us / settings.slow_start_ramp_us)
+        elapsed_us = max(0, now_us - endpoint.slow_start_began_us - settings.overload_window_us)
+        endpoint.capacity_fraction = initial + (1 - initial) * (elapsed_us / settings.slow_start_ramp_us)
         self._refill(endpoint)
         return True
 
     def _refill(self, endpoint: TrackedEndpoint) -> None:
-        """Refills this host's bucket: its own rate and what it borrows, times the load the endpoint bears.
+        """Refills this host's bucket for an endpoint.
 
-        In a large fleet the bucket may save up a burst, as programs ask in bursts; it is bounded so that the
-        sum of many hosts stays within twice its mean.
+        The refill rate is this host's own rate plus its borrowed quota, multiplied by the load factor that
+        the endpoint can sustain. In a large fleet the bucket may accumulate a burst, because clients send
+        requests in bursts. The burst is limited so that the total of many hosts stays within twice its mean.
         """
         now_us, settings = self._context.now_us, self._context.settings
         capacity = endpoint.capacity_fraction
         growth = capacity / (SLOW_START_FRACTION_GROWS_AT * settings.slow_start_initial_fraction or 1.0)
         fraction = min(1.0, SLOW_START_FRACTION * max(1.0, growth))
         load = fraction * settings.overload_multiple * capacity
-        own = self._own_rate(endpoint)
-        endpoint.slow_start_rate = max(0.0, own + endpoint.borrowed_quota.at(now_us)) * load
-        most = 0.0
+        own_rate = self._own_rate(endpoint)
+        endpoint.slow_start_rate = max(0.0, own_rate + endpoint.borrowed_quota.at(now_us)) * load
+        max_tokens = 0.0
         if settings.hosts > SMALL_FLEET_HOSTS:
-            most = (
+            max_tokens = (
                 endpoint.slow_start_rate
                 * settings.overload_window_us
                 * settings.hosts
                 / SLOW_START_BURST_DIVISOR
             )
         since_us = endpoint.slow_start_refilled_us
-        earned = own * (now_us - since_us) + endpoint.borrowed_quota.integral(since_us, now_us)
-        endpoint.slow_start_tokens = min(most, endpoint.slow_start_tokens + max(0.0, earned) * load)
+        refill = own_rate * (now_us - since_us) + endpoint.borrowed_quota.integral(since_us, now_us)
+        endpoint.slow_start_tokens = min(max_tokens, endpoint.slow_start_tokens + max(0.0, refill) * load)
         endpoint.slow_start_refilled_us = now_us
 
     def wait_us(self, endpoint: TrackedEndpoint, request: Request) -> int:
-        """How long until an endpoint may be sent a request, in microseconds; 0 is now.
+        """Returns how long a request has to wait for the slow-start budget of an endpoint.
 
-        It may be sent within an even part of what the settings allow all hosts in an overload window,
-        scaled by its capacity, or while this host's bucket there has no debt.
+        A request may be sent if it fits into this host's equal share of the units that the settings allow all
+        hosts per overload window, scaled by the endpoint's capacity. It may also be sent while this host's
+        bucket for the endpoint has no debt.
+
+        Args:
+            endpoint: The endpoint.
+            request: The request.
+
+        Returns:
+            The wait in microseconds; 0 if the request may be sent now.
         """
         if not self.in_slow_start(endpoint):
             return 0
@@ -128,22 +139,27 @@
         remaining_us = (endpoint.slow_start_began_us or 0) + settings.slow_start_ramp_us - now_us
         initial = settings.slow_start_initial_fraction
         growth = endpoint.capacity_fraction / initial if initial else 1.0
-        even_units = settings.slow_start_units / settings.hosts * growth
+        share_units = settings.slow_start_units / settings.hosts * growth
         rate, tokens = endpoint.slow_start_rate, endpoint.slow_start_tokens
-        if endpoint.slow_start_sent.units + request.units <= even_units or (rate and tokens >= 0):
+        if endpoint.slow_start_sent.units + request.units <= share_units or (rate and tokens >= 0):
             return 0
-        if request.units <= even_units * 2:
+        if request.units <= share_units * 2:
             remaining_us = min(remaining_us, settings.overload_window_us)
         return max(1, min(remaining_us, int(-tokens / rate) if rate else remaining_us))
 
     def _own_rate(self, endpoint: TrackedEndpoint) -> float:
-        """What this host would send to the endpoint if it were warm, in units a microsecond.
+        """Returns the rate at which this host would send to an endpoint that is not in slow start.
 
-        Its baseline traffic there, or an even part of half of what one core serves, for a host whose volumes
-        have just been moved to it.
+        The rate is the larger of this host's baseline traffic to the shard and an equal share of half the
+        rate that one core serves. The latter applies to a host whose volumes have just been moved to it.
+
+        Returns:
+            The rate in units per microsecond.
         """
         settings = self._context.settings
-        even = 0.0
+        equal_share_rate = 0.0
         if self.warm_latency_us:
-            even = SLOW_START_FRACTION * settings.mean_request_units / self.warm_latency_us / settings.hosts
-        return max(self.baseline_traffic[endpoint.shard].rate(), even)
+            equal_share_rate = (
+                SLOW_START_FRACTION * settings.mean_request_units / self.warm_latency_us / settings.hosts
+            )
+        return max(self.baseline_traffic[endpoint.shard].rate(), equal_share_rate)
--- a/lemonridge/scheduling/timers.py
+++ b/lemonridge/scheduling/timers.py
@@ -1,6 +1,6 @@
-"""The timers of the decisions: one small type for each purpose, and the queue that orders them.
+"""The scheduler's internal timers: one type for each purpose, and the priority queue that holds them.
 
-All times are whole microseconds of the host's clock.
+All times are integer microseconds of the host's clock.
 """
 
 from __future__ import annotations
@@ -14,26 +14,26 @@
 
 @dataclass(frozen=True, slots=True)
 class PollEndpointList:
-    """Subscribe to the endpoint list again, after a failed watch."""
+    """The endpoint list has to be polled again after a failed watch."""
 
 
 @dataclass(frozen=True, slots=True)
 class RequestDeadline:
-    """A request's deadline: it gets its final answer unless a response has started."""
+    """A request has reached its deadline and gets its final answer, unless a response has started."""
 
     request: Request
 
 
 @dataclass(frozen=True, slots=True)
 class RetryPauseEnded:
-    """The pause before a request's next attempt is over."""
+    """The pause before the next attempt of a request has ended."""
 
     request: Request
 
 
 @dataclass(frozen=True, slots=True)
 class AttemptOverdue:
-    """An attempt has had no response for longer than its endpoint is usually silent."""
+    """An attempt has had no response for longer than the silence limit of its endpoint."""
 
     request_id: str
     attempt: int
@@ -41,14 +41,14 @@
 
 @dataclass(frozen=True, slots=True)
 class KeyQuarantineEnded:
-    """The quarantine of an ordering key may be over."""
+    """The quarantine of an ordering key ends, unless it was extended."""
 
     key: int
 
 
 @dataclass(frozen=True, slots=True)
 class QueueResume:
-    """A suspended queue is examined again: its limit has capacity, or its first request expires."""
+    """A suspended queue has to be checked again: its limit has capacity, or one of its requests expires."""
 
     queue: VolumeQueue
 
@@ -59,22 +59,22 @@
 
 
 class Timers:
-    """A priority queue of timers: the earliest first, those of one moment in the order they were set."""
+    """A priority queue of timers, ordered by time and, for equal times, by insertion."""
 
     def __init__(self) -> None:
         self._heap: list[tuple[int, int, Timer]] = []
         self._count = 0
 
     def add(self, at_us: int, timer: Timer) -> None:
-        """Sets a timer for a time."""
+        """Adds a timer for the given time."""
         self._count += 1
         heappush(self._heap, (at_us, self._count, timer))
 
     def pop_due(self, now_us: int) -> Iterator[Timer]:
-        """Removes and yields the timers due at `now_us`, also those that are set while it runs."""
+        """Removes and yields all timers due at `now_us`, including those added during the iteration."""
         while self._heap and self._heap[0][0] <= now_us:
             yield heappop(self._heap)[2]
 
     def next_us(self) -> int | None:
-        """The time of the earliest timer, or None without any."""
+        """Returns the time of the earliest timer, or None if there are no timers."""
         return self._heap[0][0] if self._heap else None
--- a/lemonridge/scheduling/token_bucket.py
+++ b/lemonridge/scheduling/token_bucket.py
@@ -1,19 +1,24 @@
-"""A token bucket of which each of several hosts fills a part.
+"""A token bucket whose rate and capacity are shared by several hosts.
 
-All times are whole microseconds; rates of a bucket are units a second.
+All times are integer microseconds; the rate of a bucket is in units per second.
 """
 
 from __future__ import annotations
 
 NEVER_US = 1 << 62
-ROUNDING_MARGIN_UNITS = 1e-6  # keeps sums of fractions below a limit that must not be exceeded
+ROUNDING_MARGIN_UNITS = 1e-6  # keeps rounding errors in sums from exceeding a strict limit
 
 
 class QuotaSchedule:
     """A host's part of a quota that several hosts share: `part` until `until_us`, `after` from then on.
 
-    The end is held here, so a host that receives nothing more, or did not run for a while, applies it as
-    soon as it counts again.
+    The schedule includes its own end, so that a host which receives no further messages, or did not run for a
+    while, still applies the end at the next calculation.
+
+    Attributes:
+        part: The part until `until_us`.
+        until_us: The time at which `part` ends.
+        after: The part from `until_us` on.
     """
 
     __slots__ = ("after", "part", "until_us")
@@ -24,42 +29,44 @@
         self.after = part
 
     def set(self, part: float, until_us: int, after: float) -> None:
-        """Replaces the schedule."""
+        """Replaces the values of the schedule."""
         self.part, self.until_us, self.after = part, until_us, after
 
     def at(self, at_us: int) -> float:
-        """The part at a time."""
+        """Returns the part at the given time."""
         return self.part if at_us < self.until_us else self.after
 
     def integral(self, from_us: int, to_us: int) -> float:
-        """The part summed over a time, in parts times microseconds."""
+        """Returns the integral of the part over a time range, in parts times microseconds."""
         before_us = max(0, min(to_us, self.until_us) - from_us)
         return self.part * before_us + self.after * (to_us - from_us - before_us)
 
 
 class TokenBucket:
-    """This host's part of a bucket that all hosts share.
+    """This host's part of a token bucket that all hosts share.
 
-    It starts empty: a restart looks like a first start, and a host that is killed must not gain a
-    burst. Its capacity is an even part for each host, whatever their parts of the rate are, so the sum of
-    what all hosts have saved is bounded without messages between them; only rates move.
+    The bucket starts empty: a restart cannot be told apart from a first start, and a host that is killed must
+    not gain a burst. Each host has an equal share of the capacity, regardless of its part of the rate. This
+    bounds the sum of the tokens of all hosts without messages between them; hosts lend each other only parts
+    of the rate.
 
-    Units that are drawn stay in flight until a response shows that they reached an endpoint, or their
-    request is over, and no more is saved beside them than the capacity leaves: an endpoint counts a request
-    when it arrives (PROTOCOL), so a bucket that had refilled meanwhile would exceed the limit by another
-    burst. The same holds for what the process that handed the limit over may still send, until a time that
-    it states.
+    Units that are drawn stay in flight until a response shows that they have reached an endpoint, or until
+    their request ends. Units in flight reduce the capacity: an endpoint counts a request when the request
+    arrives (PROTOCOL), so a bucket that had been refilled in the meantime would exceed the limit by another
+    burst. The same applies to the units that the process which handed over the limit may still send, until a
+    time that it specifies.
 
     Attributes:
-        tokens: Units that may be drawn; negative is a debt.
-        refilled_us: When it was last refilled.
-        refill_sign: 1, or -1 after a handover: the tokens kept drain as the successor's refill.
+        tokens: The units that may be drawn; a negative value is a debt.
+        refilled_us: The time of the last refill.
+        refill_sign: 1, or -1 after a handover: the remaining tokens then decrease at the rate at which the
+            successor's bucket is refilled.
         quota: This host's part of the rate.
-        rate: The rate of all hosts.
-        capacity: The most units, of this host; negative before the first `resize`.
-        in_flight: Units drawn that may still reach an endpoint.
-        predecessor_debt: Units that the process before may still send.
-        predecessor_debt_until_us: Until when.
+        rate: The rate of all hosts together, in units per second.
+        capacity: The maximum number of units for this host; negative before the first `resize`.
+        in_flight: The units drawn that may still reach an endpoint.
+        predecessor_debt: The units that the previous process may still send.
+        predecessor_debt_until_us: Until when the previous process may send them.
     """
 
     __slots__ = (
@@ -86,14 +93,15 @@
         self.predecessor_debt_until_us = 0
 
     def resize(self, now_us: int, rate: float, capacity: float, hosts: int, split_evenly: bool) -> None:
-        """Sets rate and capacity from now on; the first time, from the bucket's start on.
+        """Sets the rate and the capacity from now on; the first call applies from the start of the bucket.
 
         Args:
-            now_us: The present time.
-            rate: Units a second of all hosts.
-            capacity: Units of all hosts.
-            hosts: How many hosts share it.
-            split_evenly: Gives each host an even part of the rate, until `set_quota` gives another.
+            now_us: The current time.
+            rate: The rate of all hosts together, in units per second.
+            capacity: The capacity of all hosts together, in units.
+            hosts: The number of hosts that share the bucket.
+            split_evenly: Whether to reset this host's part of the rate to an equal share, until the next call
+                of `set_quota`.
         """
         has_size = self.capacity >= 0
         if has_size:
@@ -103,7 +111,7 @@
         self.rate, self.capacity = rate, capacity / hosts
 
     def refill(self, now_us: int) -> float:
-        """Refills up to now and returns the tokens."""
+        """Refills the bucket up to now and returns its tokens."""
         if self.predecessor_debt and self.predecessor_debt_until_us < now_us:
             self._refill(max(self.refilled_us, self.predecessor_debt_until_us))
             self.predecessor_debt = 0.0
@@ -116,34 +124,44 @@
         self.tokens, self.refilled_us = max(0.0, min(free, self.tokens)), now_us
 
     def set_predecessor_debt(self, units: float, until_us: int) -> None:
-        """Reserves capacity for units that the process before may still send, until then."""
+        """Reserves capacity until `until_us` for units that the previous process may still send."""
         self.predecessor_debt, self.predecessor_debt_until_us = units, until_us
 
     def set_quota(self, since_us: int, part: float, until_us: int, after: float) -> None:
-        """Sets another part of the rate, from `since_us` on if that is not refilled yet."""
+        """Sets a new part of the rate.
+
+        The new part applies from `since_us` on, or from the last refill if that is later.
+        """
         self.refill(max(since_us, self.refilled_us))
         self.quota.set(part, until_us, after)
 
     def draw(self, units: float, now_us: int) -> None:
-        """Takes units out, which may leave a debt."""
+        """Draws units from the bucket, which may leave a debt."""
         self.tokens = self.refill(now_us) - units
 
     def settle(self, units: float, now_us: int, returned: bool) -> None:
-        """Takes units out of flight: they have reached an endpoint, or are returned as they never will."""
+        """Removes units from those in flight.
+
+        Args:
+            units: The units.
+            now_us: The current time.
+            returned: Whether the units are returned to the bucket because they will never reach an endpoint.
+                Otherwise they have reached one.
+        """
         self.refill(now_us)
         self.in_flight = max(0.0, self.in_flight - units)
         self.tokens += units if returned else 0.0
 
     def wait_us(self, units: float, now_us: int) -> int:
-        """How long until the bucket holds `units`; NEVER_US if it never will."""
-        lacking = (units + ROUNDING_MARGIN_UNITS - self.refill(now_us)) * 1e6
-        if lacking <= 0:
+        """Returns the time in microseconds until the bucket holds `units`, or NEVER_US if it never will."""
+        missing = (units + ROUNDING_MARGIN_UNITS - self.refill(now_us)) * 1e6
+        if missing <= 0:
             return 0
         quota = self.quota
-        before_change = self.rate * quota.part * max(0, quota.until_us - now_us)
-        if self.refill_sign <= 0 or (before_change < lacking and quota.after * self.rate <= 0):
+        refilled_before_change = self.rate * quota.part * max(0, quota.until_us - now_us)
+        if self.refill_sign <= 0 or (refilled_before_change < missing and quota.after * self.rate <= 0):
             return NEVER_US
-        if before_change >= lacking:
-            return int(lacking / (self.rate * quota.part)) + 1
-        remaining = lacking - before_change
+        if refilled_before_change >= missing:
+            return int(missing / (self.rate * quota.part)) + 1
+        remaining = missing - refilled_before_change
         return max(0, quota.until_us - now_us) + int(remaining / (self.rate * quota.after)) + 1
--- a/lemonridge/scheduling/volume_limits.py
+++ b/lemonridge/scheduling/volume_limits.py
@@ -1,4 +1,4 @@
-"""The limits of volumes: this host's part of each, lent between hosts and handed over between processes."""
+"""The limits of volumes: this host's part of each limit, its quotas, and the handover between processes."""
 
 from __future__ import annotations
 
@@ -13,39 +13,40 @@
 
 
 class VolumeLimits:
-    """The volumes that have had requests of late, and what is known of the limits of others.
+    """Keeps the volumes with recent requests, and the limit state of volumes without requests so far.
 
     Attributes:
-        volumes: By their numbers.
-        levels: Limits that were taken over for volumes without a request yet.
-        quotas: The last quota of each volume, also of those without a request yet.
-        refill_sign: Of all buckets: 1, or -1 after the limits were handed over.
+        volumes: The volumes by number.
+        imported_levels: The limit state received from the previous process for volumes without requests so
+            far, by number.
+        quotas: The last quota of each volume by number, including volumes without requests so far.
+        refill_sign: The refill sign of all buckets: 1, or -1 after the limits were handed over.
     """
 
     def __init__(self, context: DecisionContext) -> None:
         self._context = context
         self.volumes: dict[int, Volume] = {}
-        self.levels: dict[int, LimitLevel] = {}
+        self.imported_levels: dict[int, LimitLevel] = {}
         self.quotas: dict[int, QuotaChanged] = {}
         self.refill_sign = 1.0
         self._swept_us = 0
 
     def begin(self, now_us: int) -> None:
-        """Starts at the time of the host's first events."""
+        """Sets the time of the host's first events, from which idle volumes are swept."""
         self._swept_us = now_us
 
-    def volume_of(self, event: RequestArrived) -> Volume:
-        """The volume of a request that arrives now.
+    def volume_for_request(self, event: RequestArrived) -> Volume:
+        """Returns the volume of an arriving request, creating it if necessary.
 
-        It takes the request's plan when the settings have changed, or when more hosts serve it than before;
-        its quota is then applied again, as the rate is split evenly at first.
+        The volume switches to the plan of the request if the settings have changed or more hosts serve the
+        volume than before. Its quota is then applied again, as the rate is initially split equally.
         """
         now_us, settings = self._context.now_us, self._context.settings
         volume = self.volumes.get(event.volume)
         if volume is None:
             volume = Volume(self._context.started_us or 0, self.refill_sign, now_us, settings)
             self.volumes[event.volume] = volume
-            self._inherit(event.volume, volume)
+            self._apply_imported_level(event.volume, volume)
         if volume.settings is not settings or max(1, event.hosts) > volume.hosts:
             volume.use_settings(event.plan, max(1, volume.hosts, event.hosts), settings, now_us)
             quota = self.quotas.get(event.volume)
@@ -55,13 +56,17 @@
         return volume
 
     def configure(self, settings: Settings) -> list[Volume]:
-        """Gives each volume the plan of new settings that stands where its own stood; returns the volumes."""
+        """Applies new settings: each volume gets the plan with the index of its previous plan.
+
+        Returns:
+            All volumes.
+        """
         for volume in self.volumes.values():
             volume.use_settings(volume.plan_index, volume.hosts, settings, self._context.now_us)
         return list(self.volumes.values())
 
     def set_quota(self, event: QuotaChanged) -> Volume | None:
-        """Sets this host's part of a limit; returns its volume, if that is known."""
+        """Sets this host's part of a limit; returns the volume, or None if it has had no requests so far."""
         self.quotas[int(event.name)] = event
         volume = self.volumes.get(int(event.name))
         if volume is not None:
@@ -69,55 +74,57 @@
         return volume
 
     def export_levels(self) -> dict[int, LimitLevel]:
-        """Hands the limits over to the next process: half of what is saved, the rest is for open requests.
+        """Returns the limit state for the next process, and stops refilling the buckets of this process.
 
-        From here on the tokens that are kept drain. They may be sent until they have drained, and reach an
-        endpoint up to the longest deadline later, as may what is in flight now: the successor reserves that
-        much capacity until then.
+        The successor receives half of the saved tokens; the rest remains for open requests of this process.
+        From then on the remaining tokens decrease over time and can be used until none are left. Requests
+        sent with them can reach an endpoint up to the longest deadline later, and so can the units in flight.
+        The successor reserves capacity for both until that time.
         """
         self.refill_sign = -1.0
         levels = {}
         longest_deadline_us = max(cls.deadline_us for cls in self._context.settings.classes)
-        for name, volume in self.volumes.items():
+        for number, volume in self.volumes.items():
             bucket = volume.bucket
             saved = max(0.0, bucket.refill(self._context.now_us) - volume.units_not_drawn) / 2
             bucket.tokens, bucket.refill_sign = bucket.tokens - saved, self.refill_sign
             rate = bucket.rate * bucket.quota.at(self._context.now_us)
-            drains_in_us = int(bucket.tokens / rate * 1e6) if rate > 0 else 0
-            until_us = self._context.now_us + drains_in_us + longest_deadline_us
-            levels[name] = LimitLevel(saved, bucket.in_flight + bucket.tokens, until_us)
+            drain_time_us = int(bucket.tokens / rate * 1e6) if rate > 0 else 0
+            until_us = self._context.now_us + drain_time_us + longest_deadline_us
+            levels[number] = LimitLevel(saved, bucket.in_flight + bucket.tokens, until_us)
         return levels
 
     def import_levels(self, now_us: int, levels: Mapping[int, LimitLevel]) -> None:
-        """Takes limits over from the process before; they refill here from `now_us` on."""
+        """Applies the limit state of the previous process; the buckets are refilled from `now_us` on."""
         self.refill_sign = 1.0
-        self.levels = dict(levels)
-        for name, volume in self.volumes.items():
-            self._inherit(name, volume)
+        self.imported_levels = dict(levels)
+        for number, volume in self.volumes.items():
+            self._apply_imported_level(number, volume)
             volume.bucket.refilled_us, volume.bucket.refill_sign = now_us, self.refill_sign
 
-    def _inherit(self, name: int, volume: Volume) -> None:
-        """Gives a volume the limit that was taken over for it."""
-        level = self.levels.pop(name, None)
+    def _apply_imported_level(self, number: int, volume: Volume) -> None:
+        """Applies the limit state received from the previous process to a volume."""
+        level = self.imported_levels.pop(number, None)
         if level is not None:
             volume.bucket.tokens += level.saved
             volume.bucket.set_predecessor_debt(level.predecessor_debt, level.predecessor_debt_until_us)
 
     def sweep(self) -> None:
-        """Forgets idle volumes, once in `IDLE_VOLUME_TTL_US`.
+        """Removes idle volumes, at most once per `IDLE_VOLUME_TTL_US`.
 
-        A volume's bucket must be full: a new one fills from the host's start and would be full at once.
+        A volume is only removed while its bucket is full: the bucket of a new volume is refilled from the
+        host's start and would be full immediately.
         """
         now_us = self._context.now_us
         if now_us - self._swept_us < IDLE_VOLUME_TTL_US:
             return
         self._swept_us = now_us
-        self.quotas = {name: quota for name, quota in self.quotas.items() if name in self.volumes}
-        for name, volume in list(self.volumes.items()):
+        self.quotas = {number: quota for number, quota in self.quotas.items() if number in self.volumes}
+        for number, volume in list(self.volumes.items()):
             idle = (
                 now_us - volume.last_request_us > IDLE_VOLUME_TTL_US
                 and not volume.queued_requests
                 and not volume.units_not_drawn
             )
             if idle and (not volume.plan.limit or volume.bucket.refill(now_us) >= volume.bucket.capacity):
-                del self.volumes[name]
+                del self.volumes[number]
--- a/lemonridge/scheduling/volume_queues.py
+++ b/lemonridge/scheduling/volume_queues.py
@@ -1,9 +1,10 @@
-"""The queues of the volumes, and the three passes that send from them.
+"""The request queues of the volumes, and the three passes that send requests from them.
 
-The mechanism is Gage's (docs/design.md cites it and lists each departure): a cycle visits the waiting volumes
-in rotation, credits each by its reservation and sends until its balance is negative; a second pass shares
-out the rest of the endpoint's window by reservation, or by weight for a volume without one. A third pass
-sends what can no longer meet its objective.
+The algorithm is Gage's; docs/design.md cites it and lists each departure from it. The first pass visits the
+volumes with queued requests in round-robin order, credits each according to its reservation and sends its
+requests until its balance is negative. The second pass distributes the free slots that remain in the
+endpoint's window by reservation, or by weight for a volume without a reservation. The third pass sends
+requests that can no longer meet their latency objective.
 """
 
 from __future__ import annotations
@@ -28,7 +29,7 @@
 
 
 def _rejection_order(request: Request) -> tuple[bool, bool, float, int, int]:
-    """Sorts waiting requests: the first to reject last."""
+    """Returns the sort key of a queued request; the request with the largest key is rejected first."""
     volume = request.volume
     return (
         request in volume.queues[request.shard].late,
@@ -40,18 +41,18 @@
 
 
 class VolumeQueues:
-    """The requests that wait for an endpoint.
+    """The requests of all volumes that are queued for an endpoint.
 
     Args:
-        context: The shared state.
-        health: Picks endpoints.
-        slow_start: Paces endpoints in slow start.
-        retries: The rules of retries.
-        send: Carries out the decision to send a request to an endpoint.
-        reject: Carries out the decision to reject a request.
+        context: The state shared by all parts of the scheduler.
+        health: Selects endpoints.
+        slow_start: Limits the requests sent to endpoints in slow start.
+        retries: The retry rules.
+        send: Called to send a request to an endpoint.
+        reject: Called to reject a request.
 
     Attributes:
-        rotation_by_shard: The queues that are visited in each shard, the next one first.
+        rotation_by_shard: The queues to visit, by shard; each deque starts with the queue to visit next.
     """
 
     def __init__(
@@ -69,35 +70,39 @@
         self._retries = retries
         self._send = send
         self._reject = reject
-        self._waiting: dict[str, Request] = {}
+        self._queued_by_id: dict[str, Request] = {}
         self.rotation_by_shard: dict[int, deque[VolumeQueue]] = {}
-        self._virtual_time_by_shard: dict[int, float] = {}  # of the second pass
+        self._virtual_time_by_shard: dict[int, float] = {}  # virtual time of the second pass
 
     # Queueing
 
     def may_wait_until_us(self, request: Request) -> int:
-        """Until when a request may wait for an endpoint though it cannot meet its objective; 0: not at all.
+        """Returns until when a request may stay queued even though it cannot meet its latency objective.
 
-        One of which no byte was sent may wait for half of its time: a rejection after that has a price
-        (PROTOCOL, Figures). One that arrives when its objective has passed, or is about to, may wait for as
-        long as an objective, or half of its time if that is shorter. A retry that its client has marked may
-        not: under load it would take the place of first attempts.
+        - A request with an attempt of which no byte was sent may wait for half of its time: a later rejection
+          incurs a penalty (PROTOCOL, Figures).
+        - A retry that is marked by its client may not wait: under load it would displace first attempts.
+        - A request that arrives after its objective, or shortly before it, may wait for one latency
+          objective, or for half of its time if that is shorter.
+
+        Returns:
+            The time in microseconds, or 0 if the request may not wait beyond its objective.
         """
         now_us = self._context.now_us
-        patience_us = (
+        extra_wait_us = (
             min(now_us + request.request_class.latency_objective_us, request.half_time_at_us) - now_us
         )
         if request.attempts_unstarted:
             return request.half_time_at_us
         if request.is_client_retry:
             return 0
-        return now_us + patience_us if request.objective_at_us < now_us + patience_us // 2 else 0
+        return now_us + extra_wait_us if request.objective_at_us < now_us + extra_wait_us // 2 else 0
 
     def enqueue(self, request: Request) -> None:
-        """Puts a request into its volume's queue for its shard.
+        """Adds a request to its volume's queue for its shard.
 
-        The earliest objective goes first, so a class with a long objective does not make one with a short
-        objective late; within a class this is the order of arrival.
+        Queues are ordered by the time at which the objectives end, so that requests with a long objective do
+        not delay requests with a short one. Within a class this is the order of arrival.
         """
         volume, shard = request.volume, request.shard
         request.may_wait_until_us = self.may_wait_until_us(request)
@@ -105,35 +110,37 @@
         if not queue.on_time and not queue.late:
             queue.virtual_time = max(queue.virtual_time, self._virtual_time_by_shard.get(shard, 0.0))
         if volume.queued_requests == 0:
-            volume.credit(self._context.now_us, self._context.settings.largest_request_units, waits=False)
+            volume.credit(
+                self._context.now_us, self._context.settings.largest_request_units, requests_queued=False
+            )
         volume.queued_requests += 1
         request.queued = True
-        self._waiting[request.id] = request
+        self._queued_by_id[request.id] = request
         insort(queue.on_time, request, key=_objective_at_us)
         self.resume(queue)
 
     def dequeue(self, request: Request) -> None:
-        """Takes a request out of its queue, if it is in one."""
+        """Removes a request from its queue, if it is queued."""
         if request.queued:
             queue = request.volume.queues[request.shard]
             (queue.late if request in queue.late else queue.on_time).remove(request)
             request.queued = False
-            del self._waiting[request.id]
+            del self._queued_by_id[request.id]
             request.volume.queued_requests -= 1
 
-    def least_urgent(self) -> Request | None:
-        """The waiting request whose rejection costs least; None where none waits.
+    def least_urgent_request(self) -> Request | None:
+        """Returns the queued request with the lowest rejection cost, or None if no request is queued.
 
-        One that is late goes before one that can meet its objective, one of a volume that has used its
-        reservation up before one inside it, one of low priority weight, of a volume with many waiting
-        requests, and the one whose objective ends last.
+        The criteria, in this order: a request that can no longer meet its objective; a request of a volume
+        that has exceeded its reservation; the lowest priority weight; the volume with the most queued
+        requests; the objective that ends last.
         """
-        return max(self._waiting.values(), key=_rejection_order, default=None)
+        return max(self._queued_by_id.values(), key=_rejection_order, default=None)
 
-    # The rotation
+    # Rotation
 
     def resume(self, queue: VolumeQueue) -> None:
-        """Puts a queue into its shard's rotation."""
+        """Adds a queue to the rotation of its shard, unless it is there already."""
         queue.suspended = False
         if not queue.in_rotation:
             queue.in_rotation = True
@@ -141,29 +148,30 @@
         self._context.shards_to_dispatch[queue.shard] = None
 
     def resume_volume(self, volume: Volume) -> None:
-        """Puts those of a volume's queues into the rotation that wait for its limit."""
+        """Resumes all queues of a volume that are suspended because of the volume's limit."""
         for queue in [queue for queue in volume.queues.values() if queue.suspended]:
             self.resume(queue)
 
     def mark_all_for_dispatch(self) -> None:
-        """Dispatches every shard for which something waits, after the events of this moment."""
+        """Marks every shard with queues in its rotation for dispatch after the current events."""
         self._context.shards_to_dispatch.update(dict.fromkeys(self.rotation_by_shard))
 
     def _suspend(self, queue: VolumeQueue, endpoint: TrackedEndpoint, limit_wait_us: int) -> None:
-        """Takes a queue out of the rotation until its limit has capacity, or a request of it expires.
+        """Suspends a queue until its volume's limit has capacity or one of its requests is late or expires.
 
-        Visits to queues that cannot send would make a decision cost more the more there are.
+        A suspended queue leaves the rotation. Otherwise the cost of each dispatch would grow with the number
+        of queues that cannot send.
         """
         queue.suspended = True
         now_us, first = self._context.now_us, queue.on_time[0]
-        first_is_late_us = first.objective_at_us - int(endpoint.latency_ewma_us * first.relative_size)
+        first_late_at_us = first.objective_at_us - int(endpoint.latency_ewma_us * first.relative_size)
         resume_us = min(
-            now_us + limit_wait_us, first_is_late_us, *(request.may_wait_until_us for request in queue.late)
+            now_us + limit_wait_us, first_late_at_us, *(request.may_wait_until_us for request in queue.late)
         )
         self._context.set_timer(max(now_us + DISPATCH_CYCLE_US, resume_us), QueueResume(queue))
 
     def _prune(self, shard: int) -> deque[VolumeQueue]:
-        """Takes empty and suspended queues out of a shard's rotation, which it returns."""
+        """Removes empty and suspended queues from the rotation of a shard, and returns the rotation."""
         rotation = self.rotation_by_shard.get(shard, deque())
         if any(not (queue.on_time or queue.late) or queue.suspended for queue in rotation):
             for queue in rotation:
@@ -177,7 +185,7 @@
     # Sending
 
     def dispatch(self, shard: int) -> None:
-        """Sends what can be sent to a shard now, in three passes, and rejects what waits in vain."""
+        """Sends the queued requests of a shard that can be sent now, and rejects those that have expired."""
         rotation = self.rotation_by_shard.get(shard)
         if not rotation:
             return
@@ -190,10 +198,10 @@
         self._prune(shard)
 
     def _send_by_balance(self, rotation: deque[VolumeQueue], shard: int) -> TrackedEndpoint | None:
-        """The first pass: each queue sends while its volume's balance is not negative.
+        """Runs the first pass: each queue sends while the balance of its volume is not negative.
 
         Returns:
-            The endpoint that has free slots left, or None.
+            An endpoint with free slots, or None if no endpoint of the shard has any left.
         """
         now_us, largest_request_units = self._context.now_us, self._context.settings.largest_request_units
         endpoint = self._health.pick(shard)
@@ -203,45 +211,46 @@
             queue = rotation[0]
             rotation.rotate(-1)
             queue.volume.credit(now_us, largest_request_units)
-            while endpoint is not None and queue.volume.balance >= 0 and self._send_first(queue, endpoint):
+            while endpoint is not None and queue.volume.balance >= 0 and self._send_next(queue, endpoint):
                 endpoint = self._health.pick(shard)
         return endpoint
 
     def _send_by_reservation(
         self, rotation: deque[VolumeQueue], shard: int, endpoint: TrackedEndpoint | None
     ) -> TrackedEndpoint | None:
-        """The second pass: shares out the free slots that are left by reservation, or weight without one.
+        """Runs the second pass: distributes the remaining free slots by reservation or weight.
 
-        Start-time fair queueing: the queue with the least virtual time sends, which advances that by the
-        units sent, divided by its reservation; a volume without one counts by its weight as units a second.
+        This is start-time fair queueing: the queue with the lowest virtual time sends a request, and its
+        virtual time advances by the units sent divided by the volume's reservation. For a volume without a
+        reservation, the weight is used as a rate in units per second.
 
         Returns:
-            The endpoint that has free slots left, or None.
+            An endpoint with free slots, or None if no endpoint of the shard has any left.
         """
-        waiting = [queue for queue in rotation if queue.on_time and not queue.suspended]
-        while endpoint is not None and waiting:
-            queue = min(waiting, key=_virtual_time)
-            units = self._send_first(queue, endpoint)
+        eligible = [queue for queue in rotation if queue.on_time and not queue.suspended]
+        while endpoint is not None and eligible:
+            queue = min(eligible, key=_virtual_time)
+            units = self._send_next(queue, endpoint)
             if units:
                 plan = queue.volume.plan
-                shard_time = max(self._virtual_time_by_shard.get(shard, 0.0), queue.virtual_time)
-                self._virtual_time_by_shard[shard] = shard_time
+                shard_virtual_time = max(self._virtual_time_by_shard.get(shard, 0.0), queue.virtual_time)
+                self._virtual_time_by_shard[shard] = shard_virtual_time
                 queue.virtual_time += units / (plan.reserve or plan.weight or 1.0)
                 endpoint = self._health.pick(shard)
                 if queue.on_time:
                     continue
-            waiting.remove(queue)
+            eligible.remove(queue)
         return endpoint
 
     def _send_late(self, rotation: Iterable[VolumeQueue], endpoint: TrackedEndpoint | None) -> None:
-        """The third pass: what can no longer meet its objective takes the slots that are left.
+        """Runs the third pass: requests that can no longer meet their objective use the remaining free slots.
 
-        An answer after the objective still earns a part (BRIEF). What may not wait longer is rejected with
-        OBJECTIVE_MISSED.
+        An answer after the objective still earns a part of the value (BRIEF). Late requests that may not wait
+        any longer are rejected with OBJECTIVE_MISSED.
         """
-        for queue in list(rotation):  # a copy, as a rejection may queue the next request of a key
+        for queue in list(rotation):  # a copy, as a rejection may enqueue the next request of a key
             while endpoint is not None and queue.late and not queue.suspended:
-                if not self._send_first(queue, endpoint, late=True):
+                if not self._send_next(queue, endpoint, late=True):
                     break
                 endpoint = self._health.pick(queue.shard)
             now_us = self._context.now_us
@@ -249,27 +258,29 @@
                 self._reject(request, RejectReason.OBJECTIVE_MISSED)
 
     def expire(self, queue: VolumeQueue, endpoint: TrackedEndpoint | None = None) -> None:
-        """Sets aside what cannot meet its objective, and rejects what cannot be answered by its deadline.
+        """Marks requests that cannot meet their objective as late, and rejects expired requests.
 
-        This serves every cause of a backlog alike: a surge, or an endpoint that is slow, silent, lost or in
-        slow start. A request is sent one dispatch cycle before its deadline at the latest: an attempt that
-        times out fails what may not be retried, though it never ran.
+        A request is expired if it cannot be answered by its deadline. The method handles every cause of a
+        backlog in the same way: a surge, or an endpoint that is slow, silent, lost or in slow start. A
+        request is sent no later than one dispatch cycle before its deadline, because an attempt that times
+        out makes a request that may not be retried fail, even if the attempt never ran.
 
-        A queued retry that is no longer allowed is rejected here too. The reason is SLOW_START where the wait
-        for the endpoint's slow start is longer than its latency, and OBJECTIVE_MISSED otherwise.
+        Queued retries that are no longer allowed are rejected as well. The reason is SLOW_START if the wait
+        for the slow-start budget of the endpoint is longer than its latency, and OBJECTIVE_MISSED otherwise.
 
         Args:
-            queue: The queue.
-            endpoint: Where its requests would be sent, or None while that is not known. Its latency counts
-                only while attempts are open there: an old one could keep it from ever being sent to again.
+            queue: The queue to check.
+            endpoint: The endpoint that the requests would be sent to, or None if it is not known yet. Its
+                latency is considered only while attempts are open there: an outdated latency could prevent
+                requests from ever being sent to the endpoint again.
         """
         now_us, may_send = self._context.now_us, self._retries.may_send
         latency_us = endpoint.latency_ewma_us if endpoint and endpoint.open_attempts else 0.0
         while queue.on_time:
             request = queue.on_time[0]
             wait_us = self._slow_start.wait_us(endpoint, request) if endpoint else 0
-            answered_us = now_us + max(int(latency_us * request.relative_size), wait_us)
-            in_time = answered_us <= min(request.objective_at_us, request.deadline_us - DISPATCH_CYCLE_US)
+            answer_at_us = now_us + max(int(latency_us * request.relative_size), wait_us)
+            in_time = answer_at_us <= min(request.objective_at_us, request.deadline_us - DISPATCH_CYCLE_US)
             if in_time and (not request.attempts_sent or may_send(request, None)):
                 break
             queue.on_time.popleft()
@@ -284,35 +295,44 @@
                     request, RejectReason.SLOW_START if slow_start else RejectReason.OBJECTIVE_MISSED
                 )
 
-    def _first(self, queue: VolumeQueue, endpoint: TrackedEndpoint, late: bool) -> Request | None:
-        """The request of a queue that is sent next: the one with the highest priority weight.
+    def _next_request(self, queue: VolumeQueue, endpoint: TrackedEndpoint, late: bool) -> Request | None:
+        """Returns the request of a queue to send next: the one with the highest priority weight.
+
+        If the requests that can meet their objective were sent in the order of their objectives alone,
+        requests with a low weight and a long objective would remain queued while others expire, and take
+        their slots.
 
-        Of requests that can be in time: with a longer objective, those of low weight would outlast the
-        others in the queue and take their slots. Where clients mark their retries, late requests are sent to
-        an endpoint only if it is idle, unless they are late because no attempt has started.
+        If clients mark their retries, a late request is sent to a busy endpoint only if an earlier attempt of
+        it has not started.
+
+        Args:
+            queue: The queue.
+            endpoint: The endpoint to send to.
+            late: Whether to select from the late requests instead of those that can meet their objective.
         """
         requests: Iterable[Request] = queue.on_time
         if late:
-            any_late = not endpoint.open_attempts or not self._context.settings.clients_mark_retries
-            requests = [request for request in queue.late if any_late or request.attempts_unstarted]
+            any_late_request = not endpoint.open_attempts or not self._context.settings.clients_mark_retries
+            requests = [request for request in queue.late if any_late_request or request.attempts_unstarted]
         return max(requests, key=_priority_weight, default=None)
 
-    def _send_first(self, queue: VolumeQueue, endpoint: TrackedEndpoint, late: bool = False) -> float:
-        """Sends one of a queue's requests to an endpoint, unless a rule holds it back.
+    def _send_next(self, queue: VolumeQueue, endpoint: TrackedEndpoint, late: bool = False) -> float:
+        """Sends the next request of a queue to an endpoint, if all rules allow it.
 
-        The rules: slow start, the volume's limit, retries (a retry that is not allowed is rejected, so that
-        it does not hold up the others), and the probes of a suspect endpoint.
+        The rules are the slow-start budget of the endpoint, the volume's limit, the retry rules, and the
+        probe schedule of a suspect endpoint. A retry that is not allowed is rejected, so that it does not
+        block the requests behind it.
 
         Args:
             queue: The queue.
-            endpoint: Where to.
-            late: Sends one of those that cannot meet their objective.
+            endpoint: The endpoint to send to.
+            late: Whether to send a late request instead of one that can meet its objective.
 
         Returns:
-            The units sent; 0 where nothing was.
+            The units of the request that was sent, or 0 if no request was sent.
         """
         self.expire(queue, endpoint)
-        request = self._first(queue, endpoint, late)
+        request = self._next_request(queue, endpoint, late)
         if request is None or self._slow_start.wait_us(endpoint, request):
             return 0.0
         volume = request.volume
--- a/tests/scheduling/test_endpoint_health.py
+++ b/tests/scheduling/test_endpoint_health.py
@@ -70,7 +70,7 @@
     rig.attempts[answered[0]] = answered[1]
     rig.end_attempt(answered[0])
 
-    assert not rig.scheduler.health.suspect(rig.endpoint("a"))
+    assert not rig.scheduler.health.is_suspect(rig.endpoint("a"))
 
 
 def test_lost_attempt_leaves_the_window_once_later_ones_are_answered(rig: Rig) -> None:
@@ -158,7 +158,7 @@
     rig.now_us += 5_000_000
 
     assert rig.endpoint("a").window == window
-    assert not rig.scheduler.health.suspect(rig.endpoint("a"))
+    assert not rig.scheduler.health.is_suspect(rig.endpoint("a"))
 
 
 def test_reset_connect_is_no_restart_but_a_long_outage_is(rig: Rig) -> None:
@@ -196,7 +196,7 @@
     rig.end_attempt(name)
 
     assert rig.endpoint("a").slow_start_began_us is None
-    assert not rig.scheduler.health.suspect(rig.endpoint("a"))
+    assert not rig.scheduler.health.is_suspect(rig.endpoint("a"))
 
 
 def test_silence_of_a_request_with_little_time_says_nothing_of_its_endpoint(rig: Rig) -> None:
@@ -209,7 +209,7 @@
         rig.now_us += left_us - 10_000
         rig.end_attempt(name, AttemptResult.TIMEOUT, latency_us=left_us - 10_000)
         rig.now_us += 1_000_000
-        assert rig.scheduler.health.suspect(endpoint) is not ignored
+        assert rig.scheduler.health.is_suspect(endpoint) is not ignored
         assert (endpoint.window == window) is ignored
         assert (endpoint.open_attempts, endpoint.expected_responses) == (0, 0)
 
@@ -228,7 +228,7 @@
         name = rig.arrive(units=units)
         assert name in rig.sent_requests()
         rig.advance(200_000)
-        assert rig.scheduler.health.suspect(endpoint) is suspect
+        assert rig.scheduler.health.is_suspect(endpoint) is suspect
         rig.end_attempt(name)
 
 
@@ -238,7 +238,7 @@
     rig.handle(PeerHealthReported("a", 1, False, rig.now_us))
     assert endpoint.window == 2.0 and not endpoint.connect_failures
     rig.handle(PeerHealthReported("a", 2, True, rig.now_us))
-    assert endpoint.connect_failures and rig.scheduler.health.suspect(endpoint)
+    assert endpoint.connect_failures and rig.scheduler.health.is_suspect(endpoint)
     first, second = rig.arrive(), rig.arrive()
     assert [one for one, _ in rig.scheduler.open_attempts] == [first]  # a try at once, and no other beside it
     rig.end_attempt(first)
--- a/tests/scheduling/test_scheduler.py
+++ b/tests/scheduling/test_scheduler.py
@@ -33,7 +33,7 @@
     assert not (
         scheduler.requests
         or scheduler.open_attempts
-        or scheduler.lifecycle.key_order._lines
+        or scheduler.lifecycle.key_order._requests_by_key
         or scheduler.lifecycle.key_order._quarantined_until_us
     )
     assert not (
