--- a/tests/scheduling/test_data_migration.py
+++ b/tests/scheduling/test_data_migration.py
@@ -1,4 +1,4 @@
-"""Requests whose data has moved to another shard."""
+"""Tests of requests whose data has migrated to another shard."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
 )
 
 
-def test_migrated_request_waits_for_its_shard_and_is_sent_there(rig):
-    """It keeps its id, deadline and attempts; the endpoint has responded and keeps its window."""
+def test_migrated_request_waits_for_its_new_shard_and_is_sent_there(rig):
+    """The request keeps its id, deadline and attempts; the endpoint has responded and keeps its window."""
     request = rig.arrive(cls=2)
     window = rig.endpoint("a").window
     assert (
@@ -24,7 +24,7 @@
 
     assert not rig.sent_requests() and endpoint.window == window and endpoint.silent_since_us is None
     assert rig.handle(DataMigrated(request, 1)) == [Send(request, "b")]
-    # A write of the class once: it may have run.
+    # The class is not idempotent, and the attempt may have run.
     assert finals(rig.end_attempt(request, AttemptResult.RESET, endpoint="b")) == {request: Fail}
 
 
@@ -46,19 +46,19 @@
     assert finals(rig.handle(DataMigrated(request, 1))) == {request: Reject}
 
 
-def test_waiting_request_is_moved_to_its_new_shard(rig):
-    """Queued for a shard without endpoints, or between two attempts; its old timer sends nothing."""
+def test_queued_request_is_sent_to_its_new_shard_after_a_migration(rig):
+    """Covers a request queued for a shard without endpoints, and one in a retry pause (timer ignored)."""
     request = rig.arrive(shard=5)
     assert not rig.sent_requests()
     assert rig.handle(DataMigrated(request, 1)) == [Send(request, "b")]
-    assert rig.handle(DataMigrated(request, 0)) == []  # an attempt is out
+    assert rig.handle(DataMigrated(request, 0)) == []  # an attempt is open
     rig.end_attempt(request, AttemptResult.QUEUE_FULL, endpoint="b")
 
     assert rig.handle(DataMigrated(request, 0)) == [Send(request, "a")]
     assert not sends(rig.advance(400_000))
 
 
-def test_migrated_request_without_news_is_rejected_at_its_deadline(rig):
+def test_migrated_request_without_a_new_shard_is_rejected_at_its_deadline(rig):
     request = rig.arrive(cls=2)
     rig.end_attempt(request, AttemptResult.DATA_MIGRATED)
 
--- a/tests/scheduling/test_endpoint_choice.py
+++ b/tests/scheduling/test_endpoint_choice.py
@@ -1,4 +1,4 @@
-"""Which endpoint a request is sent to."""
+"""Tests of the selection of an endpoint for a request."""
 
 from __future__ import annotations
 
@@ -11,16 +11,21 @@
 
 
 def endpoints_of_new_objects(endpoints: int, seed: int) -> set[str]:
-    """The endpoints, of so many, to which a host sends 2,000 new objects, one after another."""
+    """Returns the endpoints to which a host sends 2,000 new objects, one after another.
+
+    Args:
+        endpoints: The number of endpoints in the list.
+        seed: The seed of the host.
+    """
     rig = Rig(SETTINGS, seed)
     rig.update_list(*((f"n{number}", number) for number in range(endpoints)))
     chosen = set()
     for _ in range(2_000):
-        name = rig.arrive(shard=-1)
+        request = rig.arrive(shard=-1)
         (sent,) = [action for action in rig.actions if isinstance(action, Send)]
         chosen.add(sent.endpoint_id)
         rig.now_us += 5_000
-        rig.end_attempt(name, endpoint=sent.endpoint_id)
+        rig.end_attempt(request, endpoint=sent.endpoint_id)
     return chosen
 
 
@@ -28,7 +33,7 @@
     assert rig.arrive(shard=-1) in rig.sent_requests()
 
 
-def test_all_of_few_endpoints_are_compared_and_some_of_many(make):
+def test_all_endpoints_are_candidates_if_few_and_a_sample_if_many(make):
     rig = make(hosts=1)
     rig.update_list(*((f"n{n}", n) for n in range(400)), kind=EndpointListUpdate.SNAPSHOT)
     chosen = {rig.scheduler.health.pick(-1).id for _ in range(300)}
@@ -44,6 +49,6 @@
     """STANDING, last table: 2.5 times the connections, plus 40, at sixteen times the endpoints."""
     few, many = endpoints_of_new_objects(200, 1), endpoints_of_new_objects(3_200, 1)
     assert len(many) <= 2.5 * len(few) + 40
-    other = endpoints_of_new_objects(3_200, 2)
+    other_host = endpoints_of_new_objects(3_200, 2)
 
-    assert len(many & other) < len(many) / 2  # and hosts do not all meet at the same ones
+    assert len(many & other_host) < len(many) / 2  # hosts use different subsets
--- a/tests/scheduling/test_endpoint_list.py
+++ b/tests/scheduling/test_endpoint_list.py
@@ -1,4 +1,4 @@
-"""Changes of the endpoint list."""
+"""Tests of changes to the endpoint list and of its polling."""
 
 from __future__ import annotations
 
@@ -27,19 +27,19 @@
 
 
 def test_failed_watch_is_polled_again_with_backoff_and_jitter(make) -> None:
-    gaps = []
+    delays_by_seed = []
     for seed in (1, 2):
         settings = make(polls_endpoint_list=True).settings
         rig = Rig(settings, seed)
-        assert [a for a in rig.update_list(("a", 0)) if isinstance(a, Subscribe)]
-        times = []
+        assert [action for action in rig.update_list(("a", 0)) if isinstance(action, Subscribe)]
+        delays_us = []
         for _ in range(4):
             rig.handle(EndpointsChanged(EndpointListUpdate.WATCH_FAILED, ()))
-            start = rig.now_us
-            while not any(isinstance(a, Subscribe) for a in rig.advance(10_000)):
+            start_us = rig.now_us
+            while not any(isinstance(action, Subscribe) for action in rig.advance(10_000)):
                 pass
-            times.append(rig.now_us - start)
-        assert times[0] < times[1] < times[2] < times[3]
-        gaps.append(times)
+            delays_us.append(rig.now_us - start_us)
+        assert delays_us[0] < delays_us[1] < delays_us[2] < delays_us[3]
+        delays_by_seed.append(delays_us)
 
-    assert gaps[0] != gaps[1]
+    assert delays_by_seed[0] != delays_by_seed[1]
--- a/tests/scheduling/test_key_order.py
+++ b/tests/scheduling/test_key_order.py
@@ -1,4 +1,4 @@
-"""Requests with one ordering key."""
+"""Tests of requests with the same ordering key."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 )
 
 
-def test_one_key_runs_one_at_a_time_in_order(rig: Rig) -> None:
+def test_requests_of_one_key_run_one_at_a_time_in_order(rig: Rig) -> None:
     first, second, third = (rig.arrive(cls=1, key=5) for _ in range(3))
-    other = rig.arrive(cls=0)
+    without_key = rig.arrive(cls=0)
 
-    assert other in rig.sent_requests()
+    assert without_key in rig.sent_requests()
     assert rig.end_attempt(first) and rig.sent_requests() == [second]
     assert rig.end_attempt(second) and rig.sent_requests() == [third]
 
--- a/tests/scheduling/test_many_brokers_one_node.py
+++ b/tests/scheduling/test_many_brokers_one_node.py
@@ -1,4 +1,4 @@
-"""Many instances of the module against one node: what they send it together while it is cold."""
+"""Tests of many schedulers that send to one node: their load on it in slow start, and a limit."""
 
 from __future__ import annotations
 
@@ -25,27 +25,39 @@
 from lemonridge.scheduling.settings import VolumePlan
 from lemonridge.scheduling.slow_start import SlowStart
 
-CAPACITY = 80.0  # units a second of the warm node
-SLOT_US = 20_000
-FAIL_US = 20_000_000  # when the node goes, after a warm stretch
+CAPACITY = 80.0  # units per second of the node at full capacity
+STEP_US = 20_000
+WARM_UP_US = 20_000_000  # time at full capacity before the node stops
 RAMP_US = SETTINGS.slow_start_ramp_us
 
 
 class Fleet:
-    """Hosts that each hold a volume at one node; the node answers all after 40 ms."""
+    """Hosts that each serve one volume, and one node that responds to all requests after 40 ms.
+
+    Attributes:
+        random: The source of random arrivals.
+        hosts: The scheduler of each host.
+        now_us: The current time.
+        request_count: The number of requests so far.
+        up: Whether the node accepts connections.
+        open_attempts: The open attempts: end time, host, `Send` action and start time.
+        attempts: The number of attempts of each request that have ended.
+        received: The units that reached the node, with their times.
+        units: The units of each request.
+    """
 
     def __init__(self, hosts: int, seed: int = 5) -> None:
-        facts = replace(SETTINGS, hosts=hosts, overload_multiple=2.5)
+        settings = replace(SETTINGS, hosts=hosts, overload_multiple=2.5)
         self.random = random.Random(seed)
-        self.hosts = [Scheduler(facts, seed * 1000 + n) for n in range(hosts)]
-        self.now, self.count, self.up = START, 0, True
-        self.out: list[tuple[int, int, Send, int]] = []
-        self.tries: dict[str, int] = {}
-        self.sent: list[tuple[int, float]] = []  # what reached the node, and when
+        self.hosts = [Scheduler(settings, seed * 1000 + n) for n in range(hosts)]
+        self.now_us, self.request_count, self.up = START, 0, True
+        self.open_attempts: list[tuple[int, int, Send, int]] = []
+        self.attempts: dict[str, int] = {}
+        self.received: list[tuple[int, float]] = []
         self.units: dict[str, float] = {}
-        self.tell(EndpointListUpdate.CACHED, 0)
+        self.update_list(EndpointListUpdate.CACHED, 0)
 
-    def tell(
+    def update_list(
         self,
         kind: EndpointListUpdate,
         started_us: int,
@@ -55,26 +67,32 @@
     ) -> None:
         entry = Endpoint(node, 0, 0, state, started_us)
         for n, host in list(enumerate(self.hosts))[hosts]:
-            self.take(n, host.handle(self.now, [EndpointsChanged(kind, (entry,))]))
+            self.perform(n, host.handle(self.now_us, [EndpointsChanged(kind, (entry,))]))
 
-    def take(self, n: int, actions: list[Action]) -> None:
+    def perform(self, n: int, actions: list[Action]) -> None:
         for action in actions:
             if isinstance(action, Send):
                 if self.up:
-                    self.sent.append((self.now, self.units[action.request]))
-                self.out.append((self.now + 40_000, n, action, self.now))
-
-    def run(self, span: int, rate: float, surge: float = 1.0) -> None:
-        """`rate` units a second from all hosts together; an eighth of the hosts ask `surge` times as much."""
-        end = self.now + span
-        while self.now < end:
-            self.now += SLOT_US
-            due = [item for item in self.out if item[0] <= self.now]
-            self.out = [item for item in self.out if item[0] > self.now]
+                    self.received.append((self.now_us, self.units[action.request]))
+                self.open_attempts.append((self.now_us + 40_000, n, action, self.now_us))
+
+    def run(self, span_us: int, rate: float, surge: float = 1.0) -> None:
+        """Runs for `span_us` with random arrivals.
+
+        Args:
+            span_us: The duration.
+            rate: The demand of all hosts together, in units per second.
+            surge: The factor by which one eighth of the hosts exceeds the demand of the others.
+        """
+        end_us = self.now_us + span_us
+        while self.now_us < end_us:
+            self.now_us += STEP_US
+            due = [attempt for attempt in self.open_attempts if attempt[0] <= self.now_us]
+            self.open_attempts = [attempt for attempt in self.open_attempts if attempt[0] > self.now_us]
             events: dict[int, list[Event]] = {n: [TimerFired()] for n in range(len(self.hosts))}
-            for _, n, send, at in due:
-                attempt = self.tries.get(send.request, 0)
-                self.tries[send.request] = attempt + 1
+            for _, n, send, sent_us in due:
+                attempt = self.attempts.get(send.request, 0)
+                self.attempts[send.request] = attempt + 1
                 result = AttemptResult.OK if self.up else AttemptResult.CONNECT_FAILED
                 events[n].append(
                     AttemptEnded(
@@ -82,7 +100,7 @@
                         attempt,
                         send.endpoint_id,
                         result,
-                        self.now - at,
+                        self.now_us - sent_us,
                         self.up,
                         None,
                         None,
@@ -90,144 +108,182 @@
                     )
                 )
             for n in range(len(self.hosts)):
-                mean = rate / len(self.hosts) / 2.5 * SLOT_US / 1e6 * (surge if n % 8 == 0 else 1.0)
-                if self.random.random() < mean:
-                    self.count += 1
-                    name, units = f"r{self.count}", self.random.choice([1.0, 1.0, 2.0, 2.0, 3.0, 6.0])
-                    self.units[name] = units
-                    events[n].append(RequestArrived(name, 0, n, self.now + 1_500_000, None, 0, 2, units, 1))
+                probability = rate / len(self.hosts) / 2.5 * STEP_US / 1e6 * (surge if n % 8 == 0 else 1.0)
+                if self.random.random() < probability:
+                    self.request_count += 1
+                    request, units = (
+                        f"r{self.request_count}",
+                        self.random.choice([1.0, 1.0, 2.0, 2.0, 3.0, 6.0]),
+                    )
+                    self.units[request] = units
+                    events[n].append(
+                        RequestArrived(request, 0, n, self.now_us + 1_500_000, None, 0, 2, units, 1)
+                    )
             for n, host in enumerate(self.hosts):
-                self.take(n, host.handle(self.now, events[n]))
-
-    def worst(self, born_us: int) -> float:
-        """The most of the node's allowance that was used within any stretch of the stated length."""
-        worst = 0.0
-        for start in range(born_us, born_us + RAMP_US, 100_000):
-            end = start + SETTINGS.overload_window_us
-            units = sum(u for at, u in self.sent if start < at <= end)
-            warm = (
+                self.perform(n, host.handle(self.now_us, events[n]))
+
+    def peak_overload_fraction(self, started_us: int) -> float:
+        """Returns the peak load in any overload window, as a fraction of the load at which the node fails."""
+        peak = 0.0
+        for window_start_us in range(started_us, started_us + RAMP_US, 100_000):
+            window_end_us = window_start_us + SETTINGS.overload_window_us
+            units = sum(units for at_us, units in self.received if window_start_us < at_us <= window_end_us)
+            capacity_fraction = (
                 SETTINGS.slow_start_initial_fraction
-                + (1 - SETTINGS.slow_start_initial_fraction) * (start - born_us) / RAMP_US
+                + (1 - SETTINGS.slow_start_initial_fraction) * (window_start_us - started_us) / RAMP_US
             )
-            worst = max(worst, units / (2.5 * warm * CAPACITY))
-        return worst
+            peak = max(peak, units / (2.5 * capacity_fraction * CAPACITY))
+        return peak
+
+    def units_received(self, started_us: int) -> float:
+        """Returns the units that reached the node during its slow start."""
+        return sum(units for at_us, units in self.received if started_us < at_us <= started_us + RAMP_US)
 
-    def served(self, born_us: int) -> float:
-        return sum(u for at, u in self.sent if born_us < at <= born_us + RAMP_US)
 
+def replace_node(hosts: int, delay_us: int = 0, surge: float = 1.0) -> tuple[Fleet, int]:
+    """Drains the node and starts a new one, which the hosts learn of `delay_us` after its start.
 
-def replaced(hosts: int, late_us: int = 0, surge: float = 1.0) -> tuple[Fleet, int]:
-    """A node goes and its successor comes, told `late_us` after its start."""
+    Returns:
+        The fleet at the end of the new node's slow start, and the start time of the new node.
+    """
     fleet = Fleet(hosts)
-    fleet.run(FAIL_US, 60.0)
-    fleet.tell(EndpointListUpdate.DELTA, 0, state=EndpointState.DRAINING)
+    fleet.run(WARM_UP_US, 60.0)
+    fleet.update_list(EndpointListUpdate.DELTA, 0, state=EndpointState.DRAINING)
     fleet.run(1_000_000, 150.0)
-    born = fleet.now
-    fleet.run(late_us, 150.0)
-    fleet.sent.clear()
-    fleet.tell(EndpointListUpdate.DELTA, born, node="b")
-    fleet.run(RAMP_US - late_us, 150.0, surge)
-    return fleet, born
+    started_us = fleet.now_us
+    fleet.run(delay_us, 150.0)
+    fleet.received.clear()
+    fleet.update_list(EndpointListUpdate.DELTA, started_us, node="b")
+    fleet.run(RAMP_US - delay_us, 150.0, surge)
+    return fleet, started_us
 
 
 @pytest.mark.parametrize(
-    ("hosts", "late_us", "surge"), [(4, 0, 1.0), (120, 0, 1.0), (120, 3_000_000, 1.0), (120, 0, 6.0)]
+    ("hosts", "delay_us", "surge"), [(4, 0, 1.0), (120, 0, 1.0), (120, 3_000_000, 1.0), (120, 0, 6.0)]
 )
-def test_cold_node_is_used_and_not_pushed_over(hosts: int, late_us: int, surge: float) -> None:
-    fleet, born = replaced(hosts, late_us, surge)
-    assert fleet.worst(born) < 1.0
-    assert fleet.served(born) > 0.2 * CAPACITY * RAMP_US / 1e6  # a cold node is of use during its ramp
+def test_node_in_slow_start_is_used_and_not_overloaded(hosts: int, delay_us: int, surge: float) -> None:
+    fleet, started_us = replace_node(hosts, delay_us, surge)
+    assert fleet.peak_overload_fraction(started_us) < 1.0
+    # The node is used during its ramp.
+    assert fleet.units_received(started_us) > 0.2 * CAPACITY * RAMP_US / 1e6
 
 
-def test_without_the_guard_a_cold_node_is_pushed_over(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_node_in_slow_start_is_overloaded_without_the_slow_start_budget(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     monkeypatch.setattr(SlowStart, "wait_us", lambda self, node, request: 0)
-    fleet, born = replaced(120)
-    assert fleet.worst(born) > 1.0
+    fleet, started_us = replace_node(120)
+    assert fleet.peak_overload_fraction(started_us) > 1.0
 
 
-def restarted() -> tuple[Fleet, int]:
-    """A node that is down for 8 s and comes back with no word from the list."""
+def restart_node() -> tuple[Fleet, int]:
+    """Restarts the node after 8 s of failed connects, without a change to the endpoint list.
+
+    Returns:
+        The fleet at the end of the node's slow start, and the restart time.
+    """
     fleet = Fleet(120)
-    fleet.run(FAIL_US, 60.0)
+    fleet.run(WARM_UP_US, 60.0)
     fleet.up = False
     fleet.run(8_000_000, 150.0)
-    fleet.up, born = True, fleet.now
-    fleet.sent.clear()
+    fleet.up, started_us = True, fleet.now_us
+    fleet.received.clear()
     fleet.run(RAMP_US, 400.0)
-    return fleet, born
+    return fleet, started_us
 
 
-def test_restart_seen_only_by_failed_connects_is_taken_for_cold(monkeypatch: pytest.MonkeyPatch) -> None:
-    fleet, born = restarted()
-    # The first tries of hosts that were told nothing may come close together; what follows must hold.
-    guarded = fleet.worst(born)
-    assert guarded < 1.6 and fleet.worst(born + 1_000_000) < 1.0
-    assert fleet.served(born) > 0.2 * CAPACITY * RAMP_US / 1e6
+def test_restart_detected_only_by_failed_connects_begins_a_slow_start(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    fleet, started_us = restart_node()
+    # The first probes may coincide, as the hosts were not informed; after that the budget must hold.
+    limited_peak = fleet.peak_overload_fraction(started_us)
+    assert limited_peak < 1.6 and fleet.peak_overload_fraction(started_us + 1_000_000) < 1.0
+    assert fleet.units_received(started_us) > 0.2 * CAPACITY * RAMP_US / 1e6
     monkeypatch.setattr(SlowStart, "wait_us", lambda self, node, request: 0)
-    fleet, born = restarted()
-    assert fleet.worst(born) > guarded + 0.5
+    fleet, started_us = restart_node()
+    assert fleet.peak_overload_fraction(started_us) > limited_peak + 0.5
 
 
-def test_limit_holds_over_24_hosts_while_the_lead_moves_and_hosts_restart() -> None:
+def test_limit_holds_over_24_hosts_while_the_busiest_host_changes_and_hosts_restart() -> None:
     plan = VolumePlan(10.0, 5.0, 1.0, 60.0, 24 * 2 * 8.0, 38.4)
-    facts = replace(SETTINGS, hosts=24, plans=(plan,))
+    settings = replace(SETTINGS, hosts=24, plans=(plan,))
     entry = Endpoint("a", 0, 0, EndpointState.ACTIVE, 0)
-    chance, now = random.Random(3), START
-    store, lowest, sent, spread = plan.burst, plan.burst, 0.0, set()
+    rng, now_us = random.Random(3), START
+    tokens, min_tokens, sent_units, sending_hosts = plan.burst, plan.burst, 0.0, set()
 
     def start(seed: int) -> Scheduler:
-        host = Scheduler(facts, seed)
-        host.handle(now, [EndpointsChanged(EndpointListUpdate.CACHED, (entry,))])
+        host = Scheduler(settings, seed)
+        host.handle(now_us, [EndpointsChanged(EndpointListUpdate.CACHED, (entry,))])
         return host
 
     hosts = [start(n) for n in range(24)]
     units: dict[str, float] = {}
-    for step in range(6000):  # a minute; one lead asks for many times the limit and moves each two seconds
-        now += 10_000
-        store = min(plan.burst, store + plan.limit / 100)
-        lead = step // 200 * 7 % 24
+    # One minute, in which the busiest host demands many times the limit and changes every 2 s.
+    for step in range(6000):
+        now_us += 10_000
+        tokens = min(plan.burst, tokens + plan.limit / 100)
+        busiest = step // 200 * 7 % 24
         if step % 500 == 499:
-            hosts[chance.randrange(24)] = start(step)
-        for n in {lead, chance.randrange(24)}:
-            name = f"{step}-{n}"
-            units[name] = chance.choice([1.0, 2.0, 8.0])
-            event = RequestArrived(name, 0, 1, now + 1_500_000, None, 0, 0, units[name], 24)
-            for action in hosts[n].handle(now, [event]):
+            hosts[rng.randrange(24)] = start(step)
+        for n in {busiest, rng.randrange(24)}:
+            request = f"{step}-{n}"
+            units[request] = rng.choice([1.0, 2.0, 8.0])
+            event = RequestArrived(request, 0, 1, now_us + 1_500_000, None, 0, 0, units[request], 24)
+            for action in hosts[n].handle(now_us, [event]):
                 if isinstance(action, Send):
-                    store -= units[action.request]
-                    sent += units[action.request]
-                    spread.add(n)
-                    ended = AttemptEnded(
+                    tokens -= units[action.request]
+                    sent_units += units[action.request]
+                    sending_hosts.add(n)
+                    attempt_ended = AttemptEnded(
                         action.request, 0, "a", AttemptResult.OK, 9_000, True, None, None, None
                     )
-                    hosts[n].handle(now, [ended])
-        lowest = min(lowest, store)
-    assert lowest >= -plan.slack
-    assert len(spread) == 24 and sent > 0.2 * plan.limit * 60
+                    hosts[n].handle(now_us, [attempt_ended])
+        min_tokens = min(min_tokens, tokens)
+    assert min_tokens >= -plan.slack
+    assert len(sending_hosts) == 24 and sent_units > 0.2 * plan.limit * 60
+
+
+def discovery_answer_times(
+    initial_backoff_s: float, max_backoff_s: float, spread: bool, brokers: int = 40
+) -> list[float]:
+    """Returns when the call of each broker is answered within 40 s, in seconds.
 
+    Discovery processes one call after another and takes 150 ms for each, including calls whose caller has
+    given up after waiting for 2 s.
 
-def answered(first_s: float, top_s: float, spread: bool, brokers: int = 40) -> list[float]:
-    """When each broker's call is answered, of 40 s: a discovery that takes 150 ms for each call in turn, also
-    for those whose caller has given up after 2 s in the line."""
-    chance, line, now, told = random.Random(8), 0.0, 0.0, []
-    calls = [(first_s * chance.random() if spread else 0.0, n, 0) for n in range(brokers)]
+    Args:
+        initial_backoff_s: The initial backoff.
+        max_backoff_s: The maximum backoff.
+        spread: Whether the first calls are spread over the initial backoff. Otherwise all are made at once.
+        brokers: The number of brokers.
+    """
+    rng, free_at, now, answer_times = random.Random(8), 0.0, 0.0, []
+    calls = [(initial_backoff_s * rng.random() if spread else 0.0, n, 0) for n in range(brokers)]
     while calls and now < 40:
-        now, n, failed = min(calls)
-        calls.remove((now, n, failed))
-        line = max(line, now) + 0.15
-        if line <= now + 2:
-            told.append(line)
+        now, n, failures = min(calls)
+        calls.remove((now, n, failures))
+        free_at = max(free_at, now) + 0.15
+        if free_at <= now + 2:
+            answer_times.append(free_at)
         else:
-            pause = min(top_s, first_s * 2**failed) * chance.uniform(0.5, 1.5)
-            calls.append((now + 2 + pause, n, failed + 1))
-    return told
-
-
-def test_many_brokers_calls_are_spread_so_that_discovery_can_answer_them() -> None:
-    asked = replace(SETTINGS, hosts=40, polls_endpoint_list=True, poll_within_us=10_000_000)
-    told = answered(*discovery.backoff_bounds_s(asked), True)
-    assert len(told) == 40 and sorted(told)[35] < 10
-    assert len(answered(*discovery.backoff_bounds_s(replace(asked, polls_endpoint_list=False)), False)) < 30
-    assert discovery.backoff_bounds_s(replace(asked, hosts=3))[0] < 0.5
-    # the settings need not say
-    assert discovery.backoff_bounds_s(replace(asked, poll_within_us=0)) == (4.0, 8.0)
+            backoff = min(max_backoff_s, initial_backoff_s * 2**failures) * rng.uniform(0.5, 1.5)
+            calls.append((now + 2 + backoff, n, failures + 1))
+    return answer_times
+
+
+def test_calls_of_many_brokers_are_spread_so_that_discovery_can_answer_them() -> None:
+    settings = replace(SETTINGS, hosts=40, polls_endpoint_list=True, poll_within_us=10_000_000)
+    answer_times = discovery_answer_times(*discovery.backoff_bounds_s(settings), True)
+    assert len(answer_times) == 40 and sorted(answer_times)[35] < 10
+    assert (
+        len(
+            discovery_answer_times(
+                *discovery.backoff_bounds_s(replace(settings, polls_endpoint_list=False)), False
+            )
+        )
+        < 30
+    )
+    assert discovery.backoff_bounds_s(replace(settings, hosts=3))[0] < 0.5
+    # With `poll_within_us` 0 the settings do not limit the time between polls.
+    assert discovery.backoff_bounds_s(replace(settings, poll_within_us=0)) == (4.0, 8.0)
--- a/tests/scheduling/test_scheduler.py
+++ b/tests/scheduling/test_scheduler.py
@@ -1,4 +1,4 @@
-"""The scheduler as one state machine: sameness, memory, new settings."""
+"""Tests of the scheduler as a whole: determinism, cleanup of its state, and new settings."""
 
 from __future__ import annotations
 
@@ -14,13 +14,13 @@
 )
 
 
-def test_nothing_is_left_behind_over_many_cycles(rig: Rig) -> None:
-    for turn in range(400):
-        rig.arrive(turn, cls=turn % 3, plan=turn % 4, key=turn)
+def test_no_state_remains_after_many_requests(rig: Rig) -> None:
+    for step in range(400):
+        rig.arrive(step, cls=step % 3, plan=step % 4, key=step)
         for request, attempt in list(rig.scheduler.open_attempts):
             rig.attempts[request] = attempt
             rig.end_attempt(
-                request, (AttemptResult.OK, AttemptResult.RESET, AttemptResult.QUEUE_FULL)[turn % 3]
+                request, (AttemptResult.OK, AttemptResult.RESET, AttemptResult.QUEUE_FULL)[step % 3]
             )
         rig.now_us += 20_000
     rig.update_list(("b", 1), kind=EndpointListUpdate.SNAPSHOT)
@@ -43,49 +43,53 @@
 
 
 def test_same_events_give_same_actions() -> None:
-    logs = []
+    actions_by_run = []
     for _ in range(2):
         rig = Rig(SETTINGS, 7)
         rig.update_list(("a", 0), ("b", 1))
-        log = []
-        for turn in range(200):
-            rig.arrive(turn % 9, shard=turn % 2, cls=turn % 3, key=turn % 5)
-            log += rig.actions
+        actions = []
+        for step in range(200):
+            rig.arrive(step % 9, shard=step % 2, cls=step % 3, key=step % 5)
+            actions += rig.actions
             rig.now_us += 7_000
-            log += rig.handle(TimerFired())
-        logs.append(log)
+            actions += rig.handle(TimerFired())
+        actions_by_run.append(actions)
 
-    assert logs[0] == logs[1]
+    assert actions_by_run[0] == actions_by_run[1]
 
 
 def test_new_settings_apply_to_new_requests_and_keep_open_ones(rig: Rig) -> None:
-    """A reload may renumber classes and plans and change a limit, without a new start of the module."""
+    """A reload may change the indices of classes and plans, and a limit, without a scheduler restart."""
     rig.now_us += 30_000_000
-    held = rig.arrive(volume=2, cls=1)
+    open_request = rig.arrive(volume=2, cls=1)
     arrive_many(rig, 1, 9, plan=1)  # the bucket of volume 9 is full: 40 units and 4 of slack
-    tight = replace(SETTINGS.plans[1], limit=2.0, burst=3.0, slack=0.0)
-    rig.handle(SettingsChanged(replace(SETTINGS, classes=SETTINGS.classes[1::-1], plans=(tight,)), False))
-    taken = arrive_many(rig, 4, 9, cls=1, plan=0, left_us=1_500_000)
-    assert [name in rig.scheduler.requests for name in taken] == [True, True, True, False]
-    assert rig.scheduler.requests[held].request_class is SETTINGS.classes[1]
-    rig.end_attempt(held)
+    low_limit = replace(SETTINGS.plans[1], limit=2.0, burst=3.0, slack=0.0)
+    rig.handle(SettingsChanged(replace(SETTINGS, classes=SETTINGS.classes[1::-1], plans=(low_limit,)), False))
+    new_requests = arrive_many(rig, 4, 9, cls=1, plan=0, left_us=1_500_000)
+    assert [request in rig.scheduler.requests for request in new_requests] == [True, True, True, False]
+    assert rig.scheduler.requests[open_request].request_class is SETTINGS.classes[1]
+    rig.end_attempt(open_request)
 
-    assert held not in rig.scheduler.requests
+    assert open_request not in rig.scheduler.requests
 
 
 def test_unchanged_plan_indices_apply_the_new_plans_at_once(rig: Rig) -> None:
     rig.advance(60_000_000)  # the bucket is full
-    held = [rig.arrive(1, plan=1) for _ in range(60)]
-    before = rig.volume(1).bucket.refill(rig.now_us)
-    tight = replace(SETTINGS.plans[1], limit=1.0, burst=3.0, slack=0.0)
+    requests = [rig.arrive(1, plan=1) for _ in range(60)]
+    tokens_before = rig.volume(1).bucket.refill(rig.now_us)
+    low_limit = replace(SETTINGS.plans[1], limit=1.0, burst=3.0, slack=0.0)
     rig.handle(
-        SettingsChanged(replace(SETTINGS, plans=(SETTINGS.plans[0], tight, *SETTINGS.plans[2:])), True)
+        SettingsChanged(replace(SETTINGS, plans=(SETTINGS.plans[0], low_limit, *SETTINGS.plans[2:])), True)
     )
     volume = rig.volume(1)
-    assert volume.plan == tight and volume.bucket.refill(rig.now_us) <= min(before, 3.0)
+    assert volume.plan == low_limit and volume.bucket.refill(rig.now_us) <= min(tokens_before, 3.0)
     sent = len(sends(rig.advance(2_000_000)))
-    assert sent <= 3 + 2, (sent, len(held))
-    wide = (SETTINGS.plans[0], replace(tight, limit=1000.0, burst=100.0), *SETTINGS.plans[2:])
-    rig.handle(SettingsChanged(replace(SETTINGS, plans=wide), True))
+    assert sent <= 3 + 2, (sent, len(requests))
+    high_limit_plans = (
+        SETTINGS.plans[0],
+        replace(low_limit, limit=1000.0, burst=100.0),
+        *SETTINGS.plans[2:],
+    )
+    rig.handle(SettingsChanged(replace(SETTINGS, plans=high_limit_plans), True))
 
     assert not any(queue.suspended for queue in volume.queues.values())
--- a/tests/scheduling/test_slow_start.py
+++ b/tests/scheduling/test_slow_start.py
@@ -1,4 +1,4 @@
-"""Endpoints that have started anew."""
+"""Tests of the slow start of endpoints that have started or restarted."""
 
 from __future__ import annotations
 
@@ -19,9 +19,10 @@
 )
 
 
-def cold_sends(rig: Rig, span: int, shard: int = 2) -> float:
-    total, end = 0.0, rig.now_us + span
-    while rig.now_us < end:
+def send_during_slow_start(rig: Rig, span_us: int, shard: int = 2) -> float:
+    """Lets a request arrive every 10 ms for `span_us`, and returns the units sent to endpoint `n`."""
+    total, end_us = 0.0, rig.now_us + span_us
+    while rig.now_us < end_us:
         rig.arrive(5, shard=shard)
         total += len(rig.sent_requests())
         for request, attempt in list(rig.scheduler.open_attempts):
@@ -32,30 +33,32 @@
     return total
 
 
-def test_new_endpoint_gets_this_hosts_part_of_its_slow_start(rig: Rig) -> None:
+def test_new_endpoint_gets_this_hosts_share_of_its_slow_start_budget(rig: Rig) -> None:
     rig.update_list(("n", 2), kind=EndpointListUpdate.DELTA)
 
-    assert 1 <= cold_sends(rig, 990_000) <= SETTINGS.slow_start_units / SETTINGS.hosts
+    assert 1 <= send_during_slow_start(rig, 990_000) <= SETTINGS.slow_start_units / SETTINGS.hosts
 
 
 def test_recent_start_in_a_cached_list_is_a_slow_start() -> None:
     rig = Rig(SETTINGS)
     rig.update_list(("n", 2, EndpointState.ACTIVE, START - 1))
 
-    assert 1 <= cold_sends(rig, 990_000) <= SETTINGS.slow_start_units / SETTINGS.hosts
+    assert 1 <= send_during_slow_start(rig, 990_000) <= SETTINGS.slow_start_units / SETTINGS.hosts
 
 
-def test_host_that_starts_beside_a_slow_start_uses_it_by_demand() -> None:
-    """One of many hosts: its even part holds no request, and it was served nothing there before. What it is
-    asked for beyond the volume's rate does not count."""
+def test_host_that_starts_during_a_slow_start_uses_it_by_demand() -> None:
+    """The host's equal share is smaller than one request, and it has no baseline traffic at the shard.
+
+    Demand above the base rate of the volume does not count.
+    """
     rig = Rig(replace(SETTINGS, hosts=40, slow_start_units=1.0))
     rig.update_list(("n", 2, EndpointState.ACTIVE, START - 4_000_000))
 
-    assert 3 <= cold_sends(rig, 4_000_000) <= 2 * 4 * SETTINGS.plans[0].base_rate < 4 * 100
+    assert 3 <= send_during_slow_start(rig, 4_000_000) <= 2 * 4 * SETTINGS.plans[0].base_rate < 4 * 100
 
 
-def test_bucket_of_a_slow_start_saves_a_burst_in_a_large_fleet_alone() -> None:
-    for hosts, saved in ((40, True), (4, False)):
+def test_bucket_of_a_slow_start_saves_a_burst_only_in_a_large_fleet() -> None:
+    for hosts, saves_burst in ((40, True), (4, False)):
         rig = Rig(replace(SETTINGS, hosts=hosts, slow_start_units=1.0))
         rig.update_list(("a", 0))
         for _ in range(40):
@@ -65,13 +68,13 @@
         rig.now_us += 9_000_000
         rig.arrive(units=2.0)
         endpoint = rig.endpoint("a")
-        assert (endpoint.slow_start_tokens > 2.0) is saved and endpoint.slow_start_rate > 0
+        assert (endpoint.slow_start_tokens > 2.0) is saves_burst and endpoint.slow_start_rate > 0
 
 
-def test_new_object_skips_a_slow_start_whose_budget_is_used_up(rig: Rig) -> None:
+def test_new_object_skips_an_endpoint_whose_slow_start_budget_is_exhausted(rig: Rig) -> None:
     rig.update_list(("n", 2), kind=EndpointListUpdate.DELTA)
-    for name in "ab":
-        rig.endpoint(name).window = 1.5
+    for endpoint_id in "ab":
+        rig.endpoint(endpoint_id).window = 1.5
     (
         rig.endpoint("n").window,
         rig.endpoint("n").slow_start_tokens,
@@ -83,7 +86,7 @@
     assert rig.arrive(shard=-1) in rig.sent_requests() and rig.endpoint("n").open_attempts == 0
 
 
-def test_unnoticed_restart_is_a_slow_start(rig: Rig) -> None:
+def test_restart_detected_by_failed_connects_begins_a_slow_start(rig: Rig) -> None:
     for _ in range(3):
         rig.arrive()
         for request, attempt in list(rig.scheduler.open_attempts):
@@ -106,11 +109,13 @@
     assert rig.arrive(5, shard=2) in rig.sent_requests()
 
 
-def test_limit_holds_in_a_slow_start_and_draining_prevails() -> None:
+def test_limit_applies_in_a_slow_start_and_a_draining_endpoint_gets_no_requests() -> None:
     rig = Rig(SETTINGS)
     rig.update_list(("n", 2, EndpointState.ACTIVE, START - 1))
     rig.arrive(1, plan=1, shard=2, hosts=2)
-    assert not rig.sent_requests()  # the slow start allows it, the empty bucket does not
+    assert (
+        not rig.sent_requests()
+    )  # the slow start allows the request, the empty bucket of the limit does not
     rig.now_us += 200_000
     assert len(sends(rig.handle(TimerFired()))) == 1
     rig.update_list(("n", 2, EndpointState.DRAINING, START - 1), kind=EndpointListUpdate.DELTA)
@@ -119,23 +124,23 @@
     assert not rig.sent_requests() and not sends(rig.advance(1_000_000))
 
 
-def test_usual_traffic_is_kept_while_an_endpoint_drains_and_is_removed(rig: Rig) -> None:
+def test_baseline_traffic_is_kept_while_an_endpoint_drains_and_is_removed(rig: Rig) -> None:
     for _ in range(20):
         rig.now_us += 500_000
         rig.end_attempt(rig.arrive(units=2.0))
     last = rig.arrive(units=2.0)
     rig.update_list(("a", 0, EndpointState.DRAINING), kind=EndpointListUpdate.DELTA)
-    before = rig.scheduler.slow_start.baseline_traffic[0].units
+    units_before = rig.scheduler.slow_start.baseline_traffic[0].units
     rig.now_us += 50_000
-    rig.end_attempt(last)  # what was out still comes back, and must not start the fading again
+    rig.end_attempt(last)  # the response to an open attempt must not end the freeze of the average
     rig.now_us += 15_000_000
     rig.update_list(("c", 0, EndpointState.ACTIVE, rig.now_us), kind=EndpointListUpdate.DELTA)
 
-    assert rig.scheduler.slow_start.baseline_traffic[0].units == before > 0
+    assert rig.scheduler.slow_start.baseline_traffic[0].units == units_before > 0
 
 
-def test_host_without_usual_traffic_has_an_even_part_of_a_slow_start() -> None:
-    """It was served little there, and much elsewhere, by which it knows what a core serves."""
+def test_host_without_baseline_traffic_has_an_equal_share_of_a_slow_start() -> None:
+    """The host has little baseline traffic at the shard, but knows the latency from another shard."""
     rig = Rig(replace(SETTINGS, hosts=40, slow_start_units=1.0))
     rig.update_list(("a", 0), ("b", 1))
     rig.end_attempt(rig.arrive(units=2.0), latency_us=100_000)
@@ -145,27 +150,28 @@
     rig.update_list(("a", 0, EndpointState.ACTIVE, rig.now_us), kind=EndpointListUpdate.DELTA)
     rig.now_us += 1_000_000
     rig.arrive(units=2.0)
-    core = 2.0 / 100_000  # units a microsecond
+    core_rate = 2.0 / 100_000  # units per microsecond
 
-    assert rig.endpoint("a").slow_start_rate == pytest.approx(0.5 * core / 40 * 0.5 * 2.5 * 0.2, rel=0.2)
+    assert rig.endpoint("a").slow_start_rate == pytest.approx(0.5 * core_rate / 40 * 0.5 * 2.5 * 0.2, rel=0.2)
 
 
-def test_peer_reports_from_before_a_start_do_not_begin_it_again(rig: Rig) -> None:
+def test_peer_reports_older_than_a_restart_do_not_begin_another_slow_start(rig: Rig) -> None:
     rig.advance(5_000_000)
-    born = rig.now_us
-    rig.update_list(("a", 0, EndpointState.ACTIVE, born), kind=EndpointListUpdate.DELTA)
-    rig.handle(PeerHealthReported("a", 3, True, born - 500_000))  # they saw it dead
+    started_us = rig.now_us
+    rig.update_list(("a", 0, EndpointState.ACTIVE, started_us), kind=EndpointListUpdate.DELTA)
+    rig.handle(PeerHealthReported("a", 3, True, started_us - 500_000))  # observed before the restart
     rig.advance(800_000)
-    rig.handle(PeerHealthReported("a", 3, True, born + 200_000))  # words take their time, and clocks differ
-    name = rig.arrive()
+    # Also observed before the restart, but with a later time: messages are delayed and clocks differ.
+    rig.handle(PeerHealthReported("a", 3, True, started_us + 200_000))
+    request = rig.arrive()
     rig.advance(300_000)
-    if name in rig.scheduler.requests:
-        rig.end_attempt(name)
-    assert rig.endpoint("a").slow_start_began_us == born
+    if request in rig.scheduler.requests:
+        rig.end_attempt(request)
+    assert rig.endpoint("a").slow_start_began_us == started_us
     rig.advance(2_000_000)
     rig.handle(PeerHealthReported("a", 2, True, rig.now_us - 100_000))
 
-    assert rig.endpoint("a").connect_failures  # of later ones the next request is a try
+    assert rig.endpoint("a").connect_failures  # after a later report the next request is a probe
 
 
 def test_borrowed_quota_raises_the_rate_of_a_slow_start(rig: Rig) -> None:
@@ -174,12 +180,12 @@
     rig.now_us += 1_000_000
     rig.scheduler.context.now_us = rig.now_us
     assert rig.scheduler.slow_start.in_slow_start(endpoint)
-    own = endpoint.slow_start_rate
+    own_rate = endpoint.slow_start_rate
     rig.handle(QuotaChanged(SharedBudget.SLOW_START, "a", 5e-5, rig.now_us + 1_000_000, -1.0, rig.now_us))
     rig.scheduler.slow_start.in_slow_start(endpoint)
-    assert endpoint.slow_start_rate > own
+    assert endpoint.slow_start_rate > own_rate
     rig.now_us += 1_000_000
     rig.scheduler.context.now_us = rig.now_us
     rig.scheduler.slow_start.in_slow_start(endpoint)
 
-    assert endpoint.slow_start_rate == 0.0  # all of its own is lent
+    assert endpoint.slow_start_rate == 0.0  # this host lends its whole share
