--- a/lemonridge/scheduling/endpoint_list.py
+++ b/lemonridge/scheduling/endpoint_list.py
@@ -37,9 +37,9 @@
         for entry in event.entries:
             self._apply_entry(entry, event.kind)
         if event.kind is not EndpointListUpdate.DELTA:
-            for name in self.endpoints.keys() - {entry.endpoint_id for entry in event.entries}:
-                self.endpoints[name].state = EndpointState.REMOVED
-                self.remove_if_idle(self.endpoints[name])
+            for endpoint_id in self.endpoints.keys() - {entry.endpoint_id for entry in event.entries}:
+                self.endpoints[endpoint_id].state = EndpointState.REMOVED
+                self.remove_if_idle(self.endpoints[endpoint_id])
 
     def remove_if_idle(self, endpoint: TrackedEndpoint) -> None:
         """Deletes the state of an endpoint that was removed from the list, once it has no open attempts."""
--- a/lemonridge/scheduling/request_lifecycle.py
+++ b/lemonridge/scheduling/request_lifecycle.py
@@ -185,7 +185,7 @@
             self.finish(request)
         elif request.done:
             self._enqueue_next_of_key(request)
-        elif event.result is not AttemptResult.DATA_MIGRATED:  # otherwise the `DataMigrated` event follows
+        elif event.result is not AttemptResult.DATA_MIGRATED:  # after this result, `DataMigrated` follows
             self._retry_or_reject(request, event.result)
         self._endpoint_list.remove_if_idle(endpoint)
         self._context.mark_for_dispatch(endpoint.shard)
@@ -225,9 +225,9 @@
         """Handles an attempt without a response for longer than the silence limit of its endpoint.
 
         If the endpoint has responded to later requests, the request or its response is presumed lost and the
-        attempt no longer counts against the window. Otherwise lost requests would fill the window until the
-        clients' deadlines. If the attempt is only slow, the endpoint receives one request more than its
-        window allows.
+        attempt no longer counts against the window. If lost requests still counted, they would fill the
+        window until the clients' deadlines. If the attempt is only slow, the endpoint receives one request
+        more than its window allows.
 
         If the endpoint has not responded since, its window is reduced as after a timeout, long before the
         client's deadline, and the attempt is checked again later.
--- a/lemonridge/scheduling/scheduler.py
+++ b/lemonridge/scheduling/scheduler.py
@@ -78,9 +78,7 @@
         )
         self.queues = self.lifecycle.queues
         self._list_polling = ListPolling(context)
-        self._timer_set_for_us: int | None = (
-            None  # time of the last `SetTimer`; None once that time has passed
-        )
+        self._timer_set_for_us: int | None = None  # time of the last `SetTimer`, until it has passed
         self._next_cycle_us = 0  # time of the next dispatch of all shards
         self._event_handlers: dict[type[Event], Callable[..., None]] = {
             RequestArrived: self.lifecycle.handle_arrival,
--- a/lemonridge/scheduling/token_bucket.py
+++ b/lemonridge/scheduling/token_bucket.py
@@ -45,10 +45,10 @@
 class TokenBucket:
     """This host's part of a token bucket that all hosts share.
 
-    The bucket starts empty: a restart cannot be told apart from a first start, and a host that is killed must
-    not gain a burst. Each host has an equal share of the capacity, regardless of its part of the rate. This
-    bounds the sum of the tokens of all hosts without messages between them; hosts lend each other only parts
-    of the rate.
+    The bucket starts empty: a restart cannot be distinguished from a first start, and a host that is killed
+    must not gain a burst. Each host has an equal share of the capacity, regardless of its part of the rate.
+    This bounds the sum of the tokens of all hosts without messages between them; hosts lend each other only
+    parts of the rate.
 
     Units that are drawn stay in flight until a response shows that they have reached an endpoint, or until
     their request ends. Units in flight reduce the capacity: an endpoint counts a request when the request
--- a/tests/scheduling/test_endpoint_health.py
+++ b/tests/scheduling/test_endpoint_health.py
@@ -152,7 +152,7 @@
 
 
 def test_reset_counts_neither_as_load_nor_as_silence(rig: Rig) -> None:
-    """One reset in twenty connections would otherwise close the window and make endpoints suspect."""
+    """A network that resets one connection in twenty must not close windows or make endpoints suspect."""
     window = rig.endpoint("a").window
     for _ in range(5):
         request = rig.arrive()
@@ -252,8 +252,7 @@
     assert not endpoint.connect_failures and [request for request, _ in rig.scheduler.open_attempts] == [
         second
     ]
-    rig.handle(
-        PeerHealthReported("a", 5, True, endpoint.last_response_us)
-    )  # older than the last response to this host
+    # Not newer than the last response to this host.
+    rig.handle(PeerHealthReported("a", 5, True, endpoint.last_response_us))
 
     assert not endpoint.connect_failures
--- a/tests/scheduling/test_slow_start_budget.py
+++ b/tests/scheduling/test_slow_start_budget.py
@@ -186,7 +186,7 @@
         self.schedule(self.random.expovariate(1 / self.mean_gap_us), self.arrive)
 
     def send(self, number: int, action: Send) -> None:
-        """Schedules the begin of an attempt, half a millisecond after the decision to send it."""
+        """Begins an attempt half a millisecond after the decision to send it; its answer takes as long."""
         attempt = self.brokers[number].requests[action.request].attempts_sent - 1
         incarnation = self.incarnations[number]
         self.schedule(500, lambda: self.begin(number, incarnation, action, attempt))
