--- a/lemonridge/core/broker.py
+++ b/lemonridge/core/broker.py
@@ -28,7 +28,7 @@
 
 # After these `DataMigrated` is delivered even if the shard is unchanged: after DATA_MIGRATED the scheduler
 # waits for that event, after NOT_SENT it may have chosen the endpoint by an outdated shard.
-RESULTS_THAT_NEED_A_SHARD = frozenset((AttemptResult.DATA_MIGRATED, AttemptResult.NOT_SENT))
+RESULTS_REQUIRING_SHARD = frozenset((AttemptResult.DATA_MIGRATED, AttemptResult.NOT_SENT))
 
 
 class Broker:
@@ -74,7 +74,7 @@
         `answers.undelivered`. The request's task goes on until its last attempt has ended, as the endpoint
         works on it too.
         """
-        if mailbox.settle(Answer(AnswerKind.CLIENT_GONE)):
+        if mailbox.set_final_answer(Answer(AnswerKind.CLIENT_GONE)):
             self._decision_host.deliver(ClientDisconnected(mailbox.name))
         else:
             self._counters["answers.undelivered"] += 1
@@ -144,14 +144,14 @@
                 host.deliver(self._attempt_ended(mailbox, attempt, outcome, latency_us))
                 if routes is not None and mailbox.answer is None:
                     shard = await self._next_shard(mailbox, routes, outcome)
-                    if shard != shard_at_send or outcome.result in RESULTS_THAT_NEED_A_SHARD:
+                    if shard != shard_at_send or outcome.result in RESULTS_REQUIRING_SHARD:
                         host.deliver(DataMigrated(mailbox.name, shard))
                 number += 1
         except Exception:
             log.exception("request failed by a fault in the broker", extra={"request": mailbox.name})
             self._counters["requests.broken"] += 1
         finally:
-            if mailbox.settle(Answer(AnswerKind.FAILED)):
+            if mailbox.set_final_answer(Answer(AnswerKind.FAILED)):
                 host.deliver(ClientDisconnected(mailbox.name))
             self._close(mailbox)
 
@@ -167,7 +167,7 @@
     @staticmethod
     def _answer_served(mailbox: RequestMailbox, outcome: Outcome) -> None:
         """Gives the endpoint's reply as the final answer; drops it where there is one already."""
-        served = mailbox.settle(Answer(AnswerKind.SERVED, outcome.reply))
+        served = mailbox.set_final_answer(Answer(AnswerKind.SERVED, outcome.reply))
         if not served and isinstance(outcome.reply, ReplyStream):
             outcome.reply.close()
 
--- a/lemonridge/core/decision_host.py
+++ b/lemonridge/core/decision_host.py
@@ -145,7 +145,7 @@
         self._settings = settings
         self.deliver(SettingsChanged(settings, False))
 
-    def bound_open_requests(self, open_requests_max: int) -> None:
+    def set_open_requests_max(self, open_requests_max: int) -> None:
         """Sets how many requests the broker may hold before its schedulers reject waiting ones."""
         self._open_requests_max = open_requests_max
         self._share_open_requests()
@@ -174,7 +174,7 @@
         ended, or the scheduler has changed its mind during the connect. The operating system is asked for the
         disconnect, as the event loop may not have read it yet (STANDING: 0.1 s after the close).
         """
-        if mailbox.request.abandoned():
+        if mailbox.request.has_client_disconnected():
             self._counters["attempts.abandoned"] += 1
             return False
         if mailbox.answer is not None:
@@ -284,7 +284,7 @@
         log.exception("scheduler failed", extra={"open_requests": len(self._mailboxes)})
         self._counters["decisions.failed"] += 1
         for mailbox in list(self._mailboxes.values()):
-            mailbox.settle(Answer(AnswerKind.FAILED))
+            mailbox.set_final_answer(Answer(AnswerKind.FAILED))
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
--- a/lemonridge/core/endpoint_registry.py
+++ b/lemonridge/core/endpoint_registry.py
@@ -117,9 +117,9 @@
             log.info("more endpoints listed", extra={"more": more, "endpoints": len(self._source_list)})
 
     def _with_own_start(self, listing: EndpointAddress, age_max_us: int | None) -> EndpointAddress:
-        """The same with its start on the broker's own clock; see `StartTimes.place`."""
+        """The same with its start on the broker's own clock; see `StartTimes.to_broker_clock`."""
         endpoint = listing.endpoint
-        started_us = self._start_times.place(
+        started_us = self._start_times.to_broker_clock(
             endpoint.endpoint_id, endpoint.started_us, self._now_us(), self._wall_us(), age_max_us
         )
         return EndpointAddress(replace(endpoint, started_us=started_us), listing.address)
--- a/lemonridge/core/model.py
+++ b/lemonridge/core/model.py
@@ -39,7 +39,7 @@
         request_id: Its id at the endpoints, empty where the protocol has none.
         route: Where its data is, if data can migrate.
         repeat: Whether its client marked it as a retry.
-        abandoned: Asks the operating system whether its client has disconnected.
+        has_client_disconnected: Asks the operating system whether its client has disconnected.
         forwarded: Whether an attempt has begun, so that it may have run.
     """
 
@@ -55,7 +55,7 @@
     request_id: str = ""
     route: Route | None = None
     repeat: bool = False
-    abandoned: Callable[[], bool] = lambda: False
+    has_client_disconnected: Callable[[], bool] = lambda: False
     forwarded: bool = False
 
 
--- a/lemonridge/core/request_mailbox.py
+++ b/lemonridge/core/request_mailbox.py
@@ -40,7 +40,7 @@
         self._sends: deque[Send] = deque()
         self._waiter: asyncio.Future[None] | None = None
 
-    def settle(self, answer: Answer) -> bool:
+    def set_final_answer(self, answer: Answer) -> bool:
         """Gives the final answer; False if there is one already.
 
         An attempt that has not written its first byte yet is cancelled; one that has goes on, as the endpoint
@@ -67,9 +67,9 @@
                 if self.attempt is not None and action.attempt == self.attempt.number:
                     self._cancel_attempt()
             case Reject():
-                self.settle(Answer(AnswerKind.REJECTED, retry_after_us=action.backoff_us))
+                self.set_final_answer(Answer(AnswerKind.REJECTED, retry_after_us=action.backoff_us))
             case Fail():
-                self.settle(Answer(AnswerKind.FAILED))
+                self.set_final_answer(Answer(AnswerKind.FAILED))
 
     async def next_send(self) -> Send | None:
         """Waits for the next attempt to make; None once the request has its final answer."""
--- a/lemonridge/core/start_times.py
+++ b/lemonridge/core/start_times.py
@@ -29,7 +29,9 @@
     def __init__(self) -> None:
         self._start_times: dict[str, StartTime] = {}
 
-    def place(self, endpoint_id: str, unix_us: int, now_us: int, wall_us: int, age_max_us: int | None) -> int:
+    def to_broker_clock(
+        self, endpoint_id: str, unix_us: int, now_us: int, wall_us: int, age_max_us: int | None
+    ) -> int:
         """The start of an endpoint on the broker's clock.
 
         Args:
@@ -45,12 +47,12 @@
             return 0
         known = self._start_times.get(endpoint_id)
         if known is not None and known.unix_us == unix_us:
-            return known.own_us
+            return known.broker_clock_us
         age_us = wall_us - unix_us
         plausible = age_us >= 0 and (age_max_us is None or age_us <= age_max_us)
-        own_us = max(1, now_us - age_us if plausible else now_us)
-        self._start_times[endpoint_id] = StartTime(unix_us, own_us)
-        return own_us
+        broker_clock_us = max(1, now_us - age_us if plausible else now_us)
+        self._start_times[endpoint_id] = StartTime(unix_us, broker_clock_us)
+        return broker_clock_us
 
     def prune(self, known_endpoints: Container[str]) -> None:
         """Drops endpoints that are not listed, the oldest first, while there are too many."""
--- a/lemonridge/iscsi/mapped.py
+++ b/lemonridge/iscsi/mapped.py
@@ -49,7 +49,7 @@
         units=config.units(command.length),
         hosts=config.settings.hosts,
         payload=command,
-        abandoned=abandoned,
+        has_client_disconnected=abandoned,
     )
 
 
--- a/lemonridge/net/http_request.py
+++ b/lemonridge/net/http_request.py
@@ -81,7 +81,7 @@
             payload=Payload(head.method, head.target, forwarded, body),
             request_id=forwarded["X-Request-Id"].lower(),
             repeat=fields.get(b"x-retry", [b""])[0] == b"1",
-            abandoned=client_has_left,
+            has_client_disconnected=client_has_left,
         )
 
     def _parse_class(self, name: str, fields: Fields) -> int:
--- a/lemonridge/net/process_handover.py
+++ b/lemonridge/net/process_handover.py
@@ -18,8 +18,8 @@
 from lemonridge.operate.admin_calls import AdminReply, AdminRequest
 from lemonridge.operate.errors import BadMessageError
 from lemonridge.operate.handover import (
-    CALL_WAIT_US,
-    STATE_WAIT_US,
+    CALL_TIMEOUT_US,
+    STATE_TIMEOUT_US,
     CallAcknowledged,
     CallForwarded,
     HandoverGranted,
@@ -128,7 +128,7 @@
         waiter = self._waiting[number] = asyncio.get_running_loop().create_future()
         self.write(CallForwarded(number, request))
         try:
-            async with asyncio.timeout_at(self._clock.loop_time(self._clock.now_us() + CALL_WAIT_US)):
+            async with asyncio.timeout_at(self._clock.loop_time(self._clock.now_us() + CALL_TIMEOUT_US)):
                 await waiter
         except TimeoutError:
             return False
@@ -170,13 +170,13 @@
     async def take_over(self) -> HandoverState | None:
         """The state of the process that serves now, which accepts nothing new from here on.
 
-        None where there is no such process, or it does not answer as it should within `STATE_WAIT_US`: this
-        process then goes on alone.
+        None where there is no such process, or it does not answer as it should within `STATE_TIMEOUT_US`:
+        this process then goes on alone.
         """
         if not self._path.exists():
             return None
         try:
-            async with asyncio.timeout_at(self._clock.loop_time(self._clock.now_us() + STATE_WAIT_US)):
+            async with asyncio.timeout_at(self._clock.loop_time(self._clock.now_us() + STATE_TIMEOUT_US)):
                 return await self._request_state()
         except (OSError, EOFError, ValueError, BadMessageError, TimeoutError) as error:
             log.warning("nothing taken over", extra={"error": f"{type(error).__name__}: {error}"})
@@ -186,7 +186,7 @@
     async def _request_state(self) -> HandoverState:
         while True:
             connection = await self._connect()
-            connection.write(HandoverRequested(wants_ids=True))
+            connection.write(HandoverRequested(supports_open_ids=True))
             message = await connection.read()
             if isinstance(message, HandoverGranted):
                 connection.sends_ids = message.state.open_ids is not None
@@ -298,8 +298,8 @@
             return
         self._handed_over = True
         self._counters["handover.given"] += 1
-        connection.sends_ids = request.wants_ids
-        open_ids = self._open_ids.own() if request.wants_ids else None
+        connection.sends_ids = request.supports_open_ids
+        open_ids = self._open_ids.own() if request.supports_open_ids else None
         connection.write(HandoverGranted(replace(self._host.export_state(), open_ids=open_ids)))
         self._connections.add(connection)
         self._on_connections_changed()
@@ -312,7 +312,7 @@
     async def _read_request(self, connection: HandoverConnection) -> HandoverRequested | None:
         """The successor's request; None where it was refused."""
         try:
-            async with asyncio.timeout_at(self._clock.loop_time(self._clock.now_us() + STATE_WAIT_US)):
+            async with asyncio.timeout_at(self._clock.loop_time(self._clock.now_us() + STATE_TIMEOUT_US)):
                 message = await connection.read()
             if isinstance(message, HandoverRequested) and not self._handed_over:
                 return message
--- a/lemonridge/operate/handover.py
+++ b/lemonridge/operate/handover.py
@@ -16,17 +16,22 @@
 from lemonridge.operate.maintenance import ReturnedToService
 from lemonridge.scheduling.events import Endpoint, LimitLevel
 
-FIRST_LIST_WAIT_US = 1_000_000  # how long a successor waits for its own endpoint list before it takes over
-STATE_WAIT_US = 1_000_000  # then so long for the predecessor's state, or it goes on alone
-CALL_WAIT_US = 400_000  # a forwarded call waits so long; its caller waits for 1 s
+FIRST_LIST_TIMEOUT_US = 1_000_000  # how long a successor waits for its own endpoint list before it takes over
+STATE_TIMEOUT_US = 1_000_000  # then so long for the predecessor's state, or it goes on alone
+CALL_TIMEOUT_US = 400_000  # a forwarded call waits so long; its caller waits for 1 s
 
 
 @dataclass(frozen=True, slots=True)
 class StartTime:
-    """When an endpoint started: `unix_us` as the list gave it, `own_us` on the broker's own clock."""
+    """The start time of an endpoint.
+
+    Attributes:
+        unix_us: As given in the endpoint list, in Unix microseconds.
+        broker_clock_us: On the broker's clock, in microseconds.
+    """
 
     unix_us: int
-    own_us: int
+    broker_clock_us: int
 
 
 @dataclass(frozen=True, slots=True)
@@ -61,7 +66,7 @@
     open_ids: tuple[str, ...] | None = None
     clock_base_us: int = 0
 
-    def on_clock(self, base_us: int) -> HandoverState:
+    def rebased(self, base_us: int) -> HandoverState:
         """The same with its times on another process's clock, given that clock's `base_us`.
 
         The wall clock may have been stepped between the starts of the two processes, while the monotonic
@@ -81,7 +86,7 @@
                 for volume, level in self.limit_levels.items()
             },
             start_times={
-                endpoint_id: StartTime(one.unix_us, one.own_us + shift_us)
+                endpoint_id: StartTime(one.unix_us, one.broker_clock_us + shift_us)
                 for endpoint_id, one in self.start_times.items()
             },
             clock_base_us=base_us,
@@ -90,9 +95,9 @@
 
 @dataclass(frozen=True, slots=True)
 class HandoverRequested:
-    """The successor takes over; `wants_ids` says whether it knows `OpenIdsChanged`."""
+    """The successor takes over; `supports_open_ids` says whether it knows `OpenIdsChanged`."""
 
-    wants_ids: bool = False
+    supports_open_ids: bool = False
 
 
 @dataclass(frozen=True, slots=True)
--- a/lemonridge/operate/handover_format.py
+++ b/lemonridge/operate/handover_format.py
@@ -31,7 +31,7 @@
 
 VERSION = 1
 LINE_MAX = 4 << 20  # bytes of a message with its end
-ROWS_MAX = 65536  # endpoints, volumes or start times in one message
+ENTRIES_MAX = 65536  # endpoints, volumes or start times in one message
 IDS_MAX = 65536  # request ids in one message
 REASON_MAX = 200  # characters of a refusal's reason
 TEXT_MAX = 1000  # characters of an id or an address
@@ -39,19 +39,19 @@
 VOLUME_END = 1 << 64
 UNITS_END = 1e9
 
-STATE_OF_WORD = {
+STATE_BY_WIRE_NAME = {
     "active": EndpointState.ACTIVE,
     "leaving": EndpointState.DRAINING,
     "left": EndpointState.REMOVED,
 }
-WORD_OF_STATE = {state: word for word, state in STATE_OF_WORD.items()}
+WIRE_NAME_BY_STATE = {state: word for word, state in STATE_BY_WIRE_NAME.items()}
 
 
 def encode(message: Message) -> bytes:
     """The message as a line, with its end."""
     match message:
         case HandoverRequested():
-            fields = _fields("take", ids=message.wants_ids)
+            fields = _fields("take", ids=message.supports_open_ids)
         case HandoverGranted():
             fields = _fields("given", **_state_fields(message.state))
         case HandoverRefused():
@@ -89,13 +89,15 @@
                 row.endpoint.endpoint_id,
                 row.endpoint.shard,
                 row.endpoint.zone,
-                WORD_OF_STATE[row.endpoint.state],
+                WIRE_NAME_BY_STATE[row.endpoint.state],
                 row.endpoint.started_us,
                 row.address,
             ]
             for row in state.endpoints
         ],
-        "starts": {endpoint_id: [one.unix_us, one.own_us] for endpoint_id, one in state.start_times.items()},
+        "starts": {
+            endpoint_id: [one.unix_us, one.broker_clock_us] for endpoint_id, one in state.start_times.items()
+        },
         "base_us": state.clock_base_us,
     }
     if state.open_ids is not None:
@@ -148,14 +150,14 @@
 def _decode_granted(fields: Mapping[str, Any]) -> Message:
     if len(fields["out"]) > BANS_MAX or len(fields["back"]) > BANS_MAX:
         raise BadMessageError("it names too many nodes")
-    if len(fields["levels"]) > ROWS_MAX or len(fields["rows"]) > ROWS_MAX:
+    if len(fields["levels"]) > ENTRIES_MAX or len(fields["rows"]) > ENTRIES_MAX:
         raise BadMessageError("it holds too many rows")
     # Earlier versions send neither start times, nor what is owed, nor ids, nor the clock's base.
     start_times = fields.get("starts", {})
-    if len(start_times) > ROWS_MAX:
+    if len(start_times) > ENTRIES_MAX:
         raise BadMessageError("it holds too many start times")
     owed = fields.get("owed", [])
-    if len(owed) > ROWS_MAX:
+    if len(owed) > ENTRIES_MAX:
         raise BadMessageError("it holds too many rows")
     owed_by_volume = {
         _integer(volume, VOLUME_END): (_units(units), _integer(until_us)) for volume, units, until_us in owed
@@ -175,8 +177,8 @@
             },
             endpoints=tuple(_decode_endpoint(*row) for row in fields["rows"]),
             start_times={
-                _text(endpoint_id): StartTime(_integer(unix_us), _integer(own_us))
-                for endpoint_id, (unix_us, own_us) in start_times.items()
+                _text(endpoint_id): StartTime(_integer(unix_us), _integer(broker_clock_us))
+                for endpoint_id, (unix_us, broker_clock_us) in start_times.items()
             },
             open_ids=None if fields.get("ids") is None else _ids(fields["ids"]),
             clock_base_us=_integer(fields.get("base_us", 0)),
@@ -187,7 +189,9 @@
 def _decode_endpoint(
     endpoint_id: Any, shard: Any, zone: Any, state: Any, started_us: Any, address: Any
 ) -> HandedOverEndpoint:
-    endpoint = Endpoint(_text(endpoint_id), int(shard), int(zone), STATE_OF_WORD[state], _integer(started_us))
+    endpoint = Endpoint(
+        _text(endpoint_id), int(shard), int(zone), STATE_BY_WIRE_NAME[state], _integer(started_us)
+    )
     return HandedOverEndpoint(endpoint, _text(address))
 
 
--- a/lemonridge/service/admin.py
+++ b/lemonridge/service/admin.py
@@ -15,7 +15,7 @@
 from lemonridge.net.http_front import HttpFront
 from lemonridge.net.process_handover import ProcessHandover
 from lemonridge.operate.admin_calls import POLICY_CALLS, AdminCall, AdminReply, AdminRequest, ReplyText
-from lemonridge.operate.handover import FIRST_LIST_WAIT_US, HandedOverEndpoint, HandoverState
+from lemonridge.operate.handover import FIRST_LIST_TIMEOUT_US, HandedOverEndpoint, HandoverState
 from lemonridge.operate.lifecycle import Lifecycle, Phase
 from lemonridge.operate.maintenance import Bans
 from lemonridge.scheduling.events import EndpointListUpdate
@@ -100,11 +100,13 @@
         """
         self._taking_over = True
         with contextlib.suppress(TimeoutError):
-            async with asyncio.timeout_at(self._clock.loop_time(self._clock.now_us() + FIRST_LIST_WAIT_US)):
+            async with asyncio.timeout_at(
+                self._clock.loop_time(self._clock.now_us() + FIRST_LIST_TIMEOUT_US)
+            ):
                 await self._registry.source_has_answered.wait()
         state = await handover.take_over()
         if state is not None:
-            self._import_state(state.on_clock(self._clock.base_us))
+            self._import_state(state.rebased(self._clock.base_us))
         await handover.listen()
         self._handover, self._taking_over = handover, False
 
--- a/lemonridge/service/platform.py
+++ b/lemonridge/service/platform.py
@@ -54,7 +54,7 @@
     def __init__(self, config: PlatformConfig) -> None:
         self._config = config
         self.service = service = Service("http", config.settings, config.seed, Counters())
-        service.decision_host.bound_open_requests(int(config.sockets * OPEN_REQUESTS_FRACTION))
+        service.decision_host.set_open_requests_max(int(config.sockets * OPEN_REQUESTS_FRACTION))
         self._log_settings()
         cached_seq = self._load_cached_list()
         self._endpoints = HttpEndpoints(service.registry, service.clock, config, service.counters)
@@ -123,7 +123,7 @@
         if coordinator is not None:  # what of it is the fleet's policy is proposed, the rest is in force
             new = replace(new, settings=coordinator.configure(new))
         self.service.decision_host.configure(new.settings)
-        self.service.decision_host.bound_open_requests(int(new.sockets * OPEN_REQUESTS_FRACTION))
+        self.service.decision_host.set_open_requests_max(int(new.sockets * OPEN_REQUESTS_FRACTION))
         if peers is not None:
             peers.configure(new.settings)
         self.front.configure(new)
--- a/lemonridge/service/service.py
+++ b/lemonridge/service/service.py
@@ -101,7 +101,7 @@
         """Logs all counters; `reason` says what asked for it."""
         if self.peers is not None:
             self.peers.count()
-        self.counters.print(reason, self.name)
+        self.counters.log_all(reason, self.name)
 
     async def stop(self) -> None:
         """Shuts down gracefully: accepts until it is due, ends the open requests, closes."""
--- a/tests/core/test_decision_host.py
+++ b/tests/core/test_decision_host.py
@@ -79,7 +79,7 @@
 
     async def test_the_processes_of_a_broker_share_the_bound_on_open_requests(self) -> None:
         """Guards against two processes that together hold all connections of the clients."""
-        self.host.bound_open_requests(96)
+        self.host.set_open_requests_max(96)
         self.assertEqual(self.scheduler.open_requests_max, 96)
 
         self.host.set_processes(2)
--- a/tests/formats/test_format_handover.py
+++ b/tests/formats/test_format_handover.py
@@ -35,14 +35,14 @@
         4: LimitLevel(saved=1.0),
     },
     endpoints=(row(1, EndpointState.ACTIVE), row(2, EndpointState.DRAINING), row(3, EndpointState.REMOVED)),
-    start_times={"s-1": handover.StartTime(unix_us=9, own_us=8)},
+    start_times={"s-1": handover.StartTime(unix_us=9, broker_clock_us=8)},
     open_ids=("a", "b"),
     clock_base_us=3,
 )
 EMPTY = handover.HandoverState()
 
 PAIRS = {
-    "take": (handover.HandoverRequested(wants_ids=True), b'{"v":1,"say":"take","ids":true}\n'),
+    "take": (handover.HandoverRequested(supports_open_ids=True), b'{"v":1,"say":"take","ids":true}\n'),
     "take, no ids": (handover.HandoverRequested(), b'{"v":1,"say":"take","ids":false}\n'),
     "given": (
         handover.HandoverGranted(state=STATE),
@@ -111,16 +111,18 @@
             limit_levels={4: LimitLevel(saved=1.5)},
         )
     )
-    assert handover_format.decode(b'{"v":1,"say":"take"}\n') == handover.HandoverRequested(wants_ids=False)
+    assert handover_format.decode(b'{"v":1,"say":"take"}\n') == handover.HandoverRequested(
+        supports_open_ids=False
+    )
 
 
 def test_the_bounds_of_messages() -> None:
     assert (handover_format.VERSION, handover_format.LINE_MAX) == (1, 4_194_304)
-    assert (handover_format.ROWS_MAX, handover_format.IDS_MAX) == (65_536, 65_536)
+    assert (handover_format.ENTRIES_MAX, handover_format.IDS_MAX) == (65_536, 65_536)
 
 
 def test_the_words_of_nodes_and_of_calls() -> None:
-    assert [handover_format.WORD_OF_STATE[one] for one in EndpointState] == ["active", "leaving", "left"]
+    assert [handover_format.WIRE_NAME_BY_STATE[one] for one in EndpointState] == ["active", "leaving", "left"]
     assert [
         one.value for one in (AdminCall.DISABLE, AdminCall.ENABLE, AdminCall.DRAIN, AdminCall.RESUME)
     ] == [
--- a/tests/operate/test_handover_messages.py
+++ b/tests/operate/test_handover_messages.py
@@ -22,7 +22,7 @@
     OpenIdsChanged,
     StartTime,
 )
-from lemonridge.operate.handover_format import IDS_MAX, ROWS_MAX, decode, encode
+from lemonridge.operate.handover_format import ENTRIES_MAX, IDS_MAX, decode, encode
 from lemonridge.operate.maintenance import ReturnedToService
 from lemonridge.scheduling.events import (
     Endpoint,
@@ -42,7 +42,7 @@
 )
 MESSAGES = (
     HandoverRequested(),
-    HandoverRequested(wants_ids=True),
+    HandoverRequested(supports_open_ids=True),
     OpenIdsChanged(("a",), ("b", "c")),
     HandoverRefused("so"),
     HandoverGranted(STATE),
@@ -69,7 +69,7 @@
                 start_times={"a": StartTime(123, base + 9)},
                 clock_base_us=base,
             )
-            received = sent.on_clock(base + step)
+            received = sent.rebased(base + step)
             self.assertEqual(
                 (received.banned["a"], received.returned["b"]),
                 (base + step + 5, ReturnedToService(base + step + 1, base + step + 4)),
@@ -90,7 +90,7 @@
         self.assertEqual(
             (read.state.open_ids, read.state.start_times, read.state.clock_base_us), (None, {}, 0)
         )
-        self.assertEqual(decode(b'{"v":1,"say":"take"}\n'), HandoverRequested(wants_ids=False))
+        self.assertEqual(decode(b'{"v":1,"say":"take"}\n'), HandoverRequested(supports_open_ids=False))
 
     def test_an_incomplete_message_or_another_versions_is_an_error(self) -> None:
         line = encode(HandoverGranted(STATE))
@@ -111,11 +111,11 @@
             {"ids": ["a"] * (IDS_MAX + 1)},
             {"owed": [[1, -1, 2]]},
             {"owed": [[1, 1]]},
-            {"owed": [[1, 1, 2]] * (ROWS_MAX + 1)},
+            {"owed": [[1, 1, 2]] * (ENTRIES_MAX + 1)},
             {"rows": [["s", 1, 1, "odd", 0, ""]]},
             {"back": {"s": [1]}},
             {"drained_us": "x"},
-            {"levels": [[1, 1]] * (ROWS_MAX + 1)},
+            {"levels": [[1, 1]] * (ENTRIES_MAX + 1)},
         ):
             with self.subTest(change=list(change)), self.assertRaises(BadMessageError):
                 decode(json.dumps({**json.loads(line), **change}).encode())
