--- a/lemonridge/core/broker.py
+++ b/lemonridge/core/broker.py
@@ -1,4 +1,4 @@
-"""A request from its arrival to its final answer."""
+"""Runs each request from its arrival to its final answer."""
 
 from __future__ import annotations
 
@@ -26,13 +26,23 @@
 
 log = logging.getLogger(__name__)
 
-# After these `DataMigrated` is delivered even if the shard is unchanged: after DATA_MIGRATED the scheduler
-# waits for that event, after NOT_SENT it may have chosen the endpoint by an outdated shard.
+# After these results `DataMigrated` is delivered even if the shard is unchanged: after DATA_MIGRATED the
+# scheduler waits for that event, and after NOT_SENT it may have chosen the endpoint from an outdated shard.
 RESULTS_REQUIRING_SHARD = frozenset((AttemptResult.DATA_MIGRATED, AttemptResult.NOT_SENT))
 
 
 class Broker:
-    """Runs requests: the scheduler decides what to do, `Endpoints` does it."""
+    """Runs requests: makes the attempts that the scheduler decides on and delivers the final answers.
+
+    Args:
+        decision_host: Passes events to the scheduler and returns its decisions.
+        endpoints: Makes the attempts.
+        counters: Counts requests, attempts and answers.
+        routes: Locates data that can migrate; None if no data can migrate.
+
+    Attributes:
+        open_ids: The request ids that are open in any process of this broker.
+    """
 
     def __init__(
         self,
@@ -43,17 +53,24 @@
     ) -> None:
         self._decision_host, self._endpoints = decision_host, endpoints
         self._counters, self._routes = counters, routes
-        self._runners: dict[str, asyncio.Task[None]] = {}  # by the scheduler's name of the request
+        self._runners: dict[str, asyncio.Task[None]] = {}  # by the scheduler's name for the request
         self.open_ids = OpenIds()
 
     def submit(self, request: Request, on_answer: Callable[[Answer], None]) -> RequestMailbox:
-        """Takes a request; `on_answer` gets its final answer, unless `disconnect` is called before.
+        """Accepts a request; its final answer is passed to `on_answer`, unless `disconnect` is called first.
+
+        `on_answer` is called in the event loop iteration in which the answer is decided on. Delivery through
+        a future would need further iterations, which delay the answer when the loop is busy.
+
+        Args:
+            request: The request to run.
+            on_answer: Called with the final answer.
 
-        It is called in the turn of the event loop in which the answer is decided on: a busy loop would
-        deliver it that many turns later.
+        Returns:
+            The mailbox of the request, to be passed to `disconnect`.
 
         Raises:
-            DuplicateRequestError: A request with its id is open.
+            DuplicateRequestError: A request with the same id is open.
         """
         self.open_ids.open(request.request_id)
         mailbox = self._decision_host.open(request)
@@ -67,12 +84,12 @@
         return mailbox
 
     def disconnect(self, mailbox: RequestMailbox) -> None:
-        """Nobody waits for a request's answer any more: its client has disconnected.
+        """Ends a request whose answer can no longer be delivered, because its client has disconnected.
 
-        The same where the front has answered by itself as the process ends. Both are counted as
-        `answers.client_gone`; where an answer had been decided on, as that answer and as
-        `answers.undelivered`. The request's task goes on until its last attempt has ended, as the endpoint
-        works on it too.
+        Also used when the front has answered the request itself because the process is stopping. Both cases
+        are counted as `answers.client_gone`. If an answer has already been decided on, that answer and
+        `answers.undelivered` are counted instead. The request's task runs until its last attempt has ended,
+        because the endpoint continues to process the attempt.
         """
         if mailbox.set_final_answer(Answer(AnswerKind.CLIENT_GONE)):
             self._decision_host.deliver(ClientDisconnected(mailbox.name))
@@ -83,10 +100,10 @@
                 mailbox.answer.reply.close()
 
     async def serve(self, request: Request) -> Answer:
-        """The final answer to a request, as `submit` gives it; cancelling this call disconnects.
+        """Submits a request and returns its final answer; cancelling this call disconnects the request.
 
         Raises:
-            DuplicateRequestError: A request with its id is open.
+            DuplicateRequestError: A request with the same id is open.
         """
         answered: asyncio.Future[Answer] = asyncio.get_running_loop().create_future()
 
@@ -102,7 +119,7 @@
             raise
 
     def _start(self, mailbox: RequestMailbox) -> None:
-        """Begins the task that makes the attempts, at the first that is decided on."""
+        """Starts the request's task when its first attempt is decided on."""
         if mailbox.name not in self._runners:
             self._runners[mailbox.name] = asyncio.create_task(self.run(mailbox))
 
@@ -110,17 +127,17 @@
         self, mailbox: RequestMailbox, answer: Answer, on_answer: Callable[[Answer], None]
     ) -> None:
         self._counters[f"answers.{answer.kind.value}"] += 1
-        if mailbox.name not in self._runners:  # else its task closes it, after its last attempt
+        if mailbox.name not in self._runners:  # otherwise its task closes it, after its last attempt
             self._close(mailbox)
         if answer.kind is AnswerKind.CLIENT_GONE:
             return
         try:
             on_answer(answer)
-        except Exception:  # the decisions that follow in this turn are not this request's
-            log.exception("answer not given by a fault in the front", extra={"request": mailbox.name})
+        except Exception:  # must not prevent the remaining decisions, which concern other requests
+            log.exception("front failed to deliver an answer", extra={"request": mailbox.name})
 
     def _close(self, mailbox: RequestMailbox) -> None:
-        """Forgets a request, which has its final answer and no attempt in flight."""
+        """Removes a request that has its final answer and no attempt in flight."""
         if self._routes is not None and mailbox.request.route is not None:
             self._routes.close(mailbox.request)
         self._decision_host.close(mailbox)
@@ -128,11 +145,11 @@
         self._runners.pop(mailbox.name, None)
 
     async def run(self, mailbox: RequestMailbox) -> None:
-        """Runs one request: makes each attempt that the scheduler decides on, and reports how it ended."""
+        """Runs one request: makes each attempt that the scheduler decides on and reports its outcome."""
         request, host = mailbox.request, self._decision_host
         routes = self._routes if request.route is not None else None
         try:
-            number = 0  # counts as the scheduler's `Request.attempts_sent` does
+            number = 0  # in step with the scheduler's `Request.attempts_sent`
             while (send := await mailbox.next_send()) is not None:
                 sent_us = host.clock.now_us()
                 shard_at_send = request.route.shard if request.route is not None else request.shard
@@ -148,7 +165,7 @@
                         host.deliver(DataMigrated(mailbox.name, shard))
                 number += 1
         except Exception:
-            log.exception("request failed by a fault in the broker", extra={"request": mailbox.name})
+            log.exception("request failed: internal error", extra={"request": mailbox.name})
             self._counters["requests.broken"] += 1
         finally:
             if mailbox.set_final_answer(Answer(AnswerKind.FAILED)):
@@ -166,7 +183,7 @@
 
     @staticmethod
     def _answer_served(mailbox: RequestMailbox, outcome: Outcome) -> None:
-        """Gives the endpoint's reply as the final answer; drops it where there is one already."""
+        """Sets the endpoint's reply as the final answer; discards it if the request is already answered."""
         served = mailbox.set_final_answer(Answer(AnswerKind.SERVED, outcome.reply))
         if not served and isinstance(outcome.reply, ReplyStream):
             outcome.reply.close()
@@ -189,9 +206,10 @@
         )
 
     async def _next_shard(self, mailbox: RequestMailbox, routes: Routes, outcome: Outcome) -> int | None:
-        """The shard to go on with, looked up after each attempt as the data may have migrated meanwhile.
+        """Returns the shard for the next attempt, as the data may have migrated during the last one.
 
-        After `DATA_MIGRATED` it waits for newer information until the request's deadline; None if none comes.
+        After `DATA_MIGRATED` it waits for newer routing information until the request's deadline, and returns
+        None if none arrives.
         """
         if outcome.result is not AttemptResult.DATA_MIGRATED:
             return routes.current(mailbox.request)
@@ -202,11 +220,11 @@
             return None
 
     async def _make_attempt(self, mailbox: RequestMailbox, attempt: Attempt) -> Outcome:
-        """Makes one attempt, until the request's deadline or a cancel.
+        """Makes one attempt, which ends at the request's deadline or when it is cancelled.
 
         No attempt is made for a request that has its final answer: its client may have disconnected since the
-        attempt was decided on. An attempt of which no byte was sent cannot have run; any other may have,
-        whatever ended it.
+        attempt was decided on. An attempt of which no byte was sent cannot have run; any other attempt may
+        have run, whatever its result.
         """
         if mailbox.answer is not None:
             return Outcome(AttemptResult.NOT_SENT)
@@ -219,7 +237,7 @@
             async with asyncio.timeout_at(deadline_s) as mailbox.timeout_scope:
                 outcome = await self._endpoints.attempt(attempt)
         except TimeoutError:
-            if not attempt.begun:  # only a connect that fails counts against the endpoint
+            if not attempt.begun:  # only a failed connect counts against the endpoint
                 outcome = Outcome(AttemptResult.NOT_SENT)
             else:
                 cancelled = mailbox.attempt_cancelled
@@ -230,7 +248,7 @@
             outcome = Outcome(AttemptResult.NOT_SENT)
         except Exception:
             log.exception(
-                "attempt failed by a fault in the broker",
+                "attempt failed: internal error",
                 extra={"request": mailbox.name, "endpoint": attempt.endpoint_id},
             )
             outcome = Outcome(AttemptResult.RESET if attempt.begun else AttemptResult.CONNECT_FAILED)
--- a/lemonridge/core/counters.py
+++ b/lemonridge/core/counters.py
@@ -1,4 +1,4 @@
-"""Counts of requests, attempts, answers and faults, for the log."""
+"""Counters of requests, attempts, answers and failures, which are written to the log."""
 
 from __future__ import annotations
 
@@ -9,9 +9,14 @@
 
 
 class Counters(Counter[str]):
-    """Counts by dotted name; a name that was never counted is 0."""
+    """Counters by dotted name; a counter that was never incremented is 0."""
 
     def log_all(self, reason: str, front: str) -> None:
-        """Logs every count in one line; `reason` says what asked for it."""
+        """Logs all counters in one line.
+
+        Args:
+            reason: What triggered the log line.
+            front: The name of the front that the counters belong to.
+        """
         counts = {name: self[name] for name in sorted(self)}
         log.info("counters", extra={"reason": reason, "front": front, **counts})
--- a/lemonridge/core/decision_host.py
+++ b/lemonridge/core/decision_host.py
@@ -1,4 +1,8 @@
-"""Runs the scheduler on the event loop: its clock, its one timer, and a mailbox for each open request."""
+"""Runs the scheduler on the event loop.
+
+Batches the events for the scheduler, carries out its actions, and manages its clock, its single timer and a
+mailbox for each open request.
+"""
 
 from __future__ import annotations
 
@@ -41,52 +45,65 @@
 
 
 class DecisionObserver(Protocol):
-    """Sees events before the scheduler does, and the actions that follow."""
+    """Is notified of events before the scheduler handles them, and of the actions that follow."""
 
     def on_request_arrived(self, event: RequestArrived) -> None:
-        """A request is about to be given to the scheduler."""
+        """Called before an arriving request is passed to the scheduler."""
         ...
 
     def on_endpoints_changed(self, endpoints: Iterable[Endpoint]) -> None:
-        """Endpoints are about to be given to the scheduler."""
+        """Called before a change of the endpoint list is passed to the scheduler."""
         ...
 
     def on_attempt_sent(self, endpoint_id: str, request: Request) -> None:
-        """The scheduler sends an attempt to an endpoint."""
+        """Called when the scheduler has decided to send an attempt to an endpoint."""
         ...
 
     def on_attempt_ended(self, event: AttemptEnded, request: Request | None) -> None:
-        """An attempt has ended; `request` is None where the request was closed before."""
+        """Called when an attempt has ended; `request` is None if the request is already closed."""
         ...
 
     def on_slow_start_began(self, action: SlowStartBegan) -> None:
-        """The scheduler takes an endpoint for one that warms up."""
+        """Called when the scheduler has put an endpoint into slow start."""
         ...
 
     def on_scheduler_restarted(self) -> None:
-        """A new scheduler is in place of one that failed."""
+        """Called when a failed scheduler has been replaced by a new one."""
         ...
 
 
 class LeaseGuard(Protocol):
-    """The lease on the fleet's policy, which says by which settings the scheduler decides."""
+    """The lease on the fleet's policy, which determines the settings that the scheduler uses."""
 
     def changed_settings(self, now_us: int) -> Settings | None:
-        """New settings that are in force from now on; None where nothing changed."""
+        """Returns new settings that are in force from now on; None if nothing changed."""
 
     def epoch(self, decided_at_s: float) -> str | None:
-        """The epochs that an attempt names which was decided on at this loop time; None: it may not begin."""
+        """Returns the policy epochs to send with an attempt.
+
+        Args:
+            decided_at_s: When the attempt was decided on, in seconds of the event loop's clock.
+
+        Returns:
+            The epochs, or None if the attempt may not begin because the lease it was decided under has ended.
+        """
 
 
 class DecisionHost:
-    """Owns the scheduler. The events of one turn of the event loop go to it together.
+    """Owns the scheduler and passes it all events of one event loop iteration as one batch.
+
+    Args:
+        settings: The settings to start with.
+        seed: The seed of the scheduler's random numbers.
+        clock: The broker's clock.
+        counters: Counts rejections and failures of the scheduler.
 
     Attributes:
         clock: The broker's clock.
-        list_endpoints: The endpoint list for a scheduler that replaces a failed one.
-        observer: Sees events and actions, where there is one.
-        lease_guard: Says by which settings to decide, where a lease on a policy is needed.
-        stall_detector: Pauses decisions after a stall of the process, once it is started.
+        list_endpoints: Returns the endpoint list for a scheduler that replaces a failed one.
+        observer: Is notified of events and actions; None if there is no observer.
+        lease_guard: Determines the settings to use; None if no lease on a policy is needed.
+        stall_detector: Pauses decisions after a stall of the process, once it has been started.
     """
 
     def __init__(self, settings: Settings, seed: int, clock: Clock, counters: Counters) -> None:
@@ -100,21 +117,22 @@
         self._timer: asyncio.TimerHandle | None = None
         self._requests_received = 0
         self.list_endpoints: Callable[[], tuple[Endpoint, ...]] = tuple
-        self._open_requests_max: int | None = None  # of the broker
-        self._processes = 1  # that the broker has now
+        self._open_requests_max: int | None = None  # for all processes of the broker together
+        self._processes = 1  # current number of processes of the broker
         self.observer: DecisionObserver | None = None
         self.lease_guard: LeaseGuard | None = None
         self.stall_detector = StallDetector(self._loop, counters)
 
     @property
     def open_requests(self) -> int:
-        """How many requests are open: without a final answer, or with an attempt in flight."""
+        """The number of open requests: those without a final answer or with an attempt in flight."""
         return len(self._mailboxes)
 
     def open(self, request: Request) -> RequestMailbox:
-        """Opens a request, under a name of the broker's own (r1, r2, ...).
+        """Opens a request and passes it to the scheduler under a generated name (r1, r2, ...).
 
-        A client may use an id again once its request has ended.
+        The client's request id is not used as the name, because a client may reuse an id once its request has
+        ended.
         """
         self._requests_received += 1
         mailbox = RequestMailbox(f"r{self._requests_received}", request)
@@ -137,21 +155,24 @@
         return mailbox
 
     def close(self, mailbox: RequestMailbox) -> None:
-        """Closes a request, which has its final answer and no attempt in flight."""
+        """Closes a request that has its final answer and no attempt in flight."""
         self._mailboxes.pop(mailbox.name, None)
 
     def configure(self, settings: Settings) -> None:
-        """Puts new settings in force, for every request that arrives from now on."""
+        """Applies new settings to every request that arrives from now on."""
         self._settings = settings
         self.deliver(SettingsChanged(settings, False))
 
     def set_open_requests_max(self, open_requests_max: int) -> None:
-        """Sets how many requests the broker may hold before its schedulers reject waiting ones."""
+        """Sets how many requests may be open in the broker before its schedulers reject queued requests."""
         self._open_requests_max = open_requests_max
         self._share_open_requests()
 
     def set_processes(self, processes: int) -> None:
-        """Sets how many processes the broker has: clients hold no more connections to two than to one."""
+        """Sets the number of processes of the broker, which share the maximum of open requests.
+
+        Clients open no more connections to two processes of a broker than to one.
+        """
         self._processes = processes
         self._share_open_requests()
 
@@ -160,19 +181,20 @@
             self._scheduler.open_requests_max = self._open_requests_max // self._processes
 
     def export_limits(self) -> dict[int, LimitLevel]:
-        """Hands the limits over to another process of this broker, by volume."""
+        """Hands the volume limits over to another process of this broker; returns their levels by volume."""
         return self._scheduler.export_limits()
 
     def import_limits(self, levels: Mapping[int, LimitLevel]) -> None:
-        """Makes this the process whose limits fill, from these levels on."""
+        """Takes over the volume limits: from these levels on they refill in this process."""
         self._scheduler.import_limits(self.clock.now_us(), levels)
 
     def may_begin(self, mailbox: RequestMailbox, number: int) -> bool:
-        """Whether attempt `number` may begin, asked as its first byte is about to be written.
+        """Returns whether attempt `number` may begin; called just before its first byte is written.
 
-        It may not if its client has disconnected or has an answer, the lease that it was decided under has
-        ended, or the scheduler has changed its mind during the connect. The operating system is asked for the
-        disconnect, as the event loop may not have read it yet (STANDING: 0.1 s after the close).
+        An attempt may not begin if the client has disconnected, the request has its final answer, the lease
+        that the attempt was decided under has ended, or the scheduler has reversed its decision during the
+        connect. The operating system is asked whether the client has disconnected, because the event loop may
+        not have read the close yet (STANDING: 0.1 s after the close).
         """
         if mailbox.request.has_client_disconnected():
             self._counters["attempts.abandoned"] += 1
@@ -184,7 +206,7 @@
         return self._scheduler.may_begin(self.clock.now_us(), mailbox.name, number)
 
     def deliver(self, event: Event) -> None:
-        """Queues an event for the scheduler, which gets it at the end of this turn of the loop."""
+        """Queues an event, which is passed to the scheduler at the end of this event loop iteration."""
         if self.observer is not None and isinstance(event, AttemptEnded):
             mailbox = self._mailboxes.get(event.request)
             self.observer.on_attempt_ended(event, None if mailbox is None else mailbox.request)
@@ -196,13 +218,13 @@
             self._loop.call_soon(self._decide)
 
     def recheck_lease(self) -> None:
-        """Asks the lease guard again at the end of this turn of the loop."""
+        """Makes the scheduler run, and the lease be checked, at the end of this event loop iteration."""
         self.deliver(TimerFired())
 
     def _decide(self) -> None:
-        """Gives the queued events to the scheduler and carries its actions out.
+        """Passes the queued events to the scheduler and carries out its actions.
 
-        After a stall of the process it does so once the pause is over.
+        After a stall of the process this is postponed until the pause is over.
         """
         paused_until_s = self.stall_detector.paused_until_s()
         if paused_until_s is not None:
@@ -238,7 +260,7 @@
                 if self.observer is not None:
                     self.observer.on_slow_start_began(action)
             case Subscribe():
-                pass  # the watch of the endpoint list never ends
+                pass  # the endpoint list is watched permanently
 
     def _send(self, action: Send) -> None:
         mailbox = self._mailboxes.get(action.request)
@@ -260,13 +282,13 @@
             mailbox.deliver(action)
 
     def _trace(self, events: list[Event], actions: list[Action]) -> None:
-        """Logs each event and action that concerns a request, a line each."""
+        """Logs each event and action that concerns a request, one line each."""
         for item in (*events, *actions):
             if not isinstance(item, (EndpointsChanged, SettingsChanged, TimerFired, SetTimer, Subscribe)):
                 log.debug(type(item).__name__.lower(), extra=dataclasses.asdict(item))
 
     def _set_timer(self, at_us: int) -> None:
-        """Replaces the timer: the scheduler asks again at each earlier need, so the last one counts."""
+        """Replaces the timer: the scheduler sets it again for any earlier time, so the last call counts."""
         if self._timer is not None:
             self._timer.cancel()
         self._timer = self._loop.call_at(self.clock.loop_time(at_us), self._on_timer)
@@ -276,10 +298,10 @@
         self.deliver(TimerFired())
 
     def _restart_scheduler(self) -> None:
-        """Fails every open request and begins a new scheduler.
+        """Fails every open request and replaces the scheduler after an exception.
 
-        An exception left the state of the old one in doubt. Attempts that are in flight go on; the new
-        scheduler ignores their ends.
+        The exception may have left the old scheduler in an inconsistent state. Attempts in flight continue;
+        the new scheduler ignores their results.
         """
         log.exception("scheduler failed", extra={"open_requests": len(self._mailboxes)})
         self._counters["decisions.failed"] += 1
--- a/lemonridge/core/errors.py
+++ b/lemonridge/core/errors.py
@@ -1,25 +1,25 @@
-"""Errors of the core: why a request is not accepted, and why an attempt was not made."""
+"""Exceptions of the core: requests that are not accepted and attempts that were not made."""
 
 
 class CoreError(Exception):
-    """Base class of the core's errors."""
+    """Base class of the core's exceptions."""
 
 
 class DuplicateRequestError(CoreError):
-    """A request with this id is open already; endpoints would take the two for one request."""
+    """A request with the same id is already open; endpoints would treat the two as one request."""
 
 
 class AttemptError(CoreError):
-    """An attempt of which no byte was sent, so that it cannot have run."""
+    """An attempt failed before a byte of it was sent, so it cannot have run."""
 
 
 class ConnectFailedError(AttemptError):
-    """The endpoint could not be connected to; this counts against the endpoint."""
+    """The connection to the endpoint failed; this counts against the endpoint."""
 
 
 class AttemptSuppressedError(AttemptError):
-    """The attempt was stopped before its first byte; it uses up none of its request's attempts."""
+    """The attempt was stopped before its first byte; it does not use up one of the request's attempts."""
 
 
 class LocalFailureError(AttemptSuppressedError):
-    """The broker's own machine could not connect (no port, memory or route); says nothing of the endpoint."""
+    """The local machine could not connect (no port, memory or route); does not count against the endpoint."""
--- a/lemonridge/core/model.py
+++ b/lemonridge/core/model.py
@@ -1,4 +1,4 @@
-"""The core's data types: a request, its attempts, their outcomes, and its final answer."""
+"""The core's data types: requests, attempts, outcomes and final answers, and the protocols it relies on."""
 
 from __future__ import annotations
 
@@ -12,13 +12,17 @@
 
 
 class Route(Protocol):
-    """Where a request's data is, as far as known."""
+    """The last known location of a request's data.
 
-    attempt_in_flight: bool  # set by the broker while an attempt relies on `shard`
+    Attributes:
+        attempt_in_flight: Set by the broker while an attempt relies on `shard`.
+    """
+
+    attempt_in_flight: bool
 
     @property
     def shard(self) -> int:
-        """The shard that held the data when it was last looked up."""
+        """The shard that held the data at the last lookup."""
         ...
 
 
@@ -27,20 +31,20 @@
     """A client's request.
 
     Attributes:
-        shard: The shard that serves it; -1 for a new object.
-        volume: The volume whose limit it counts against.
-        deadline_us: When its client gives up, in microseconds of the broker's clock.
-        key: Requests of one key run in order.
-        cls: Index of its class in the settings.
-        plan: Index of its plan in the settings.
-        units: Its cost.
-        hosts: How many endpoints it occupies.
-        payload: Its content in the form of its front; the core passes it on unread.
-        request_id: Its id at the endpoints, empty where the protocol has none.
-        route: Where its data is, if data can migrate.
-        repeat: Whether its client marked it as a retry.
-        has_client_disconnected: Asks the operating system whether its client has disconnected.
-        forwarded: Whether an attempt has begun, so that it may have run.
+        shard: The shard that serves the request; -1 for a new object.
+        volume: The volume whose limit the request counts against.
+        deadline_us: When the client gives up, in microseconds of the broker's clock.
+        key: Requests with the same key run in order.
+        cls: Index of the request's class in the settings.
+        plan: Index of the request's plan in the settings.
+        units: The cost of the request.
+        hosts: The number of endpoints that the request occupies.
+        payload: The content in the representation of the front; the core does not inspect it.
+        request_id: The id that endpoints see; empty if the protocol has none.
+        route: The location of the data; None if data cannot migrate.
+        repeat: Whether the client marked the request as a retry.
+        has_client_disconnected: Asks the operating system whether the client has disconnected.
+        forwarded: Whether an attempt has begun, so that the request may have run.
     """
 
     shard: int
@@ -65,11 +69,11 @@
 
     Attributes:
         request: The request.
-        number: How many attempts were made before this one.
-        endpoint_id: Where it goes.
-        may_begin: Asks the decisions whether it may still begin.
-        begun: Whether its first byte was written, or was about to be.
-        decided_at_s: When it was decided on, in seconds of the event loop's clock.
+        number: The number of attempts of the request before this one.
+        endpoint_id: The endpoint that the attempt is sent to.
+        may_begin: Returns whether the decision to send the attempt still holds.
+        begun: Whether the first byte was written, or was about to be written.
+        decided_at_s: When the attempt was decided on, in seconds of the event loop's clock.
     """
 
     request: Request
@@ -80,10 +84,10 @@
     decided_at_s: float = 0.0
 
     def begin(self) -> None:
-        """Marks the attempt as begun; to be called in the step that writes its first byte.
+        """Marks the attempt as begun; must be called in the same step that writes its first byte.
 
         Raises:
-            AttemptSuppressedError: What was decided before the connect does not hold any more.
+            AttemptSuppressedError: The decision made before the connect no longer holds.
         """
         if not self.may_begin():
             raise AttemptSuppressedError
@@ -92,24 +96,24 @@
 
 @runtime_checkable
 class ReplyStream(Protocol):
-    """A reply of which a part is still to come; whoever does not pass it on closes it."""
+    """A reply that has not been received completely; code that does not pass it on must close it."""
 
     def close(self) -> None:
-        """Gives up the rest of the reply."""
+        """Discards the rest of the reply."""
         ...
 
 
 @dataclass(slots=True)
 class Outcome:
-    """How an attempt ended.
+    """The outcome of an attempt.
 
     Attributes:
-        result: The evidence of the end.
-        reply: The endpoint's answer in the form of its protocol; after `DATA_MIGRATED`, what the endpoint
-            knows of the new place.
-        volume_units: Units of the volume that the endpoint has counted.
-        peer_units: Units of the volume that come by other brokers, as the endpoint reports.
-        endpoint_outstanding: Requests of all brokers at the endpoint, by its own report.
+        result: How the attempt ended.
+        reply: The endpoint's reply in the representation of its protocol; after `DATA_MIGRATED`, the
+            endpoint's information about the new location.
+        volume_units: Units that the endpoint has counted for the volume; None if it does not report them.
+        peer_units: Units of the volume sent by other brokers, as reported by the endpoint.
+        endpoint_outstanding: Outstanding requests of all brokers at the endpoint, as reported by it.
     """
 
     result: AttemptResult
@@ -120,17 +124,23 @@
 
 
 class AnswerKind(Enum):
-    """The final answers; the value is the name of the counter."""
+    """The kinds of final answer; the value is the last part of the counter's name."""
 
     SERVED = "served"
     REJECTED = "rejected"
     FAILED = "failed"
-    CLIENT_GONE = "client_gone"  # nobody is left to answer
+    CLIENT_GONE = "client_gone"  # the client disconnected, so no answer is delivered
 
 
 @dataclass(slots=True)
 class Answer:
-    """The one final answer to a request; `retry_after_us` is advice for the client, 0 for none."""
+    """The final answer to a request.
+
+    Attributes:
+        kind: The kind of answer.
+        reply: The endpoint's reply, for `SERVED`.
+        retry_after_us: How long the client is advised to wait before a retry; 0 for no advice.
+    """
 
     kind: AnswerKind
     reply: object = None
@@ -138,36 +148,48 @@
 
 
 class Endpoints(Protocol):
-    """Makes attempts at endpoints over one protocol."""
+    """Makes attempts at endpoints over a specific protocol."""
 
     async def attempt(self, attempt: Attempt) -> Outcome:
-        """Makes one attempt; the caller cancels it at the request's deadline.
+        """Makes one attempt and returns its outcome; the caller cancels it at the request's deadline.
 
         Raises:
-            ConnectFailedError: The endpoint could not be connected to.
-            AttemptSuppressedError: The attempt was stopped before its first byte.
+            ConnectFailedError: The connection to the endpoint could not be established.
+            AttemptSuppressedError: The attempt was stopped before its first byte was sent.
         """
         ...
 
 
 class Routes(Protocol):
-    """Knows on which shard data is, where data can migrate."""
+    """Locates the shard of each request's data, for data that can migrate."""
 
     def open(self, request: Request, notify: Callable[[int], None]) -> None:
-        """Follows a request's data; `notify` gets the new shard while no attempt is in flight."""
+        """Starts to follow a request's data.
+
+        Args:
+            request: The request.
+            notify: Called with the new shard if the data migrates while no attempt is in flight.
+        """
         ...
 
     def close(self, request: Request) -> None:
-        """Ends what `open` began."""
+        """Stops following a request's data."""
         ...
 
     def current(self, request: Request) -> int:
-        """The shard of the request's data as known now."""
+        """Returns the last known shard of the request's data."""
         ...
 
     async def reroute(self, request: Request, reply: object) -> int | None:
-        """The shard to go on with after an endpoint said that the data is not there; None gives up.
+        """Returns the shard for the next attempt after an endpoint replied that it does not hold the data.
+
+        Waits for newer information if some may arrive; the caller cancels the wait at the request's deadline.
+
+        Args:
+            request: The request.
+            reply: The endpoint's information about the new location.
 
-        Waits for newer information where some may come; the caller cancels it at the request's deadline.
+        Returns:
+            The shard, or None if it cannot be determined.
         """
         ...
--- a/lemonridge/core/open_ids.py
+++ b/lemonridge/core/open_ids.py
@@ -1,8 +1,9 @@
-"""Ids of open requests, in this process and in the other processes of the same broker. Pure.
+"""Tracks the ids of open requests in this process and in the other processes of the same broker.
 
-Endpoints know a request by its id, so two requests of one id at once are one request sent twice (PROTOCOL: a
-second copy if an earlier one is still out). While two processes of a broker run, each rejects the ids that
-the other one has open. `net.process_handover` passes on what each opens and closes.
+Endpoints identify a request by its id, so to them two concurrent requests with the same id are one request
+sent twice (PROTOCOL: a second copy if an earlier one is still out). While two processes of a broker run, each
+rejects the ids that are open in the other. `net.process_handover` exchanges the ids that each process opens
+and closes. This module performs no I/O.
 """
 
 from __future__ import annotations
@@ -11,14 +12,14 @@
 
 from lemonridge.core.errors import DuplicateRequestError
 
-REMOTE_IDS_MAX = 65536  # ids that one other process is believed to have open
+REMOTE_IDS_MAX = 65536  # ids tracked per other process
 
 
 class OpenIds:
-    """The ids that are open, by process.
+    """The open request ids by process.
 
     Attributes:
-        on_change: Called with each id of this process that opens (True) or closes (False).
+        on_change: Called with each id that this process opens (True) or closes (False).
     """
 
     def __init__(self) -> None:
@@ -27,10 +28,10 @@
         self.on_change: Callable[[str, bool], None] | None = None
 
     def open(self, request_id: str) -> None:
-        """Opens an id; the empty one stands for none.
+        """Opens an id; an empty id means that the request has none and is not tracked.
 
         Raises:
-            DuplicateRequestError: The id is open, here or in another process.
+            DuplicateRequestError: The id is open in this or another process.
         """
         if request_id in self._own or any(request_id in ids for ids in self._remote.values()):
             raise DuplicateRequestError
@@ -40,18 +41,18 @@
                 self.on_change(request_id, True)
 
     def close(self, request_id: str) -> None:
-        """Closes an id of this process; without effect on one that is not open."""
+        """Closes an id of this process; has no effect if the id is not open."""
         if request_id in self._own:
             self._own.discard(request_id)
             if self.on_change is not None:
                 self.on_change(request_id, False)
 
     def own(self) -> tuple[str, ...]:
-        """The ids that are open in this process."""
+        """Returns the ids that are open in this process."""
         return tuple(self._own)
 
     def update_remote(self, process: object, opened: Iterable[str], closed: Iterable[str]) -> None:
-        """Notes what another process has opened and closed since its last message."""
+        """Records the ids that another process has opened and closed since its last message."""
         ids = self._remote.setdefault(process, set())
         ids.update(opened)
         ids.difference_update(closed)
@@ -59,5 +60,5 @@
             ids.pop()
 
     def forget_remote(self, process: object) -> None:
-        """Drops the ids of a process that is gone: its requests ended with its connections."""
+        """Drops the ids of a process that has exited: its requests ended with its connections."""
         self._remote.pop(process, None)
--- a/lemonridge/core/request_mailbox.py
+++ b/lemonridge/core/request_mailbox.py
@@ -1,4 +1,4 @@
-"""What the scheduler decided for one request, on its way to the task that runs the request."""
+"""Passes the scheduler's decisions for one request to the task that runs the request."""
 
 from __future__ import annotations
 
@@ -11,19 +11,19 @@
 
 
 class RequestMailbox:
-    """Decisions for one request, and its one final answer.
+    """Holds the pending decisions for one request, its attempt in flight and its final answer.
 
-    `DecisionHost` delivers decisions; `Broker.run` takes them out and notes the attempt in flight here, so
-    that a decision can cancel it.
+    `DecisionHost` delivers decisions; `Broker.run` receives them and records the attempt in flight, so that a
+    decision can cancel it.
 
     Attributes:
         name: The scheduler's name for the request.
         request: The request.
-        answer: The final answer, once there is one.
-        on_send: Called with each attempt that is decided on, as it is.
-        on_answer: Called with the final answer, in the turn of the loop in which it is decided on.
-        attempt: The attempt in flight.
-        timeout_scope: Ends the attempt in flight.
+        answer: The final answer; None until it is decided on.
+        on_send: Called whenever an attempt is decided on.
+        on_answer: Called with the final answer, in the event loop iteration in which it is decided on.
+        attempt: The attempt in flight, if any.
+        timeout_scope: The timeout of the attempt in flight; rescheduled to cancel the attempt.
         attempt_cancelled: Whether the attempt in flight was cancelled before the request's deadline.
         decided_at_s: When the last attempt was decided on, in seconds of the event loop's clock.
     """
@@ -41,10 +41,10 @@
         self._waiter: asyncio.Future[None] | None = None
 
     def set_final_answer(self, answer: Answer) -> bool:
-        """Gives the final answer; False if there is one already.
+        """Sets the final answer and delivers it; returns False if the request already has one.
 
-        An attempt that has not written its first byte yet is cancelled; one that has goes on, as the endpoint
-        works on it too.
+        An attempt that has not written its first byte is cancelled. An attempt that has begun continues,
+        because the endpoint continues to process it.
         """
         if self.answer is not None:
             return False
@@ -56,7 +56,7 @@
         return True
 
     def deliver(self, action: Send | Cancel | Reject | Fail) -> None:
-        """Takes a decision; a final answer leaves at once, also while an attempt is in flight."""
+        """Accepts a decision; a final answer is delivered at once, even while an attempt is in flight."""
         match action:
             case Send():
                 self._sends.append(action)
@@ -72,7 +72,7 @@
                 self.set_final_answer(Answer(AnswerKind.FAILED))
 
     async def next_send(self) -> Send | None:
-        """Waits for the next attempt to make; None once the request has its final answer."""
+        """Waits for the next attempt to make; returns None once the request has its final answer."""
         while not self._sends:
             if self.answer is not None:
                 return None
--- a/lemonridge/core/stall_detector.py
+++ b/lemonridge/core/stall_detector.py
@@ -1,4 +1,4 @@
-"""Detects that this process did not run for a while (SIGSTOP, or a machine that had no time for it)."""
+"""Detects that this process was not running for a while (SIGSTOP, or an overloaded machine)."""
 
 from __future__ import annotations
 
@@ -10,15 +10,19 @@
 log = logging.getLogger(__name__)
 
 HEARTBEAT_PERIOD_S = 0.1
-STALL_MIN_S = 0.3  # a heartbeat so much too late is a stall; well within the time that a drain allows
-CATCH_UP_S = 0.03  # decisions wait so long after a stall, while the loop reads what came meanwhile
+STALL_MIN_S = 0.3  # delay of a heartbeat that counts as a stall; well below the time that a drain allows
+CATCH_UP_S = 0.03  # pause of decisions after a stall, in which the event loop reads the pending input
 
 
 class StallDetector:
-    """Pauses decisions after a stall.
+    """Pauses decisions after a stall of the process.
 
-    A process that goes on after a stall believes what it knew before, while drains and quota changes that it
-    has not read yet are in force. It does nothing until `start`.
+    A process that resumes after a stall has outdated state: drains and quota changes may be in force that it
+    has not read yet. The detector is inactive until `start` is called.
+
+    Args:
+        loop: The event loop to monitor.
+        counters: Counts the stalls.
     """
 
     def __init__(self, loop: asyncio.AbstractEventLoop, counters: Counters) -> None:
@@ -27,14 +31,14 @@
         self._paused_until_s = 0.0
 
     def start(self) -> None:
-        """Begins the heartbeat, which goes on for as long as the loop runs."""
+        """Starts the heartbeat, which reschedules itself for as long as the event loop runs."""
         last_heartbeat_s, self._last_heartbeat_s = self._last_heartbeat_s, self._loop.time()
         if last_heartbeat_s is not None:
             self._check(last_heartbeat_s)
         self._loop.call_later(HEARTBEAT_PERIOD_S, self.start)
 
     def paused_until_s(self) -> float | None:
-        """When decisions may go on after a stall, in seconds of the loop's clock; None if they may now."""
+        """Returns the end of the pause in seconds of the loop's clock; None if decisions are not paused."""
         if self._last_heartbeat_s is None:
             return None
         self._check(self._last_heartbeat_s)
@@ -42,8 +46,8 @@
 
     def _check(self, last_heartbeat_s: float) -> None:
         now_s = self._loop.time()
-        silent_s = now_s - last_heartbeat_s
-        if silent_s > HEARTBEAT_PERIOD_S + STALL_MIN_S and now_s > self._paused_until_s:
+        since_heartbeat_s = now_s - last_heartbeat_s
+        if since_heartbeat_s > HEARTBEAT_PERIOD_S + STALL_MIN_S and now_s > self._paused_until_s:
             self._paused_until_s, self._last_heartbeat_s = now_s + CATCH_UP_S, now_s
             self._counters["loop.stopped"] += 1
-            log.warning("process stalled", extra={"stalled_ms": int(silent_s * 1000)})
+            log.warning("process stalled", extra={"stalled_ms": int(since_heartbeat_s * 1000)})
--- a/lemonridge/operate/__init__.py
+++ b/lemonridge/operate/__init__.py
@@ -1,5 +1,6 @@
-"""Operators' calls, maintenance, graceful shutdown and handover, decided without a clock, a loop or I/O.
+"""Admin calls, maintenance, graceful shutdown and handover, as logic without a clock, an event loop or I/O.
 
-`admin_calls` parses calls, `maintenance` holds the operators' bans, `lifecycle` the phase of the process,
-`handover` what a process passes on to its successor and `handover_format` its form on the socket.
+`admin_calls` parses the operators' calls, `maintenance` holds their bans on endpoints, `lifecycle` holds the
+phase of the process, `handover` defines the state and messages for a successor process, and `handover_format`
+encodes them for the socket.
 """
--- a/lemonridge/operate/admin_calls.py
+++ b/lemonridge/operate/admin_calls.py
@@ -1,4 +1,4 @@
-"""The operators' calls: a line with a request, a line with the reply. Pure."""
+"""The operators' calls: one line for the request, one line for the reply. This module performs no I/O."""
 
 from __future__ import annotations
 
@@ -8,13 +8,13 @@
 
 from lemonridge.operate.errors import BadCallError
 
-LINE_MAX = 512  # bytes of a line with its end; a longer one is rejected unread
-POLICY_LINE_MAX = 32_768  # bytes of a line that carries a policy
+LINE_MAX = 512  # bytes, including the line end; longer lines are rejected without being parsed
+POLICY_LINE_MAX = 32_768  # bytes of a line that contains a policy
 _ENDPOINT_ID = re.compile(r"[\x21-\x7e]{1,200}")
 
 
 class AdminCall(Enum):
-    """What can be asked; the value is the first word of the line."""
+    """The calls; the value is the first word of the line."""
 
     READY = "ready"
     DISABLE = "disable-server"
@@ -31,7 +31,7 @@
 
 
 CALLS_WITH_ID = frozenset((AdminCall.DISABLE, AdminCall.ENABLE, AdminCall.RETIRE))
-CALLS_WITH_JSON = {one.value.encode(): one for one in (AdminCall.PROPOSE, AdminCall.FORCE)}
+CALLS_WITH_JSON = {call.value.encode(): call for call in (AdminCall.PROPOSE, AdminCall.FORCE)}
 POLICY_CALLS = frozenset(
     (AdminCall.POLICY, AdminCall.PROPOSE, AdminCall.ABORT, AdminCall.ADMIT, AdminCall.RETIRE, AdminCall.FORCE)
 )
@@ -39,12 +39,12 @@
 
 @dataclass(frozen=True, slots=True)
 class AdminRequest:
-    """One call as it was read.
+    """A parsed call.
 
     Attributes:
-        call: What is asked.
-        endpoint_id: The endpoint, or for `RETIRE` the broker; empty where none is named.
-        text: JSON: of a proposal the policy and a note, of the emergency call the lost brokers and a note.
+        call: The call.
+        endpoint_id: The endpoint, or for `RETIRE` the broker; empty if the call has no argument.
+        text: JSON argument: the policy and a note for `PROPOSE`, the lost brokers and a note for `FORCE`.
     """
 
     call: AdminCall
@@ -53,7 +53,7 @@
 
 
 class ReplyText(StrEnum):
-    """The fixed texts of replies, as they stand in the line."""
+    """The fixed texts of replies, as sent."""
 
     BANNED = "out"
     BAN_REJECTED = "unknown node, or too many are out"
@@ -76,35 +76,35 @@
     """The reply to a call.
 
     Attributes:
-        done: Whether what was asked is in force.
-        text: A result, or the reason why it is not done.
+        done: Whether the requested change is in force.
+        text: The result, or the reason of the failure.
     """
 
     done: bool
     text: str = ""
 
     def encode(self) -> bytes:
-        """The line as it is sent, with its end."""
-        word = "ACK" if self.done else "NAK"
-        return f"{word} {self.text}".rstrip().encode("ascii", "replace") + b"\n"
+        """Returns the encoded line, including the line end."""
+        status = "ACK" if self.done else "NAK"
+        return f"{status} {self.text}".rstrip().encode("ascii", "replace") + b"\n"
 
 
 def line_max(line: bytes) -> int:
-    """How many bytes a line that begins so may have."""
+    """Returns the maximum length, in bytes, of a line that begins with `line`."""
     return POLICY_LINE_MAX if line.startswith(AdminCall.PROPOSE.value.encode() + b" ") else LINE_MAX
 
 
 def parse(line: bytes) -> AdminRequest:
-    """The call of a line, with or without its end (LF or CRLF).
+    """Parses a line, with or without its line end (LF or CRLF).
 
     Raises:
-        BadCallError: The line is no call.
+        BadCallError: The line is not a valid call.
     """
     if len(line) > line_max(line):
         raise BadCallError("the line is too long")
-    word, _, argument = line.partition(b" ")
-    if word in CALLS_WITH_JSON:
-        return AdminRequest(CALLS_WITH_JSON[word], text=argument.decode("utf-8", "replace").strip())
+    first_word, _, argument = line.partition(b" ")
+    if first_word in CALLS_WITH_JSON:
+        return AdminRequest(CALLS_WITH_JSON[first_word], text=argument.decode("utf-8", "replace").strip())
     try:
         words = line.decode("ascii").split()
     except UnicodeDecodeError:
@@ -114,7 +114,9 @@
     try:
         call = AdminCall(words[0])
     except ValueError:
-        raise BadCallError(f"unknown call; known are {', '.join(one.value for one in AdminCall)}") from None
+        raise BadCallError(
+            f"unknown call; known are {', '.join(known.value for known in AdminCall)}"
+        ) from None
     if call not in CALLS_WITH_ID:
         if len(words) > 1:
             raise BadCallError(f"{call.value} takes no further word")
--- a/lemonridge/operate/errors.py
+++ b/lemonridge/operate/errors.py
@@ -1,13 +1,16 @@
-"""Errors of the operators' calls and of the handover between processes."""
+"""Exceptions of the operators' calls and of the handover between processes."""
 
 
 class OperateError(Exception):
-    """Base class of this package's errors."""
+    """Base class of this package's exceptions."""
 
 
 class BadCallError(OperateError):
-    """A line that is no operators' call; the text is fit to answer with."""
+    """A line is not a valid operators' call; the text is sent as the reply."""
 
 
 class BadMessageError(OperateError):
-    """A handover message that cannot be read, or of another version; the text is fit for the log."""
+    """A handover message is malformed or of another version.
+
+    The text is logged, and sent to the other process as the reason of a refusal.
+    """
--- a/lemonridge/operate/handover.py
+++ b/lemonridge/operate/handover.py
@@ -1,10 +1,11 @@
-"""The handover of a running broker to its successor process: state and messages. Pure.
-
-The two processes are one broker while both run. The successor sends `HandoverRequested`; the predecessor
-answers `HandoverGranted` with its state, in one step with ending its own acceptance of connections, or
-`HandoverRefused`. From then on each forwards the operators' calls that it gets (`CallForwarded`), and the
-other says when one is in force there (`CallAcknowledged`). Where both know the message, each also says which
-request ids it opens and closes (`OpenIdsChanged`).
+"""State and messages of the handover from a running broker process to its successor process.
+
+The two processes form one broker while both run. The successor sends `HandoverRequested`. The predecessor
+replies with `HandoverRefused`, or it stops accepting connections and, in the same step, replies with its
+state in `HandoverGranted`. From then on each process forwards the operators' calls that it receives
+(`CallForwarded`), and the other acknowledges a call once it is in force there (`CallAcknowledged`). If both
+support it, each process also reports the request ids that it opens and closes (`OpenIdsChanged`). This module
+performs no I/O.
 """
 
 from __future__ import annotations
@@ -16,9 +17,9 @@
 from lemonridge.operate.maintenance import ReturnedToService
 from lemonridge.scheduling.events import Endpoint, LimitLevel
 
-FIRST_LIST_TIMEOUT_US = 1_000_000  # how long a successor waits for its own endpoint list before it takes over
-STATE_TIMEOUT_US = 1_000_000  # then so long for the predecessor's state, or it goes on alone
-CALL_TIMEOUT_US = 400_000  # a forwarded call waits so long; its caller waits for 1 s
+FIRST_LIST_TIMEOUT_US = 1_000_000  # for the successor's own endpoint list, before it takes over
+STATE_TIMEOUT_US = 1_000_000  # for the exchange of the state; without a state the successor starts alone
+CALL_TIMEOUT_US = 400_000  # for the acknowledgement of a forwarded call; the caller's own timeout is 1 s
 
 
 @dataclass(frozen=True, slots=True)
@@ -36,7 +37,12 @@
 
 @dataclass(frozen=True, slots=True)
 class HandedOverEndpoint:
-    """An endpoint as the source listed it, with its address."""
+    """An endpoint as listed by the source, with its address.
+
+    Attributes:
+        endpoint: The endpoint.
+        address: Its network address, as HOST:PORT.
+    """
 
     endpoint: Endpoint
     address: str
@@ -44,17 +50,17 @@
 
 @dataclass(frozen=True, slots=True)
 class HandoverState:
-    """What the successor goes on from. Times are microseconds of the sender's clock.
+    """The state that the successor takes over, with times in microseconds of the sender's clock.
 
     Attributes:
-        banned: Operators' bans, by endpoint, with their begin.
-        returned: Endpoints whose ban has ended.
-        drain_began_us: When the drain in force began.
-        limit_levels: What the limits have saved, by volume.
-        endpoints: The endpoint list, without the bans.
-        start_times: Start times of endpoints, by endpoint.
-        open_ids: Ids of the requests that the sender has open; None from a version that does not say.
-        clock_base_us: `Clock.base_us` of the sender; 0 from a version that does not say.
+        banned: The start of each operators' ban, by endpoint.
+        returned: The endpoints whose ban has ended.
+        drain_began_us: When the current drain began; None if there is none.
+        limit_levels: The levels of the volume limits, by volume.
+        endpoints: The endpoint list, without the bans applied.
+        start_times: The start times of endpoints, by endpoint.
+        open_ids: Ids of the sender's open requests; None from a version that does not send them.
+        clock_base_us: `Clock.base_us` of the sender; 0 from a version that does not send it.
     """
 
     banned: Mapping[str, int] = field(default_factory=dict)
@@ -67,18 +73,21 @@
     clock_base_us: int = 0
 
     def rebased(self, base_us: int) -> HandoverState:
-        """The same with its times on another process's clock, given that clock's `base_us`.
+        """Returns a copy with its times on another process's clock.
 
-        The wall clock may have been stepped between the starts of the two processes, while the monotonic
-        clock is one.
+        The wall clock may have been stepped between the starts of the two processes, but both share the
+        monotonic clock.
+
+        Args:
+            base_us: `Clock.base_us` of the other process.
         """
         shift_us = base_us - self.clock_base_us if self.clock_base_us else 0
         return replace(
             self,
-            banned={endpoint_id: since_us + shift_us for endpoint_id, since_us in self.banned.items()},
+            banned={endpoint_id: banned_us + shift_us for endpoint_id, banned_us in self.banned.items()},
             returned={
-                endpoint_id: ReturnedToService(one.banned_us + shift_us, one.returned_us + shift_us)
-                for endpoint_id, one in self.returned.items()
+                endpoint_id: ReturnedToService(period.banned_us + shift_us, period.returned_us + shift_us)
+                for endpoint_id, period in self.returned.items()
             },
             drain_began_us=None if self.drain_began_us is None else self.drain_began_us + shift_us,
             limit_levels={
@@ -86,8 +95,8 @@
                 for volume, level in self.limit_levels.items()
             },
             start_times={
-                endpoint_id: StartTime(one.unix_us, one.broker_clock_us + shift_us)
-                for endpoint_id, one in self.start_times.items()
+                endpoint_id: StartTime(start_time.unix_us, start_time.broker_clock_us + shift_us)
+                for endpoint_id, start_time in self.start_times.items()
             },
             clock_base_us=base_us,
         )
@@ -95,28 +104,40 @@
 
 @dataclass(frozen=True, slots=True)
 class HandoverRequested:
-    """The successor takes over; `supports_open_ids` says whether it knows `OpenIdsChanged`."""
+    """Asks the predecessor for the handover.
+
+    Attributes:
+        supports_open_ids: Whether the successor supports `OpenIdsChanged`.
+    """
 
     supports_open_ids: bool = False
 
 
 @dataclass(frozen=True, slots=True)
 class HandoverGranted:
-    """The predecessor's state; it accepts nothing new from here on."""
+    """Grants the handover; the predecessor accepts no new connections from then on.
+
+    Attributes:
+        state: The predecessor's state.
+    """
 
     state: HandoverState
 
 
 @dataclass(frozen=True, slots=True)
 class HandoverRefused:
-    """The predecessor does not hand over."""
+    """Refuses the handover.
+
+    Attributes:
+        reason: Why it is refused.
+    """
 
     reason: str
 
 
 @dataclass(frozen=True, slots=True)
 class CallForwarded:
-    """An operators' call that the other process has received, numbered by the sender."""
+    """Forwards an operators' call that the sender has received, with a number chosen by the sender."""
 
     number: int
     request: AdminRequest
@@ -124,14 +145,14 @@
 
 @dataclass(frozen=True, slots=True)
 class CallAcknowledged:
-    """The forwarded call of this number is in force in the sender's process."""
+    """Acknowledges that the forwarded call with this number is in force in the sender's process."""
 
     number: int
 
 
 @dataclass(frozen=True, slots=True)
 class OpenIdsChanged:
-    """Ids of requests that the sender has opened and closed since its last message."""
+    """Reports the request ids that the sender has opened and closed since its last message."""
 
     opened: tuple[str, ...]
     closed: tuple[str, ...]
--- a/lemonridge/operate/handover_format.py
+++ b/lemonridge/operate/handover_format.py
@@ -1,8 +1,8 @@
-"""The handover's messages on the socket between the two processes: one line of JSON each. Pure.
+"""Encodes and decodes the handover messages between the two processes: one line of JSON per message.
 
-Two versions of the program read each other's messages during an upgrade, so the keys and words here stay as
-they are. Each line has the version in `v` and the kind of message in `say`; a line that cannot be read
-complete is an error.
+Two versions of the program exchange these messages during an upgrade, so the keys and values must not change.
+Each line has the format version in `v` and the kind of message in `say`; a line that cannot be decoded
+completely is an error. This module performs no I/O.
 """
 
 from __future__ import annotations
@@ -30,25 +30,25 @@
 from lemonridge.scheduling.events import Endpoint, EndpointState, LimitLevel
 
 VERSION = 1
-LINE_MAX = 4 << 20  # bytes of a message with its end
-ENTRIES_MAX = 65536  # endpoints, volumes or start times in one message
+LINE_MAX = 4 << 20  # bytes of a message, including the line end
+ENTRIES_MAX = 65536  # per list of endpoints, volumes or start times in one message
 IDS_MAX = 65536  # request ids in one message
 REASON_MAX = 200  # characters of a refusal's reason
 TEXT_MAX = 1000  # characters of an id or an address
-INTEGER_END = 1 << 62
-VOLUME_END = 1 << 64
-UNITS_END = 1e9
+INTEGER_END = 1 << 62  # exclusive upper bound of integers other than volume numbers
+VOLUME_END = 1 << 64  # exclusive upper bound of volume numbers
+UNITS_END = 1e9  # exclusive upper bound of units
 
 STATE_BY_WIRE_NAME = {
     "active": EndpointState.ACTIVE,
     "leaving": EndpointState.DRAINING,
     "left": EndpointState.REMOVED,
 }
-WIRE_NAME_BY_STATE = {state: word for word, state in STATE_BY_WIRE_NAME.items()}
+WIRE_NAME_BY_STATE = {state: name for name, state in STATE_BY_WIRE_NAME.items()}
 
 
 def encode(message: Message) -> bytes:
-    """The message as a line, with its end."""
+    """Encodes a message as a line, including the line end."""
     match message:
         case HandoverRequested():
             fields = _fields("take", ids=message.supports_open_ids)
@@ -68,15 +68,16 @@
     return orjson.dumps(fields) + b"\n"
 
 
-def _fields(word: str, **fields: Any) -> dict[str, Any]:
-    return {"v": VERSION, "say": word, **fields}
+def _fields(kind: str, **fields: Any) -> dict[str, Any]:
+    return {"v": VERSION, "say": kind, **fields}
 
 
 def _state_fields(state: HandoverState) -> dict[str, Any]:
     fields: dict[str, Any] = {
         "out": dict(state.banned),
         "back": {
-            endpoint_id: [one.banned_us, one.returned_us] for endpoint_id, one in state.returned.items()
+            endpoint_id: [period.banned_us, period.returned_us]
+            for endpoint_id, period in state.returned.items()
         },
         "drained_us": state.drain_began_us,
         "levels": [[volume, level.saved] for volume, level in state.limit_levels.items()],
@@ -86,17 +87,18 @@
         ],
         "rows": [
             [
-                row.endpoint.endpoint_id,
-                row.endpoint.shard,
-                row.endpoint.zone,
-                WIRE_NAME_BY_STATE[row.endpoint.state],
-                row.endpoint.started_us,
-                row.address,
+                entry.endpoint.endpoint_id,
+                entry.endpoint.shard,
+                entry.endpoint.zone,
+                WIRE_NAME_BY_STATE[entry.endpoint.state],
+                entry.endpoint.started_us,
+                entry.address,
             ]
-            for row in state.endpoints
+            for entry in state.endpoints
         ],
         "starts": {
-            endpoint_id: [one.unix_us, one.broker_clock_us] for endpoint_id, one in state.start_times.items()
+            endpoint_id: [start_time.unix_us, start_time.broker_clock_us]
+            for endpoint_id, start_time in state.start_times.items()
         },
         "base_us": state.clock_base_us,
     }
@@ -106,7 +108,7 @@
 
 
 def decode(line: bytes) -> Message:
-    """The message of a line.
+    """Decodes a line.
 
     Raises:
         BadMessageError: The line is too long, incomplete, out of bounds, or of another version.
@@ -117,8 +119,8 @@
         fields = orjson.loads(line)
         if not isinstance(fields, dict) or fields.get("v") != VERSION:
             raise BadMessageError("it is of another version")
-        word = fields["say"]
-        decoder = _DECODERS.get(word) if isinstance(word, str) else None
+        kind = fields["say"]
+        decoder = _DECODERS.get(kind) if isinstance(kind, str) else None
         if decoder is None:
             raise BadMessageError("it says nothing that is known")
         return decoder(fields)
@@ -152,27 +154,29 @@
         raise BadMessageError("it names too many nodes")
     if len(fields["levels"]) > ENTRIES_MAX or len(fields["rows"]) > ENTRIES_MAX:
         raise BadMessageError("it holds too many rows")
-    # Earlier versions send neither start times, nor what is owed, nor ids, nor the clock's base.
+    # Earlier versions send no start times, no debts ("owed"), no ids and no clock base.
     start_times = fields.get("starts", {})
     if len(start_times) > ENTRIES_MAX:
         raise BadMessageError("it holds too many start times")
-    owed = fields.get("owed", [])
-    if len(owed) > ENTRIES_MAX:
+    debts = fields.get("owed", [])
+    if len(debts) > ENTRIES_MAX:
         raise BadMessageError("it holds too many rows")
-    owed_by_volume = {
-        _integer(volume, VOLUME_END): (_units(units), _integer(until_us)) for volume, units, until_us in owed
+    debt_by_volume = {
+        _integer(volume, VOLUME_END): (_units(units), _integer(until_us)) for volume, units, until_us in debts
     }
     drain_began_us = fields["drained_us"]
     return HandoverGranted(
         HandoverState(
-            banned={_text(endpoint_id): _integer(since) for endpoint_id, since in fields["out"].items()},
+            banned={
+                _text(endpoint_id): _integer(banned_us) for endpoint_id, banned_us in fields["out"].items()
+            },
             returned={
                 _text(endpoint_id): ReturnedToService(_integer(banned_us), _integer(returned_us))
                 for endpoint_id, (banned_us, returned_us) in fields["back"].items()
             },
             drain_began_us=None if drain_began_us is None else _integer(drain_began_us),
             limit_levels={
-                _integer(volume, VOLUME_END): LimitLevel(_units(saved), *owed_by_volume.get(volume, ()))
+                _integer(volume, VOLUME_END): LimitLevel(_units(saved), *debt_by_volume.get(volume, ()))
                 for volume, saved in fields["levels"]
             },
             endpoints=tuple(_decode_endpoint(*row) for row in fields["rows"]),
@@ -220,7 +224,7 @@
 def _ids(value: Any) -> tuple[str, ...]:
     if not isinstance(value, list) or len(value) > IDS_MAX:
         raise ValueError("it holds too many ids")
-    return tuple(_text(one) for one in value)
+    return tuple(_text(request_id) for request_id in value)
 
 
 def _text(value: Any) -> str:
--- a/lemonridge/operate/lifecycle.py
+++ b/lemonridge/operate/lifecycle.py
@@ -1,15 +1,16 @@
-"""The phases of the process: serving, draining, handed over to a successor, stopping. Pure.
+"""The phases of the process: serving, draining, handed over to a successor, stopping.
 
-`Lifecycle` says whether the front reports ready, whether a response leaves its connection open, until when an
-idle connection is kept, and by when a request must have its answer. Times are Unix microseconds,
-those of `StopSchedule` microseconds after SIGTERM.
+`Lifecycle` determines whether the front reports ready, whether a response leaves its connection open, when
+idle connections are closed, and by when a request must be answered. Times are Unix microseconds; those of
+`StopSchedule` are microseconds after SIGTERM.
 
-                keeps connections alive until      closes idle ones      answers young requests by
-    drain       1.5 s after the call               3.0 s                 3.7 s
-    handover    at once no more                    at the stop signal    -
-    stop        `close_after_answer_from_us`       `accept_until_us`     `answer_by_us`
+                keeps connections alive until    closes idle ones at    answers late requests by
+    drain       1.5 s after the call             3.0 s                  3.7 s
+    handover    the handover                     the stop signal        -
+    stop        `close_after_answer_from_us`     `accept_until_us`      `answer_by_us`
 
-The times of a stop are worked out from the longest deadline: `StopSchedule`, and as a table docs/shutdown.md.
+The times of a stop are derived from the longest deadline: see `StopSchedule`, and the table in
+docs/shutdown.md. This module performs no I/O.
 """
 
 from __future__ import annotations
@@ -17,36 +18,37 @@
 from dataclasses import dataclass
 from enum import Enum
 
-# A drain has to be complete 4 s after the call: no connection that is idle, or has a request of the last 2 s.
-DRAIN_KEEP_ALIVE_US = 1_500_000  # from here on each response closes its connection
-DRAIN_CLOSE_IDLE_US = 3_000_000  # and connections without a request are closed from here on
-DRAIN_YOUNG_REQUESTS_US = 1_900_000  # a request that arrives later may still be open when the drain ends,
-DRAIN_COMPLETE_US = 3_700_000  # so it is answered by then
+# A drain must be complete 4 s after the call: no connection may remain that is idle or has a request of the
+# last 2 s. The times are relative to the call.
+DRAIN_KEEP_ALIVE_US = 1_500_000  # each response closes its connection from then on
+DRAIN_CLOSE_IDLE_US = 3_000_000  # connections without a request are closed from then on
+DRAIN_LATE_REQUESTS_US = 1_900_000  # requests that arrive from then on could still be open after the drain,
+DRAIN_COMPLETE_US = 3_700_000  # so they are answered by this time
 
-# PROTOCOL, "Figures": SIGKILL comes no sooner than the longest deadline, of which no more than 3 s counts,
-# and 0.7 s after SIGTERM; new connections keep coming for 0.4 s at most.
+# PROTOCOL, "Figures": SIGKILL follows SIGTERM after at least the longest deadline, of which at most 3 s
+# count, plus 0.7 s; new connections arrive for at most 0.4 s.
 COUNTED_DEADLINE_MAX_US = 3_000_000
 KILL_DELAY_US = 700_000
-NEW_CONNECTIONS_US = 400_000
-ACCEPT_MARGIN_US = 20_000  # past the last new connection, before the listener closes
-KILL_MARGIN_US = 300_000  # answers are out so long before SIGKILL: the process may be held up for 0.15 s
-KILL_MARGIN_MIN_US = 200_000  # where the deadlines are so short that the listener must stay open longer
-LAST_REQUEST_US = 900_000  # time for the last request that is accepted, where the deadlines leave it
-TAIL_US = 500_000  # before the listener closes, each response closes its connection for so long at most
+NEW_CONNECTIONS_PERIOD_US = 400_000
+ACCEPT_MARGIN_US = 20_000  # between the last new connection and the close of the listener
+KILL_MARGIN_US = 300_000  # between the last answer and SIGKILL, as the process may stall for 0.15 s
+KILL_MARGIN_MIN_US = 200_000  # if the deadlines are so short that the listener must stay open longer
+LAST_REQUEST_TIME_US = 900_000  # for the last accepted request, if the deadlines are long enough
+CLOSE_AFTER_ANSWER_MAX_US = 500_000  # how long before the listener closes each response closes its connection
 
-NEVER_US = 1 << 62  # a time that does not come
+NEVER_US = 1 << 62  # a time that is never reached
 
 
 @dataclass(frozen=True, slots=True)
 class StopSchedule:
-    """What the process does when, in microseconds after SIGTERM.
+    """The schedule of a stop, in microseconds after SIGTERM.
 
     Attributes:
-        close_after_answer_from_us: From here on each response closes its connection.
-        accept_until_us: Then the listener closes, and so do connections without a request.
-        request_complete_by_us: A request of which a part had been received must be complete by then.
-        answer_by_us: Every request accepted after the signal has its answer.
-        kill_earliest_us: SIGKILL comes no sooner.
+        close_after_answer_from_us: Each response closes its connection from this time on.
+        accept_until_us: The listener and all connections without a request are closed at this time.
+        request_complete_by_us: A partially received request must be received completely by this time.
+        answer_by_us: Every request accepted after the signal is answered by this time.
+        kill_earliest_us: SIGKILL is sent at this time or later.
     """
 
     close_after_answer_from_us: int
@@ -57,57 +59,64 @@
 
 
 def stop_schedule(longest_deadline_us: int) -> StopSchedule:
-    """The schedule for the longest deadline of a class, in microseconds.
+    """Returns the schedule for the longest deadline of all classes, in microseconds.
 
-    New connections keep coming for 0.4 s however short the deadlines are. Every request that is accepted has
-    its whole deadline, or the time up to `answer_by_us` where the deadlines are longer than that allows.
+    New connections arrive for 0.4 s however short the deadlines are. Every accepted request gets its full
+    deadline, or the time until `answer_by_us` if the deadlines are too long for that.
     """
-    counted_us = min(longest_deadline_us, COUNTED_DEADLINE_MAX_US)
-    kill_us = counted_us + KILL_DELAY_US
-    accept_until_us = NEW_CONNECTIONS_US + ACCEPT_MARGIN_US
+    counted_deadline_us = min(longest_deadline_us, COUNTED_DEADLINE_MAX_US)
+    kill_us = counted_deadline_us + KILL_DELAY_US
+    accept_until_us = NEW_CONNECTIONS_PERIOD_US + ACCEPT_MARGIN_US
     answer_by_us = min(
-        kill_us - KILL_MARGIN_MIN_US, max(kill_us - KILL_MARGIN_US, accept_until_us + counted_us)
+        kill_us - KILL_MARGIN_MIN_US, max(kill_us - KILL_MARGIN_US, accept_until_us + counted_deadline_us)
+    )
+    accept_until_us = max(accept_until_us, answer_by_us - LAST_REQUEST_TIME_US)
+    close_after_answer_us = min(CLOSE_AFTER_ANSWER_MAX_US, accept_until_us // 2)
+    complete_by_us = (accept_until_us + answer_by_us) // 2  # the other half is reserved for the answer
+    return StopSchedule(
+        accept_until_us - close_after_answer_us, accept_until_us, complete_by_us, answer_by_us, kill_us
     )
-    accept_until_us = max(accept_until_us, answer_by_us - LAST_REQUEST_US)
-    tail_us = min(TAIL_US, accept_until_us // 2)
-    complete_by_us = (accept_until_us + answer_by_us) // 2  # half of the rest is for the answer
-    return StopSchedule(accept_until_us - tail_us, accept_until_us, complete_by_us, answer_by_us, kill_us)
 
 
 class Phase(Enum):
-    """What the process does; the value is what operators see."""
+    """The phase of the process; the value is shown to operators."""
 
     SERVING = "serving"
     DRAINING = "draining"
-    HANDED_OVER = "handed"  # a successor accepts connections; kept connections end here
+    HANDED_OVER = (
+        "handed"  # a successor accepts connections; remaining connections close after their next response
+    )
     STOPPING = "stopping"
 
 
 class Lifecycle:
-    """The calls and signals that this process has had, each with its time.
+    """The drain, handover and stop of this process, each with its start time.
 
-    A drain, a handover and a stop may overlap; the strictest of them holds. A change that does not fit the
-    phase is no error, it returns False.
+    They may overlap; the strictest applies. A change that is not possible in the current phase is not an
+    error; its method returns False.
 
     Args:
-        longest_deadline_us: The longest deadline of a class.
+        longest_deadline_us: The longest deadline of all classes, in microseconds.
+
+    Attributes:
+        schedule: The schedule of a stop.
     """
 
     def __init__(self, longest_deadline_us: int) -> None:
-        self._drain_began_us: int | None = None  # holds for the broker, so it outlives this process
+        self._drain_began_us: int | None = None  # applies to the broker, so it is handed over to a successor
         self._handed_over_us: int | None = None
         self._stop_began_us: int | None = None
         self.schedule = stop_schedule(longest_deadline_us)
 
     def configure(self, longest_deadline_us: int) -> None:
-        """Goes by another longest deadline; a stop that has begun keeps its times."""
+        """Changes the longest deadline; a stop that has begun keeps its schedule."""
         if self._stop_began_us is None:
             self.schedule = stop_schedule(longest_deadline_us)
 
     # Calls and signals
 
     def drain(self, now_us: int) -> bool:
-        """Begins a drain; a second call changes nothing."""
+        """Begins a drain; a repeated call has no effect."""
         if self.phase is Phase.STOPPING:
             return False
         if self._drain_began_us is None:
@@ -115,36 +124,36 @@
         return True
 
     def resume(self) -> bool:
-        """Ends a drain, also one that was never begun."""
+        """Ends a drain; succeeds even if there is none."""
         if self.phase is Phase.STOPPING:
             return False
         self._drain_began_us = None
         return True
 
     def hand_over(self, now_us: int) -> bool:
-        """Hands over to a successor, which accepts what is new from here on."""
+        """Hands over to a successor, which accepts all new connections from now on."""
         if self.phase is Phase.STOPPING:
             return False
         self._handed_over_us = now_us
         return True
 
     def undo_handover(self) -> bool:
-        """Serves again, as the successor is gone; False if this process is to stop."""
+        """Returns to serving after the successor has exited; returns False if this process is stopping."""
         if self.phase is not Phase.HANDED_OVER:
             return False
         self._handed_over_us = None
         return True
 
     def stop(self, now_us: int) -> None:
-        """Begins the stop; a second signal changes nothing."""
+        """Begins the stop; a repeated signal has no effect."""
         if self._stop_began_us is None:
             self._stop_began_us = now_us
 
-    # What follows from them
+    # State derived from the calls and signals
 
     @property
     def phase(self) -> Phase:
-        """What the process does now."""
+        """The current phase of the process."""
         if self._stop_began_us is not None:
             return Phase.STOPPING
         if self._handed_over_us is not None:
@@ -153,21 +162,21 @@
 
     @property
     def drain_began_us(self) -> int | None:
-        """When the drain in force began."""
+        """When the current drain began; None if there is none."""
         return self._drain_began_us
 
     @property
     def ready(self) -> bool:
-        """Whether clients are to be sent here.
+        """Whether the process reports ready to clients.
 
-        After a handover the two processes are one broker, and the one that is left with old connections must
-        not report otherwise than its successor does.
+        After a handover both processes form one broker, so the predecessor, which only serves its remaining
+        connections, must report the same as its successor.
         """
         running = self._stop_began_us is None or self._handed_over_us is not None
         return running and self._drain_began_us is None
 
     def allows_keep_alive(self, now_us: int) -> bool:
-        """Whether a response may leave its connection open."""
+        """Returns whether a response sent now may leave its connection open."""
         until_us = NEVER_US if self._handed_over_us is None else 0
         if self._drain_began_us is not None:
             until_us = min(until_us, self._drain_began_us + DRAIN_KEEP_ALIVE_US)
@@ -177,7 +186,7 @@
 
     @property
     def close_idle_from_us(self) -> int:
-        """When connections without a request are closed."""
+        """The time from which connections without a request are closed."""
         at_us = NEVER_US
         if self._drain_began_us is not None:
             at_us = self._drain_began_us + DRAIN_CLOSE_IDLE_US
@@ -187,24 +196,27 @@
 
     @property
     def accept_until_us(self) -> int:
-        """When nothing new is accepted any more."""
+        """The time until which new connections are accepted."""
         return (
             NEVER_US if self._stop_began_us is None else self._stop_began_us + self.schedule.accept_until_us
         )
 
     @property
     def request_complete_by_us(self) -> int:
-        """By when a request of which a part was received before `accept_until_us` must be complete."""
+        """The time by which a request partially received before `accept_until_us` must be complete."""
         if self._stop_began_us is None:
             return NEVER_US
         return self._stop_began_us + self.schedule.request_complete_by_us
 
     def answer_by_us(self, arrived_us: int) -> int:
-        """By when a request that arrived at `arrived_us` must have its answer, whatever its own deadline."""
+        """Returns the time by which a request that arrived at `arrived_us` must be answered.
+
+        It applies whatever the deadline of the request; `NEVER_US` if there is no such limit.
+        """
         at_us = NEVER_US
         if self._drain_began_us is not None:
             complete_us = self._drain_began_us + DRAIN_COMPLETE_US
-            if self._drain_began_us + DRAIN_YOUNG_REQUESTS_US <= arrived_us < complete_us:
+            if self._drain_began_us + DRAIN_LATE_REQUESTS_US <= arrived_us < complete_us:
                 at_us = complete_us
         if self._stop_began_us is not None and arrived_us >= self._stop_began_us:
             at_us = min(at_us, self._stop_began_us + self.schedule.answer_by_us)
--- a/lemonridge/operate/maintenance.py
+++ b/lemonridge/operate/maintenance.py
@@ -1,7 +1,7 @@
-"""Operators' bans on endpoints, applied to what the endpoint list says. Pure.
+"""Operators' bans on endpoints, applied on top of the endpoint list.
 
-The ban and the list are kept apart: what the list says of an endpoint during a ban counts as soon as the ban
-ends, and only then.
+Bans and list are stored separately: a state that the list reports for an endpoint during a ban takes effect
+when the ban ends, and not before. This module performs no I/O.
 """
 
 from __future__ import annotations
@@ -11,12 +11,17 @@
 
 from lemonridge.scheduling.events import Endpoint, EndpointState
 
-BANS_MAX = 4096  # endpoints banned at a time; also the most that are followed after their return
+BANS_MAX = 4096  # banned endpoints at a time; also the maximum of tracked endpoints whose ban has ended
 
 
 @dataclass(frozen=True, slots=True)
 class ReturnedToService:
-    """An endpoint whose ban was ended: the ban's begin and end, in Unix microseconds."""
+    """The period of an ended ban on an endpoint.
+
+    Attributes:
+        banned_us: The start of the ban, in Unix microseconds.
+        returned_us: The end of the ban, in Unix microseconds.
+    """
 
     banned_us: int
     returned_us: int
@@ -24,11 +29,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Bans:
-    """What operators have called, for a successor process.
+    """The operators' bans in the form that is handed over to a successor process.
 
     Attributes:
-        banned: The banned endpoints, with the begin of each ban in Unix microseconds.
-        returned: The endpoints returned from a ban, which count as started with their return.
+        banned: The start of each ban in Unix microseconds, by endpoint.
+        returned: The endpoints whose ban has ended, which count as started at its end.
     """
 
     banned: Mapping[str, int]
@@ -36,21 +41,21 @@
 
 
 class Maintenance:
-    """The bans in force, and the endpoints returned from one whose restart the list does not show yet."""
+    """The bans in force, and the endpoints whose ban has ended but whose restart is not listed yet."""
 
     def __init__(self) -> None:
-        self._banned: dict[str, int] = {}  # since when, in Unix microseconds
+        self._banned: dict[str, int] = {}  # start of the ban in Unix microseconds, by endpoint
         self._returned: dict[str, ReturnedToService] = {}
 
     def __contains__(self, endpoint_id: str) -> bool:
         return endpoint_id in self._banned
 
     def export(self) -> Bans:
-        """The bans in force, and the endpoints returned from one."""
+        """Returns the bans in force and the endpoints whose ban has ended."""
         return Bans(dict(self._banned), dict(self._returned))
 
     def disable(self, endpoint_id: str, now_us: int) -> bool:
-        """Bans an endpoint; False where too many are banned. A second call changes nothing."""
+        """Bans an endpoint; returns False if too many are banned. A repeated call has no effect."""
         if endpoint_id not in self._banned:
             if len(self._banned) >= BANS_MAX:
                 return False
@@ -58,32 +63,33 @@
         return True
 
     def enable(self, endpoint_id: str, now_us: int) -> bool:
-        """Ends the ban on an endpoint, however often it was called; False where there is none."""
-        since_us = self._banned.pop(endpoint_id, None)
-        if since_us is None:
+        """Ends the ban on an endpoint, even if it was set repeatedly; returns False if there is none."""
+        banned_us = self._banned.pop(endpoint_id, None)
+        if banned_us is None:
             return False
         while len(self._returned) >= BANS_MAX:
             del self._returned[next(iter(self._returned))]
-        self._returned[endpoint_id] = ReturnedToService(since_us, now_us)
+        self._returned[endpoint_id] = ReturnedToService(banned_us, now_us)
         return True
 
     def replace_all(self, bans: Bans) -> None:
-        """Goes by another process's bans in place of this one's."""
+        """Replaces the bans by those of another process."""
         self._banned, self._returned = dict(bans.banned), dict(bans.returned)
 
     def prune(self, known_endpoints: Container[str]) -> None:
-        """Forgets the returns of endpoints that are not listed any more; a ban outlasts its endpoint's entry.
+        """Drops the ended bans of endpoints that are no longer listed; bans in force are kept.
 
-        The cost goes with the returns, not with the list.
+        The cost depends on the number of ended bans, not on the size of the list.
         """
-        for endpoint_id in [one for one in self._returned if one not in known_endpoints]:
+        for endpoint_id in [candidate for candidate in self._returned if candidate not in known_endpoints]:
             del self._returned[endpoint_id]
 
     def apply(self, endpoint: Endpoint) -> Endpoint:
-        """The endpoint as the scheduler is to see it, given what the list says.
+        """Returns a listed endpoint with its state and start time adjusted for its ban.
 
-        A banned endpoint drains. One that has returned was restarted during its ban, which the list shows
-        late: until it does, the endpoint counts as started with its return, so that its slow start is whole.
+        A banned endpoint drains. An endpoint whose ban has ended was restarted during the ban, but the list
+        reports the restart with a delay. Until then the endpoint counts as started at the end of the ban, so
+        that it gets a full slow start.
         """
         if endpoint.endpoint_id in self._banned:
             active = endpoint.state is EndpointState.ACTIVE
--- a/tests/operate/test_lifecycle.py
+++ b/tests/operate/test_lifecycle.py
@@ -41,7 +41,7 @@
         self.assertFalse(lifecycle.ready)
         self.assertTrue(lifecycle.allows_keep_alive(11 * S))
         self.assertFalse(lifecycle.allows_keep_alive(12 * S))
-        self.assertLess(lifecycle.close_idle_from_us, 14 * S - times.DRAIN_YOUNG_REQUESTS_US // 4)
+        self.assertLess(lifecycle.close_idle_from_us, 14 * S - times.DRAIN_LATE_REQUESTS_US // 4)
         self.assertLess(lifecycle.answer_by_us(12 * S), 14 * S)
         self.assertEqual(lifecycle.answer_by_us(11 * S), NEVER_US)  # it may take its whole time
 
