--- a/tests/core/core_case.py
+++ b/tests/core/core_case.py
@@ -1,4 +1,4 @@
-"""A broker with a scheduler and endpoints that the test makes itself; no protocol."""
+"""Base class of tests that run a broker with a scripted scheduler and endpoints, without a protocol."""
 
 from __future__ import annotations
 
@@ -19,27 +19,30 @@
 
 
 class ScriptedScheduler:
-    """Stands in for the scheduler: records every batch of events, returns what `react` says of each."""
+    """Replaces the scheduler: records each batch of events and returns the actions that `react` returns."""
 
     def __init__(self) -> None:
         self.batches: list[list[Event]] = []
         self.react: Callable[[Event], list[Action]] = lambda event: []
-        self.allows = True
+        self.allows_begin = True
         self.open_requests_max: int | None = None
 
-    def handle(self, _: int, events: list[Event]) -> list[Action]:
+    def handle(self, _now_us: int, events: list[Event]) -> list[Action]:
         self.batches.append(events)
         return [action for event in events for action in self.react(event)]
 
-    def may_begin(self, _: int, __: str, ___: int) -> bool:
-        return self.allows
+    def may_begin(self, _now_us: int, _request: str, _attempt: int) -> bool:
+        return self.allows_begin
 
-    def of(self, kind: type) -> list[Event]:
+    def events_of_type(self, kind: type) -> list[Event]:
         return [event for batch in self.batches for event in batch if isinstance(event, kind)]
 
 
-class CoreCase(unittest.IsolatedAsyncioTestCase):
-    """A broker whose scheduler and endpoints are the test's own; it sends each request to endpoint "a"."""
+class BrokerTestCase(unittest.IsolatedAsyncioTestCase):
+    """Runs a broker with a scripted scheduler that sends each request to endpoint "a" by default.
+
+    Tests set `make_attempt` to the behavior of the endpoints.
+    """
 
     async def asyncSetUp(self) -> None:
         self.counters = Counters()
@@ -55,10 +58,10 @@
     async def attempt(self, attempt: Attempt) -> Outcome:
         return await self.make_attempt(attempt)
 
-    def request(self, left_us: int = 2_000_000) -> Request:
-        return Request(0, 1, self.host.clock.now_us() + left_us, 2, 0, 0, 1.0, 1, None)
+    def new_request(self, deadline_in_us: int = 2_000_000) -> Request:
+        return Request(0, 1, self.host.clock.now_us() + deadline_in_us, 2, 0, 0, 1.0, 1, None)
 
-    async def until_all_requests_are_closed(self) -> None:
+    async def wait_until_all_requests_are_closed(self) -> None:
         while self.host.open_requests:
             await asyncio.sleep(0)
         await asyncio.sleep(0)
--- a/tests/core/test_broker.py
+++ b/tests/core/test_broker.py
@@ -1,11 +1,11 @@
-"""One request from its arrival to its answer: attempts, disconnects and migrations of its data."""
+"""Tests of the broker: attempts, disconnects and data migrations of a request."""
 
 from __future__ import annotations
 
 import asyncio
 from collections.abc import Callable
 
-from core_case import CoreCase
+from core_case import BrokerTestCase
 
 from lemonridge.core.broker import Broker
 from lemonridge.core.errors import ConnectFailedError
@@ -22,64 +22,64 @@
 )
 
 
-class Attempts(CoreCase):
-    async def test_an_answer_is_given_at_once_while_an_attempt_is_in_flight(self) -> None:
-        may_end = asyncio.Event()
+class AttemptTest(BrokerTestCase):
+    async def test_final_answer_is_delivered_while_attempt_is_in_flight(self) -> None:
+        attempt_may_end = asyncio.Event()
 
-        async def end_late(attempt: Attempt) -> Outcome:
+        async def end_when_allowed(attempt: Attempt) -> Outcome:
             attempt.begun = True
-            self.host.deliver(TimerFired())  # on which the scheduler fails the request
-            await may_end.wait()
+            self.host.deliver(TimerFired())  # the scheduler reacts by failing the request
+            await attempt_may_end.wait()
             return Outcome(AttemptResult.OK, b"late")
 
-        self.make_attempt = end_late
+        self.make_attempt = end_when_allowed
         send_at_arrival = self.scheduler.react
         fail = Fail("r1", RejectReason.DEADLINE_EXCEEDED)
         self.scheduler.react = lambda event: (
             [fail] if isinstance(event, TimerFired) else send_at_arrival(event)
         )
 
-        answer = await self.broker.serve(self.request())
+        answer = await self.broker.serve(self.new_request())
 
         self.assertEqual(answer.kind, AnswerKind.FAILED)
-        self.assertEqual(self.scheduler.of(AttemptEnded), [])
+        self.assertEqual(self.scheduler.events_of_type(AttemptEnded), [])
 
-        may_end.set()
-        await self.until_all_requests_are_closed()
+        attempt_may_end.set()
+        await self.wait_until_all_requests_are_closed()
 
-        ended = self.scheduler.of(AttemptEnded)
-        self.assertEqual([(one.result, one.finished) for one in ended], [(AttemptResult.OK, True)])
+        ended = self.scheduler.events_of_type(AttemptEnded)
+        self.assertEqual([(event.result, event.finished) for event in ended], [(AttemptResult.OK, True)])
 
-    async def test_each_end_of_an_attempt_has_its_result(self) -> None:
+    async def test_attempt_result_matches_how_attempt_ended(self) -> None:
         case: dict[str, bool] = {}
 
         async def hang(attempt: Attempt) -> Outcome:
-            attempt.begun = case["reaches"]
+            attempt.begun = case["begins"]
             if case["cancels"]:
                 self.host.deliver(TimerFired())
             await asyncio.Event().wait()
             raise AssertionError
 
-        async def broken(attempt: Attempt) -> Outcome:
-            attempt.begun = case["reaches"]
-            raise RuntimeError("a fault in the endpoints' side")
+        async def fail_internally(attempt: Attempt) -> Outcome:
+            attempt.begun = case["begins"]
+            raise RuntimeError("internal error of the endpoint client")
 
-        async def unreached(attempt: Attempt) -> Outcome:
+        async def fail_to_connect(attempt: Attempt) -> Outcome:
             raise ConnectFailedError
 
         send_at_arrival = self.scheduler.react
-        for make_attempt, reaches, cancels, result in (
+        for make_attempt, begins, cancels, result in (
             (hang, True, False, AttemptResult.TIMEOUT),
             (hang, False, False, AttemptResult.NOT_SENT),
             (hang, True, True, AttemptResult.CANCELLED),
             (hang, False, True, AttemptResult.NOT_SENT),
-            (broken, True, False, AttemptResult.RESET),
-            (broken, False, False, AttemptResult.CONNECT_FAILED),
-            (unreached, False, False, AttemptResult.CONNECT_FAILED),
+            (fail_internally, True, False, AttemptResult.RESET),
+            (fail_internally, False, False, AttemptResult.CONNECT_FAILED),
+            (fail_to_connect, False, False, AttemptResult.CONNECT_FAILED),
         ):
             with self.subTest(result=result, make_attempt=make_attempt.__name__):
                 self.make_attempt, name = make_attempt, f"r{self.host._requests_received + 1}"
-                case.update(reaches=reaches, cancels=cancels)
+                case.update(begins=begins, cancels=cancels)
 
                 def react(event: Event, name: str = name) -> list[Action]:
                     if isinstance(event, AttemptEnded):
@@ -88,14 +88,18 @@
 
                 self.scheduler.react = react
 
-                answer = await self.broker.serve(self.request(30_000))
-                await self.until_all_requests_are_closed()
+                answer = await self.broker.serve(self.new_request(30_000))
+                await self.wait_until_all_requests_are_closed()
 
                 self.assertEqual(answer.kind, AnswerKind.FAILED)
-                ends = [one.result for one in self.scheduler.of(AttemptEnded) if one.request == name]
+                ends = [
+                    event.result
+                    for event in self.scheduler.events_of_type(AttemptEnded)
+                    if event.request == name
+                ]
                 self.assertEqual(ends, [result])
 
-    async def test_an_attempt_begins_only_if_the_scheduler_allows_it_at_its_first_byte(self) -> None:
+    async def test_attempt_begins_only_if_scheduler_allows_it_at_first_byte(self) -> None:
         begun: list[bool] = []
 
         async def connect(attempt: Attempt) -> Outcome:
@@ -111,44 +115,46 @@
             if (isinstance(event, AttemptEnded) and not event.finished)
             else send_at_arrival(event)
         )
-        for allows, kind, result in (
+        for allows_begin, kind, result in (
             (True, AnswerKind.SERVED, AttemptResult.OK),
             (False, AnswerKind.FAILED, AttemptResult.NOT_SENT),
         ):
-            self.scheduler.allows = allows
+            self.scheduler.allows_begin = allows_begin
 
-            answer = await self.broker.serve(self.request())
-            await self.until_all_requests_are_closed()
+            answer = await self.broker.serve(self.new_request())
+            await self.wait_until_all_requests_are_closed()
 
             self.assertEqual(answer.kind, kind)
-            ended = self.scheduler.of(AttemptEnded)[-1]
+            ended = self.scheduler.events_of_type(AttemptEnded)[-1]
             assert isinstance(ended, AttemptEnded)
-            self.assertEqual((begun.pop(), ended.result, ended.begun), (allows, result, allows))
+            self.assertEqual((begun.pop(), ended.result, ended.begun), (allows_begin, result, allows_begin))
 
 
-class Disconnects(CoreCase):
-    async def test_a_disconnect_during_the_connect_ends_it_and_no_attempt_begins(self) -> None:
+class DisconnectTest(BrokerTestCase):
+    async def test_disconnect_during_connect_cancels_attempt_before_it_begins(self) -> None:
         connecting, connected = asyncio.Event(), []
 
         async def connect(attempt: Attempt) -> Outcome:
             connecting.set()
-            await asyncio.Event().wait()  # for ever
+            await asyncio.Event().wait()  # never returns
             connected.append(attempt)
             raise AssertionError
 
         self.make_attempt = connect
-        serving = asyncio.create_task(self.broker.serve(self.request()))
+        serve_task = asyncio.create_task(self.broker.serve(self.new_request()))
         await connecting.wait()
 
-        serving.cancel()
-        await asyncio.gather(serving, return_exceptions=True)
-        await self.until_all_requests_are_closed()
+        serve_task.cancel()
+        await asyncio.gather(serve_task, return_exceptions=True)
+        await self.wait_until_all_requests_are_closed()
 
-        ended = [one for one in self.scheduler.of(AttemptEnded) if isinstance(one, AttemptEnded)]
-        self.assertEqual([(one.result, one.begun) for one in ended], [(AttemptResult.NOT_SENT, False)])
+        ended = [
+            event for event in self.scheduler.events_of_type(AttemptEnded) if isinstance(event, AttemptEnded)
+        ]
+        self.assertEqual([(event.result, event.begun) for event in ended], [(AttemptResult.NOT_SENT, False)])
         self.assertEqual(connected, [])
 
-    async def test_no_attempt_is_made_for_a_client_that_disconnected_after_the_decision(self) -> None:
+    async def test_no_attempt_is_made_for_client_that_disconnected_after_decision(self) -> None:
         attempts: list[Attempt] = []
 
         async def make_attempt(attempt: Attempt) -> Outcome:
@@ -158,24 +164,26 @@
         def disconnect_and_send(event: Event) -> list[Action]:
             if not isinstance(event, TimerFired):
                 return []
-            serving.cancel()  # in the same turn of the loop as the decision to send
+            serve_task.cancel()  # in the same turn of the loop as the decision to send
             return [Send("r1", "a")]
 
         self.make_attempt, self.scheduler.react = make_attempt, disconnect_and_send
-        serving = asyncio.create_task(self.broker.serve(self.request()))
-        while not self.scheduler.of(RequestArrived):
+        serve_task = asyncio.create_task(self.broker.serve(self.new_request()))
+        while not self.scheduler.events_of_type(RequestArrived):
             await asyncio.sleep(0)
-        await asyncio.sleep(0)  # its task waits for a decision
+        await asyncio.sleep(0)  # the task now waits for a decision
 
         self.host.deliver(TimerFired())
-        await asyncio.gather(serving, return_exceptions=True)
-        await self.until_all_requests_are_closed()
+        await asyncio.gather(serve_task, return_exceptions=True)
+        await self.wait_until_all_requests_are_closed()
 
-        self.assertEqual([one.result for one in self.scheduler.of(AttemptEnded)], [AttemptResult.NOT_SENT])
+        self.assertEqual(
+            [event.result for event in self.scheduler.events_of_type(AttemptEnded)], [AttemptResult.NOT_SENT]
+        )
         self.assertEqual(attempts, [])
 
-    async def test_an_answer_whose_client_leaves_before_it_is_given_is_counted(self) -> None:
-        """Guards against requests that are taken and stand in no counter of the answers."""
+    async def test_undelivered_answer_of_disconnected_client_is_counted(self) -> None:
+        """Guards against accepted requests that are missing from all counters of answers."""
         decided = asyncio.Event()
 
         def react(_: Event) -> list[Action]:
@@ -183,46 +191,56 @@
             return [Reject("r1", 0, RejectReason.DEADLINE_EXCEEDED)]
 
         self.scheduler.react = react
-        serving = asyncio.create_task(self.broker.serve(self.request()))
+        serve_task = asyncio.create_task(self.broker.serve(self.new_request()))
         await decided.wait()
-        serving.cancel()
+        serve_task.cancel()
         with self.assertRaises(asyncio.CancelledError):
-            await serving
-        await self.until_all_requests_are_closed()
+            await serve_task
+        await self.wait_until_all_requests_are_closed()
 
         self.assertEqual(
             {name: count for name, count in self.counters.items() if name.startswith("answers.")},
             {"answers.rejected": 1, "answers.undelivered": 1},
         )
 
-    async def test_a_disconnect_is_reported_once_and_its_attempt_ends_once(self) -> None:
-        may_end = asyncio.Event()
+    async def test_disconnect_and_end_of_its_attempt_are_each_reported_once(self) -> None:
+        attempt_may_end = asyncio.Event()
 
-        async def end_late(attempt: Attempt) -> Outcome:
+        async def end_when_allowed(attempt: Attempt) -> Outcome:
             attempt.begun = True
-            await may_end.wait()
+            await attempt_may_end.wait()
             return Outcome(AttemptResult.OK)
 
-        self.make_attempt = end_late
-        serving = asyncio.create_task(self.broker.serve(self.request()))
-        while not self.scheduler.of(RequestArrived):
+        self.make_attempt = end_when_allowed
+        serve_task = asyncio.create_task(self.broker.serve(self.new_request()))
+        while not self.scheduler.events_of_type(RequestArrived):
             await asyncio.sleep(0)
 
-        serving.cancel()
-        await asyncio.gather(serving, return_exceptions=True)
-        may_end.set()
-        await self.until_all_requests_are_closed()
+        serve_task.cancel()
+        await asyncio.gather(serve_task, return_exceptions=True)
+        attempt_may_end.set()
+        await self.wait_until_all_requests_are_closed()
 
         self.assertEqual(
-            (len(self.scheduler.of(ClientDisconnected)), len(self.scheduler.of(AttemptEnded))), (1, 1)
+            (
+                len(self.scheduler.events_of_type(ClientDisconnected)),
+                len(self.scheduler.events_of_type(AttemptEnded)),
+            ),
+            (1, 1),
         )
 
 
-class Migrations(CoreCase):
-    async def serve_migrating(self, shards: list[int | None]) -> tuple[AnswerKind, list[Event]]:
-        """Serves a request whose data migrates at each attempt but the last, to these shards in turn.
+class DataMigrationTest(BrokerTestCase):
+    async def serve_request_with_migrating_data(
+        self, shards: list[int | None]
+    ) -> tuple[AnswerKind, list[Event]]:
+        """Serves a request whose data migrates during each attempt but the last.
+
+        Args:
+            shards: The shards that the data migrates to, in order; None for an unknown shard.
 
-        Returns the kind of its answer and the ends of its attempts.
+        Returns:
+            The kind of the answer and the `AttemptEnded` events.
         """
         test = self
 
@@ -263,29 +281,29 @@
         route = Route()
         self.make_attempt, self.scheduler.react = migrate, react
         broker = Broker(self.host, self, self.counters, Routes())  # type: ignore[arg-type]
-        request = self.request()
+        request = self.new_request()
         request.route = route
 
         answer = await broker.serve(request)
-        await self.until_all_requests_are_closed()
+        await self.wait_until_all_requests_are_closed()
         self.assertTrue(self.was_in_flight and self.closed and not route.attempt_in_flight)
-        return answer.kind, self.scheduler.of(AttemptEnded)
+        return answer.kind, self.scheduler.events_of_type(AttemptEnded)
 
-    async def test_a_request_whose_data_migrated_goes_on_as_one_request(self) -> None:
-        kind, ended = await self.serve_migrating([1, 2])
+    async def test_request_with_migrated_data_continues_as_same_request(self) -> None:
+        kind, ended = await self.serve_request_with_migrating_data([1, 2])
 
         self.assertEqual(kind, AnswerKind.SERVED)
         self.assertEqual(
-            [(one.request, one.attempt, one.endpoint_id, one.result.name) for one in ended],
+            [(event.request, event.attempt, event.endpoint_id, event.result.name) for event in ended],
             [("r1", 0, "n0", "DATA_MIGRATED"), ("r1", 1, "n1", "DATA_MIGRATED"), ("r1", 2, "n2", "OK")],
         )
 
-    async def test_a_migration_to_an_unknown_shard_is_rejected_by_the_scheduler(self) -> None:
-        kind, ended = await self.serve_migrating([None])
+    async def test_migration_to_unknown_shard_is_rejected_by_scheduler(self) -> None:
+        kind, ended = await self.serve_request_with_migrating_data([None])
 
         self.assertEqual((kind, len(ended)), (AnswerKind.REJECTED, 1))
 
-    async def test_the_wait_for_the_target_of_a_migration_ends_at_the_deadline(self) -> None:
+    async def test_wait_for_migration_target_ends_at_deadline(self) -> None:
         class SilentRoutes:
             def open(self, request: Request, notify: Callable[[int], None]) -> None: ...
 
@@ -311,10 +329,10 @@
             else []
         )
         broker = Broker(self.host, self, self.counters, SilentRoutes())  # type: ignore[arg-type]
-        request = self.request(30_000)
+        request = self.new_request(30_000)
         request.route = Route()
 
         answer = await broker.serve(request)
 
         self.assertEqual(answer.kind, AnswerKind.REJECTED)
-        self.assertEqual([one.shard for one in self.scheduler.of(DataMigrated)], [None])
+        self.assertEqual([event.shard for event in self.scheduler.events_of_type(DataMigrated)], [None])
--- a/tests/core/test_decision_host.py
+++ b/tests/core/test_decision_host.py
@@ -1,11 +1,11 @@
-"""When the scheduler decides, who sees it, and what follows when it fails."""
+"""Tests of the decision host: batches of events, pauses, observers and failures of the scheduler."""
 
 from __future__ import annotations
 
 import asyncio
 from collections.abc import Callable
 
-from core_case import CoreCase
+from core_case import BrokerTestCase
 
 from lemonridge.core.model import AnswerKind, Attempt, Outcome
 from lemonridge.core.stall_detector import CATCH_UP_S
@@ -22,28 +22,30 @@
 )
 
 
-class Deciding(CoreCase):
-    async def test_events_of_one_loop_turn_are_decided_on_together(self) -> None:
+class DecisionHostTest(BrokerTestCase):
+    async def test_events_of_one_loop_iteration_are_handled_in_one_batch(self) -> None:
         self.scheduler.react = lambda event: (
             [Reject(event.request, 7, RejectReason.OBJECTIVE_MISSED)]
             if isinstance(event, RequestArrived)
             else []
         )
 
-        answers = await asyncio.gather(*(self.broker.serve(self.request()) for _ in range(5)))
+        answers = await asyncio.gather(*(self.broker.serve(self.new_request()) for _ in range(5)))
 
-        self.assertEqual({(one.kind, one.retry_after_us) for one in answers}, {(AnswerKind.REJECTED, 7)})
+        self.assertEqual(
+            {(answer.kind, answer.retry_after_us) for answer in answers}, {(AnswerKind.REJECTED, 7)}
+        )
         self.assertEqual(len(self.scheduler.batches[0]), 5)
 
-    async def test_after_a_stall_nothing_is_decided_until_missed_events_are_read(self) -> None:
+    async def test_decisions_after_stall_wait_until_pending_events_are_read(self) -> None:
         loop = asyncio.get_running_loop()
         self.host.stall_detector.start()
-        self.host.stall_detector._last_heartbeat_s = loop.time() - 1.0  # as after a stop of one second
+        self.host.stall_detector._last_heartbeat_s = loop.time() - 1.0  # as after a stall of one second
         began_s = loop.time()
 
         self.host.deliver(ClientDisconnected("r1"))
         await asyncio.sleep(0)
-        self.host.deliver(EndpointsChanged(EndpointListUpdate.DELTA, ()))  # read in the next turn
+        self.host.deliver(EndpointsChanged(EndpointListUpdate.DELTA, ()))  # read in the next loop iteration
         while not self.scheduler.batches:
             await asyncio.sleep(0)
 
@@ -53,7 +55,7 @@
         )
         self.assertEqual(self.counters["loop.stopped"], 1)
 
-    async def test_the_observer_sees_an_arrival_before_the_scheduler(self) -> None:
+    async def test_observer_is_notified_of_arrival_before_scheduler(self) -> None:
         order: list[str] = []
 
         class Observer:
@@ -73,12 +75,12 @@
             )
         )
 
-        await self.broker.serve(self.request())
+        await self.broker.serve(self.new_request())
 
         self.assertEqual(order[:2], ["observer", "RequestArrived"])
 
-    async def test_the_processes_of_a_broker_share_the_bound_on_open_requests(self) -> None:
-        """Guards against two processes that together hold all connections of the clients."""
+    async def test_processes_of_broker_share_maximum_of_open_requests(self) -> None:
+        """Guards against two processes whose open requests together occupy all connections of the clients."""
         self.host.set_open_requests_max(96)
         self.assertEqual(self.scheduler.open_requests_max, 96)
 
@@ -88,9 +90,9 @@
         self.host.set_processes(1)
         self.assertEqual(self.scheduler.open_requests_max, 96)
 
-    async def test_an_exception_in_the_scheduler_answers_all_requests_and_restarts_it(self) -> None:
+    async def test_scheduler_exception_fails_all_requests_and_restarts_scheduler(self) -> None:
         def fail(_: Event) -> list[Action]:
-            raise KeyError("a fault in the scheduler")
+            raise KeyError("internal error of the scheduler")
 
         async def serve(attempt: Attempt) -> Outcome:
             return Outcome(AttemptResult.OK, b"x")
@@ -99,9 +101,11 @@
         self.host.list_endpoints = lambda: (Endpoint("a", 0, 0, EndpointState.ACTIVE, 0),)
         self.scheduler.react = fail
 
-        answers = await asyncio.gather(*(self.broker.serve(self.request()) for _ in range(3)))
-        next_answer = await self.broker.serve(self.request())  # by the real scheduler, with the endpoint list
+        answers = await asyncio.gather(*(self.broker.serve(self.new_request()) for _ in range(3)))
+        next_answer = await self.broker.serve(
+            self.new_request()
+        )  # handled by the new scheduler, with the endpoint list
 
-        self.assertEqual({one.kind for one in answers}, {AnswerKind.FAILED})
+        self.assertEqual({answer.kind for answer in answers}, {AnswerKind.FAILED})
         self.assertEqual(next_answer.kind, AnswerKind.SERVED)
         self.assertEqual(self.counters["decisions.failed"], 1)
--- a/tests/operate/test_admin_calls.py
+++ b/tests/operate/test_admin_calls.py
@@ -1,4 +1,4 @@
-"""The lines of the operators' calls."""
+"""Tests of the parser of operators' calls."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 from lemonridge.operate.errors import BadCallError
 
 
-class Parsing(unittest.TestCase):
-    def test_a_call_is_parsed_with_its_arguments_and_nothing_more(self) -> None:
+class AdminCallParsingTest(unittest.TestCase):
+    def test_valid_calls_are_parsed_and_invalid_calls_raise_error(self) -> None:
         for call in (AdminCall.READY, AdminCall.DRAIN, AdminCall.RESUME):
             self.assertEqual(parse(call.value.encode() + b"\r\n"), AdminRequest(call))
         self.assertEqual(parse(b"disable-server  s-5be2a07c"), AdminRequest(AdminCall.DISABLE, "s-5be2a07c"))
-        for line, why in (
+        for line, expected_text in (
             (b"", "empty"),
             (b"stop", "unknown"),
             (b"READY", "unknown"),
@@ -27,11 +27,11 @@
             (b"disable-server \x01", "read"),
             (b"x" * (LINE_MAX + 1), "long"),
         ):
-            with self.subTest(line=line), self.assertRaisesRegex(BadCallError, why):
+            with self.subTest(line=line), self.assertRaisesRegex(BadCallError, expected_text):
                 parse(line)
 
     @given(st.binary(max_size=2 * LINE_MAX))
-    def test_any_bytes_are_a_call_or_an_error_of_one_line(self, line: bytes) -> None:
+    def test_any_bytes_give_call_or_single_line_error(self, line: bytes) -> None:
         try:
             parse(line)
         except BadCallError as error:
--- a/tests/operate/test_handover_messages.py
+++ b/tests/operate/test_handover_messages.py
@@ -1,4 +1,4 @@
-"""The handover's messages: what is read back, and what is an error."""
+"""Tests of the encoding and decoding of handover messages."""
 
 from __future__ import annotations
 
@@ -53,46 +53,46 @@
 )
 
 
-class Messages(unittest.TestCase):
-    def test_a_message_is_the_same_after_encode_and_decode(self) -> None:
+class HandoverMessageTest(unittest.TestCase):
+    def test_encoded_message_decodes_to_equal_message(self) -> None:
         for message in MESSAGES:
             self.assertEqual(decode(encode(message)), message)
 
-    def test_times_shift_with_the_clock_whatever_the_wall_clock_did_between_two_starts(self) -> None:
-        for step in (-3_600_000_000, -2_000_000, 2_000_000, 3_600_000_000):
-            base = 10**13
+    def test_times_are_rebased_after_wall_clock_step_between_process_starts(self) -> None:
+        for step_us in (-3_600_000_000, -2_000_000, 2_000_000, 3_600_000_000):
+            base_us = 10**13
             sent = HandoverState(
-                banned={"a": base + 5},
-                returned={"b": ReturnedToService(base + 1, base + 4)},
-                drain_began_us=base + 7,
-                limit_levels={1: LimitLevel(2.0, 3.0, base + 8)},
-                start_times={"a": StartTime(123, base + 9)},
-                clock_base_us=base,
+                banned={"a": base_us + 5},
+                returned={"b": ReturnedToService(base_us + 1, base_us + 4)},
+                drain_began_us=base_us + 7,
+                limit_levels={1: LimitLevel(2.0, 3.0, base_us + 8)},
+                start_times={"a": StartTime(123, base_us + 9)},
+                clock_base_us=base_us,
             )
-            received = sent.rebased(base + step)
+            received = sent.rebased(base_us + step_us)
             self.assertEqual(
                 (received.banned["a"], received.returned["b"]),
-                (base + step + 5, ReturnedToService(base + step + 1, base + step + 4)),
+                (base_us + step_us + 5, ReturnedToService(base_us + step_us + 1, base_us + step_us + 4)),
             )
             self.assertEqual(
                 (received.drain_began_us, received.start_times["a"]),
-                (base + step + 7, StartTime(123, base + step + 9)),
+                (base_us + step_us + 7, StartTime(123, base_us + step_us + 9)),
             )
-            self.assertEqual(received.limit_levels[1], LimitLevel(2.0, 3.0, base + step + 8))
+            self.assertEqual(received.limit_levels[1], LimitLevel(2.0, 3.0, base_us + step_us + 8))
 
-    def test_fields_that_an_earlier_version_does_not_send_are_none(self) -> None:
+    def test_fields_missing_from_earlier_version_get_defaults(self) -> None:
         sent = json.loads(encode(HandoverGranted(STATE)))
         for name in ("owed", "ids", "starts", "base_us"):
             del sent[name]
-        read = decode(json.dumps(sent).encode())
-        assert isinstance(read, HandoverGranted)
-        self.assertEqual(read.state.limit_levels, {2**64 - 1: LimitLevel(2.5)})
+        received = decode(json.dumps(sent).encode())
+        assert isinstance(received, HandoverGranted)
+        self.assertEqual(received.state.limit_levels, {2**64 - 1: LimitLevel(2.5)})
         self.assertEqual(
-            (read.state.open_ids, read.state.start_times, read.state.clock_base_us), (None, {}, 0)
+            (received.state.open_ids, received.state.start_times, received.state.clock_base_us), (None, {}, 0)
         )
         self.assertEqual(decode(b'{"v":1,"say":"take"}\n'), HandoverRequested(supports_open_ids=False))
 
-    def test_an_incomplete_message_or_another_versions_is_an_error(self) -> None:
+    def test_incomplete_or_malformed_message_or_other_version_raises_error(self) -> None:
         line = encode(HandoverGranted(STATE))
         for end in range(len(line) - 1):
             with self.assertRaises(BadMessageError):
@@ -124,14 +124,14 @@
         st.binary(max_size=200)
         | st.recursive(
             st.none() | st.integers() | st.text(max_size=5),
-            lambda inner: (
-                st.lists(inner, max_size=3)
+            lambda values: (
+                st.lists(values, max_size=3)
                 | st.dictionaries(
-                    st.sampled_from(["v", "say", "out", "rows", "levels", "owed"]), inner, max_size=5
+                    st.sampled_from(["v", "say", "out", "rows", "levels", "owed"]), values, max_size=5
                 )
             ),
-        ).map(lambda sent: json.dumps(sent).encode())
+        ).map(lambda fields: json.dumps(fields).encode())
     )
-    def test_any_bytes_are_a_message_or_an_error(self, line: bytes) -> None:
+    def test_any_bytes_give_message_or_error(self, line: bytes) -> None:
         with contextlib.suppress(BadMessageError):
             decode(line)
