--- a/lemonridge/core/clock.py
+++ b/lemonridge/core/clock.py
@@ -27,7 +27,7 @@
 
     @property
     def base_us(self) -> int:
-        """This clock's time, in microseconds, at 0 of the monotonic clock that all local processes share."""
+        """This clock's time, in microseconds, at 0 of the machine's monotonic clock."""
         return self._base_us
 
     @staticmethod
--- a/lemonridge/core/decision_host.py
+++ b/lemonridge/core/decision_host.py
@@ -96,7 +96,7 @@
         settings: The settings to start with.
         seed: The seed of the scheduler's random numbers.
         clock: The broker's clock.
-        counters: Counts rejections and failures of the scheduler.
+        counters: Counts rejections, abandoned attempts and failures of the scheduler.
 
     Attributes:
         clock: The broker's clock.
@@ -166,7 +166,7 @@
     def set_open_requests_max(self, open_requests_max: int) -> None:
         """Sets how many requests may be open in the broker before its schedulers reject queued requests."""
         self._open_requests_max = open_requests_max
-        self._share_open_requests()
+        self._apply_open_requests_max()
 
     def set_processes(self, processes: int) -> None:
         """Sets the number of processes of the broker, which share the maximum of open requests.
@@ -174,9 +174,9 @@
         Clients open no more connections to two processes of a broker than to one.
         """
         self._processes = processes
-        self._share_open_requests()
+        self._apply_open_requests_max()
 
-    def _share_open_requests(self) -> None:
+    def _apply_open_requests_max(self) -> None:
         if self._open_requests_max is not None:
             self._scheduler.open_requests_max = self._open_requests_max // self._processes
 
@@ -218,7 +218,7 @@
             self._loop.call_soon(self._decide)
 
     def recheck_lease(self) -> None:
-        """Makes the scheduler run, and the lease be checked, at the end of this event loop iteration."""
+        """Schedules a check of the lease at the end of this event loop iteration."""
         self.deliver(TimerFired())
 
     def _decide(self) -> None:
@@ -251,7 +251,7 @@
             case Send():
                 self._send(action)
             case Reject() | Fail():
-                self._give_answer(action)
+                self._deliver_answer(action)
             case Cancel():
                 self._cancel(action)
             case SetTimer():
@@ -270,7 +270,7 @@
             self.observer.on_attempt_sent(action.endpoint_id, mailbox.request)
         mailbox.deliver(action)
 
-    def _give_answer(self, action: Reject | Fail) -> None:
+    def _deliver_answer(self, action: Reject | Fail) -> None:
         self._counters[f"rejected.{action.reason.value}"] += 1
         mailbox = self._mailboxes.get(action.request)
         if mailbox is not None:
@@ -288,7 +288,7 @@
                 log.debug(type(item).__name__.lower(), extra=dataclasses.asdict(item))
 
     def _set_timer(self, at_us: int) -> None:
-        """Replaces the timer: the scheduler sets it again for any earlier time, so the last call counts."""
+        """Replaces the timer; the scheduler requests a new one whenever it needs an earlier time."""
         if self._timer is not None:
             self._timer.cancel()
         self._timer = self._loop.call_at(self.clock.loop_time(at_us), self._on_timer)
@@ -312,7 +312,7 @@
             self._timer = None
         self._seed += 1
         self._scheduler = Scheduler(self._settings, self._seed, host_confirms_start=True)
-        self._share_open_requests()
+        self._apply_open_requests_max()
         if self.observer is not None:
             self.observer.on_scheduler_restarted()
         self.deliver(EndpointsChanged(EndpointListUpdate.CACHED, self.list_endpoints()))
--- a/lemonridge/core/endpoint_registry.py
+++ b/lemonridge/core/endpoint_registry.py
@@ -43,7 +43,7 @@
     """The endpoints by id, in sync with the scheduler's view of them.
 
     This is the only place that combines the source's list with the operators' bans, so all its users see the
-    same state of an endpoint. The source is the discovery service that provides the endpoint list.
+    same state of an endpoint. The source is the discovery backend that provides the endpoint list.
 
     Args:
         sink: Receives `EndpointsChanged`.
@@ -59,7 +59,7 @@
         self._sink, self._now_us, self._wall_us = sink, now_us, wall_us
         self._start_times = StartTimes()
         self._last_answer_us: int | None = None  # None until `record_answer` is called
-        self._event_age_max_us = WATCH_EVENT_AGE_MAX_US  # of events in the next update
+        self._event_age_max_us = WATCH_EVENT_AGE_MAX_US  # maximum age of new start times in the next update
         self._source_list: dict[str, EndpointAddress] = {}  # as delivered by the source
         self._endpoints: dict[str, EndpointAddress] = {}  # with the bans applied
         self._maintenance = Maintenance()
--- a/lemonridge/operate/admin_calls.py
+++ b/lemonridge/operate/admin_calls.py
@@ -14,7 +14,7 @@
 
 
 class AdminCall(Enum):
-    """The calls; the value is the first word of the line."""
+    """The operators' calls; the value is the first word of the line."""
 
     READY = "ready"
     DISABLE = "disable-server"
--- a/lemonridge/operate/lifecycle.py
+++ b/lemonridge/operate/lifecycle.py
@@ -83,9 +83,7 @@
 
     SERVING = "serving"
     DRAINING = "draining"
-    HANDED_OVER = (
-        "handed"  # a successor accepts connections; remaining connections close after their next response
-    )
+    HANDED_OVER = "handed"  # a successor accepts connections; this process closes its remaining ones
     STOPPING = "stopping"
 
 
