--- a/lemonridge/cli/fleet_commands.py
+++ b/lemonridge/cli/fleet_commands.py
@@ -25,7 +25,7 @@
 
     import orjson
 
-    from lemonridge.fleet.status_report import all_members_up, table
+    from lemonridge.fleet.status_report import all_members_up, format_table
     from lemonridge.net.admin_client import views
 
     addresses = [Address.parse(one, "ADDR") for one in options.address]
@@ -33,7 +33,7 @@
     if options.json:
         print(orjson.dumps({"brokers": reports, "silent": failures}, option=orjson.OPT_INDENT_2).decode())
     elif reports:
-        print(table(reports))
+        print(format_table(reports))
     for line in failures:
         print(f"lemonridge: {line}", file=sys.stderr)
     return 0 if reports and not failures and all_members_up(reports) else 1
--- a/lemonridge/cli/simulator.py
+++ b/lemonridge/cli/simulator.py
@@ -14,7 +14,7 @@
 from lemonridge.config.scheduler_settings import SettingsError, settings_from
 from lemonridge.fleet.actions import SendDatagram
 from lemonridge.fleet.member_list import MEMBERS_MAX, MemberList
-from lemonridge.fleet.scheduler_bridge import SchedulerBridge, decide
+from lemonridge.fleet.scheduler_bridge import SchedulerBridge, handle_batch
 from lemonridge.scheduling import Scheduler
 from lemonridge.scheduling.actions import (
     Action,
@@ -180,7 +180,7 @@
         """
         if self.bridge is None:
             return self.scheduler.handle(now_us, events), []
-        actions, sends = decide(self.scheduler.handle, self.bridge, now_us, events, datagrams)
+        actions, sends = handle_batch(self.scheduler.handle, self.bridge, now_us, events, datagrams)
         return [*actions, SetTimer(self.bridge.next_timer_us)], sends
 
 
--- a/lemonridge/fleet/datagram_receiver.py
+++ b/lemonridge/fleet/datagram_receiver.py
@@ -19,7 +19,7 @@
     def __init__(self, member_list: MemberList, signer: DatagramSigner | None, now_us: int) -> None:
         self.windows = [ReplayWindow() for _ in member_list.names]  # by member
         self.faults: defaultdict[DatagramFault, int] = defaultdict(int)
-        self._me, self._fingerprint, self._signer = member_list.me, member_list.fingerprint, signer
+        self._me, self._fingerprint, self._signer = member_list.own_id, member_list.fingerprint, signer
         self._read, self._second_began_us = 0, now_us
 
     def read(self, event: DatagramReceived, now_us: int) -> Datagram | None:
--- a/lemonridge/fleet/datagram_sender.py
+++ b/lemonridge/fleet/datagram_sender.py
@@ -62,7 +62,7 @@
         counts: Counters,
         now_us: int,
     ) -> None:
-        self._me, self._fingerprint = member_list.me, member_list.fingerprint
+        self._me, self._fingerprint = member_list.own_id, member_list.fingerprint
         self._membership, self._signer = membership, signer
         self._bytes_s, self._counts = bytes_s, counts
         self._frame_bytes = HEADER_BYTES + (TAG_BYTES if signer is not None else 0)
--- a/lemonridge/fleet/datagrams.py
+++ b/lemonridge/fleet/datagrams.py
@@ -118,8 +118,8 @@
 class LoanGrant:
     """Grants a loan of `parts`, perhaps 0, for request `request_id`.
 
-    `lender_uses` says whether the lender uses the budget itself; `user_hint`, less 1, is another member that
-    said that it does (0: none known).
+    `lender_uses_budget` says whether the lender uses the budget itself; `user_hint`, less 1, is another
+    member that said that it does (0: none known).
     """
 
     LAYOUT: ClassVar[Struct] = Struct("<BQIIBH")
@@ -127,7 +127,7 @@
     key: int
     request_id: int
     parts: int
-    lender_uses: int
+    lender_uses_budget: int
     user_hint: int = 0
 
 
--- a/lemonridge/fleet/failure_detector.py
+++ b/lemonridge/fleet/failure_detector.py
@@ -69,14 +69,14 @@
 
     def on_ping(self, sender: int, ping: Ping) -> list[tuple[int, Item]]:
         """Answer a probe of this broker."""
-        if ping.member_id != self._member_list.me:
+        if ping.member_id != self._member_list.own_id:
             return []
-        return [(sender, Ack(ping.nonce, self._member_list.me))]
+        return [(sender, Ack(ping.nonce, self._member_list.own_id))]
 
     def on_ping_request(self, sender: int, request: PingRequest, now_us: int) -> list[tuple[int, Item]]:
         """Probe a member for another one."""
         known = 0 <= request.member_id < self._member_list.size
-        if request.member_id == self._member_list.me or not known or len(self._relays) >= RELAYS_MAX:
+        if request.member_id == self._member_list.own_id or not known or len(self._relays) >= RELAYS_MAX:
             return []
         nonce = self._next_nonce()
         self._relays[nonce] = _Relay(sender, request.nonce, now_us + 2 * PROBE_PERIOD_US)
@@ -177,16 +177,16 @@
     def _on_probe_failed(self, probe: _Probe, now_us: int) -> None:
         """The probe ended without an answer, through others either."""
         self._probe = None
-        member, me = self._membership.members[probe.member_id], self._member_list.me
+        member, own_id = self._membership.members[probe.member_id], self._member_list.own_id
         if member.state in ALIVE_STATES:
             self._membership.raise_local_health()
             # Any datagram of it since the probe began says that it is up, whatever became of the answer.
             if member.last_received_us < probe.began_us:
                 self._membership.suspect(
-                    probe.member_id, member.incarnation, member.state_version, me, now_us
+                    probe.member_id, member.incarnation, member.state_version, own_id, now_us
                 )
         elif member.state is MemberState.SUSPECT:
-            self._membership.confirm_suspicion(member, me)
+            self._membership.confirm_suspicion(member, own_id)
 
     def _next_nonce(self) -> int:
         self._nonce = (self._nonce + 1) % NONCES
--- a/lemonridge/fleet/fleet_member.py
+++ b/lemonridge/fleet/fleet_member.py
@@ -75,7 +75,7 @@
         self.membership = Membership(member_list, incarnation, now_us)
         self._failure_detector = FailureDetector(member_list, self.membership, seed, now_us)
         self.ledger = QuotaLedger(
-            member_list.me,
+            member_list.own_id,
             incarnation,
             random.randrange(1, FIRST_REQUEST_ID_MAX),
             settings.clock_error_us,
--- a/lemonridge/fleet/limit_registry.py
+++ b/lemonridge/fleet/limit_registry.py
@@ -44,7 +44,7 @@
                 (crc32c.crc32c(b"%d %d" % (key.key, n)), n) for n in range(self._member_list.size)
             )
             highest = weights[-RENDEZVOUS_MEMBERS - 1 :]
-            found = tuple(n for _, n in highest if n != self._member_list.me)[-RENDEZVOUS_MEMBERS:]
+            found = tuple(n for _, n in highest if n != self._member_list.own_id)[-RENDEZVOUS_MEMBERS:]
             if len(self._rendezvous) >= RENDEZVOUS_CACHE_MAX:
                 self._rendezvous.clear()
             self._rendezvous[key] = found
--- a/lemonridge/fleet/member_list.py
+++ b/lemonridge/fleet/member_list.py
@@ -11,10 +11,10 @@
 
 @dataclass(frozen=True, slots=True)
 class MemberList:
-    """The brokers of one fleet in the order of their numbers; `me` is this broker's number."""
+    """The brokers of one fleet in the order of their numbers; `own_id` is this broker's number."""
 
     names: tuple[str, ...]
-    me: int
+    own_id: int
 
     @property
     def size(self) -> int:
@@ -24,7 +24,7 @@
     @property
     def others(self) -> tuple[int, ...]:
         """The numbers of all members but this one."""
-        return tuple(number for number in range(self.size) if number != self.me)
+        return tuple(number for number in range(self.size) if number != self.own_id)
 
     @property
     def fingerprint(self) -> int:
@@ -32,7 +32,7 @@
         return crc32c.crc32c("\n".join(self.names).encode()) & 0xFFFF
 
 
-def key_of(text: str) -> int:
+def hash_endpoint_id(text: str) -> int:
     """A 64-bit key of an endpoint's id, the same at every broker: CRC32C of it forwards and backwards."""
     data = text.encode()
     return crc32c.crc32c(data) << 32 | crc32c.crc32c(data[::-1] + b"\x01")
--- a/lemonridge/fleet/membership.py
+++ b/lemonridge/fleet/membership.py
@@ -102,7 +102,7 @@
             return []
         known = update.state in MemberState._value2member_map_
         state = MemberState(update.state) if known else MemberState.ABSENT
-        if update.member_id == self.member_list.me:
+        if update.member_id == self.member_list.own_id:
             self._on_update_of_self(update, state)
             return []
         member = self.members[update.member_id]
@@ -152,7 +152,7 @@
         self.state_version += 1
         if self.state_version > STATE_VERSION_MAX:
             self.incarnation, self.state_version = self.incarnation + 1, 0
-        self.members[self.member_list.me].transmissions = 0
+        self.members[self.member_list.own_id].transmissions = 0
 
     def _set_state(
         self, member_id: int, state: MemberState, incarnation: int, state_version: int, now_us: int
--- a/lemonridge/fleet/quota_ledger.py
+++ b/lemonridge/fleet/quota_ledger.py
@@ -140,33 +140,33 @@
     """All budgets of one broker.
 
     Args:
-        me: this broker's number.
+        own_id: this broker's number.
         incarnation: this start's number; a later start has a higher one.
         first_request_id: requests are numbered from the next one; drawn at random, so that a late grant for a
             previous incarnation answers none of this one's requests.
-        error_us: by which two clocks may differ over the duration of a loan.
+        clock_error_us: by which two clocks may differ over the duration of a loan.
         now_us: the time of the start.
         others: the numbers of all other members.
     """
 
     def __init__(
         self,
-        me: int,
+        own_id: int,
         incarnation: int,
         first_request_id: int,
-        error_us: int,
+        clock_error_us: int,
         now_us: int,
         others: Iterable[int] = (),
     ) -> None:
-        self.me, self.incarnation, self.error_us = me, incarnation, error_us
+        self.own_id, self.incarnation, self.clock_error_us = own_id, incarnation, clock_error_us
         self.budgets: dict[BudgetKey, Budget] = {}
         # From then on all loans that a previous incarnation granted have ended.
-        self.floors_until_us = now_us + LOAN_DURATION_US + error_us
+        self.floors_until_us = now_us + LOAN_DURATION_US + clock_error_us
         self.active: set[BudgetKey] = set()  # budgets whose quota may change without a request
         self.budgets_refused = 0  # for want of room
         self._others = tuple(others)
         self._last_request_id = first_request_id
-        self._recalled: dict[
+        self._recalling_incarnations: dict[
             int, int
         ] = {}  # incarnations of lenders that recalled what previous ones granted
         self._recall_acks: set[int] = set()  # members that use no loan of a previous incarnation of this one
@@ -212,7 +212,7 @@
         budget.demand = budget.requested_us = 0
         return self.return_loans(key)
 
-    def own_left(self, budget: Budget, now_us: int) -> int:
+    def available_own_parts(self, budget: Budget, now_us: int) -> int:
         """Parts of its own that are not lent; after a start no more than the floor."""
         left = max(0, budget.owned - budget.loaned_parts(now_us))
         return left if now_us >= self.floors_until_us else min(left, budget.floor)
@@ -236,9 +236,13 @@
     def quota(self, key: BudgetKey, now_us: int) -> Quota:
         """What may be used of a budget that is kept (KeyError: it is not)."""
         budget = self.budgets[key]
-        own_left = self.own_left(budget, now_us)
+        available_own_parts = self.available_own_parts(budget, now_us)
         ends_us = [one.end_us for one in budget.loans_in.values() if one.end_us > now_us]
-        return Quota(own_left + self.borrowed_parts(key, budget, now_us), min(ends_us, default=0), own_left)
+        return Quota(
+            available_own_parts + self.borrowed_parts(key, budget, now_us),
+            min(ends_us, default=0),
+            available_own_parts,
+        )
 
     # Borrowing
 
@@ -286,10 +290,10 @@
         """
         key = BudgetKey(grant.kind, grant.key)
         budget = self.budgets.get(key)
-        if budget is None or incarnation < self._recalled.get(lender, 0):
+        if budget is None or incarnation < self._recalling_incarnations.get(lender, 0):
             return False
         if grant.kind == BudgetKind.LIMIT:
-            if grant.lender_uses:
+            if grant.lender_uses_budget:
                 budget.users.add(lender)
             hint = grant.user_hint - 1
             if grant.user_hint and hint in self._others and len(budget.user_hints) < USER_HINTS_MAX:
@@ -309,12 +313,12 @@
 
     def on_recall(self, lender: int, incarnation: int) -> LoanRecallAck:
         """A lender has restarted: use no loan of its previous incarnations, and no late grant of them."""
-        if incarnation > self._recalled.get(lender, 0):
-            self._recalled[lender] = incarnation
+        if incarnation > self._recalling_incarnations.get(lender, 0):
+            self._recalling_incarnations[lender] = incarnation
             for key, budget in self.budgets.items():
                 if budget.loans_in.pop(lender, None) is not None:
                     self.active.add(key)
-        return LoanRecallAck(self._recalled[lender])
+        return LoanRecallAck(self._recalling_incarnations[lender])
 
     def return_loans(self, key: BudgetKey) -> list[tuple[int, Item]]:
         """Use nothing borrowed of this budget from here on; the releases to send."""
@@ -359,7 +363,7 @@
         if parts < min(LOAN_MIN_PARTS, max(1, budget.owned // 100)):
             return refusal
         self.active.add(key)
-        end_us = now_us + request.duration_ms * 1000 + self.error_us
+        end_us = now_us + request.duration_ms * 1000 + self.clock_error_us
         budget.loans_out.setdefault(borrower, []).append(
             LoanOut(incarnation, request.request_id, parts, end_us)
         )
--- a/lemonridge/fleet/scheduler_bridge.py
+++ b/lemonridge/fleet/scheduler_bridge.py
@@ -21,7 +21,7 @@
 from lemonridge.fleet.datagrams import DatagramSigner, Item
 from lemonridge.fleet.fleet_member import FleetMember
 from lemonridge.fleet.health_gossip import ObservedOutcome, PeerHealthSummary, ReportedCondition
-from lemonridge.fleet.member_list import MemberList, key_of
+from lemonridge.fleet.member_list import MemberList, hash_endpoint_id
 from lemonridge.fleet.quota_ledger import TOTAL_PARTS, BudgetKind
 from lemonridge.fleet.settings import CLOCK_ERROR_US, SEND_BUDGET_BYTES_S, MemberSettings
 from lemonridge.scheduling.actions import Action, SlowStartBegan
@@ -89,7 +89,7 @@
         self.settings = settings
         shares_usage = not settings.reports_peer_usage
         of_member = MemberSettings(send_budget_bytes_s, clock_error_us, shares_usage, settings.retry_rate)
-        self.fleet = FleetMember(member_list, incarnation, seed, now_us, of_member, signer)
+        self.member = FleetMember(member_list, incarnation, seed, now_us, of_member, signer)
         self.events: list[Event] = []
         self.datagrams: list[SendDatagram] = []
         self.rollout_items: list[RolloutItemReceived] = []
@@ -98,7 +98,7 @@
         self._handle(now_us)
 
     def _handle(self, now_us: int, *events: fleet_events.Event) -> None:
-        for action in self.fleet.handle(now_us, events):
+        for action in self.member.handle(now_us, events):
             if isinstance(action, QuotaUpdated):
                 self._on_quota_updated(action, now_us)
             elif isinstance(action, SendDatagram):
@@ -136,34 +136,34 @@
         """A request arrived; called before the scheduler is told of it."""
         plan = self.settings.plans[event.plan]
         if plan.limit:
-            updated = self.fleet.record_limit_demand(
+            updated = self.member.record_limit_demand(
                 event.volume, plan.limit, event.hosts, event.units, now_us
             )
             if updated is not None:
                 self._on_quota_updated(updated, now_us)
-        self.fleet.record_shard_demand(event.shard, event.units, now_us)
+        self.member.record_shard_demand(event.shard, event.units, now_us)
 
     def on_endpoints_changed(self, endpoints: Iterable[Endpoint]) -> None:
         """The endpoint list, or a part of it: remembers the names."""
         for endpoint in endpoints:
             if len(self.endpoints) < ENDPOINTS_MAX:
-                self.endpoints.setdefault(key_of(endpoint.endpoint_id), endpoint.endpoint_id)
+                self.endpoints.setdefault(hash_endpoint_id(endpoint.endpoint_id), endpoint.endpoint_id)
 
     def on_attempt_ended(self, event: AttemptEnded, now_us: int, volume: int = 0, units: float = 0.0) -> None:
         """An attempt ended, of a request of that volume and size (0 units: not known)."""
-        outcome, endpoint_key = OUTCOMES.get(event.result), key_of(event.endpoint_id)
-        if outcome is not None and self.fleet.record_outcome(endpoint_key, outcome, now_us):
+        outcome, endpoint_key = OUTCOMES.get(event.result), hash_endpoint_id(event.endpoint_id)
+        if outcome is not None and self.member.record_outcome(endpoint_key, outcome, now_us):
             self._handle(now_us, fleet_events.TimerFired())
         if event.result is AttemptResult.OK and units:
-            self.fleet.record_served(volume, units)
+            self.member.record_served(volume, units)
         if not event.finished and event.result is not AttemptResult.NOT_SENT and self.settings.retry_rate:
-            self.fleet.record_retry_demand(now_us)
+            self.member.record_retry_demand(now_us)
 
     # What the scheduler decides
 
     def on_attempt_sent(self, endpoint_id: str, units: float) -> None:
         """An attempt is sent."""
-        self.fleet.record_sent(key_of(endpoint_id), units)
+        self.member.record_sent(hash_endpoint_id(endpoint_id), units)
 
     def on_slow_start_began(self, action: SlowStartBegan, now_us: int) -> None:
         """An endpoint's slow start began.
@@ -173,7 +173,7 @@
         """
         began = fleet_events.SlowStartBegan(
             action.endpoint_id,
-            key_of(action.endpoint_id),
+            hash_endpoint_id(action.endpoint_id),
             action.shard,
             action.rate,
             action.began_us,
@@ -183,7 +183,7 @@
 
     def on_scheduler_restarted(self, now_us: int) -> None:
         """A new scheduler begins with even quotas: tell it what is lent, or not this broker's own yet."""
-        for updated in self.fleet.last_quotas():
+        for updated in self.member.last_quotas():
             self._on_quota_updated(updated, now_us)
 
     # Events for the scheduler
@@ -222,7 +222,7 @@
             self.events.append(PeerHealthReported(endpoint, summary.sources, summary.agreed, summary.at_us))
 
 
-def decide(
+def handle_batch(
     handle: HandleEvents,
     bridge: SchedulerBridge,
     now_us: int,
--- a/lemonridge/fleet/status_report.py
+++ b/lemonridge/fleet/status_report.py
@@ -16,7 +16,7 @@
 
 BUDGETS_SHOWN_MAX = 64  # those used last
 HEALTH_REPORTS_SHOWN_MAX = 64
-STATE_WORDS = {
+STATE_LABELS = {
     MemberState.ABSENT: "absent",
     MemberState.JOINING: "joining",
     MemberState.UP: "up",
@@ -25,8 +25,8 @@
     MemberState.DEAD: "dead",
     MemberState.LEFT: "left",
 }
-BUDGET_WORDS = {BudgetKind.LIMIT: "limit", BudgetKind.SLOW_START: "cold", BudgetKind.RETRIES: "further"}
-CONDITION_WORDS = {
+BUDGET_LABELS = {BudgetKind.LIMIT: "limit", BudgetKind.SLOW_START: "cold", BudgetKind.RETRIES: "further"}
+CONDITION_LABELS = {
     ReportedCondition.UNREACHABLE: "down",
     ReportedCondition.UNRESPONSIVE: "silent",
     ReportedCondition.ERRORS: "errors",
@@ -34,7 +34,7 @@
 }
 
 
-def report(fleet: FleetMember, now_us: int, endpoints: Mapping[int, str]) -> dict[str, Any]:
+def member_report(fleet: FleetMember, now_us: int, endpoints: Mapping[int, str]) -> dict[str, Any]:
     """One broker's view: members with their links, budgets, reports on endpoints, counters.
 
     Ages are in milliseconds, parts of budgets are fractions of the whole. `endpoints` are names by key.
@@ -42,8 +42,8 @@
     membership = fleet.membership
     faults = {f"not_taken.{fault.value}": count for fault, count in fleet.receiver.faults.items()}
     return {
-        "name": fleet.member_list.names[fleet.member_list.me],
-        "state": STATE_WORDS[membership.state],
+        "name": fleet.member_list.names[fleet.member_list.own_id],
+        "state": STATE_LABELS[membership.state],
         "life": membership.incarnation,
         "round": membership.state_version,
         "health": membership.local_health,
@@ -62,7 +62,7 @@
     loss = window.loss_fraction()
     return {
         "name": fleet.member_list.names[member_id],
-        "state": STATE_WORDS[member.state],
+        "state": STATE_LABELS[member.state],
         "life": member.incarnation,
         "for_ms": (now_us - member.state_since_us) // 1000,
         "heard_ms": (now_us - member.last_received_us) // 1000 if member.last_received_us else None,
@@ -80,12 +80,12 @@
         total = TOTAL_PARTS if key.kind != BudgetKind.SLOW_START else max(1, budget.owned)
         rows.append(
             {
-                "kind": BUDGET_WORDS[BudgetKind(key.kind)],
+                "kind": BUDGET_LABELS[BudgetKind(key.kind)],
                 "key": f"{key.key:016x}",
                 "hosts": budget.hosts,
                 "uses": budget.used_here,
                 "own": budget.owned / total,
-                "left": fleet.ledger.own_left(budget, now_us) / total,
+                "left": fleet.ledger.available_own_parts(budget, now_us) / total,
                 "has": fleet.ledger.quota(key, now_us).parts / total,
                 "needs": min(1.0, budget.demand / total),
                 "lent": {
@@ -104,20 +104,20 @@
 
 def _health_reports(fleet: FleetMember, now_us: int, endpoints: Mapping[int, str]) -> list[dict[str, Any]]:
     """This broker's own observations first, then what others report."""
-    names, me = fleet.member_list.names, fleet.member_list.me
+    names, own_id = fleet.member_list.names, fleet.member_list.own_id
 
     def row(endpoint_key: int, condition: ReportedCondition, source: int, weight: int, at_us: int) -> Any:
         """One report, as it is shown."""
         return {
             "node": endpoints.get(endpoint_key, f"{endpoint_key:016x}"),
-            "what": CONDITION_WORDS[condition],
+            "what": CONDITION_LABELS[condition],
             "by": names[source],
             "weight": weight,
             "age_ms": (now_us - at_us) // 1000,
         }
 
     rows = [
-        row(one.endpoint_id, one.condition, me, one.weight, one.at_us)
+        row(one.endpoint_id, one.condition, own_id, one.weight, one.at_us)
         for one in fleet.gossip.observations.reportable(now_us)
     ]
     rows += [
@@ -128,7 +128,7 @@
     return rows[:HEALTH_REPORTS_SHOWN_MAX]
 
 
-def table(views: Iterable[dict[str, Any]]) -> str:
+def format_table(views: Iterable[dict[str, Any]]) -> str:
     """Several brokers' views as text: who sees whom in what state, all budgets, reports on endpoints."""
     views = list(views)
     names = sorted(
@@ -181,5 +181,5 @@
 
 def all_members_up(views: Iterable[dict[str, Any]]) -> bool:
     """Whether every broker that was asked holds every other one for up."""
-    up = {STATE_WORDS[MemberState.UP], STATE_WORDS[MemberState.JOINING]}
+    up = {STATE_LABELS[MemberState.UP], STATE_LABELS[MemberState.JOINING]}
     return all(member["state"] in up for view in views for member in view["members"])
--- a/lemonridge/lab/checkers/escrow.py
+++ b/lemonridge/lab/checkers/escrow.py
@@ -117,7 +117,7 @@
 def _open_budgets(ledger: QuotaLedger, now_us: int, bounds: Bounds) -> QuotaLedger:
     """Each user has had a request."""
     for key in bounds.budgets:
-        if ledger.me in USERS[key]:
+        if ledger.own_id in USERS[key]:
             ledger.open_budget(key, TOTAL_PARTS // HOSTS[key], HOSTS[key], True, now_us)
     return ledger
 
@@ -276,9 +276,9 @@
     """A copy that shares nothing that changes; of the same class, faults included."""
     other = object.__new__(type(ledger))
     other.__dict__.update(ledger.__dict__)
-    other.active, other._recalled, other._recall_acks = (
+    other.active, other._recalling_incarnations, other._recall_acks = (
         set(),
-        dict(ledger._recalled),
+        dict(ledger._recalling_incarnations),
         set(ledger._recall_acks),
     )
     other.budgets = {
@@ -319,7 +319,7 @@
         ledger.incarnation,
         ledger._last_request_id,
         restarted,
-        tuple(sorted(ledger._recalled.items())),
+        tuple(sorted(ledger._recalling_incarnations.items())),
         tuple(sorted(ledger._recall_acks)) if restarted else (),
         tuple(
             (
@@ -361,7 +361,7 @@
 class GrantNotDeductedMutant(QuotaLedger):
     """Mutant: what is lent stays in the lender's own slice."""
 
-    def own_left(self, budget: Budget, now_us: int) -> int:
+    def available_own_parts(self, budget: Budget, now_us: int) -> int:
         """Faulty: see the class."""
         return budget.owned
 
@@ -385,7 +385,7 @@
 
     def on_request(self, member_id: int, incarnation: int, item: LoanRequest, now_us: int) -> LoanGrant:
         """Faulty: see the class."""
-        self.error_us = 0
+        self.clock_error_us = 0
         return super().on_request(member_id, incarnation, item, now_us)
 
 
@@ -405,14 +405,14 @@
 
     def __init__(
         self,
-        me: int,
+        own_id: int,
         incarnation: int,
         first_request_id: int,
-        error_us: int,
+        clock_error_us: int,
         now_us: int,
         others: Iterable[int] = (),
     ) -> None:
-        super().__init__(me, incarnation, first_request_id, error_us, now_us, others)
+        super().__init__(own_id, incarnation, first_request_id, clock_error_us, now_us, others)
         self.floors_until_us = now_us
 
 
--- a/lemonridge/lab/fleet_mutants.py
+++ b/lemonridge/lab/fleet_mutants.py
@@ -22,10 +22,10 @@
     """The lender goes on using what it lends."""
     from lemonridge.fleet.quota_ledger import Budget, QuotaLedger
 
-    def own_left(self: QuotaLedger, budget: Budget, now_us: int) -> int:
+    def available_own_parts(self: QuotaLedger, budget: Budget, now_us: int) -> int:
         return budget.owned
 
-    QuotaLedger.own_left = own_left  # type: ignore[method-assign]
+    QuotaLedger.available_own_parts = available_own_parts  # type: ignore[method-assign]
 
 
 def _never_end_loans() -> None:
@@ -55,14 +55,14 @@
 
     def begin(
         self: quota_ledger.QuotaLedger,
-        me: int,
+        own_id: int,
         incarnation: int,
         first_request_id: int,
-        error_us: int,
+        clock_error_us: int,
         now_us: int,
         others: Iterable[int] = (),
     ) -> None:
-        real(self, me, incarnation, first_request_id, error_us, now_us, others)
+        real(self, own_id, incarnation, first_request_id, clock_error_us, now_us, others)
         self.floors_until_us = now_us
 
     quota_ledger.QuotaLedger.__init__ = begin  # type: ignore[method-assign]
--- a/lemonridge/lab/measure/membership.py
+++ b/lemonridge/lab/measure/membership.py
@@ -54,7 +54,7 @@
 
     def start(self, now_us: int) -> list[FleetAction]:
         """Begin with more than enough bytes a second."""
-        seed = self._seed * 1009 + self._member_list.me
+        seed = self._seed * 1009 + self._member_list.own_id
         settings = MemberSettings(send_budget_bytes_s=1e6)
         self._member = FleetMember(self._member_list, now_us // 1000, seed, now_us, settings)
         return self._member.handle(now_us, ())
--- a/lemonridge/lab/model/world.py
+++ b/lemonridge/lab/model/world.py
@@ -18,7 +18,7 @@
 
 from lemonridge.fleet.actions import SendDatagram
 from lemonridge.fleet.member_list import MemberList
-from lemonridge.fleet.scheduler_bridge import SchedulerBridge, decide
+from lemonridge.fleet.scheduler_bridge import SchedulerBridge, handle_batch
 from lemonridge.lab.model.baselines import make
 from lemonridge.lab.model.node import Node, Work
 from lemonridge.lab.model.outcome import Outcome
@@ -121,7 +121,7 @@
             actions = self.scheduler.handle(now_us, events)
         else:
             heard, self.heard = self.heard, []
-            actions, tells = decide(self.scheduler.handle, self.bridge, now_us, events, heard)
+            actions, tells = handle_batch(self.scheduler.handle, self.bridge, now_us, events, heard)
             self._later()
         for one in tells:
             self.world.pass_on(self, one.to, one.data)
--- a/lemonridge/net/peer_transport.py
+++ b/lemonridge/net/peer_transport.py
@@ -22,7 +22,7 @@
 from lemonridge.fleet.datagrams import TAG_BYTES, Item
 from lemonridge.fleet.member_list import MemberList
 from lemonridge.fleet.scheduler_bridge import SchedulerBridge
-from lemonridge.fleet.status_report import report
+from lemonridge.fleet.status_report import member_report
 from lemonridge.scheduling.actions import SlowStartBegan
 from lemonridge.scheduling.events import AttemptEnded, Endpoint, RequestArrived
 from lemonridge.scheduling.settings import Settings
@@ -179,7 +179,7 @@
     @property
     def incarnation(self) -> int:
         """This start's number: a later start has a higher one."""
-        return self._bridge.fleet.membership.incarnation
+        return self._bridge.member.membership.incarnation
 
     def _on_timer(self) -> None:
         self._bridge.on_timer(self._clock.now_us())
@@ -226,11 +226,11 @@
 
     def report(self) -> dict[str, Any]:
         """What operators are shown: see `fleet/status_report.py`."""
-        return report(self._bridge.fleet, self._clock.now_us(), self._bridge.endpoints)
+        return member_report(self._bridge.member, self._clock.now_us(), self._bridge.endpoints)
 
     def count(self) -> None:
         """Bring the process's counters up to date."""
-        for name, value in self._bridge.fleet.counts.items():
+        for name, value in self._bridge.member.counts.items():
             self._counters[f"fleet.{name}"] = value
-        for fault, value in self._bridge.fleet.receiver.faults.items():
+        for fault, value in self._bridge.member.receiver.faults.items():
             self._counters[f"fleet.not_taken.{fault.value}"] = value
--- a/tests/fleet/test_fleet_member.py
+++ b/tests/fleet/test_fleet_member.py
@@ -10,7 +10,7 @@
 from lemonridge.fleet.errors import DatagramFault
 from lemonridge.fleet.events import DatagramReceived, ShutdownBegan, TimerFired
 from lemonridge.fleet.health_gossip import ObservedOutcome
-from lemonridge.fleet.member_list import key_of
+from lemonridge.fleet.member_list import hash_endpoint_id
 from lemonridge.fleet.quota_ledger import LOAN_DURATION_US, TOTAL_PARTS, BudgetKey, BudgetKind
 from lemonridge.fleet.settings import MemberSettings
 
@@ -89,7 +89,7 @@
     def test_two_reports_on_an_endpoint_agree_and_a_single_one_does_not(self) -> None:
         fleet = VirtualFleet(4)
         fleet.run(1.0)
-        endpoint = key_of("s-1")
+        endpoint = hash_endpoint_id("s-1")
         self.assertTrue(
             fleet.members[1].record_outcome(endpoint, ObservedOutcome.CONNECT_FAILED, fleet.now_us)
         )
@@ -188,7 +188,7 @@
         named = {
             one.registry.rendezvous_members(limit_key(5))
             for one in fleet.members
-            if one.member_list.me not in places
+            if one.member_list.own_id not in places
         }
         self.assertEqual(len(named), 1)  # all but those themselves name the same two
 
--- a/tests/fleet/test_quota_ledger.py
+++ b/tests/fleet/test_quota_ledger.py
@@ -131,7 +131,7 @@
         made = [escrow.make_ledger(n, 1, 0) for n in range(2)]
         for one in made:
             one.open_budget(TWO_USE, TOTAL_PARTS // hosts, hosts, True, 0)
-            one.error_us = 50_000
+            one.clock_error_us = 50_000
         return made[0], made[1]
 
     def test_a_fresh_start_lends_nothing_and_has_its_floor(self) -> None:
--- a/tests/formats/test_format_admin.py
+++ b/tests/formats/test_format_admin.py
@@ -30,9 +30,9 @@
 from lemonridge.fleet import datagrams, fleet_member, health_gossip, quota_ledger
 from lemonridge.fleet.errors import DatagramFault
 from lemonridge.fleet.events import DatagramReceived
-from lemonridge.fleet.member_list import MemberList, key_of
+from lemonridge.fleet.member_list import MemberList, hash_endpoint_id
 from lemonridge.fleet.settings import MemberSettings
-from lemonridge.fleet.status_report import all_members_up, report, table
+from lemonridge.fleet.status_report import all_members_up, format_table, member_report
 from lemonridge.operate.admin_calls import AdminCall, AdminReply, AdminRequest, line_max, parse
 from lemonridge.operate.errors import BadCallError
 from lemonridge.operate.lifecycle import Phase
@@ -129,10 +129,10 @@
         MemberList(("b0", "b1", "b2"), 1), 77, 1, NOW, MemberSettings(retry_rate=5.0)
     )
     made.record_limit_demand(9, 20.0, 3, 4.0, NOW)
-    made.record_outcome(key_of("s-1"), health_gossip.ObservedOutcome.CONNECT_FAILED, NOW)
+    made.record_outcome(hash_endpoint_id("s-1"), health_gossip.ObservedOutcome.CONNECT_FAILED, NOW)
     head = datagrams.DatagramHeader(0, datagrams.MemberState.UP, 5, 1, 1, NOW // 1000)
     said = datagrams.encode(
-        head, [datagrams.HealthReport(key_of("s-9"), 3, 6, 250)], made.member_list.fingerprint
+        head, [datagrams.HealthReport(hash_endpoint_id("s-9"), 3, 6, 250)], made.member_list.fingerprint
     )
     made.handle(NOW + 1000, (DatagramReceived(0, said),))
     budget = made.ledger.budgets[quota_ledger.BudgetKind.LIMIT, 9]
@@ -185,7 +185,7 @@
 
 
 def test_a_view_of_the_fleet_byte_for_byte() -> None:
-    told = report(fleet(), NOW + 5000, {key_of("s-1"): "s-1"})
+    told = member_report(fleet(), NOW + 5000, {hash_endpoint_id("s-1"): "s-1"})
 
     assert orjson.dumps(told) == VIEW
 
@@ -199,14 +199,14 @@
 
     for number in range(7):
         made.membership.members[0].state = datagrams.MemberState(number)
-        states.append(report(made, NOW + 5000, {})["members"][0]["state"])
+        states.append(member_report(made, NOW + 5000, {})["members"][0]["state"])
     for number in range(1, 5):
         head = datagrams.DatagramHeader(0, datagrams.MemberState.UP, 5, 1, 1 + number, NOW // 1000)
         said = datagrams.encode(
             head, [datagrams.HealthReport(100 + number, number, 6, 250)], made.member_list.fingerprint
         )
         made.handle(NOW + 2000, (DatagramReceived(0, said),))
-    view = report(made, NOW + 5000, {101: "one", 102: "two", 103: "three", 104: "four"})
+    view = member_report(made, NOW + 5000, {101: "one", 102: "two", 103: "three", 104: "four"})
     judged = [(row["node"], row["what"]) for row in view["judgements"] if row["by"] == "b0"]
 
     assert states == ["absent", "joining", "up", "leaving", "suspect", "dead", "left"]
@@ -217,7 +217,7 @@
 def test_a_view_is_shown_as_text_and_judged() -> None:
     view = orjson.loads(VIEW)
 
-    assert table([view]) == TABLE
+    assert format_table([view]) == TABLE
     assert all_members_up([view]) is False
     for member in view["members"]:
         member["state"] = "joining"
--- a/tests/formats/test_format_datagrams.py
+++ b/tests/formats/test_format_datagrams.py
@@ -10,7 +10,7 @@
 import pytest
 
 from lemonridge.fleet import datagrams, health_gossip, quota_ledger, status_report, usage_totals
-from lemonridge.fleet.member_list import MemberList, key_of
+from lemonridge.fleet.member_list import MemberList, hash_endpoint_id
 from lemonridge.net.peer_transport import KeyedDatagramSigner
 
 FINGERPRINT = 0xBEEF
@@ -42,7 +42,12 @@
         slow_start_began_ms=0x31323334,
     ),
     "grant": datagrams.LoanGrant(
-        kind=3, key=0x2122232425262728, request_id=0x41424344, parts=250_000, lender_uses=1, user_hint=8
+        kind=3,
+        key=0x2122232425262728,
+        request_id=0x41424344,
+        parts=250_000,
+        lender_uses_budget=1,
+        user_hint=8,
     ),
     "release": datagrams.LoanRelease(kind=1, key=0x3132333435363738, request_id=0x51525354),
     "recall": datagrams.LoanRecall(),
@@ -164,12 +169,12 @@
 
 def test_the_roster_and_the_names_of_nodes_have_the_same_numbers_at_every_broker() -> None:
     assert MemberList(("b0", "b1", "b2"), 1).fingerprint == 26721
-    assert key_of("s-5be2a07c") == 5897176318865884699
+    assert hash_endpoint_id("s-5be2a07c") == 5897176318865884699
 
 
 def test_the_numbers_that_stand_for_words() -> None:
     """The numbers go between brokers; the words, in lower case, go to operators (`fleet status`)."""
-    assert {status_report.STATE_WORDS[one].upper(): one.value for one in datagrams.MemberState} == {
+    assert {status_report.STATE_LABELS[one].upper(): one.value for one in datagrams.MemberState} == {
         "ABSENT": 0,
         "JOINING": 1,
         "UP": 2,
@@ -178,13 +183,13 @@
         "DEAD": 5,
         "LEFT": 6,
     }
-    assert {status_report.BUDGET_WORDS[one].upper(): one.value for one in quota_ledger.BudgetKind} == {
+    assert {status_report.BUDGET_LABELS[one].upper(): one.value for one in quota_ledger.BudgetKind} == {
         "LIMIT": 1,
         "COLD": 2,
         "FURTHER": 3,
     }
     assert {
-        status_report.CONDITION_WORDS[one].upper(): one.value for one in health_gossip.ReportedCondition
+        status_report.CONDITION_LABELS[one].upper(): one.value for one in health_gossip.ReportedCondition
     } == {
         "DOWN": 1,
         "SILENT": 2,
--- a/tests/integration/test_fleet_members.py
+++ b/tests/integration/test_fleet_members.py
@@ -9,7 +9,7 @@
 from unittest import mock
 
 from lemonridge.config.address import Address
-from lemonridge.fleet.status_report import all_members_up, table
+from lemonridge.fleet.status_report import all_members_up, format_table
 from lemonridge.lab.rig import Broker, Rig, Site
 from lemonridge.net.admin_client import CallError, call, views
 
@@ -56,4 +56,4 @@
                     await rig.stop()
                 finally:
                     await rig.clear()
-        return good, table(good)  # type: ignore[return-value]
+        return good, format_table(good)  # type: ignore[return-value]
