--- a/lemonridge/fleet/actions.py
+++ b/lemonridge/fleet/actions.py
@@ -1,4 +1,4 @@
-"""What a fleet member decides, to be carried out by its host in the order in which it is returned."""
+"""The actions of a fleet member, which its host carries out in the order in which they are returned."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SendDatagram:
-    """Send a datagram to a member."""
+    """Sends a datagram to the member `to`."""
 
     to: int
     data: bytes
@@ -19,7 +19,14 @@
 
 @dataclass(frozen=True, slots=True)
 class QuotaUpdated:
-    """What this broker may use of a budget from this moment on; `owned` are its own parts of it."""
+    """The quota of a budget that this broker may use from now on.
+
+    Attributes:
+        kind: The budget's kind.
+        key: The budget's key within its kind.
+        quota: The quota.
+        owned: The parts of the budget that this broker owns.
+    """
 
     kind: BudgetKind
     key: int
@@ -29,14 +36,14 @@
 
 @dataclass(frozen=True, slots=True)
 class SetTimer:
-    """Ask for `TimerFired` at a time; only the last one that was asked for counts."""
+    """Requests `TimerFired` at a time; replaces the previous request."""
 
     at_us: int
 
 
 @dataclass(frozen=True, slots=True)
 class PeerUsageReceived:
-    """Others served a volume so many units more, and no member that may serve it is silent."""
+    """Another member served `units` more to a volume, and the usage of all live members is known."""
 
     volume: int
     units: float
@@ -44,14 +51,14 @@
 
 @dataclass(frozen=True, slots=True)
 class PeerHealthChanged:
-    """The reports of others on an endpoint have changed."""
+    """Other members' reports on an endpoint have changed."""
 
     summary: PeerHealthSummary
 
 
 @dataclass(frozen=True, slots=True)
 class RolloutItemReceived:
-    """An item of the policy rollout arrived from a member's incarnation."""
+    """An item of the policy rollout was received from an incarnation of the member `source`."""
 
     source: int
     incarnation: int
--- a/lemonridge/fleet/datagram_receiver.py
+++ b/lemonridge/fleet/datagram_receiver.py
@@ -1,4 +1,4 @@
-"""Reads datagrams that arrive and accepts each once, within a rate. Pure."""
+"""Decodes incoming datagrams and accepts each once, up to a maximum rate. Performs no I/O."""
 
 from __future__ import annotations
 
@@ -14,16 +14,26 @@
 
 
 class DatagramReceiver:
-    """The receiving side of one member: rejected datagrams are counted by their fault."""
+    """The receiving side of one member.
+
+    Attributes:
+        windows: The replay windows by sender.
+        faults: The number of rejected datagrams by fault.
+
+    Args:
+        member_list: The configured members of the fleet.
+        signer: Verifies the keyed tag; None if no secret is configured.
+        now_us: The time of the start.
+    """
 
     def __init__(self, member_list: MemberList, signer: DatagramSigner | None, now_us: int) -> None:
-        self.windows = [ReplayWindow() for _ in member_list.names]  # by member
+        self.windows = [ReplayWindow() for _ in member_list.names]
         self.faults: defaultdict[DatagramFault, int] = defaultdict(int)
-        self._me, self._fingerprint, self._signer = member_list.own_id, member_list.fingerprint, signer
-        self._read, self._second_began_us = 0, now_us
+        self._own_id, self._fingerprint, self._signer = member_list.own_id, member_list.fingerprint, signer
+        self._count_this_second, self._second_began_us = 0, now_us
 
     def read(self, event: DatagramReceived, now_us: int) -> Datagram | None:
-        """The datagram; None where it was rejected and counted."""
+        """Returns the decoded datagram; None if it was rejected, which is counted."""
         try:
             return self._accept(event, now_us)
         except DatagramError as error:
@@ -32,15 +42,15 @@
 
     def _accept(self, event: DatagramReceived, now_us: int) -> Datagram:
         if now_us - self._second_began_us >= 1_000_000:
-            self._read, self._second_began_us = 0, now_us
-        self._read += 1
-        if self._read > DATAGRAMS_READ_PER_S:
+            self._count_this_second, self._second_began_us = 0, now_us
+        self._count_this_second += 1
+        if self._count_this_second > DATAGRAMS_READ_PER_S:
             raise DatagramRateError(DatagramFault.OVERRUN)
         if event.source is None:
             raise UntrustedDatagramError(DatagramFault.ADDRESS)
         datagram = decode(event.data, self._fingerprint, self._signer)
         sender = datagram.header.sender
-        if sender != event.source or sender == self._me:
+        if sender != event.source or sender == self._own_id:
             raise UntrustedDatagramError(DatagramFault.ADDRESS)
         self.windows[sender].accept(datagram.header, now_us)
         return datagram
--- a/lemonridge/fleet/datagram_sender.py
+++ b/lemonridge/fleet/datagram_sender.py
@@ -1,4 +1,4 @@
-"""Packs queued items into datagrams, the most useful first, within a budget of bytes. Pure."""
+"""Packs queued items into datagrams by priority, within a byte budget. Performs no I/O."""
 
 from __future__ import annotations
 
@@ -22,9 +22,9 @@
 from lemonridge.fleet.member_list import MemberList
 from lemonridge.fleet.membership import Membership
 
-SEND_BURST_S = 1.0  # of the budget of bytes that may be sent at once
-ROLLOUT_DATAGRAMS_PER_S = 400.0  # beside the budget of bytes
-# The most useful first: what a probe or a loan waits for.
+SEND_BURST_S = 1.0  # seconds of the byte budget that may be sent in one burst
+ROLLOUT_DATAGRAMS_PER_S = 400.0  # not counted against the byte budget
+# The highest priority first: items on which a probe or a loan depends.
 _PRIORITIES: tuple[tuple[type[Item], ...], ...] = (
     (datagrams.Ack,),
     (datagrams.Ping, datagrams.PingRequest),
@@ -35,7 +35,7 @@
     (datagrams.UsageTotal,),
     (datagrams.Heartbeat,),
 )
-_PRIORITY = {item_type: place for place, types in enumerate(_PRIORITIES) for item_type in types}
+_PRIORITY = {item_type: priority for priority, types in enumerate(_PRIORITIES) for item_type in types}
 _UPDATE_BYTES = item_bytes(MembershipUpdate(0, 0, 0, 0))
 
 Queue = dict[int, list[Item]]  # by receiver
@@ -45,12 +45,12 @@
     """The sending side of one member.
 
     Args:
-        member_list: the fleet.
-        membership: gives the header's state, and the updates that fill datagrams.
-        signer: makes the keyed tag, where there is a secret.
-        bytes_s: the budget, in bytes a second.
-        counts: where what was sent and dropped is counted.
-        now_us: the time of the start.
+        member_list: The configured members of the fleet.
+        membership: Provides the state in the header and the membership updates that fill datagrams.
+        signer: Computes the keyed tag; None if no secret is configured.
+        budget_bytes_s: The byte budget in bytes a second.
+        counts: The counters in which sent datagrams and dropped items are counted.
+        now_us: The time of the start.
     """
 
     def __init__(
@@ -58,112 +58,117 @@
         member_list: MemberList,
         membership: Membership,
         signer: DatagramSigner | None,
-        bytes_s: float,
+        budget_bytes_s: float,
         counts: Counters,
         now_us: int,
     ) -> None:
-        self._me, self._fingerprint = member_list.own_id, member_list.fingerprint
+        self._own_id, self._fingerprint = member_list.own_id, member_list.fingerprint
         self._membership, self._signer = membership, signer
-        self._bytes_s, self._counts = bytes_s, counts
-        self._frame_bytes = HEADER_BYTES + (TAG_BYTES if signer is not None else 0)
+        self._budget_bytes_s, self._counts = budget_bytes_s, counts
+        self._overhead_bytes = HEADER_BYTES + (TAG_BYTES if signer is not None else 0)
         self._queue: Queue = {}
-        self._sequences = [0] * member_list.size  # by receiver: gaps show it what was lost
-        self._budget_bytes, self._budget_us = bytes_s * SEND_BURST_S, now_us
-        self._rollout_budget, self._rollout_budget_us = ROLLOUT_DATAGRAMS_PER_S, now_us
+        self._sequences = [0] * member_list.size  # by receiver, which detects lost datagrams by gaps
+        self._available_bytes, self._bytes_refilled_us = budget_bytes_s * SEND_BURST_S, now_us
+        self._available_rollout_datagrams, self._rollout_refilled_us = ROLLOUT_DATAGRAMS_PER_S, now_us
 
     def queue(self, items: Iterable[tuple[int, Item]]) -> None:
-        """Send these items, by receiver, with the next datagrams."""
+        """Queues items, by receiver, for the next datagrams."""
         for receiver, item in items:
             self._queue.setdefault(receiver, []).append(item)
 
     def swap_queue(self, queue: Queue) -> Queue:
-        """Put another queue in place of the present one, and return that."""
-        before, self._queue = self._queue, queue
-        return before
+        """Replaces the queue and returns the previous one."""
+        previous_queue, self._queue = self._queue, queue
+        return previous_queue
 
     def flush(self, now_us: int) -> list[SendDatagram]:
-        """The datagrams of all queued items."""
-        sent: list[SendDatagram] = []
+        """Returns the datagrams of all queued items; items that exceed the byte budget are dropped."""
+        outgoing: list[SendDatagram] = []
         for receiver, items in self.swap_queue({}).items():
             while items:
-                part = self._next_part(items, DATAGRAM_MAX_BYTES)
-                self._add_updates(receiver, part, DATAGRAM_MAX_BYTES)
-                if not self._afford(part, now_us):
-                    self._counts[counters.ITEMS_DROPPED] += len(part) + len(items)
+                packed = self._take_packed_items(items, DATAGRAM_MAX_BYTES)
+                self._add_updates(receiver, packed, DATAGRAM_MAX_BYTES)
+                if not self._spend_budget(packed, now_us):
+                    self._counts[counters.ITEMS_DROPPED] += len(packed) + len(items)
                     break
-                sent.append(self._datagram(receiver, part, now_us))
-        return sent
+                outgoing.append(self._build_datagram(receiver, packed, now_us))
+        return outgoing
 
     def answer(
-        self, receiver: int, items: list[Item], now_us: int, question_bytes: int
+        self, receiver: int, items: list[Item], now_us: int, received_bytes: int
     ) -> list[SendDatagram]:
-        """One datagram no longer than the one that it answers; items that do not fit are dropped.
+        """Returns one datagram no longer than the received one that it answers; other items are dropped.
 
-        So nobody can make this broker send more than it receives.
+        The limit ensures that answers never send more bytes than this broker receives, so that it cannot be
+        used to amplify traffic.
         """
-        length_max = min(question_bytes, DATAGRAM_MAX_BYTES)
-        part = self._next_part(items, length_max)
-        if not part:
+        length_max = min(received_bytes, DATAGRAM_MAX_BYTES)
+        packed = self._take_packed_items(items, length_max)
+        if not packed:
             self._counts[counters.ITEMS_DROPPED] += len(items)
             return []
-        if self._free_bytes(part, length_max) >= _UPDATE_BYTES:
-            self._add_updates(receiver, part, length_max)
-        if not self._afford(part, now_us):
-            self._counts[counters.ITEMS_DROPPED] += len(part) + len(items)
+        if self._free_bytes(packed, length_max) >= _UPDATE_BYTES:
+            self._add_updates(receiver, packed, length_max)
+        if not self._spend_budget(packed, now_us):
+            self._counts[counters.ITEMS_DROPPED] += len(packed) + len(items)
             return []
-        sent = self._datagram(receiver, part, now_us)
+        datagram = self._build_datagram(receiver, packed, now_us)
         if items:
             self._counts[counters.ITEMS_DROPPED] += len(items)
-        return [sent]
+        return [datagram]
 
     def send_rollout_item(self, receiver: int, item: Item, now_us: int) -> list[SendDatagram]:
-        """One datagram for one item of the policy rollout, under a budget of its own.
+        """Returns one datagram with one item of the policy rollout, which has a budget of its own.
 
-        A change of policy is rare and must not wait for budgets and reports. What exceeds the budget is
-        dropped, like what is lost on a link, and is sent again by the rollout.
+        Policy changes are rare and must not wait for loans and reports. Datagrams that exceed the budget are
+        dropped; like lost ones, the rollout sends them again.
         """
-        refill = ROLLOUT_DATAGRAMS_PER_S * (now_us - self._rollout_budget_us) / 1e6
-        self._rollout_budget = min(ROLLOUT_DATAGRAMS_PER_S, self._rollout_budget + refill)
-        self._rollout_budget_us = now_us
-        if self._rollout_budget < 1:
+        refill = ROLLOUT_DATAGRAMS_PER_S * (now_us - self._rollout_refilled_us) / 1e6
+        self._available_rollout_datagrams = min(
+            ROLLOUT_DATAGRAMS_PER_S, self._available_rollout_datagrams + refill
+        )
+        self._rollout_refilled_us = now_us
+        if self._available_rollout_datagrams < 1:
             self._counts[counters.ROLLOUT_DATAGRAMS_DROPPED] += 1
             return []
-        self._rollout_budget -= 1
-        return [self._datagram(receiver, [item], now_us)]
+        self._available_rollout_datagrams -= 1
+        return [self._build_datagram(receiver, [item], now_us)]
 
-    def _next_part(self, items: list[Item], length_max: int) -> list[Item]:
-        """Take the items of one datagram off the list, in the order of their priority."""
+    def _take_packed_items(self, items: list[Item], length_max: int) -> list[Item]:
+        """Removes the items that fit into one datagram from the list, by priority, and returns them."""
         items.sort(key=lambda item: _PRIORITY[type(item)])
-        part: list[Item] = []
-        free_bytes = length_max - self._frame_bytes
+        packed: list[Item] = []
+        free_bytes = length_max - self._overhead_bytes
         while items and item_bytes(items[0]) <= free_bytes:
             free_bytes -= item_bytes(items[0])
-            part.append(items.pop(0))
-        return part
-
-    def _free_bytes(self, part: list[Item], length_max: int) -> int:
-        """Bytes that are left in a datagram."""
-        return length_max - self._frame_bytes - sum(map(item_bytes, part))
-
-    def _add_updates(self, receiver: int, part: list[Item], length_max: int) -> None:
-        """Fill a datagram up with membership updates."""
-        part += self._membership.updates_for(receiver, self._free_bytes(part, length_max) // _UPDATE_BYTES)
-
-    def _afford(self, part: list[Item], now_us: int) -> bool:
-        """Take the datagram's bytes from the budget; False where there are too few."""
-        refill = self._bytes_s * (now_us - self._budget_us) / 1e6
-        self._budget_bytes = min(self._bytes_s * SEND_BURST_S, self._budget_bytes + refill)
-        self._budget_us = now_us
-        length = self._frame_bytes + sum(map(item_bytes, part))
-        if self._budget_bytes < length:
+            packed.append(items.pop(0))
+        return packed
+
+    def _free_bytes(self, packed: list[Item], length_max: int) -> int:
+        """Returns the bytes that remain free in a datagram with these items."""
+        return length_max - self._overhead_bytes - sum(map(item_bytes, packed))
+
+    def _add_updates(self, receiver: int, packed: list[Item], length_max: int) -> None:
+        """Fills the free space of a datagram with membership updates."""
+        packed += self._membership.updates_for(
+            receiver, self._free_bytes(packed, length_max) // _UPDATE_BYTES
+        )
+
+    def _spend_budget(self, packed: list[Item], now_us: int) -> bool:
+        """Deducts a datagram's bytes from the budget; returns False, deducting none, if they exceed it."""
+        refill = self._budget_bytes_s * (now_us - self._bytes_refilled_us) / 1e6
+        self._available_bytes = min(self._budget_bytes_s * SEND_BURST_S, self._available_bytes + refill)
+        self._bytes_refilled_us = now_us
+        length = self._overhead_bytes + sum(map(item_bytes, packed))
+        if self._available_bytes < length:
             return False
-        self._budget_bytes -= length
+        self._available_bytes -= length
         return True
 
-    def _datagram(self, receiver: int, items: list[Item], now_us: int) -> SendDatagram:
+    def _build_datagram(self, receiver: int, items: list[Item], now_us: int) -> SendDatagram:
         self._sequences[receiver] += 1
         header = DatagramHeader(
-            self._me,
+            self._own_id,
             self._membership.state,
             self._membership.incarnation,
             self._membership.state_version,
--- a/lemonridge/fleet/datagrams.py
+++ b/lemonridge/fleet/datagrams.py
@@ -1,12 +1,12 @@
-"""The datagram between brokers: at most 256 bytes, read whole or rejected, each by itself.
+"""The datagram format between brokers: at most 256 bytes, each decoded independently and completely.
 
-A header names the version, the member list, the sender with its incarnation, a sequence number and the
-sender's time; items follow, each of a fixed length by its type. CRC32C (RFC 3720, B.4) covers all of it.
-Where the operators gave a secret, a keyed tag (BLAKE2s, RFC 7693) follows, and a datagram without it is
-rejected.
+A datagram has a header and items. The header holds the version, the fingerprint of the member list, the
+sender with its incarnation, a sequence number and the sender's time. The length of an item depends only on
+its type. A CRC32C (RFC 3720, B.4) covers header and items. If the operators configured a secret, a keyed tag
+(BLAKE2s, RFC 7693) follows, and datagrams without a valid tag are rejected.
 
-An item's code on the wire is its place in `ITEM_TYPES`, and its fields are packed in the order in which its
-class declares them: neither order may change.
+An item's code on the wire is its index in `ITEM_TYPES`, counted from 1, and its fields are packed in the
+order in which its class declares them. Neither order may change.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 from dataclasses import dataclass
 from enum import IntEnum
 from struct import Struct
-from struct import error as StructError  # noqa: N812 - it is the module's name for it
+from struct import error as StructError  # noqa: N812 - the struct module calls it `error`
 from typing import ClassVar, Protocol
 
 import crc32c
@@ -28,27 +28,26 @@
 )
 
 DATAGRAM_MAX_BYTES = 256  # PROTOCOL, "Between brokers"
-VERSION = 0xB2  # of the layout below; another one is rejected
-TAG_BYTES = 8  # of the keyed tag
-_HEADER = Struct(
-    "<BBHHQBII"
-)  # version, state, fingerprint, sender, incarnation, state version, sequence, sent
+VERSION = 0xB2  # of the datagram layout; datagrams with another version are rejected
+TAG_BYTES = 8  # length of the keyed tag
+# Version, state, fingerprint, sender, incarnation, state version, sequence number, time sent.
+_HEADER = Struct("<BBHHQBII")
 _CHECKSUM = Struct("<I")
 HEADER_BYTES = _HEADER.size + _CHECKSUM.size
-WRAP_MODULUS = 1 << 32  # of sequence numbers and of times in milliseconds
+WRAP_MODULUS = 1 << 32  # sequence numbers and times in milliseconds wrap at this value
 
 
 class MemberState(IntEnum):
-    """A member's state as another member knows it (SWIM, section 4.2, with joining and draining added).
+    """A member's state as known to another member (SWIM, section 4.2, extended by joining and draining).
 
-    Of one incarnation and state version the higher value overrides the lower one. The words of operators'
-    views (`fleet status`) are a table of `status_report.py`.
+    Within one incarnation and state version a higher value overrides a lower one. `status_report.py` maps the
+    states to the labels that operators see in `fleet status`.
     """
 
-    ABSENT = 0  # no datagram and no update about it received yet
-    JOINING = 1  # up, and restricted to its floors until loans of its previous incarnation have ended
+    ABSENT = 0  # neither a datagram from it nor an update about it has been received
+    JOINING = 1  # up, but restricted to its floors until its previous incarnation's loans have ended
     UP = 2
-    DRAINING = 3  # it has begun its graceful shutdown
+    DRAINING = 3  # its graceful shutdown has begun
     SUSPECT = 4
     DEAD = 5
     LEFT = 6
@@ -56,9 +55,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Ping:
-    """A probe of member `member_id`; the answer carries `nonce` (SWIM, section 3.1).
+    """Probes member `member_id`; the answer carries `nonce` (SWIM, section 3.1).
 
-    Padded, so that an answer with an update about its sender is no longer than the probe.
+    The padding makes the probe at least as long as an answer that includes an update about its sender.
     """
 
     LAYOUT: ClassVar[Struct] = Struct("<HH13x")
@@ -68,7 +67,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Ack:
-    """Member `member_id` is up."""
+    """Answers a probe: member `member_id` is up."""
 
     LAYOUT: ClassVar[Struct] = Struct("<HH")
     nonce: int
@@ -77,7 +76,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PingRequest:
-    """Probe member `member_id` for the sender, and forward its answer (SWIM, section 3.1: ping-req)."""
+    """Asks the receiver to probe `member_id` and forward the answer (SWIM, section 3.1: ping-req)."""
 
     LAYOUT: ClassVar[Struct] = Struct("<HH")
     nonce: int
@@ -86,7 +85,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MembershipUpdate:
-    """The state of member `member_id` as the sender knows it, of one incarnation."""
+    """Reports the state of one incarnation of member `member_id` as known to the sender."""
 
     LAYOUT: ClassVar[Struct] = Struct("<HQBB")
     member_id: int
@@ -97,11 +96,17 @@
 
 @dataclass(frozen=True, slots=True)
 class LoanRequest:
-    """Asks for a loan of `parts` of budget `kind`/`key` for `duration_ms`, counted from when this is sent.
-
-    `hosts` is the number of brokers that share the budget. `request_id` is never used again by this
-    incarnation. `slow_start_began_ms` is when the endpoint's slow start began by the sender's knowledge, in
-    wrapping milliseconds; 0 for other budgets.
+    """Requests a loan of a part of a budget; its duration counts from the time of sending.
+
+    Attributes:
+        kind: The budget's kind (`BudgetKind`).
+        key: The budget's key within its kind.
+        hosts: The number of brokers that share the budget.
+        request_id: Identifies the request; unique within the sender's incarnation.
+        parts: The requested parts; 0 only registers the sender as a user of the budget.
+        duration_ms: The duration of the loan.
+        slow_start_began_ms: When the endpoint's slow start began as known to the sender, in milliseconds that
+            wrap at WRAP_MODULUS; 0 for other budgets.
     """
 
     LAYOUT: ClassVar[Struct] = Struct("<BQBIIHI")
@@ -116,10 +121,15 @@
 
 @dataclass(frozen=True, slots=True)
 class LoanGrant:
-    """Grants a loan of `parts`, perhaps 0, for request `request_id`.
-
-    `lender_uses_budget` says whether the lender uses the budget itself; `user_hint`, less 1, is another
-    member that said that it does (0: none known).
+    """Answers the loan request `request_id`.
+
+    Attributes:
+        kind: The budget's kind (`BudgetKind`).
+        key: The budget's key within its kind.
+        request_id: The request that this grant answers.
+        parts: The parts lent; 0 refuses the request.
+        lender_uses_budget: 1 if the lender uses the budget itself, else 0.
+        user_hint: 1 + the id of another member that reported that it uses the budget; 0 if none is known.
     """
 
     LAYOUT: ClassVar[Struct] = Struct("<BQIIBH")
@@ -133,7 +143,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LoanRelease:
-    """The sender uses nothing any more that was granted for its requests up to `request_id`."""
+    """Ends the sender's loans for its requests up to and including `request_id`."""
 
     LAYOUT: ClassVar[Struct] = Struct("<BQI")
     kind: int
@@ -143,9 +153,9 @@
 
 @dataclass(frozen=True, slots=True)
 class LoanRecall:
-    """The sender's incarnation has just begun: stop using loans of its previous ones, and say so.
+    """Asks the receiver to stop using loans of the sender's previous incarnations and to acknowledge this.
 
-    Padded to the length of its answer.
+    Sent after a start. Padded to the length of the answer.
     """
 
     LAYOUT: ClassVar[Struct] = Struct("<8x")
@@ -153,7 +163,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LoanRecallAck:
-    """The sender uses no loan that the receiver granted before `incarnation`, and never will."""
+    """Acknowledges a recall: the sender uses no loan that the receiver granted before `incarnation`."""
 
     LAYOUT: ClassVar[Struct] = Struct("<Q")
     incarnation: int
@@ -161,7 +171,7 @@
 
 @dataclass(frozen=True, slots=True)
 class UsageTotal:
-    """The total that the sender's incarnation has counted of `kind`/`key`, in thousandths of a unit."""
+    """Reports what the sender's incarnation has counted for `kind`/`key` in all, in thousandths of a unit."""
 
     LAYOUT: ClassVar[Struct] = Struct("<BQQ")
     kind: int
@@ -171,7 +181,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HealthReport:
-    """An endpoint's condition as the sender observed it itself, `age_ms` ago, by `weight` observations."""
+    """Reports an endpoint's condition that the sender itself observed `weight` times, last `age_ms` ago."""
 
     LAYOUT: ClassVar[Struct] = Struct("<QBBH")
     endpoint_id: int
@@ -182,20 +192,20 @@
 
 @dataclass(frozen=True, slots=True)
 class Heartbeat:
-    """Nothing but the header: the sender is up and has nothing to report."""
+    """Carries no data beyond the header: the sender is up and has nothing to report."""
 
     LAYOUT: ClassVar[Struct] = Struct("")
 
 
 # Items of the policy rollout (lemonridge/rollout). Each request is padded to the length of its answer. A
-# state is identified by its digest; an epoch range is empty where `low` is above `high`.
+# digest identifies a policy state; an epoch range is empty if `low` exceeds `high`.
 
 
 @dataclass(frozen=True, slots=True)
 class LeaseRequest:
-    """Asks for a lease: the sender decides by epochs `low` to `high`, and would by `target_epoch` alone.
+    """Requests a lease for `low` to `high`, the epochs in use by the sender, or for `target_epoch` alone.
 
-    `digest` is that of the target epoch's state.
+    `digest` identifies the state of the target epoch.
     """
 
     LAYOUT: ClassVar[Struct] = Struct("<IIII8s16x")
@@ -208,9 +218,10 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaseReply:
-    """Answers a lease request: the receiver may decide by epochs `low` to `high`; empty: no lease.
+    """Answers a lease request: the receiver may use epochs `low` to `high`; an empty range refuses the lease.
 
-    `epoch`, whose state has `digest`, is the newest that the sender knows to be decided.
+    `epoch` is the newest decided epoch known to the sender, and `digest` identifies its state. `store_id`
+    identifies the sender's vote store.
     """
 
     LAYOUT: ClassVar[Struct] = Struct("<IIII8sQ")
@@ -224,7 +235,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Prepare:
-    """Phase 1a of the slot's agreement (Paxos)."""
+    """Phase 1a of the Paxos instance of a slot."""
 
     LAYOUT: ClassVar[Struct] = Struct("<II20x")
     slot: int
@@ -233,7 +244,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Promise:
-    """Phase 1b: `digest` was accepted before, at `accepted_ballot` (0: nothing was), by the store."""
+    """Phase 1b: the store `store_id` last accepted `digest` at `accepted_ballot` (0: nothing accepted)."""
 
     LAYOUT: ClassVar[Struct] = Struct("<III8sQ")
     slot: int
@@ -245,7 +256,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Accept:
-    """Phase 2a."""
+    """Phase 2a: proposes `digest` at `ballot`."""
 
     LAYOUT: ClassVar[Struct] = Struct("<II8s")
     slot: int
@@ -255,7 +266,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AcceptReply:
-    """Phase 2b: accepted, by the store."""
+    """Phase 2b: the store `store_id` accepted the proposal at `ballot`."""
 
     LAYOUT: ClassVar[Struct] = Struct("<IIQ")
     slot: int
@@ -265,7 +276,7 @@
 
 @dataclass(frozen=True, slots=True)
 class BallotRejected:
-    """Neither promised nor accepted: the higher `ballot` was promised before."""
+    """Rejects a prepare or accept request: the higher `ballot` has already been promised."""
 
     LAYOUT: ClassVar[Struct] = Struct("<II")
     slot: int
@@ -274,7 +285,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CheckRequest:
-    """Asks whether the receiver could decide by a state, which is to be proposed in `slot`."""
+    """Asks whether the receiver can apply the state `digest`, which is to be proposed in `slot`."""
 
     LAYOUT: ClassVar[Struct] = Struct("<I8s101x")
     slot: int
@@ -283,7 +294,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CheckReply:
-    """Whether the sender could decide by a state; the `reason` why not is UTF-8, padded with zeros."""
+    """Reports whether the sender can apply a state; if not, `reason` is zero-padded UTF-8 text."""
 
     LAYOUT: ClassVar[Struct] = Struct("<I8sB100s")
     slot: int
@@ -294,7 +305,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ChunkRequest:
-    """Asks for a chunk of a state, by its number from 0."""
+    """Requests a chunk of a state by its number, counted from 0."""
 
     LAYOUT: ClassVar[Struct] = Struct("<8sH179x")
     digest: bytes
@@ -303,7 +314,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Chunk:
-    """A chunk of a state, the first `size` bytes of `data`; the state has `count` chunks."""
+    """A chunk of a state: the first `size` bytes of `data`. The state has `count` chunks."""
 
     LAYOUT: ClassVar[Struct] = Struct("<8sHHB176s")
     digest: bytes
@@ -315,7 +326,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Chosen:
-    """Slot `slot` is decided."""
+    """Announces that `slot` is decided for the state `digest`."""
 
     LAYOUT: ClassVar[Struct] = Struct("<I8s")
     slot: int
@@ -375,18 +386,18 @@
     Chosen,
 )
 ROLLOUT_ITEM_TYPES: tuple[type[Item], ...] = ITEM_TYPES[12:]  # delivered to lemonridge/rollout
-_CODES = {kind: code for code, kind in enumerate(ITEM_TYPES, 1)}
-_FIELDS = {kind: tuple(kind.__slots__) for kind in ITEM_TYPES}
+_CODES = {item_type: code for code, item_type in enumerate(ITEM_TYPES, 1)}
+_FIELDS = {item_type: tuple(item_type.__slots__) for item_type in ITEM_TYPES}
 
 
 def item_bytes(item: Item) -> int:
-    """The item's length in a datagram, in bytes."""
+    """Returns the length of an item in a datagram, in bytes."""
     return 1 + item.LAYOUT.size
 
 
 @dataclass(frozen=True, slots=True)
 class DatagramHeader:
-    """The sender, its state, and when it sent the datagram, in milliseconds of its own clock."""
+    """The sender, its state and the time of sending in milliseconds of the sender's clock."""
 
     sender: int
     state: MemberState
@@ -398,35 +409,35 @@
 
 @dataclass(frozen=True, slots=True)
 class Datagram:
-    """A datagram that was read whole."""
+    """A decoded datagram."""
 
     header: DatagramHeader
     items: tuple[Item, ...]
 
 
 class DatagramSigner(Protocol):
-    """Makes and checks the keyed tag; its library is loaded only where an operator's file sets a secret."""
+    """Computes and verifies the keyed tag; its library is loaded only if the operators configure a secret."""
 
     def sign(self, data: bytes) -> bytes:
-        """The tag of some bytes, `TAG_BYTES` long."""
+        """Returns the tag of `data`, TAG_BYTES long."""
 
     def verify(self, data: bytes, tag: bytes) -> bool:
-        """Whether `tag` is the tag of `data`, compared in constant time."""
+        """Returns whether `tag` is the tag of `data`, compared in constant time."""
 
 
 def encode(
     header: DatagramHeader, items: Iterable[Item], fingerprint: int, signer: DatagramSigner | None = None
 ) -> bytes:
-    """The bytes of a datagram.
+    """Returns the bytes of a datagram.
 
     Args:
-        header: written first.
-        items: written in their order.
-        fingerprint: `MemberList.fingerprint`.
-        signer: appends the keyed tag, where there is one.
+        header: The header.
+        items: The items, in the order in which they are encoded.
+        fingerprint: The fingerprint of the member list (`MemberList.fingerprint`).
+        signer: Computes the keyed tag; None if no secret is configured.
 
     Raises:
-        DatagramTooLongError: the result is longer than `DATAGRAM_MAX_BYTES`.
+        DatagramTooLongError: The datagram is longer than DATAGRAM_MAX_BYTES.
     """
     parts = [
         _HEADER.pack(
@@ -454,11 +465,16 @@
 
 
 def decode(data: bytes, fingerprint: int, signer: DatagramSigner | None = None) -> Datagram:
-    """Read a datagram. The checksum is checked before anything that it covers is believed.
+    """Decodes a datagram; the checksum is verified before the fields that it covers are used.
+
+    Args:
+        data: The received bytes.
+        fingerprint: The fingerprint of this broker's member list (`MemberList.fingerprint`).
+        signer: Verifies the keyed tag; None if no secret is configured.
 
     Raises:
-        MalformedDatagramError: length, version, checksum or an item is wrong.
-        UntrustedDatagramError: the tag is missing or wrong, or the member list is another one.
+        MalformedDatagramError: The length, the version, the checksum or an item is invalid.
+        UntrustedDatagramError: The tag is missing or wrong, or the sender has another member list.
     """
     tag_bytes = TAG_BYTES if signer is not None else 0
     if not HEADER_BYTES + tag_bytes <= len(data) <= DATAGRAM_MAX_BYTES:
@@ -476,15 +492,15 @@
     if sender_fingerprint != fingerprint:
         raise UntrustedDatagramError(DatagramFault.ROSTER)
     try:
-        items = tuple(_read_items(body))
+        items = tuple(_decode_items(body))
         header = DatagramHeader(sender, MemberState(state), incarnation, state_version, sequence, sent_ms)
     except (IndexError, ValueError, StructError):
         raise MalformedDatagramError(DatagramFault.MALFORMED) from None
     return Datagram(header, items)
 
 
-def _read_items(body: bytes) -> Iterable[Item]:
-    """The items behind the header; IndexError, ValueError or StructError where they cannot be read."""
+def _decode_items(body: bytes) -> Iterable[Item]:
+    """Yields the items after the header; raises IndexError, ValueError or StructError if one is invalid."""
     offset = _HEADER.size
     while offset < len(body):
         code = body[offset]
--- a/lemonridge/fleet/errors.py
+++ b/lemonridge/fleet/errors.py
@@ -1,14 +1,14 @@
-"""Errors of the fleet: why a datagram was rejected, and what cannot be written.
+"""The exceptions of the fleet package: rejected datagrams and items that cannot be encoded.
 
     FleetError
-      DatagramError           a received datagram is rejected; `fault` says why
-        MalformedDatagramError    its bytes cannot be read
-        UntrustedDatagramError    it is not from the member that it names, or from another fleet
+      DatagramError           a received datagram is rejected; `fault` is the reason
+        MalformedDatagramError    its bytes cannot be decoded
+        UntrustedDatagramError    it is not from the member that it names, or is from another fleet
         StaleDatagramError        it was received before, or is too old
-        DatagramRateError         more datagrams arrive than are read in a second
+        DatagramRateError         more datagrams arrived in a second than are read
       DatagramTooLongError    the items passed to the encoder do not fit into one datagram
 
-Nothing here leaves the package: a rejected datagram is counted by its fault and dropped.
+None of them leaves the package: a rejected datagram is counted by its fault and dropped.
 """
 
 from __future__ import annotations
@@ -17,29 +17,29 @@
 
 
 class DatagramFault(Enum):
-    """Why a datagram was rejected; the value is the word that operators see (`not_taken.*`)."""
+    """The reason why a datagram was rejected; its value is the name that operators see (`not_taken.*`)."""
 
     SHORT = "short"
     VERSION = "version"
     CHECKSUM = "checksum"
-    FORGED = "forged"  # no tag, or a wrong one
-    ROSTER = "roster"  # of a fleet with other members
-    ADDRESS = "address"  # not from the address of the member that it names
+    FORGED = "forged"  # the tag is missing or wrong
+    ROSTER = "roster"  # from a fleet with another member list
+    ADDRESS = "address"  # not sent from the address of the member that it names
     MALFORMED = "malformed"
-    OLD = "old"  # of an incarnation that has ended, or sent too long ago
+    OLD = "old"  # from a previous incarnation, or sent too long ago
     REPLAYED = "replayed"
-    OVERRUN = "overrun"  # more than are read in a second
+    OVERRUN = "overrun"  # more datagrams than are read in a second
 
 
 class FleetError(Exception):
-    """Base of the package's errors."""
+    """Base class of the package's exceptions."""
 
 
 class DatagramError(FleetError):
     """A received datagram is rejected.
 
     Attributes:
-        fault: why, as it is counted.
+        fault: The reason, by which the datagram is counted.
     """
 
     def __init__(self, fault: DatagramFault) -> None:
@@ -48,7 +48,7 @@
 
 
 class MalformedDatagramError(DatagramError):
-    """The bytes cannot be read: length, version, checksum, items."""
+    """The length, version, checksum or items of the datagram are invalid."""
 
 
 class UntrustedDatagramError(DatagramError):
@@ -56,7 +56,7 @@
 
 
 class StaleDatagramError(DatagramError):
-    """A repeat, or older than datagrams may be."""
+    """The datagram was already received, or it is too old."""
 
 
 class DatagramRateError(DatagramError):
@@ -67,4 +67,4 @@
     """The items do not fit into one datagram."""
 
     def __init__(self, length: int) -> None:
-        super().__init__(f"a datagram of {length} bytes")
+        super().__init__(f"datagram of {length} bytes exceeds the maximum length")
--- a/lemonridge/fleet/events.py
+++ b/lemonridge/fleet/events.py
@@ -1,4 +1,4 @@
-"""What a fleet member is told: datagrams, time, and what happens in its own broker."""
+"""The events of a fleet member: datagrams, timers and changes in its own broker."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DatagramReceived:
-    """A datagram arrived from the address of member `source`; None: from no member's address."""
+    """A datagram arrived from the address of member `source`, or from an unknown address (None)."""
 
     source: int | None
     data: bytes
@@ -17,7 +17,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TimerFired:
-    """Time passed."""
+    """The timer set by `SetTimer` fired."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -25,12 +25,12 @@
     """An endpoint's slow start began.
 
     Attributes:
-        endpoint_id: its name.
-        key: its key at every broker.
-        shard: whose requests it serves.
-        rate: units a second that are this broker's own part there.
-        began_us: when the endpoint started.
-        until_us: when the slow start ends.
+        endpoint_id: The endpoint's id.
+        key: The hash of the id, which is the same at every broker.
+        shard: The shard that the endpoint serves.
+        rate: The units a second that this broker owns at the endpoint.
+        began_us: When the endpoint started.
+        until_us: When the slow start ends.
     """
 
     endpoint_id: str
@@ -43,12 +43,12 @@
 
 @dataclass(frozen=True, slots=True)
 class ShutdownBegan:
-    """This broker is about to end."""
+    """This broker begins its graceful shutdown."""
 
 
 @dataclass(frozen=True, slots=True)
 class RolloutItemsQueued:
-    """The policy rollout has items to send, each in a datagram of its own, by member."""
+    """The policy rollout sends items, by receiver, each in a datagram of its own."""
 
     items: tuple[tuple[int, Item], ...]
 
--- a/lemonridge/fleet/failure_detector.py
+++ b/lemonridge/fleet/failure_detector.py
@@ -1,8 +1,8 @@
-"""Finds members that do not answer, by probes (SWIM: Das, Gupta, Motivala, 2002). Pure.
+"""Detects members that do not answer probes (SWIM: Das, Gupta, Motivala, 2002). Performs no I/O.
 
-Each period one member is probed, in a shuffled order (section 4.3), through others if it does not answer
-(3.1). A broker whose local health is bad waits longer (Lifeguard: Dadgar, Phillips, Currey, 2018, IV-A). What
-follows from a missing answer is `membership.py`'s.
+Each period one member is probed, in a shuffled order (section 4.3); if it does not answer, other members are
+asked to probe it (3.1). A broker with bad local health waits longer (Lifeguard: Dadgar, Phillips, Currey,
+2018, IV-A). `membership.py` holds the resulting suspicions.
 """
 
 from __future__ import annotations
@@ -15,19 +15,28 @@
 from lemonridge.fleet.member_list import MemberList
 from lemonridge.fleet.membership import ALIVE_STATES, PROBE_PERIOD_US, Membership
 
-PING_REPEAT_FRACTION = 0.2  # of a period without an answer, after which a ping is repeated
-INDIRECT_PROBE_FRACTION = 0.4  # of a period, until others are asked to probe, and between two such requests
+PING_REPEAT_FRACTION = 0.2  # of a probe period: an unanswered ping is repeated after this time
+INDIRECT_PROBE_FRACTION = 0.4  # of a probe period: before and between requests for indirect probes
 INDIRECT_PROBERS = 3  # SWIM's k
-DEAD_PROBE_PERIODS = 4  # every so many periods a dead member is probed
-STALL_PERIODS = 2.0  # a timer that fires so many periods late says that this process did not run
-RELAYS_MAX = 64  # probes for others at a time
+DEAD_PROBE_PERIODS = 4  # a dead member is probed once in this many periods
+STALL_PERIODS = 2.0  # a timer that fires this many periods late shows that the process was stalled
+RELAYS_MAX = 64  # concurrent probes on behalf of other members
 NONCES = 1 << 16
 PROBED_STATES = (MemberState.JOINING, MemberState.UP, MemberState.DRAINING, MemberState.SUSPECT)
 
 
 @dataclass(slots=True)
 class _Probe:
-    """A probe that is not answered yet."""
+    """A probe that has not been answered yet.
+
+    Attributes:
+        nonce: Identifies the probe in its answer.
+        member_id: The probed member.
+        began_us: When the probe began.
+        repeat_us: When the ping is repeated.
+        indirect_us: When other members are asked to probe.
+        end_us: When the probe fails.
+    """
 
     nonce: int
     member_id: int
@@ -38,7 +47,7 @@
 
 
 class _Relay(NamedTuple):
-    """A probe for another member."""
+    """A probe on behalf of another member, the requester."""
 
     requester: int
     requester_nonce: int
@@ -46,13 +55,13 @@
 
 
 class FailureDetector:
-    """Probes the members one after the other. Its `on_...` methods return the items to send, by member.
+    """Probes the members one after the other. Its `on_...` methods return the items to send, by receiver.
 
     Args:
-        member_list: the fleet.
-        membership: is told of members that do not answer.
-        seed: of the random draws.
-        now_us: the time of the start.
+        member_list: The configured members of the fleet.
+        membership: Records the suspicions of members that do not answer.
+        seed: The seed of all random choices.
+        now_us: The time of the start.
     """
 
     def __init__(self, member_list: MemberList, membership: Membership, seed: int, now_us: int) -> None:
@@ -63,27 +72,31 @@
         self._probe: _Probe | None = None
         self._relays: dict[int, _Relay] = {}  # by the nonce of this broker's own ping
         self._nonce = self._random.randrange(NONCES)
-        # Brokers that start together must not probe together.
+        # Random, so that brokers that start together do not probe at the same times.
         self._next_probe_us = now_us + int(PROBE_PERIOD_US * self._random.uniform(0.5, 1.5))
         self._period = 0
 
     def on_ping(self, sender: int, ping: Ping) -> list[tuple[int, Item]]:
-        """Answer a probe of this broker."""
+        """Answers a probe of this broker."""
         if ping.member_id != self._member_list.own_id:
             return []
         return [(sender, Ack(ping.nonce, self._member_list.own_id))]
 
     def on_ping_request(self, sender: int, request: PingRequest, now_us: int) -> list[tuple[int, Item]]:
-        """Probe a member for another one."""
-        known = 0 <= request.member_id < self._member_list.size
-        if request.member_id == self._member_list.own_id or not known or len(self._relays) >= RELAYS_MAX:
+        """Probes a member on behalf of `sender`."""
+        is_known_member = 0 <= request.member_id < self._member_list.size
+        if (
+            request.member_id == self._member_list.own_id
+            or not is_known_member
+            or len(self._relays) >= RELAYS_MAX
+        ):
             return []
         nonce = self._next_nonce()
         self._relays[nonce] = _Relay(sender, request.nonce, now_us + 2 * PROBE_PERIOD_US)
         return [(request.member_id, Ping(nonce, request.member_id))]
 
     def on_ack(self, sender: int, ack: Ack) -> list[tuple[int, Item]]:
-        """An answer arrived, to this broker's own probe or to one that it made for another member."""
+        """Applies an answer to this broker's own probe, or forwards it to the member that requested it."""
         relay = self._relays.pop(ack.nonce, None) if ack.member_id == sender else None
         if relay is not None:
             return [(relay.requester, Ack(relay.requester_nonce, sender))]
@@ -94,12 +107,12 @@
         return []
 
     def on_timer(self, now_us: int) -> list[tuple[int, Item]]:
-        """End suspicions, repeat or end the probe, begin the next one."""
+        """Ends expired suspicions, repeats or ends the current probe and begins the next one."""
         if now_us - self._next_probe_us > STALL_PERIODS * PROBE_PERIOD_US:
             self.on_stall(now_us)
         self._membership.end_suspicions(now_us)
-        items = self._follow_probe(now_us)
-        self._relays = {nonce: one for nonce, one in self._relays.items() if one.until_us > now_us}
+        items = self._advance_probe(now_us)
+        self._relays = {nonce: relay for nonce, relay in self._relays.items() if relay.until_us > now_us}
         if now_us >= self._next_probe_us:
             self._next_probe_us = now_us + int(PROBE_PERIOD_US * self._random.uniform(0.9, 1.1))
             if self._probe is None:
@@ -107,7 +120,7 @@
         return items
 
     def next_timer_us(self) -> int:
-        """When `on_timer` has something to do next."""
+        """Returns the time at which `on_timer` is due next."""
         times_us = [self._next_probe_us]
         if self._probe is not None:
             times_us += [self._probe.end_us, self._probe.repeat_us, self._probe.indirect_us]
@@ -115,13 +128,13 @@
         return min(times_us)
 
     def on_stall(self, now_us: int) -> None:
-        """This process did not run for a while: what it did not receive meanwhile says nothing of others."""
+        """Handles a stall of this process: answers missed meanwhile are no evidence against other members."""
         self._probe = None
         self._membership.raise_local_health()
         self._membership.extend_suspicions(now_us + 2 * PROBE_PERIOD_US)
 
     def _begin_probe(self, now_us: int) -> list[tuple[int, Item]]:
-        member_id = self._next_probed()
+        member_id = self._next_member_to_probe()
         if member_id is None:
             return []
         slowness = 1 + self._membership.local_health
@@ -135,8 +148,8 @@
         )
         return [(member_id, Ping(self._probe.nonce, member_id))]
 
-    def _follow_probe(self, now_us: int) -> list[tuple[int, Item]]:
-        """Have others probe and repeat the ping when their time has come; end the probe at its end."""
+    def _advance_probe(self, now_us: int) -> list[tuple[int, Item]]:
+        """Sends the indirect probe requests and the repeated ping when due; fails the probe at its end."""
         items: list[tuple[int, Item]] = []
         probe = self._probe
         if probe is None:
@@ -145,8 +158,8 @@
             self._on_probe_failed(probe, now_us)
             return items
         if now_us >= probe.indirect_us:
-            pause_us = int(INDIRECT_PROBE_FRACTION * PROBE_PERIOD_US * (1 + self._membership.local_health))
-            probe.indirect_us = now_us + pause_us
+            interval_us = int(INDIRECT_PROBE_FRACTION * PROBE_PERIOD_US * (1 + self._membership.local_health))
+            probe.indirect_us = now_us + interval_us
             request = PingRequest(probe.nonce, probe.member_id)
             items += [(prober, request) for prober in self._indirect_probers(probe.member_id)]
         if now_us >= probe.repeat_us:
@@ -154,8 +167,8 @@
             items.append((probe.member_id, Ping(probe.nonce, probe.member_id)))
         return items
 
-    def _next_probed(self) -> int | None:
-        """The next member of the shuffled order (SWIM, section 4.3), or now and then one that is dead."""
+    def _next_member_to_probe(self) -> int | None:
+        """Returns the next member of the shuffled order (SWIM, section 4.3), or occasionally a dead one."""
         self._period += 1
         unreachable = [n for n in self._others if self._membership.members[n].state not in PROBED_STATES]
         all_unreachable = len(unreachable) == self._member_list.size - 1
@@ -170,17 +183,21 @@
             self._random.shuffle(self._probe_order)
         return None
 
-    def _indirect_probers(self, probed: int) -> list[int]:
-        able = [n for n in self._others if n != probed and self._membership.members[n].state in ALIVE_STATES]
-        return self._random.sample(able, min(INDIRECT_PROBERS, len(able)))
+    def _indirect_probers(self, probed_member: int) -> list[int]:
+        alive = [
+            n
+            for n in self._others
+            if n != probed_member and self._membership.members[n].state in ALIVE_STATES
+        ]
+        return self._random.sample(alive, min(INDIRECT_PROBERS, len(alive)))
 
     def _on_probe_failed(self, probe: _Probe, now_us: int) -> None:
-        """The probe ended without an answer, through others either."""
+        """Handles a probe that ended without a direct or indirect answer."""
         self._probe = None
         member, own_id = self._membership.members[probe.member_id], self._member_list.own_id
         if member.state in ALIVE_STATES:
             self._membership.raise_local_health()
-            # Any datagram of it since the probe began says that it is up, whatever became of the answer.
+            # A datagram received from it since the probe began shows that it is up, even without the answer.
             if member.last_received_us < probe.began_us:
                 self._membership.suspect(
                     probe.member_id, member.incarnation, member.state_version, own_id, now_us
--- a/lemonridge/fleet/fleet_member.py
+++ b/lemonridge/fleet/fleet_member.py
@@ -1,12 +1,13 @@
-"""One broker's part in the fleet: a state machine in front of its parts. Pure.
+"""The fleet member of one broker: the state machine that combines the modules of this package.
 
-`handle` takes a time and events, and returns actions in the order in which they must be carried out: a quota
-is lowered before the datagram that lends a part of it is sent. Three hosts run it: the process on sockets
-(`net/peer_transport.py`), the simulator's adapter, and the lab's model.
+It performs no I/O. `FleetMember.handle` takes the current time and events, and returns actions in the order
+in which the host must carry them out: a quota is lowered before the datagram that lends a part of it is sent.
+Three hosts run a member: the transport on sockets (`net/peer_transport.py`), the simulator's adapter and the
+lab's model.
 
-The parts: `membership.py` and `failure_detector.py` (who is up), `quota_ledger.py` and `quota_lending.py`
-(budgets), `limit_registry.py` (who uses a limit), `gossip.py` (health of endpoints, usage),
-`datagram_receiver.py`, `datagram_sender.py`.
+The components are `membership.py` and `failure_detector.py` (which members are up), `quota_ledger.py` and
+`quota_lending.py` (budgets), `limit_registry.py` (which members use a limit), `gossip.py` (endpoint health
+and usage), `datagram_receiver.py` and `datagram_sender.py`.
 """
 
 from __future__ import annotations
@@ -40,23 +41,33 @@
 from lemonridge.fleet.settings import MemberSettings
 from lemonridge.fleet.usage_totals import UsageKind
 
-TICK_INTERVAL_US = 50_000  # while budgets are in use
+TICK_INTERVAL_US = 50_000  # while the member is joining, lends or borrows, or shares usage
 IDLE_TICK_INTERVAL_US = 1_000_000
 TIMER_MIN_US = 1_000
-STALL_THRESHOLD_US = 400_000  # a timer that fires so late says that this process did not run
+STALL_THRESHOLD_US = 400_000  # a timer that fires later than this shows that the process was stalled
 FIRST_REQUEST_ID_MAX = 1 << 30  # leaves room for an incarnation's requests in 32 bits
 
 
 class FleetMember:
-    """One broker of the fleet.
+    """The member of one broker in the fleet.
+
+    Attributes:
+        member_list: The configured members of the fleet.
+        counts: The counters that operators see, by the names in `counters.py`.
+        membership: This broker's view of all members.
+        ledger: The budgets that this broker shares with other members.
+        registry: The registrations of the limits that this broker uses.
+        lending: The rules by which quota is lent and borrowed.
+        gossip: The exchange of endpoint health and usage with other members.
+        receiver: The receiving side, with the counts of rejected datagrams.
 
     Args:
-        member_list: the fleet, and which member this is.
-        incarnation: this start's time in Unix milliseconds: a later start of a name has a higher one.
-        seed: of all random draws.
-        now_us: the time of the start.
-        settings: budgets and what is shared; None: the defaults.
-        signer: makes and checks the keyed tag, where there is a secret.
+        member_list: The configured members of the fleet and this broker's own id.
+        incarnation: The start time in Unix milliseconds; a later start of the same member has a higher one.
+        seed: The seed of all random choices.
+        now_us: The time of the start.
+        settings: The member's settings; None selects the defaults.
+        signer: Computes and verifies the keyed tag of datagrams; None if no secret is configured.
     """
 
     def __init__(
@@ -93,9 +104,9 @@
         )
         self._next_tick_us = now_us
         self._timer_us: int | None = None
-        self._event_handlers, self._item_handlers = self._event_table(), self._item_table()
+        self._event_handlers, self._item_handlers = self._build_event_handlers(), self._build_item_handlers()
 
-    def _event_table(self) -> dict[type[Event], Callable[[Any, int], Iterable[FleetAction]]]:
+    def _build_event_handlers(self) -> dict[type[Event], Callable[[Any, int], Iterable[FleetAction]]]:
         return {
             DatagramReceived: self._handle_datagram,
             TimerFired: self._handle_timer,
@@ -104,7 +115,9 @@
             RolloutItemsQueued: self._handle_rollout_items,
         }
 
-    def _item_table(self) -> dict[type[Item], Callable[[DatagramHeader, Any, int], Iterable[FleetAction]]]:
+    def _build_item_handlers(
+        self,
+    ) -> dict[type[Item], Callable[[DatagramHeader, Any, int], Iterable[FleetAction]]]:
         handlers: dict[type[Item], Callable[[DatagramHeader, Any, int], Iterable[FleetAction]]] = {
             datagrams.Ping: self._handle_ping,
             datagrams.Ack: self._handle_ack,
@@ -121,45 +134,53 @@
         }
         return handlers | dict.fromkeys(ROLLOUT_ITEM_TYPES, self._handle_rollout_item)
 
-    # What happens in this broker, between events
+    # Observations of this broker, recorded between events
 
     def record_limit_demand(
         self, volume: int, limit: float, hosts: int, units: float, now_us: int
     ) -> QuotaUpdated | None:
-        """A request arrived for a volume with a limit: see `QuotaLending.record_limit_demand`."""
+        """Records a request for a volume with a limit; see `QuotaLending.record_limit_demand`."""
         return self.lending.record_limit_demand(volume, limit, hosts, units, now_us)
 
     def record_shard_demand(self, shard: int, units: float, now_us: int) -> None:
-        """A request of `units` for a shard arrived."""
+        """Records a request of `units` for a shard."""
         self.lending.record_shard_demand(shard, units, now_us)
 
     def record_retry_demand(self, now_us: int) -> None:
-        """A retry was wanted, made or not."""
+        """Records the demand for one retry, whether or not the retry is made."""
         self.lending.record_retry_demand(now_us)
 
     def record_outcome(self, endpoint_key: int, outcome: ObservedOutcome, now_us: int) -> bool:
-        """An attempt at an endpoint ended; whether `handle` must be called now, to report it at once."""
+        """Records the outcome of an attempt at an endpoint.
+
+        Returns:
+            Whether the caller must call `handle` now, so that the outcome is reported immediately.
+        """
         if not self.gossip.record_outcome(endpoint_key, outcome, now_us):
             return False
         self._next_tick_us = now_us - REPORT_INTERVAL_US
         return True
 
     def record_sent(self, endpoint_key: int, units: float) -> None:
-        """An endpoint was sent some units."""
+        """Records units that this broker sent to an endpoint."""
         self.gossip.record_usage(UsageKind.SENT, endpoint_key, units)
 
     def record_served(self, volume: int, units: float) -> None:
-        """A volume was served some units."""
+        """Records units that this broker served to a volume."""
         self.gossip.record_usage(UsageKind.SERVED, volume, units)
 
-    def last_quotas(self) -> list[QuotaUpdated]:
-        """Every quota as last sent to the scheduler."""
-        return self.lending.last_quotas()
+    def last_sent_quotas(self) -> list[QuotaUpdated]:
+        """Returns every quota as it was last sent to the scheduler."""
+        return self.lending.last_sent_quotas()
 
     # Events
 
     def handle(self, now_us: int, events: Iterable[Event]) -> list[FleetAction]:
-        """Apply the events of one moment, and do what is due; the last action sets the timer."""
+        """Applies the events of one moment and performs the work that is due.
+
+        Returns:
+            The actions to carry out, in this order; the last one sets the timer.
+        """
         actions: list[FleetAction] = []
         if self._timer_us is not None and now_us - self._timer_us > STALL_THRESHOLD_US:
             self.counts[counters.STALLS] += 1
@@ -170,7 +191,7 @@
         if now_us >= self._next_tick_us:
             self._next_tick_us = now_us + TICK_INTERVAL_US
             self._tick(now_us)
-        # Quotas go before datagrams: what is lent must not be used here any more.
+        # Quotas precede datagrams: parts that a datagram lends must no longer be used here.
         actions += self.lending.changed_quotas(now_us)
         actions += self._sender.flush(now_us)
         idle_tick_us = now_us + IDLE_TICK_INTERVAL_US
@@ -184,7 +205,7 @@
         return joining or self.lending.in_use or self._settings.shares_usage
 
     def _tick(self, now_us: int) -> None:
-        """What is done at each tick, in this order."""
+        """Performs the periodic work; the order of the calls matters."""
         self._sender.queue(self.lending.recalls(now_us))
         if now_us >= self.ledger.floors_until_us and self.membership.state is MemberState.JOINING:
             self.membership.announce(MemberState.UP)
@@ -195,7 +216,7 @@
         self.lending.drop_idle(now_us)
 
     def _handle_timer(self, event: TimerFired, now_us: int) -> Iterable[FleetAction]:
-        """Nothing of its own: what is due is done after each event."""
+        """Does nothing: `handle` performs the work that is due after every event."""
         return ()
 
     def _handle_slow_start(self, event: SlowStartBegan, now_us: int) -> Iterable[FleetAction]:
@@ -203,11 +224,13 @@
         return ()
 
     def _handle_shutdown(self, event: ShutdownBegan, now_us: int) -> Iterable[FleetAction]:
-        """Return what is borrowed, and tell some members, who tell the others."""
+        """Returns all loans and announces DRAINING to up to FANOUT members, which disseminate it."""
         self.membership.announce(MemberState.DRAINING)
         self._sender.queue(self.lending.return_all())
         heartbeat = datagrams.Heartbeat()
-        self._sender.queue((member_id, heartbeat) for member_id in self.membership.not_dead()[:FANOUT])
+        self._sender.queue(
+            (member_id, heartbeat) for member_id in self.membership.not_dead_members()[:FANOUT]
+        )
         return ()
 
     def _handle_rollout_items(self, event: RolloutItemsQueued, now_us: int) -> Iterable[FleetAction]:
@@ -217,25 +240,25 @@
         return actions
 
     def _handle_datagram(self, event: DatagramReceived, now_us: int) -> Iterable[FleetAction]:
-        """Apply a datagram's items and answer its sender; what others are to be sent is queued."""
+        """Applies a datagram's items and answers its sender; items for other members are queued."""
         datagram = self.receiver.read(event, now_us)
         if datagram is None:
             return []
         self.counts[counters.DATAGRAMS_RECEIVED] += 1
         header = datagram.header
         actions: list[FleetAction] = []
-        queued = self._sender.swap_queue({})
+        previous_queue = self._sender.swap_queue({})
         self._sender.queue(self.membership.on_header(header, now_us))
         for item in datagram.items:
             actions += self._item_handlers[type(item)](header, item, now_us)
-        answers = self._sender.swap_queue(queued)
-        to_sender = answers.pop(header.sender, [])
-        for member_id, items in answers.items():
+        new_queue = self._sender.swap_queue(previous_queue)
+        answers = new_queue.pop(header.sender, [])
+        for member_id, items in new_queue.items():
             self._sender.queue((member_id, item) for item in items)
-        # Quotas go before datagrams here too.
+        # Quotas precede datagrams here too.
         actions += self.lending.changed_quotas(now_us)
-        if to_sender:
-            actions += self._sender.answer(header.sender, to_sender, now_us, len(event.data))
+        if answers:
+            actions += self._sender.answer(header.sender, answers, now_us, len(event.data))
         return actions
 
     # Items of datagrams
@@ -280,8 +303,8 @@
     def _handle_loan_release(
         self, header: DatagramHeader, item: datagrams.LoanRelease, now_us: int
     ) -> Iterable[FleetAction]:
-        returned = self.ledger.on_release(header.sender, header.incarnation, item)
-        self.counts[counters.LOANS_RETURNED] += returned
+        loan_ended = self.ledger.on_release(header.sender, header.incarnation, item)
+        self.counts[counters.LOANS_RETURNED] += loan_ended
         return ()
 
     def _handle_loan_recall(
@@ -299,19 +322,19 @@
     def _handle_usage_total(
         self, header: DatagramHeader, item: datagrams.UsageTotal, now_us: int
     ) -> Iterable[FleetAction]:
-        received = self.gossip.on_usage_total(header, item, now_us)
-        return [received] if received is not None else []
+        peer_usage = self.gossip.on_usage_total(header, item, now_us)
+        return [peer_usage] if peer_usage is not None else []
 
     def _handle_health_report(
         self, header: DatagramHeader, item: datagrams.HealthReport, now_us: int
     ) -> Iterable[FleetAction]:
-        changed = self.gossip.on_health_report(header, item, now_us)
-        return [changed] if changed is not None else []
+        health_change = self.gossip.on_health_report(header, item, now_us)
+        return [health_change] if health_change is not None else []
 
     def _handle_heartbeat(
         self, header: DatagramHeader, item: datagrams.Heartbeat, now_us: int
     ) -> Iterable[FleetAction]:
-        """Nothing but the header, which has been applied."""
+        """Does nothing: a heartbeat carries only the header, which has already been applied."""
         return ()
 
     def _handle_rollout_item(self, header: DatagramHeader, item: Item, now_us: int) -> Iterable[FleetAction]:
--- a/lemonridge/fleet/member_list.py
+++ b/lemonridge/fleet/member_list.py
@@ -1,4 +1,4 @@
-"""The brokers of one fleet by number and name, as they are configured: nothing adds to them at run time."""
+"""The configured brokers of one fleet; the list does not change at run time."""
 
 from __future__ import annotations
 
@@ -11,28 +11,33 @@
 
 @dataclass(frozen=True, slots=True)
 class MemberList:
-    """The brokers of one fleet in the order of their numbers; `own_id` is this broker's number."""
+    """The members of one fleet.
+
+    Attributes:
+        names: The names of the members; a member's id is its index.
+        own_id: The id of this broker.
+    """
 
     names: tuple[str, ...]
     own_id: int
 
     @property
     def size(self) -> int:
-        """The number of members, this one included."""
+        """The number of members, including this one."""
         return len(self.names)
 
     @property
     def others(self) -> tuple[int, ...]:
-        """The numbers of all members but this one."""
-        return tuple(number for number in range(self.size) if number != self.own_id)
+        """The ids of all members except this one."""
+        return tuple(member_id for member_id in range(self.size) if member_id != self.own_id)
 
     @property
     def fingerprint(self) -> int:
-        """Sixteen bits of the names' checksum: members of two fleets tell each other apart by it."""
+        """A 16-bit checksum of the names; datagrams with another fingerprint come from another fleet."""
         return crc32c.crc32c("\n".join(self.names).encode()) & 0xFFFF
 
 
-def hash_endpoint_id(text: str) -> int:
-    """A 64-bit key of an endpoint's id, the same at every broker: CRC32C of it forwards and backwards."""
-    data = text.encode()
+def hash_endpoint_id(endpoint_id: str) -> int:
+    """Returns the 64-bit key of an endpoint, the same at every broker: CRC32C of its id and its reverse."""
+    data = endpoint_id.encode()
     return crc32c.crc32c(data) << 32 | crc32c.crc32c(data[::-1] + b"\x01")
--- a/lemonridge/fleet/quota_ledger.py
+++ b/lemonridge/fleet/quota_ledger.py
@@ -1,20 +1,21 @@
-"""The budgets that brokers share: what this broker owns of each, has lent and has borrowed. Pure.
-
-Each broker owns a part of each budget (of a volume's limit: an even one for each broker that the volume works
-through) and may lend what is above its floor. The lender lowers its own quota before the grant is sent. A
-loan has an end that both sides count on their own clock: the borrower from when it sent its request, the
-lender from when the request arrived, which is later, and longer by the stated error of clocks (leases: Gray
-and Cheriton, "Leases: An Efficient Fault-Tolerant Mechanism for Distributed File Cache Consistency", 1989,
-section 3). So no two clocks have to agree, and what is lost, duplicated, late or held by a member that died
-comes back by itself. A broker that has just started may have granted loans that it does not know of: it is
-restricted to its floors until the longest of them must have ended, or until all other members have
-acknowledged that they use none of them.
-
-Invariant, at any moment, for each budget: the sum over the brokers that use it, of what each has left of its
-own and has borrowed, is at most the whole. docs/fleet-state.md has the proof.
-
-Amounts are `parts`: millionths of the whole for limits and retries, micro-units a second at an endpoint in
-slow start.
+"""The ledger of shared budgets: what this broker owns of each, has lent and has borrowed. Performs no I/O.
+
+Each broker owns a part of each budget (of a volume's limit, an equal part for each broker that serves the
+volume). It may lend this part except for its floor, a fixed fraction that is never lent. The lender lowers
+its own quota before it sends the grant. Both sides time a loan with their own clock: the borrower from when
+it sent the request; the lender from when the request arrived, which is later, and for longer by the stated
+clock error (leases: Gray and Cheriton, "Leases: An Efficient Fault-Tolerant Mechanism for Distributed File
+Cache Consistency", 1989, section 3).
+Clocks therefore need not agree, and parts whose grant or release was lost, duplicated or delayed, or whose
+borrower died, return to the lender when the loan ends. A broker that has just started may have granted loans
+in a previous incarnation. It is restricted to its floors until the longest of those loans must have ended, or
+until all other members have acknowledged that they use none of them.
+
+Invariant, at any moment and for each budget: summed over the brokers that use it, the owned parts that are
+not lent plus the borrowed parts are at most the whole budget. docs/fleet-state.md has the proof.
+
+Amounts are in `parts`: millionths of the whole for limits and retries, micro-units a second for an endpoint
+in slow start.
 """
 
 from __future__ import annotations
@@ -33,29 +34,29 @@
     LoanRequest,
 )
 
-TOTAL_PARTS = 1_000_000  # parts of a volume's limit, or of the rate of retries
+TOTAL_PARTS = 1_000_000  # parts in the whole of a volume's limit, or of the retry rate
 LOAN_DURATION_US = 1_500_000
-REQUEST_INTERVAL_US = 400_000  # between requests for one budget: a loan outlives two lost requests
-FLOOR_DIVISOR = 20  # one of so many of its own parts is never lent
-SLOW_START_FLOOR_DIVISOR = 2  # the same at an endpoint in slow start, where a broker sees few requests
-LOAN_MIN_PARTS = 1000  # less is not worth a loan
-BUDGETS_MAX = 8192  # past it nothing new is lent or borrowed
-OPEN_REQUESTS_MAX = 8  # remembered for a budget
-USER_HINTS_MAX = 8  # remembered for a budget
-SLOW_START_SKEW_MS = 1_000  # by which a borrower may hold a slow start older: two may see one so far apart
-LOANS_PER_BORROWER_MAX = 8  # past it they count as one, the largest and longest
+REQUEST_INTERVAL_US = 400_000  # between requests for one budget: a loan outlasts two lost requests
+FLOOR_DIVISOR = 20  # 1/20 of the parts that a broker owns is never lent
+SLOW_START_FLOOR_DIVISOR = 2  # 1/2 for an endpoint in slow start, where each broker sees few requests
+LOAN_MIN_PARTS = 1000  # smaller loans are not worth granting
+BUDGETS_MAX = 8192  # beyond it, budgets are neither lent nor borrowed
+OPEN_REQUESTS_MAX = 8  # for each budget
+USER_HINTS_MAX = 8  # for each budget
+SLOW_START_SKEW_MS = 1_000  # two brokers may record the start of one slow start this far apart
+LOANS_PER_BORROWER_MAX = 8  # beyond it, loans are merged into one with the largest parts and latest end
 
 
 class BudgetKind(IntEnum):
-    """What a budget is of; its key names it within its kind. The values are those of datagrams."""
+    """The kind of a budget; the values are those in datagrams."""
 
     LIMIT = 1  # a volume's limit: parts of its rate
-    SLOW_START = 2  # an endpoint in slow start: a rate, in micro-units a second
-    RETRIES = 3  # retries of all brokers: parts of their rate
+    SLOW_START = 2  # an endpoint in slow start: a rate in micro-units a second
+    RETRIES = 3  # the retries of all brokers: parts of their rate
 
 
 class BudgetKey(NamedTuple):
-    """A budget's name at every broker: its kind, and its volume or its endpoint's key (0 for retries)."""
+    """Identifies a budget at every broker: its kind and its volume or endpoint key (0 for retries)."""
 
     kind: int
     key: int
@@ -63,7 +64,7 @@
 
 @dataclass(slots=True)
 class LoanOut:
-    """A loan to one borrower's incarnation, for its request `request_id`, until `end_us` of this clock."""
+    """A loan to a borrower's incarnation for its request `request_id`; ends at `end_us` of this clock."""
 
     incarnation: int
     request_id: int
@@ -73,7 +74,7 @@
 
 @dataclass(slots=True)
 class LoanIn:
-    """A loan of one lender, for this broker's request `request_id`, until `end_us` of this clock."""
+    """A loan from a lender for this broker's request `request_id`; ends at `end_us` of this clock."""
 
     request_id: int
     parts: int
@@ -82,54 +83,55 @@
 
 @dataclass(slots=True)
 class Budget:
-    """One budget, as this broker has it. Loans are by the other member's number."""
+    """This broker's record of one budget. Loans are keyed by the other member's id."""
 
     owned: int  # parts
-    hosts: int  # how many brokers use it
+    hosts: int  # the number of brokers that use the budget
     used_here: bool = False
     demand: int = 0  # of this broker's own requests, in parts
     loans_out: dict[int, list[LoanOut]] = field(default_factory=dict)
     loans_in: dict[int, LoanIn] = field(default_factory=dict)
-    users: set[int] = field(default_factory=set)  # others that said themselves that they use it
-    user_hints: set[int] = field(default_factory=set)  # others of which that was said: only asked
-    hint_turn: int = 0  # which user the next grant names
-    open_requests: dict[int, int] = field(default_factory=dict)  # request's number -> when it was sent
-    released_up_to: int = 0  # grants for requests up to this number are ignored
-    requested_us: int = 0
-    used_us: int = 0
+    users: set[int] = field(default_factory=set)  # other members that reported their own use
+    # Members that others named as users: they are sent requests, but not counted as users.
+    user_hints: set[int] = field(default_factory=set)
+    hint_rotation: int = 0  # selects the user that the next grant names
+    open_requests: dict[int, int] = field(default_factory=dict)  # by request id: when it was sent
+    released_up_to: int = 0  # grants for request ids up to this one are ignored
+    requested_us: int = 0  # the time of the last loan request
+    used_us: int = 0  # the time of the last use
     floor_divisor: int = FLOOR_DIVISOR
-    slow_start_began_ms: int = 0  # a loan of one slow start is of no use in an older one
+    slow_start_began_ms: int = 0  # requests for an older slow start are refused
 
     @property
     def floor(self) -> int:
-        """Parts that are never lent."""
+        """The parts that are never lent."""
         return self.owned // self.floor_divisor
 
-    def loaned_parts(self, now_us: int, except_to: int = -1) -> int:
-        """Parts that others may be using, as far as this broker can know: the largest loan of each."""
+    def loaned_parts(self, now_us: int, excluded_borrower: int = -1) -> int:
+        """Returns the parts that other members may be using: the largest current loan of each borrower."""
         return sum(
             max((loan.parts for loan in loans if loan.end_us > now_us), default=0)
             for borrower, loans in self.loans_out.items()
-            if borrower != except_to
+            if borrower != excluded_borrower
         )
 
     def drop_expired(self, now_us: int) -> None:
-        """Forget the loans that have ended, and join those that are too many."""
+        """Drops the loans that have ended; merges a borrower's loans above LOANS_PER_BORROWER_MAX."""
         for borrower, loans in list(self.loans_out.items()):
             current = [loan for loan in loans if loan.end_us > now_us]
             if len(current) > LOANS_PER_BORROWER_MAX:
-                largest, latest_us = max(one.parts for one in current), max(one.end_us for one in current)
+                largest, latest_us = max(loan.parts for loan in current), max(loan.end_us for loan in current)
                 current = [LoanOut(0, 0, largest, latest_us)]
             if current:
                 self.loans_out[borrower] = current
             else:
                 del self.loans_out[borrower]
-        self.loans_in = {lender: one for lender, one in self.loans_in.items() if one.end_us > now_us}
+        self.loans_in = {lender: loan for lender, loan in self.loans_in.items() if loan.end_us > now_us}
 
 
 @dataclass(frozen=True, slots=True)
 class Quota:
-    """What this broker may use of a budget: `parts` until `until_us` (0: no end), `parts_after` from then."""
+    """What this broker may use of a budget: `parts` until `until_us` (0: no end), then `parts_after`."""
 
     parts: int
     until_us: int
@@ -139,14 +141,23 @@
 class QuotaLedger:
     """All budgets of one broker.
 
+    Attributes:
+        own_id: This broker's member id.
+        incarnation: This start's number.
+        clock_error_us: The clock error that is added to the end of each loan granted.
+        budgets: The budgets by key.
+        floors_until_us: Until this time the broker may use no more of its own parts than its floors.
+        active: The budgets whose quota may change without a request.
+        budgets_refused: How many budgets were not opened because of BUDGETS_MAX.
+
     Args:
-        own_id: this broker's number.
-        incarnation: this start's number; a later start has a higher one.
-        first_request_id: requests are numbered from the next one; drawn at random, so that a late grant for a
-            previous incarnation answers none of this one's requests.
-        clock_error_us: by which two clocks may differ over the duration of a loan.
-        now_us: the time of the start.
-        others: the numbers of all other members.
+        own_id: This broker's member id.
+        incarnation: This start's number; a later start has a higher one.
+        first_request_id: Request ids begin after this one. It is random, so that a late grant for a previous
+            incarnation matches no request of this one.
+        clock_error_us: How far two clocks may diverge over the duration of a loan.
+        now_us: The time of the start.
+        others: The ids of all other members.
     """
 
     def __init__(
@@ -160,25 +171,32 @@
     ) -> None:
         self.own_id, self.incarnation, self.clock_error_us = own_id, incarnation, clock_error_us
         self.budgets: dict[BudgetKey, Budget] = {}
-        # From then on all loans that a previous incarnation granted have ended.
+        # By this time all loans that a previous incarnation granted have ended.
         self.floors_until_us = now_us + LOAN_DURATION_US + clock_error_us
-        self.active: set[BudgetKey] = set()  # budgets whose quota may change without a request
-        self.budgets_refused = 0  # for want of room
+        self.active: set[BudgetKey] = set()
+        self.budgets_refused = 0
         self._others = tuple(others)
         self._last_request_id = first_request_id
-        self._recalling_incarnations: dict[
-            int, int
-        ] = {}  # incarnations of lenders that recalled what previous ones granted
-        self._recall_acks: set[int] = set()  # members that use no loan of a previous incarnation of this one
+        # By lender: its incarnation that recalled the loans of the previous ones.
+        self._recalling_incarnations: dict[int, int] = {}
+        self._recall_acks: set[int] = set()  # members that use no loan of this broker's previous incarnations
 
-    # What this broker has
+    # Owned parts and quotas
 
     def open_budget(
         self, key: BudgetKey, owned: int, hosts: int, used_here: bool, now_us: int
     ) -> Budget | None:
-        """The budget `key`, of which `owned` parts are this broker's own; None where there is no room for it.
+        """Returns the budget `key`, created if necessary; None if there is no room for it.
+
+        A higher number of hosts reduces the owned parts. They never grow again, since other brokers may rely
+        on the smaller value.
 
-        More hosts make the own part smaller. It never grows again, since others may count on the smaller one.
+        Args:
+            key: The budget.
+            owned: The parts that this broker owns.
+            hosts: The number of brokers that use the budget.
+            used_here: Whether this broker uses the budget.
+            now_us: The time of this use.
         """
         budget = self.budgets.get(key)
         self.active.add(key)
@@ -197,13 +215,13 @@
     def begin_slow_start(
         self, key: BudgetKey, owned: int, hosts: int, began_ms: int, now_us: int
     ) -> list[tuple[int, Item]]:
-        """A slow start of the endpoint `key` began: `owned` micro-units a second are this broker's own.
+        """Opens the budget of an endpoint's slow start; `owned` is in micro-units a second.
 
-        Loans granted in the slow start before count until they end, so that the same part is never used
+        Loans granted in the endpoint's previous slow start count until they end, so that no part is used
         twice.
 
         Returns:
-            The releases of loans that were borrowed in the slow start before.
+            The releases of loans borrowed in the previous slow start, by receiver.
         """
         budget = self.open_budget(key, owned, hosts, True, now_us)
         if budget is None:
@@ -213,41 +231,42 @@
         return self.return_loans(key)
 
     def available_own_parts(self, budget: Budget, now_us: int) -> int:
-        """Parts of its own that are not lent; after a start no more than the floor."""
-        left = max(0, budget.owned - budget.loaned_parts(now_us))
-        return left if now_us >= self.floors_until_us else min(left, budget.floor)
+        """Returns the owned parts that are not lent; at most the floor while floors restrict this broker."""
+        unlent = max(0, budget.owned - budget.loaned_parts(now_us))
+        return unlent if now_us >= self.floors_until_us else min(unlent, budget.floor)
 
     def borrowed_parts(self, key: BudgetKey, budget: Budget, now_us: int) -> int:
-        """What the loans to this broker add up to.
+        """Returns the parts that this broker may use of its current loans.
 
-        Of a limit only its users own a part, and who uses it may not be known. Then members that are not
-        known as users count as non-users as far as `hosts` allows, those with the largest loans first.
+        Only the `hosts` users of a limit own parts of it, and this broker may not know all of them. Loans of
+        at most `hosts - 1` members therefore count: those of the known users, and the smallest loans of the
+        other members (a member without a loan counts as 0).
         """
-        parts = {lender: one.parts for lender, one in budget.loans_in.items() if one.end_us > now_us}
+        parts = {lender: loan.parts for lender, loan in budget.loans_in.items() if loan.end_us > now_us}
         if key.kind != BudgetKind.LIMIT:
             return sum(parts.values())
-        others = budget.hosts - 1
-        if len(budget.users) >= others:
-            return sum(sorted(parts.get(user, 0) for user in budget.users)[:others])
-        of_users = sum(parts.get(user, 0) for user in budget.users)
-        of_unknown = sorted(parts.get(other, 0) for other in self._others if other not in budget.users)
-        return of_users + sum(of_unknown[: others - len(budget.users)])
+        lenders_max = budget.hosts - 1
+        if len(budget.users) >= lenders_max:
+            return sum(sorted(parts.get(user, 0) for user in budget.users)[:lenders_max])
+        from_users = sum(parts.get(user, 0) for user in budget.users)
+        from_others = sorted(parts.get(other, 0) for other in self._others if other not in budget.users)
+        return from_users + sum(from_others[: lenders_max - len(budget.users)])
 
     def quota(self, key: BudgetKey, now_us: int) -> Quota:
-        """What may be used of a budget that is kept (KeyError: it is not)."""
+        """Returns the quota of an open budget.
+
+        Raises:
+            KeyError: The ledger does not hold the budget.
+        """
         budget = self.budgets[key]
-        available_own_parts = self.available_own_parts(budget, now_us)
-        ends_us = [one.end_us for one in budget.loans_in.values() if one.end_us > now_us]
-        return Quota(
-            available_own_parts + self.borrowed_parts(key, budget, now_us),
-            min(ends_us, default=0),
-            available_own_parts,
-        )
+        own_parts = self.available_own_parts(budget, now_us)
+        ends_us = [loan.end_us for loan in budget.loans_in.values() if loan.end_us > now_us]
+        return Quota(own_parts + self.borrowed_parts(key, budget, now_us), min(ends_us, default=0), own_parts)
 
     # Borrowing
 
     def requests_due(self, keys: Iterable[BudgetKey], now_us: int) -> list[BudgetKey]:
-        """Those of `keys` of which more is wanted than is owned, and that were not requested just now."""
+        """Returns those of `keys` whose demand exceeds the owned parts and whose next request is due."""
         return [
             key
             for key in keys
@@ -258,9 +277,10 @@
         ]
 
     def make_request(self, key: BudgetKey, now_us: int, parts: int | None = None) -> LoanRequest:
-        """A request for the demand, or for `parts`; it must be sent at once, since the loan's time runs.
+        """Creates a request for `parts`, or for the demand if None.
 
-        A request for 0 parts says that this broker uses the budget, and is answered with another user.
+        It must be sent immediately, since the loan's duration counts from `now_us`. A request for 0 parts
+        registers this broker as a user of the budget; its answer names another user.
         """
         budget = self.budgets[key]
         self._last_request_id += 1
@@ -280,13 +300,13 @@
         )
 
     def on_grant(self, lender: int, incarnation: int, grant: LoanGrant, now_us: int) -> bool:
-        """A grant arrived. It replaces what the same lender granted for an earlier request.
+        """Applies a grant; it replaces the same lender's grant for an earlier request.
 
-        It is ignored unless it answers an open request, is newer than the last release, and its lender's
-        incarnation is not one that was recalled.
+        A grant is ignored unless it answers an open request, that request is newer than the last release, and
+        the lender's incarnation is not one whose loans were recalled.
 
         Returns:
-            Whether what this broker may use has changed.
+            Whether this broker's quota has changed.
         """
         key = BudgetKey(grant.kind, grant.key)
         budget = self.budgets.get(key)
@@ -299,20 +319,20 @@
             if grant.user_hint and hint in self._others and len(budget.user_hints) < USER_HINTS_MAX:
                 budget.user_hints.add(hint)
         sent_us = budget.open_requests.get(grant.request_id)
-        before = budget.loans_in.get(lender)
-        superseded = before is not None and grant.request_id < before.request_id
-        if sent_us is None or grant.request_id <= budget.released_up_to or superseded:
+        previous = budget.loans_in.get(lender)
+        is_older = previous is not None and grant.request_id < previous.request_id
+        if sent_us is None or grant.request_id <= budget.released_up_to or is_older:
             return False
         end_us = sent_us + LOAN_DURATION_US
         if end_us <= now_us or not grant.parts:
             budget.loans_in.pop(lender, None)
-            return before is not None
+            return previous is not None
         budget.loans_in[lender] = LoanIn(grant.request_id, grant.parts, end_us)
         self.active.add(key)
         return True
 
     def on_recall(self, lender: int, incarnation: int) -> LoanRecallAck:
-        """A lender has restarted: use no loan of its previous incarnations, and no late grant of them."""
+        """Drops all loans of a restarted lender's previous incarnations; their late grants are ignored."""
         if incarnation > self._recalling_incarnations.get(lender, 0):
             self._recalling_incarnations[lender] = incarnation
             for key, budget in self.budgets.items():
@@ -321,7 +341,7 @@
         return LoanRecallAck(self._recalling_incarnations[lender])
 
     def return_loans(self, key: BudgetKey) -> list[tuple[int, Item]]:
-        """Use nothing borrowed of this budget from here on; the releases to send."""
+        """Stops using the loans of a budget and returns the releases to send, by receiver."""
         budget = self.budgets.get(key)
         if budget is None or not budget.loans_in:
             return []
@@ -333,7 +353,7 @@
     # Lending
 
     def on_request(self, borrower: int, incarnation: int, request: LoanRequest, now_us: int) -> LoanGrant:
-        """Lend what is above the floor and not wanted here; a grant of 0 parts says that nothing is."""
+        """Lends parts above the floor and the own demand; a grant of 0 parts refuses the request."""
         refusal = LoanGrant(request.kind, request.key, request.request_id, 0, 0)
         known_kind = request.kind in (BudgetKind.LIMIT, BudgetKind.SLOW_START, BudgetKind.RETRIES)
         if not known_kind or request.duration_ms * 1000 > LOAN_DURATION_US:
@@ -342,24 +362,25 @@
         budget = self.budgets.get(key)
         is_limit = request.kind == BudgetKind.LIMIT
         if is_limit and request.hosts > 1 and (budget is None or not budget.used_here):
-            # Not used here so far: a broker that may use it later can promise not to until the loan ends.
+            # This broker does not use the limit yet. It lends the part that it would own as a user, and will
+            # not use the lent parts before the loan ends.
             budget = self.open_budget(key, TOTAL_PARTS // request.hosts, request.hosts, False, now_us)
         if budget is None or budget.hosts != request.hosts:
             return refusal
-        if request.kind == BudgetKind.SLOW_START and _began_before(request, budget):
+        if request.kind == BudgetKind.SLOW_START and _refers_to_older_slow_start(request, budget):
             return refusal
         hint = 0
         if is_limit:
             others = sorted(budget.users - {borrower})
             budget.users.add(borrower)
-            budget.hint_turn += 1
-            hint = 1 + others[budget.hint_turn % len(others)] if others else 0
+            budget.hint_rotation += 1
+            hint = 1 + others[budget.hint_rotation % len(others)] if others else 0
         budget.drop_expired(now_us)
         refusal = LoanGrant(request.kind, request.key, request.request_id, 0, budget.used_here, hint)
         if now_us < self.floors_until_us:
             return refusal
-        keep = max(budget.floor, min(budget.owned, budget.demand) if budget.used_here else 0)
-        parts = min(request.parts, budget.owned - keep - budget.loaned_parts(now_us, borrower))
+        reserved = max(budget.floor, min(budget.owned, budget.demand) if budget.used_here else 0)
+        parts = min(request.parts, budget.owned - reserved - budget.loaned_parts(now_us, borrower))
         if parts < min(LOAN_MIN_PARTS, max(1, budget.owned // 100)):
             return refusal
         self.active.add(key)
@@ -370,27 +391,29 @@
         return LoanGrant(request.kind, request.key, request.request_id, parts, budget.used_here, hint)
 
     def on_release(self, borrower: int, incarnation: int, release: LoanRelease) -> bool:
-        """A borrower uses nothing granted for its requests up to one; whether a loan ended by that."""
+        """Ends a borrower's loans for its requests up to `release.request_id`; returns whether any ended."""
         budget = self.budgets.get(BudgetKey(release.kind, release.key))
         if budget is None or borrower not in budget.loans_out:
             return False
-        before = budget.loans_out[borrower]
-        current = [
-            one for one in before if one.incarnation != incarnation or one.request_id > release.request_id
+        previous = budget.loans_out[borrower]
+        remaining = [
+            loan
+            for loan in previous
+            if loan.incarnation != incarnation or loan.request_id > release.request_id
         ]
-        if current:
-            budget.loans_out[borrower] = current
+        if remaining:
+            budget.loans_out[borrower] = remaining
         else:
             del budget.loans_out[borrower]
-        return len(current) != len(before)
+        return len(remaining) != len(previous)
 
-    # After a start
+    # Recalls after a start
 
     def on_recall_ack(self, borrower: int, ack: LoanRecallAck, now_us: int) -> bool:
-        """A member uses no loan of a previous incarnation of this one.
+        """Records that a member uses no loan of this broker's previous incarnations.
 
         Returns:
-            Whether it was the last one, by which the restriction to the floors ends.
+            Whether this was the last missing acknowledgement, which ends the restriction to the floors.
         """
         if ack.incarnation != self.incarnation or now_us >= self.floors_until_us:
             return False
@@ -402,15 +425,16 @@
         return True
 
     def unacknowledged_peers(self) -> tuple[int, ...]:
-        """The members that have not acknowledged the recall yet."""
+        """Returns the members that have not acknowledged the recall yet."""
         return tuple(other for other in self._others if other not in self._recall_acks)
 
-    # Time
+    # Periodic work
 
     def take_active(self, now_us: int) -> list[BudgetKey]:
-        """The budgets whose quota may have changed.
+        """Returns the budgets whose quota may have changed since the last call.
 
-        Only those with loans in either direction stay active, and all of them while the floors restrict.
+        Afterwards only budgets with loans in either direction stay active, or all while the floors restrict
+        this broker.
         """
         active = list(self.active)
         for key in active:
@@ -424,7 +448,7 @@
         return active
 
     def drop_idle(self, now_us: int, idle_us: int) -> list[BudgetKey]:
-        """Drop and return the budgets that have no loans and were not used for `idle_us`."""
+        """Drops the budgets that have no loans and were not used for `idle_us`, and returns their keys."""
         dropped = []
         for key, budget in list(self.budgets.items()):
             budget.drop_expired(now_us)
@@ -434,8 +458,8 @@
         return dropped
 
 
-def _began_before(request: LoanRequest, budget: Budget) -> bool:
-    """Whether the borrower holds the slow start for older than this broker: it may have missed a restart."""
+def _refers_to_older_slow_start(request: LoanRequest, budget: Budget) -> bool:
+    """Returns whether the request is for an older slow start: the borrower may have missed a restart."""
     half = WRAP_MODULUS // 2
-    ahead_ms = (request.slow_start_began_ms - budget.slow_start_began_ms + half) % WRAP_MODULUS
-    return ahead_ms < half - SLOW_START_SKEW_MS
+    lead_ms = (request.slow_start_began_ms - budget.slow_start_began_ms + half) % WRAP_MODULUS
+    return lead_ms < half - SLOW_START_SKEW_MS
--- a/lemonridge/fleet/quota_lending.py
+++ b/lemonridge/fleet/quota_lending.py
@@ -1,7 +1,7 @@
-"""Lends and borrows quota between brokers, so that budgets follow the demand. Pure.
+"""Lends and borrows quota between brokers, so that budgets follow the demand. Performs no I/O.
 
-The ledger (`quota_ledger.py`) keeps the invariant; this decides how much of each budget to request, from
-which members, and which quotas the scheduler gets.
+The ledger (`quota_ledger.py`) maintains the invariant. This module decides how much of each budget to request
+and from which members, and which quotas the scheduler receives.
 """
 
 from __future__ import annotations
@@ -19,18 +19,18 @@
 from lemonridge.fleet.membership import Membership
 from lemonridge.fleet.quota_ledger import TOTAL_PARTS, BudgetKey, BudgetKind, Quota, QuotaLedger
 
-RECALL_INTERVAL_US = 100_000  # between a fresh start's recalls to members that have not acknowledged
-IDLE_BUDGET_US = 30_000_000  # a budget without use or loans for so long is dropped
+RECALL_INTERVAL_US = 100_000  # between recalls to members that have not acknowledged
+IDLE_BUDGET_US = 30_000_000  # a budget without use or loans for this long is dropped
 SLOW_START_DEMAND_MAX = 1000.0  # units a second at one endpoint
-SLOW_START_DEMAND_MULTIPLE = 4  # the demand seen there is at least a quarter of what is of use
-MICRO = 1_000_000  # micro-units in a unit
-SLOW_START_PARTS_LIMIT = 1 << 31  # micro-units a second that datagrams hold
-RETRIES = BudgetKey(int(BudgetKind.RETRIES), 0)
+SLOW_START_DEMAND_MULTIPLE = 4  # the observed demand is at least a quarter of what the broker can use
+MICRO_UNITS = 1_000_000  # in a unit
+SLOW_START_PARTS_LIMIT = 1 << 31  # micro-units a second; datagrams hold less than this
+RETRY_BUDGET = BudgetKey(int(BudgetKind.RETRIES), 0)
 
 
 @dataclass(slots=True)
 class _SlowStart:
-    """A slow start that is under way."""
+    """A slow start in progress."""
 
     key: BudgetKey
     until_us: int
@@ -38,23 +38,23 @@
 
 @dataclass(slots=True)
 class _Limit:
-    """A volume's limit, as the last request had it."""
+    """A volume's limit as of its last request."""
 
     rate: float  # units a second
     used_us: int
 
 
 class QuotaLending:
-    """One member's part in lending.
+    """Requests, grants and returns the loans of one member.
 
     Args:
-        member_list: the fleet.
-        membership: says who is up, and when this member is (it joins while its floors restrict it).
-        ledger: the budgets.
-        registry: where the use of limits is registered in a large fleet.
-        random: draws whom to ask in a large fleet.
-        retry_rate: retries a second of all brokers; 0: they share no budget of retries.
-        now_us: the time of the start.
+        member_list: The configured members of the fleet.
+        membership: Provides the states of the other members.
+        ledger: The budgets.
+        registry: Registers the use of limits in a large fleet.
+        random: Selects further members to request loans from in a large fleet.
+        retry_rate: The retries a second of all brokers together; 0 if they share no retry budget.
+        now_us: The time of the start.
     """
 
     def __init__(
@@ -74,13 +74,13 @@
         self._limits: dict[int, _Limit] = {}  # by volume
         self._slow_starts: dict[int, _SlowStart] = {}  # by shard
         self._quotas: dict[BudgetKey, Quota] = {}  # as last sent to the scheduler
-        self._recall_us = self._swept_us = now_us
+        self._next_recall_us = self._last_sweep_us = now_us
         if retry_rate and member_list.size > 1:
-            ledger.open_budget(RETRIES, TOTAL_PARTS // member_list.size, member_list.size, True, now_us)
+            ledger.open_budget(RETRY_BUDGET, TOTAL_PARTS // member_list.size, member_list.size, True, now_us)
 
     @property
     def in_use(self) -> bool:
-        """Whether there is anything that needs to be followed closely."""
+        """Whether any budget needs frequent updates."""
         return bool(self._ledger.active or self._limits or self._slow_starts or self._retry_rate)
 
     # Demand
@@ -88,90 +88,109 @@
     def record_limit_demand(
         self, volume: int, limit: float, hosts: int, units: float, now_us: int
     ) -> QuotaUpdated | None:
-        """A request of `units` arrived for a volume with a limit of units a second, shared by `hosts`.
+        """Records a request for a volume with a limit.
+
+        Args:
+            volume: The volume.
+            limit: The volume's limit in units a second.
+            hosts: The number of brokers that share the limit.
+            units: The size of the request.
+            now_us: The time of the request.
 
         Returns:
-            The quota, where the scheduler may not know it: it must get it before it decides on the request,
-            since a part may be lent already.
+            The quota if the scheduler may not have it. The scheduler must receive it before it decides on the
+            request, since a part of the quota may already be lent.
         """
         if hosts < 2 or self._member_list.size < 2:
             return None
         key = BudgetKey(int(BudgetKind.LIMIT), volume)
-        before = self._limits.get(volume)
+        previous = self._limits.get(volume)
         self._limits[volume] = _Limit(limit, now_us)
         self._demand.add(key, units, now_us, limit)
         budget = self._ledger.open_budget(key, TOTAL_PARTS // hosts, hosts, True, now_us)
         self._registry.record_use(key)
-        # After a while without requests the scheduler may have forgotten the volume and its quota.
-        recent = before is not None and now_us - before.used_us < IDLE_BUDGET_US // 2
+        # After a period without requests the scheduler may have dropped the volume and its quota.
+        recent = previous is not None and now_us - previous.used_us < IDLE_BUDGET_US // 2
         if budget is None or (key in self._quotas and recent):
             return None
         self._quotas[key] = quota = self._ledger.quota(key, now_us)
         return QuotaUpdated(BudgetKind.LIMIT, volume, quota, budget.owned)
 
     def record_shard_demand(self, shard: int, units: float, now_us: int) -> None:
-        """A request for a shard arrived: it counts where the shard's endpoint is in slow start."""
+        """Records a request for a shard; it counts only while the shard's endpoint is in slow start."""
         if shard in self._slow_starts:
             key = self._slow_starts[shard].key
             self._slow_start_demand.add(key, units, now_us, SLOW_START_DEMAND_MAX)
 
     def record_retry_demand(self, now_us: int) -> None:
-        """A retry was wanted, made or not."""
-        self._demand.add(RETRIES, 1.0, now_us, self._retry_rate)
+        """Records the demand for one retry, whether or not the retry is made."""
+        self._demand.add(RETRY_BUDGET, 1.0, now_us, self._retry_rate)
 
     def begin_slow_start(self, event: SlowStartBegan, now_us: int) -> list[tuple[int, Item]]:
-        """An endpoint's slow start began; the releases of what was borrowed for the one before."""
+        """Starts sharing an endpoint's slow start.
+
+        Returns:
+            The releases of loans borrowed for the shard's previous slow start, by receiver.
+        """
         key = BudgetKey(int(BudgetKind.SLOW_START), event.key)
-        owned = int(event.rate * MICRO)
+        owned = int(event.rate * MICRO_UNITS)
         if self._member_list.size < 2 or not 0 <= owned < SLOW_START_PARTS_LIMIT:
             return []
         items: list[tuple[int, Item]] = []
-        before = self._slow_starts.get(event.shard)
-        if before is not None and before.key != key:  # another endpoint serves the shard now
-            self._slow_start_demand.forget(before.key)
-            items += self._ledger.return_loans(before.key)
+        previous = self._slow_starts.get(event.shard)
+        if previous is not None and previous.key != key:  # another endpoint serves the shard now
+            self._slow_start_demand.forget(previous.key)
+            items += self._ledger.return_loans(previous.key)
         self._slow_starts[event.shard] = _SlowStart(key, event.until_us)
         began_ms = event.began_us // 1000
         return items + self._ledger.begin_slow_start(key, owned, self._member_list.size, began_ms, now_us)
 
-    # Requests of others
+    # Loan requests of other members
 
     def on_request(self, borrower: int, incarnation: int, request: LoanRequest, now_us: int) -> LoanGrant:
-        """Answer a request for a loan.
+        """Answers a loan request.
 
-        Of a slow start that has ended, or is not known, nothing is lent: outside a slow start this
-        broker does not limit itself, so it has no part to lend.
+        Requests for a slow start that has ended or is unknown are refused: outside a slow start this broker
+        does not limit itself, so it has no quota to lend.
         """
         is_slow_start = request.kind == BudgetKind.SLOW_START
-        if is_slow_start and all(one.key.key != request.key for one in self._slow_starts.values()):
+        if is_slow_start and all(
+            slow_start.key.key != request.key for slow_start in self._slow_starts.values()
+        ):
             return LoanGrant(request.kind, request.key, request.request_id, 0, 0)
         return self._ledger.on_request(borrower, incarnation, request, now_us)
 
-    # Time
+    # Periodic work
 
     def recalls(self, now_us: int) -> list[tuple[int, Item]]:
-        """After a start in a small fleet: recall the loans that a previous incarnation may have granted."""
+        """Returns the recalls, due after a start in a small fleet, of a previous incarnation's loans."""
         restricted = now_us < self._ledger.floors_until_us and self._member_list.size <= FANOUT + 1
-        if not restricted or now_us < self._recall_us:
+        if not restricted or now_us < self._next_recall_us:
             return []
-        self._recall_us = now_us + RECALL_INTERVAL_US
+        self._next_recall_us = now_us + RECALL_INTERVAL_US
         return [(member_id, LoanRecall()) for member_id in self._ledger.unacknowledged_peers()]
 
     def follow_demand(self, now_us: int) -> list[tuple[int, Item]]:
-        """Request what is missing, and return what is not wanted any more."""
+        """Updates the demand of all budgets.
+
+        Returns:
+            The releases of loans that are no longer needed and the requests for missing parts, by receiver.
+        """
         keys = [*self._demand.keys(), *self._slow_start_demand.keys()]
         items: list[tuple[int, Item]] = []
         for key in keys:
             items += self._update_demand(key, now_us)
-        requests: dict[int, list[LoanRequest]] = {}
+        requests_by_member: dict[int, list[LoanRequest]] = {}
         for key in self._ledger.requests_due(keys, now_us):
             request = self._ledger.make_request(key, now_us)
             for member_id in self._lenders(key):
-                requests.setdefault(member_id, []).append(request)
-        return items + [(member_id, one) for member_id, rows in requests.items() for one in rows]
+                requests_by_member.setdefault(member_id, []).append(request)
+        return items + [
+            (member_id, request) for member_id, requests in requests_by_member.items() for request in requests
+        ]
 
     def end_slow_starts(self, now_us: int) -> list[tuple[int, Item]]:
-        """The releases of what was borrowed for slow starts that have ended."""
+        """Ends the slow starts that are over and returns the releases of their loans, by receiver."""
         items: list[tuple[int, Item]] = []
         for shard, slow_start in list(self._slow_starts.items()):
             if now_us >= slow_start.until_us:
@@ -181,10 +200,10 @@
         return items
 
     def drop_idle(self, now_us: int) -> None:
-        """Now and then, forget the budgets without use."""
-        if now_us - self._swept_us <= IDLE_BUDGET_US:
+        """Drops the idle budgets, once in IDLE_BUDGET_US."""
+        if now_us - self._last_sweep_us <= IDLE_BUDGET_US:
             return
-        self._swept_us = now_us
+        self._last_sweep_us = now_us
         for key in self._ledger.drop_idle(now_us, IDLE_BUDGET_US):
             self._quotas.pop(key, None)
             self._demand.forget(key)
@@ -192,13 +211,13 @@
                 self._limits.pop(key.key, None)
 
     def return_all(self) -> list[tuple[int, Item]]:
-        """The releases of all that is borrowed."""
+        """Returns the releases of all borrowed loans, by receiver."""
         return [item for key in list(self._ledger.budgets) for item in self._ledger.return_loans(key)]
 
     # Quotas for the scheduler
 
     def changed_quotas(self, now_us: int) -> Iterable[QuotaUpdated]:
-        """The quotas that have changed since they were last sent to the scheduler."""
+        """Yields the quotas that have changed since they were last sent to the scheduler."""
         for key in self._ledger.take_active(now_us):
             budget = self._ledger.budgets.get(key)
             if budget is None or not budget.used_here:
@@ -208,8 +227,8 @@
                 self._quotas[key] = quota
                 yield QuotaUpdated(BudgetKind(key.kind), key.key, quota, budget.owned)
 
-    def last_quotas(self) -> list[QuotaUpdated]:
-        """Every quota as last sent to the scheduler."""
+    def last_sent_quotas(self) -> list[QuotaUpdated]:
+        """Returns every quota as it was last sent to the scheduler."""
         return [
             QuotaUpdated(BudgetKind(key.kind), key.key, quota, self._ledger.budgets[key].owned)
             for key, quota in self._quotas.items()
@@ -219,7 +238,7 @@
     # Rules
 
     def _update_demand(self, key: BudgetKey, now_us: int) -> list[tuple[int, Item]]:
-        """Bring a budget's demand up to date; what is borrowed goes back where the own part is enough."""
+        """Updates a budget's demand; returns the releases of its loans if the owned parts suffice."""
         budget = self._ledger.budgets.get(key)
         if budget is None:
             return []
@@ -227,7 +246,7 @@
         estimator = self._slow_start_demand if is_slow_start else self._demand
         rate = estimator.rate(key, now_us) * DEMAND_HEADROOM
         if is_slow_start:
-            parts = int(rate * MICRO * SLOW_START_DEMAND_MULTIPLE)
+            parts = int(rate * MICRO_UNITS * SLOW_START_DEMAND_MULTIPLE)
             budget.demand = min(SLOW_START_PARTS_LIMIT - 1, parts)
         elif key.kind == BudgetKind.LIMIT:
             limit = self._limits.get(key.key)
@@ -238,23 +257,27 @@
         return self._ledger.return_loans(key) if budget.demand < budget.owned else []
 
     def _lenders(self, key: BudgetKey) -> list[int]:
-        """The members to request a loan from.
+        """Returns the members to request a loan from.
 
-        All of a small fleet. Of a large one at most FANOUT: of a limit its users, the members that hints name
-        as users and the rendezvous members; of other budgets those that have lent already, so that loans stay
-        with a few lenders; and some at random.
+        In a small fleet these are all members. In a large one they are at most FANOUT. For a limit: its known
+        users, the members that hints name as users, and the rendezvous members. For other budgets: the
+        members that have already lent, so that few lenders hold the loans. Random members fill the rest.
         """
         others = [n for n in self._others if self._membership.members[n].state is not MemberState.LEFT]
         if len(others) <= FANOUT:
             return others
         budget = self._ledger.budgets[key]
         if key.kind == BudgetKind.LIMIT:
-            known = sorted(budget.users)[:FANOUT]
-            if len(known) >= budget.hosts - 1:
-                return known
-            named = [*known, *sorted(budget.user_hints), *self._registry.rendezvous_members(key)]
-            known = list(dict.fromkeys(named))[:FANOUT]
+            preferred = sorted(budget.users)[:FANOUT]
+            if len(preferred) >= budget.hosts - 1:
+                return preferred
+            likely_users = [
+                *preferred,
+                *sorted(budget.user_hints),
+                *self._registry.rendezvous_members(key),
+            ]
+            preferred = list(dict.fromkeys(likely_users))[:FANOUT]
         else:
-            known = [n for n in budget.loans_in if n in others][:FANOUT]
-        candidates = [n for n in others if n not in known]
-        return known + self._random.sample(candidates, min(len(candidates), FANOUT - len(known)))
+            preferred = [n for n in budget.loans_in if n in others][:FANOUT]
+        candidates = [n for n in others if n not in preferred]
+        return preferred + self._random.sample(candidates, min(len(candidates), FANOUT - len(preferred)))
--- a/lemonridge/fleet/scheduler_bridge.py
+++ b/lemonridge/fleet/scheduler_bridge.py
@@ -1,8 +1,8 @@
-"""Connects a fleet member with the scheduler beside it, whatever hosts both. Pure.
+"""Connects a fleet member to the scheduler of the same broker, independent of their host. Performs no I/O.
 
-What the scheduler sees goes to the member, and what the member decides becomes events of the scheduler and
-datagrams. The process on sockets, the simulator's adapter and the lab's model each feed a bridge and take
-what it holds.
+The bridge passes the scheduler's events and decisions to the member, and turns the member's actions into
+events for the scheduler and datagrams. The transport on sockets, the simulator's adapter and the lab's model
+each run a bridge: they call its methods and deliver the events and datagrams that it collects.
 """
 
 from __future__ import annotations
@@ -39,14 +39,14 @@
 )
 from lemonridge.scheduling.settings import Settings
 
-ENDPOINTS_MAX = 65536  # names that are remembered for what arrives by key
-PARTS_PER_UNIT_US = 1e12  # micro-units a second in a unit a microsecond
-BUDGETS = {
+ENDPOINTS_MAX = 65536  # endpoint ids that are stored to look up received keys
+PARTS_PER_UNIT_US = 1e12  # parts (micro-units a second) in a unit a microsecond
+SHARED_BUDGETS = {
     BudgetKind.LIMIT: SharedBudget.LIMIT,
     BudgetKind.SLOW_START: SharedBudget.SLOW_START,
     BudgetKind.RETRIES: SharedBudget.RETRIES,
 }
-OUTCOMES = {
+OBSERVED_OUTCOMES = {
     AttemptResult.OK: ObservedOutcome.GOOD,
     AttemptResult.QUEUE_FULL: ObservedOutcome.GOOD,
     AttemptResult.ERROR: ObservedOutcome.ERROR,
@@ -59,20 +59,29 @@
 
 
 class SchedulerBridge:
-    """A fleet member beside one scheduler.
+    """A fleet member and the queues between it and one scheduler.
 
-    `events` and `datagrams` grow with each call, in the order in which they must be delivered; the host takes
-    them. The events go to the scheduler before anything else that it is told from then on.
+    Calls append to `events`, `datagrams` and `rollout_items` in the order of delivery; the host removes and
+    delivers their entries. The scheduler must receive `events` before any event that occurs after the call.
+
+    Attributes:
+        settings: The scheduler's settings in force.
+        member: The fleet member.
+        events: The events for the scheduler.
+        datagrams: The datagrams to send.
+        rollout_items: The received items for the policy rollout.
+        next_timer_us: The time of the next call of `on_timer`.
+        endpoints: The ids of known endpoints by key.
 
     Args:
-        member_list: the fleet.
-        incarnation: this start's number; a later start has a higher one.
-        seed: of the member's random draws.
-        now_us: the time of the start.
-        settings: the scheduler's, with the limits in force; the host replaces them when they change.
-        send_budget_bytes_s: bytes that may be sent within a second.
-        clock_error_us: by which two clocks may differ over the duration of a loan.
-        signer: makes and checks the keyed tag, where there is a secret.
+        member_list: The configured members of the fleet.
+        incarnation: This start's number; a later start has a higher one.
+        seed: The seed of the member's random choices.
+        now_us: The time of the start.
+        settings: The scheduler's settings with the limits in force; the host replaces them when they change.
+        send_budget_bytes_s: The bytes that may be sent in a second.
+        clock_error_us: How far two clocks may diverge over the duration of a loan.
+        signer: Computes and verifies the keyed tag of datagrams; None if no secret is configured.
     """
 
     def __init__(
@@ -88,13 +97,15 @@
     ) -> None:
         self.settings = settings
         shares_usage = not settings.reports_peer_usage
-        of_member = MemberSettings(send_budget_bytes_s, clock_error_us, shares_usage, settings.retry_rate)
-        self.member = FleetMember(member_list, incarnation, seed, now_us, of_member, signer)
+        member_settings = MemberSettings(
+            send_budget_bytes_s, clock_error_us, shares_usage, settings.retry_rate
+        )
+        self.member = FleetMember(member_list, incarnation, seed, now_us, member_settings, signer)
         self.events: list[Event] = []
         self.datagrams: list[SendDatagram] = []
         self.rollout_items: list[RolloutItemReceived] = []
         self.next_timer_us = now_us
-        self.endpoints: dict[int, str] = {}  # names by key
+        self.endpoints: dict[int, str] = {}
         self._handle(now_us)
 
     def _handle(self, now_us: int, *events: fleet_events.Event) -> None:
@@ -112,46 +123,53 @@
             elif isinstance(action, SetTimer):
                 self.next_timer_us = action.at_us
 
-    # Time and datagrams
+    # Timers and datagrams
 
     def on_datagram(self, source: int | None, data: bytes, now_us: int) -> None:
-        """A datagram arrived from member `source`'s address, or (None) from no member's."""
+        """Handles a datagram from the address of member `source`, or from an unknown address (None)."""
         self._handle(now_us, fleet_events.DatagramReceived(source, data))
 
     def on_timer(self, now_us: int) -> None:
-        """`next_timer_us` has come."""
+        """Performs the work that is due; called at `next_timer_us`."""
         self._handle(now_us, fleet_events.TimerFired())
 
     def send_rollout_items(self, items: Iterable[tuple[int, Item]], now_us: int) -> None:
-        """Send items of the policy rollout, by receiver."""
+        """Sends items of the policy rollout, by receiver."""
         self._handle(now_us, fleet_events.RolloutItemsQueued(tuple(items)))
 
     def shut_down(self, now_us: int) -> None:
-        """This broker is about to end: return what is borrowed."""
+        """Begins the graceful shutdown of this broker: returns its loans and announces that it drains."""
         self._handle(now_us, fleet_events.ShutdownBegan())
 
-    # What the scheduler sees
+    # Events of the scheduler
 
     def on_request_arrived(self, event: RequestArrived, now_us: int) -> None:
-        """A request arrived; called before the scheduler is told of it."""
+        """Records the demand of a request; called before the scheduler receives the event."""
         plan = self.settings.plans[event.plan]
         if plan.limit:
-            updated = self.member.record_limit_demand(
+            quota_update = self.member.record_limit_demand(
                 event.volume, plan.limit, event.hosts, event.units, now_us
             )
-            if updated is not None:
-                self._on_quota_updated(updated, now_us)
+            if quota_update is not None:
+                self._on_quota_updated(quota_update, now_us)
         self.member.record_shard_demand(event.shard, event.units, now_us)
 
     def on_endpoints_changed(self, endpoints: Iterable[Endpoint]) -> None:
-        """The endpoint list, or a part of it: remembers the names."""
+        """Stores the ids of endpoints from the endpoint list or a part of it."""
         for endpoint in endpoints:
             if len(self.endpoints) < ENDPOINTS_MAX:
                 self.endpoints.setdefault(hash_endpoint_id(endpoint.endpoint_id), endpoint.endpoint_id)
 
     def on_attempt_ended(self, event: AttemptEnded, now_us: int, volume: int = 0, units: float = 0.0) -> None:
-        """An attempt ended, of a request of that volume and size (0 units: not known)."""
-        outcome, endpoint_key = OUTCOMES.get(event.result), hash_endpoint_id(event.endpoint_id)
+        """Records the outcome of an attempt.
+
+        Args:
+            event: The event of the scheduler.
+            now_us: The time of the event.
+            volume: The volume of the request.
+            units: The size of the request; 0 if not known.
+        """
+        outcome, endpoint_key = OBSERVED_OUTCOMES.get(event.result), hash_endpoint_id(event.endpoint_id)
         if outcome is not None and self.member.record_outcome(endpoint_key, outcome, now_us):
             self._handle(now_us, fleet_events.TimerFired())
         if event.result is AttemptResult.OK and units:
@@ -159,17 +177,17 @@
         if not event.finished and event.result is not AttemptResult.NOT_SENT and self.settings.retry_rate:
             self.member.record_retry_demand(now_us)
 
-    # What the scheduler decides
+    # Decisions of the scheduler
 
     def on_attempt_sent(self, endpoint_id: str, units: float) -> None:
-        """An attempt is sent."""
+        """Records the units of an attempt that is sent to an endpoint."""
         self.member.record_sent(hash_endpoint_id(endpoint_id), units)
 
     def on_slow_start_began(self, action: SlowStartBegan, now_us: int) -> None:
-        """An endpoint's slow start began.
+        """Shares the budget of an endpoint's slow start.
 
-        Brokers may hold one start for two times (by the endpoint list, by their own attempts), so its budget
-        goes by the endpoint's name, and each loan request tells the time.
+        Brokers may record different times for one start (from the endpoint list or from their own attempts).
+        Its budget is therefore identified by the endpoint alone, and each loan request carries the time.
         """
         began = fleet_events.SlowStartBegan(
             action.endpoint_id,
@@ -182,40 +200,45 @@
         self._handle(now_us, began)
 
     def on_scheduler_restarted(self, now_us: int) -> None:
-        """A new scheduler begins with even quotas: tell it what is lent, or not this broker's own yet."""
-        for updated in self.member.last_quotas():
-            self._on_quota_updated(updated, now_us)
+        """Queues all quotas for a new scheduler, which assumes equal quotas without loans and floors."""
+        for quota_update in self.member.last_sent_quotas():
+            self._on_quota_updated(quota_update, now_us)
 
     # Events for the scheduler
 
-    def _on_quota_updated(self, updated: QuotaUpdated, now_us: int) -> None:
+    def _on_quota_updated(self, quota_update: QuotaUpdated, now_us: int) -> None:
         """Queues a `QuotaChanged`.
 
-        Its part is a share of the whole for limits and retries, and a difference to this broker's own rate
-        for an endpoint in slow start.
+        For limits and retries its amounts are fractions of the whole budget. For an endpoint in slow start
+        they are differences from the rate that this broker owns, in units a microsecond.
         """
-        name: int | str = updated.key
-        base, total = 0, float(TOTAL_PARTS)
-        if updated.kind is BudgetKind.SLOW_START:
-            if updated.key not in self.endpoints:
+        key: int | str = quota_update.key
+        base_parts, total_parts = 0, float(TOTAL_PARTS)
+        if quota_update.kind is BudgetKind.SLOW_START:
+            if quota_update.key not in self.endpoints:
                 return
-            name, base, total = self.endpoints[updated.key], updated.owned, PARTS_PER_UNIT_US
-        quota = updated.quota
+            key, base_parts, total_parts = (
+                self.endpoints[quota_update.key],
+                quota_update.owned,
+                PARTS_PER_UNIT_US,
+            )
+        quota = quota_update.quota
         self.events.append(
             QuotaChanged(
-                BUDGETS[updated.kind],
-                name,
-                (quota.parts - base) / total,
+                SHARED_BUDGETS[quota_update.kind],
+                key,
+                (quota.parts - base_parts) / total_parts,
                 quota.until_us,
-                (quota.parts_after - base) / total,
+                (quota.parts_after - base_parts) / total_parts,
                 now_us,
             )
         )
 
     def _on_peer_health(self, summary: PeerHealthSummary) -> None:
-        """Tell what others report of an endpoint, if this broker knows it.
+        """Queues a `PeerHealthReported` if this broker knows the endpoint.
 
-        That it restarted is only shown to operators: an answer of its own or the endpoint list tells it.
+        Restarts are only shown to operators: the scheduler learns of them from its own responses or from the
+        endpoint list.
         """
         endpoint = self.endpoints.get(summary.endpoint_id)
         if endpoint is not None and summary.condition is not ReportedCondition.RESTARTED:
@@ -227,33 +250,33 @@
     bridge: SchedulerBridge,
     now_us: int,
     events: Sequence[Event],
-    received: Iterable[tuple[int, bytes]],
+    received_datagrams: Iterable[tuple[int, bytes]],
 ) -> tuple[list[Action], list[SendDatagram]]:
-    """Run one moment of a scheduler and its bridge, for hosts whose events come in batches.
+    """Handles the events of one moment with a scheduler and its bridge, for hosts that batch events.
 
-    The scheduler is told of a quota before anything that came with or after it.
+    The scheduler receives a quota before the events of the same or a later moment.
 
     Args:
-        handle: the scheduler's `handle`.
-        bridge: the bridge beside it; its `next_timer_us` says when to call again at the latest.
-        now_us: the time.
-        events: the scheduler's events.
-        received: datagrams, each with the number of its sender.
+        handle: The scheduler's `handle`.
+        bridge: The scheduler's bridge; the next call is due at its `next_timer_us` at the latest.
+        now_us: The current time.
+        events: The events for the scheduler.
+        received_datagrams: The received datagrams, each with its sender's id.
 
     Returns:
-        The scheduler's actions, and the datagrams to send.
+        The scheduler's actions and the datagrams to send.
     """
     pending: list[Event] = []
 
     def take_events() -> list[Event]:
-        """The events for the scheduler since the last call."""
+        """Removes and returns the events that the bridge has queued for the scheduler."""
         new_events, bridge.events = bridge.events, []
         return new_events
 
-    for source, data in received:
+    for source, data in received_datagrams:
         bridge.on_datagram(source, data, now_us)
     for event in events:
-        _show(bridge, event, now_us)
+        _forward_event(bridge, event, now_us)
         pending += [*take_events(), event]
     if now_us >= bridge.next_timer_us:
         bridge.on_timer(now_us)
@@ -261,14 +284,14 @@
     for action in list(actions):
         if isinstance(action, SlowStartBegan):
             bridge.on_slow_start_began(action, now_us)
-    if later := take_events():
-        actions += handle(now_us, later)
+    if remaining := take_events():
+        actions += handle(now_us, remaining)
     datagrams, bridge.datagrams = bridge.datagrams, []
     return actions, datagrams
 
 
-def _show(bridge: SchedulerBridge, event: Event, now_us: int) -> None:
-    """Show the bridge an event of the scheduler's."""
+def _forward_event(bridge: SchedulerBridge, event: Event, now_us: int) -> None:
+    """Passes an event of the scheduler to the bridge."""
     if isinstance(event, RequestArrived):
         bridge.on_request_arrived(event, now_us)
     elif isinstance(event, EndpointsChanged):
--- a/lemonridge/fleet/settings.py
+++ b/lemonridge/fleet/settings.py
@@ -1,11 +1,11 @@
-"""What the operators' file and the platform's settings say about the fleet."""
+"""The settings of a fleet member, from the operators' file and the platform's settings."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-SEND_BUDGET_BYTES_S = 8192.0  # where the file does not say
-CLOCK_ERROR_US = 50_000  # where the file does not say
+SEND_BUDGET_BYTES_S = 8192.0  # default
+CLOCK_ERROR_US = 50_000  # default
 
 
 @dataclass(frozen=True, slots=True)
@@ -13,10 +13,10 @@
     """The settings of one fleet member.
 
     Attributes:
-        send_budget_bytes_s: bytes that may be sent within a second.
-        clock_error_us: by which two clocks may differ over the duration of a loan.
-        shares_usage: whether totals of usage are sent, where endpoints' answers do not tell them.
-        retry_rate: retries a second of all brokers together; 0: they share no budget of retries.
+        send_budget_bytes_s: The bytes that may be sent in a second.
+        clock_error_us: How far two clocks may diverge over the duration of a loan.
+        shares_usage: Whether usage totals are sent; needed if endpoint responses do not report usage.
+        retry_rate: The retries a second of all brokers together; 0 if they share no retry budget.
     """
 
     send_budget_bytes_s: float = SEND_BUDGET_BYTES_S
