--- a/lemonridge/fleet/datagram_sender.py
+++ b/lemonridge/fleet/datagram_sender.py
@@ -67,7 +67,7 @@
         self._budget_bytes_s, self._counts = budget_bytes_s, counts
         self._overhead_bytes = HEADER_BYTES + (TAG_BYTES if signer is not None else 0)
         self._queue: Queue = {}
-        self._sequences = [0] * member_list.size  # by receiver, which detects lost datagrams by gaps
+        self._sequences = [0] * member_list.size  # by receiver, which detects lost datagrams by their gaps
         self._available_bytes, self._bytes_refilled_us = budget_bytes_s * SEND_BURST_S, now_us
         self._available_rollout_datagrams, self._rollout_refilled_us = ROLLOUT_DATAGRAMS_PER_S, now_us
 
@@ -86,12 +86,12 @@
         outgoing: list[SendDatagram] = []
         for receiver, items in self.swap_queue({}).items():
             while items:
-                packed = self._take_packed_items(items, DATAGRAM_MAX_BYTES)
-                self._add_updates(receiver, packed, DATAGRAM_MAX_BYTES)
-                if not self._spend_budget(packed, now_us):
-                    self._counts[counters.ITEMS_DROPPED] += len(packed) + len(items)
+                datagram_items = self._take_datagram_items(items, DATAGRAM_MAX_BYTES)
+                self._add_updates(receiver, datagram_items, DATAGRAM_MAX_BYTES)
+                if not self._spend_budget(datagram_items, now_us):
+                    self._counts[counters.ITEMS_DROPPED] += len(datagram_items) + len(items)
                     break
-                outgoing.append(self._build_datagram(receiver, packed, now_us))
+                outgoing.append(self._build_datagram(receiver, datagram_items, now_us))
         return outgoing
 
     def answer(
@@ -103,16 +103,16 @@
         used to amplify traffic.
         """
         length_max = min(received_bytes, DATAGRAM_MAX_BYTES)
-        packed = self._take_packed_items(items, length_max)
-        if not packed:
+        datagram_items = self._take_datagram_items(items, length_max)
+        if not datagram_items:
             self._counts[counters.ITEMS_DROPPED] += len(items)
             return []
-        if self._free_bytes(packed, length_max) >= _UPDATE_BYTES:
-            self._add_updates(receiver, packed, length_max)
-        if not self._spend_budget(packed, now_us):
-            self._counts[counters.ITEMS_DROPPED] += len(packed) + len(items)
+        if self._free_bytes(datagram_items, length_max) >= _UPDATE_BYTES:
+            self._add_updates(receiver, datagram_items, length_max)
+        if not self._spend_budget(datagram_items, now_us):
+            self._counts[counters.ITEMS_DROPPED] += len(datagram_items) + len(items)
             return []
-        datagram = self._build_datagram(receiver, packed, now_us)
+        datagram = self._build_datagram(receiver, datagram_items, now_us)
         if items:
             self._counts[counters.ITEMS_DROPPED] += len(items)
         return [datagram]
@@ -134,32 +134,32 @@
         self._available_rollout_datagrams -= 1
         return [self._build_datagram(receiver, [item], now_us)]
 
-    def _take_packed_items(self, items: list[Item], length_max: int) -> list[Item]:
+    def _take_datagram_items(self, items: list[Item], length_max: int) -> list[Item]:
         """Removes the items that fit into one datagram from the list, by priority, and returns them."""
         items.sort(key=lambda item: _PRIORITY[type(item)])
-        packed: list[Item] = []
+        datagram_items: list[Item] = []
         free_bytes = length_max - self._overhead_bytes
         while items and item_bytes(items[0]) <= free_bytes:
             free_bytes -= item_bytes(items[0])
-            packed.append(items.pop(0))
-        return packed
+            datagram_items.append(items.pop(0))
+        return datagram_items
 
-    def _free_bytes(self, packed: list[Item], length_max: int) -> int:
+    def _free_bytes(self, datagram_items: list[Item], length_max: int) -> int:
         """Returns the bytes that remain free in a datagram with these items."""
-        return length_max - self._overhead_bytes - sum(map(item_bytes, packed))
+        return length_max - self._overhead_bytes - sum(map(item_bytes, datagram_items))
 
-    def _add_updates(self, receiver: int, packed: list[Item], length_max: int) -> None:
+    def _add_updates(self, receiver: int, datagram_items: list[Item], length_max: int) -> None:
         """Fills the free space of a datagram with membership updates."""
-        packed += self._membership.updates_for(
-            receiver, self._free_bytes(packed, length_max) // _UPDATE_BYTES
+        datagram_items += self._membership.updates_for(
+            receiver, self._free_bytes(datagram_items, length_max) // _UPDATE_BYTES
         )
 
-    def _spend_budget(self, packed: list[Item], now_us: int) -> bool:
+    def _spend_budget(self, datagram_items: list[Item], now_us: int) -> bool:
         """Deducts a datagram's bytes from the budget; returns False, deducting none, if they exceed it."""
         refill = self._budget_bytes_s * (now_us - self._bytes_refilled_us) / 1e6
         self._available_bytes = min(self._budget_bytes_s * SEND_BURST_S, self._available_bytes + refill)
         self._bytes_refilled_us = now_us
-        length = self._overhead_bytes + sum(map(item_bytes, packed))
+        length = self._overhead_bytes + sum(map(item_bytes, datagram_items))
         if self._available_bytes < length:
             return False
         self._available_bytes -= length
--- a/lemonridge/fleet/membership.py
+++ b/lemonridge/fleet/membership.py
@@ -128,7 +128,7 @@
         return []
 
     def _on_suspicion(self, sender: int, update: MembershipUpdate, now_us: int) -> list[tuple[int, Item]]:
-        """Contradicts another member's suspicion if the suspect was received recently, else confirms it."""
+        """Contradicts a suspicion if a datagram of the suspect arrived recently, else confirms it."""
         member = self.members[update.member_id]
         version = (update.incarnation, update.state_version)
         newer = version > (member.incarnation, member.state_version)
--- a/lemonridge/fleet/scheduler_bridge.py
+++ b/lemonridge/fleet/scheduler_bridge.py
@@ -189,7 +189,7 @@
         Brokers may record different times for one start (from the endpoint list or from their own attempts).
         Its budget is therefore identified by the endpoint alone, and each loan request carries the time.
         """
-        began = fleet_events.SlowStartBegan(
+        slow_start = fleet_events.SlowStartBegan(
             action.endpoint_id,
             hash_endpoint_id(action.endpoint_id),
             action.shard,
@@ -197,7 +197,7 @@
             action.began_us,
             action.until_us,
         )
-        self._handle(now_us, began)
+        self._handle(now_us, slow_start)
 
     def on_scheduler_restarted(self, now_us: int) -> None:
         """Queues all quotas for a new scheduler, which assumes equal quotas without loans and floors."""
--- a/tests/fleet/test_fleet_recorded_actions.py
+++ b/tests/fleet/test_fleet_recorded_actions.py
@@ -1,8 +1,8 @@
-"""What a fleet's members do, recorded: identical events give identical actions, in the same order.
+"""Compares the actions of a fleet with recorded ones: identical events give identical actions in order.
 
-Five and twelve members in virtual time, with losses and a member that stops for a while. A digest is taken of
-each action's own values (no names of the code), one for each kind, with the number of actions beside it, so
-that a difference says which kind it concerns.
+Five and twelve members run in virtual time with datagram loss and one member that stalls for some seconds.
+For each kind of action the test records the number of actions and a digest of their values, so that a
+difference names the kind that changed. The digests do not include names of the code.
 """
 
 from __future__ import annotations
@@ -39,23 +39,28 @@
 START_US = 1_800_000_000_000_000
 
 
-def values(action: Any) -> tuple[str, tuple[Any, ...]]:
-    """An action as literals."""
+def action_values(action: Any) -> tuple[str, tuple[Any, ...]]:
+    """Returns the kind and the values of an action as literals."""
     if isinstance(action, SendDatagram):
         return "datagram", (action.to, action.data.hex())
     if isinstance(action, QuotaUpdated):
-        part = action.quota
+        quota = action.quota
         return "quota", (
             int(action.kind),
             action.key,
-            part.parts,
-            part.until_us,
-            part.parts_after,
+            quota.parts,
+            quota.until_us,
+            quota.parts_after,
             action.owned,
         )
     if isinstance(action, PeerHealthChanged):
-        one = action.summary
-        return "health", (one.endpoint_id, int(one.condition), one.sources, one.at_us)
+        summary = action.summary
+        return "health", (
+            summary.endpoint_id,
+            int(summary.condition),
+            summary.sources,
+            summary.at_us,
+        )
     if isinstance(action, RolloutItemReceived):
         return "rollout", (action.source, action.incarnation, action.item.slot)
     if isinstance(action, PeerUsageReceived):
@@ -64,79 +69,84 @@
     return "timer", (action.at_us,)
 
 
-def record(count: int, seed: int, seconds: float) -> dict[str, tuple[int, str]]:
-    """Play one fleet; the number of actions of each kind and the digest of their values."""
+def record_actions(count: int, seed: int, seconds: float) -> dict[str, tuple[int, str]]:
+    """Runs one fleet and returns, by kind, the number of actions and the digest of their values."""
     random, now = Random(seed), START_US
     names = tuple(f"b{n}" for n in range(count))
-    tuning = MemberSettings(send_budget_bytes_s=3000.0, shares_usage=count < 10, retry_rate=4.0)
+    settings = MemberSettings(send_budget_bytes_s=3000.0, shares_usage=count < 10, retry_rate=4.0)
     members = [
-        FleetMember(MemberList(names, n), now // 1000 + n, seed + n, now, tuning) for n in range(count)
+        FleetMember(MemberList(names, n), now // 1000 + n, seed + n, now, settings) for n in range(count)
     ]
     digests, counts = {}, Counter[str]()
-    heap: list[tuple[int, int, int, Any]] = []
-    order, wakes = 0, [0] * count
+    pending: list[tuple[int, int, int, Any]] = []  # a heap of time, order, receiver and event
+    order, timers_us = 0, [0] * count
 
-    def push(at_us: int, to: int, event: Any) -> None:
+    def schedule(at_us: int, receiver: int, event: Any) -> None:
         nonlocal order
         order += 1
-        heapq.heappush(heap, (at_us, order, to, event))
+        heapq.heappush(pending, (at_us, order, receiver, event))
 
-    def act(n: int, actions: list[Any]) -> None:
+    def carry_out(n: int, actions: list[Any]) -> None:
         for action in actions:
-            kind, what = values(action)
+            kind, values = action_values(action)
             counts[kind] += 1
-            digests.setdefault(kind, sha256()).update(repr((n, now, what)).encode())
+            digests.setdefault(kind, sha256()).update(repr((n, now, values)).encode())
             if isinstance(action, SetTimer):
-                wakes[n] = action.at_us
-                push(action.at_us, n, TimerFired())
+                timers_us[n] = action.at_us
+                schedule(action.at_us, n, TimerFired())
             elif isinstance(action, SendDatagram) and random.random() > 0.1:
-                push(now + random.randrange(1000, 30_000), action.to, DatagramReceived(n, action.data))
+                schedule(now + random.randrange(1000, 30_000), action.to, DatagramReceived(n, action.data))
                 if random.random() < 0.02:
-                    push(now + random.randrange(1000, 90_000), action.to, DatagramReceived(n, action.data))
+                    schedule(
+                        now + random.randrange(1000, 90_000), action.to, DatagramReceived(n, action.data)
+                    )
 
     for n, member in enumerate(members):
-        act(n, member.handle(now, ()))
+        carry_out(n, member.handle(now, ()))
     for step in range(int(seconds * 50)):
-        push(START_US + step * 20_000, step % count, None)
+        schedule(START_US + step * 20_000, step % count, None)
     end_us = START_US + int(seconds * 1e6)
-    while heap and heap[0][0] < end_us:
-        now, _, n, event = heapq.heappop(heap)
+    while pending and pending[0][0] < end_us:
+        now, _, n, event = heapq.heappop(pending)
         member = members[n]
-        if isinstance(event, TimerFired) and wakes[n] != now:
-            continue  # only the last timer that was asked for fires
+        if isinstance(event, TimerFired) and timers_us[n] != now:
+            continue  # a later SetTimer replaced this timer
         if n == 1 and START_US + 4_000_000 < now < START_US + 9_000_000 and event is not None:
-            push(START_US + 9_000_000, n, event)
-            wakes[n] = START_US + 9_000_000
+            schedule(START_US + 9_000_000, n, event)
+            timers_us[n] = START_US + 9_000_000
             continue
         if event is not None:
-            act(n, member.handle(now, (event,)))
+            carry_out(n, member.handle(now, (event,)))
             continue
-        lead = (now - START_US) // 2_000_000 % count
+        busiest = (now - START_US) // 2_000_000 % count
         volume = random.randrange(6)
-        told = members[lead].record_limit_demand(volume, 20.0, 2 + volume % 3, 1.0 + volume, now)
-        act(lead, [told] if told is not None else [])
+        quota_update = members[busiest].record_limit_demand(volume, 20.0, 2 + volume % 3, 1.0 + volume, now)
+        carry_out(busiest, [quota_update] if quota_update is not None else [])
         member.record_shard_demand(3, 2.0, now)
         member.record_retry_demand(now)
         member.record_sent(volume, 1.0)
         member.record_served(volume, 2.5)
         outcome = random.choice(list(ObservedOutcome))
         if member.record_outcome(random.randrange(5), outcome, now):
-            act(n, member.handle(now, (TimerFired(),)))
+            carry_out(n, member.handle(now, (TimerFired(),)))
         draw = random.random()
         if draw < 0.02:
             began = SlowStartBegan("s-1", random.randrange(2), 3, 9.0, now, now + 4_000_000)
-            act(n, member.handle(now, (began,)))
+            carry_out(n, member.handle(now, (began,)))
         elif draw < 0.06:
-            items = ((lead, Prepare(random.randrange(9), 2)), ((n + 1) % count, CheckRequest(1, b"12345678")))
-            act(n, member.handle(now, (RolloutItemsQueued(items),)))
+            items = (
+                (busiest, Prepare(random.randrange(9), 2)),
+                ((n + 1) % count, CheckRequest(1, b"12345678")),
+            )
+            carry_out(n, member.handle(now, (RolloutItemsQueued(items),)))
         elif draw < 0.08:
-            act(
+            carry_out(
                 n,
                 member.handle(
                     now, (DatagramReceived(None, b"x"), DatagramReceived((n + 1) % count, b"y" * 40))
                 ),
             )
-    act(0, members[0].handle(now, (ShutdownBegan(),)))
+    carry_out(0, members[0].handle(now, (ShutdownBegan(),)))
     return {kind: (counts[kind], digests[kind].hexdigest()[:16]) for kind in sorted(counts)}
 
 
@@ -161,4 +171,4 @@
 
 @pytest.mark.parametrize("setting", RECORDED)
 def test_identical_events_give_identical_actions(setting: tuple[int, int, float]) -> None:
-    assert record(*setting) == RECORDED[setting]
+    assert record_actions(*setting) == RECORDED[setting]
--- a/tests/fleet/test_membership.py
+++ b/tests/fleet/test_membership.py
@@ -1,4 +1,4 @@
-"""Membership: deaths, refutations, partitions."""
+"""Membership: declared deaths, refutations and network partitions."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 
 
 class Membership(unittest.TestCase):
-    def test_a_death_is_known_to_all_within_seconds_and_no_one_else_is_declared_dead(self) -> None:
+    def test_death_is_detected_by_all_within_seconds_without_false_deaths(self) -> None:
         for count, loss, slow in ((3, 0.0, False), (16, 0.3, False), (16, 0.0, True)):
             figures = row(count, loss, "swim", slow=slow)
             self.assertEqual((figures["accused"], figures["known_to"]), (0, count - 1), figures)
             self.assertLess(figures["all_s"], 8.0)
             self.assertLess(figures["bytes_s"], 800)
 
-    def test_a_member_that_was_stopped_refutes_its_death_with_a_new_state_version(self) -> None:
+    def test_stalled_member_refutes_its_death_with_a_new_state_version(self) -> None:
         fleet = VirtualFleet(4)
         fleet.run(3.0)
         fleet.down.add(0)
@@ -31,14 +31,18 @@
         self.assertEqual({fleet.members[n].membership.members[0].state for n in (1, 2, 3)}, {MemberState.UP})
         self.assertGreater(fleet.members[0].membership.suspicions_of_self, 0)
         self.assertGreater(fleet.members[0].membership.state_version, 1)
-        self.assertEqual(
-            fleet.members[0].membership.members[1].deaths, 0
-        )  # it blamed no one for its own stop
+        # The stalled member declared no other member dead.
+        self.assertEqual(fleet.members[0].membership.members[1].deaths, 0)
 
-    def test_two_halves_declare_each_other_dead_and_find_each_other_again(self) -> None:
+    def test_partitioned_halves_declare_each_other_dead_and_recover_after_the_partition(self) -> None:
         fleet = VirtualFleet(6)
         fleet.run(3.0)
-        fleet.cut_links = {(a, b) for a in range(6) for b in range(6) if (a < 3) != (b < 3)}
+        fleet.cut_links = {
+            (sender, receiver)
+            for sender in range(6)
+            for receiver in range(6)
+            if (sender < 3) != (receiver < 3)
+        }
         fleet.run(12.0)
         self.assertEqual(fleet.members[0].membership.members[5].state, MemberState.DEAD)
         self.assertEqual(fleet.members[0].membership.members[1].state, MemberState.UP)
@@ -46,10 +50,10 @@
         fleet.run(8.0)
         for n, member in enumerate(fleet.members):
             self.assertEqual(
-                {member.membership.members[o].state for o in range(6) if o != n}, {MemberState.UP}
+                {member.membership.members[other].state for other in range(6) if other != n}, {MemberState.UP}
             )
 
-    def test_a_member_learns_that_a_later_incarnation_has_its_name(self) -> None:
+    def test_member_is_superseded_by_a_later_incarnation_of_itself(self) -> None:
         fleet = VirtualFleet(3)
         fleet.members[0].membership.on_update(
             1, MembershipUpdate(0, START_US // 1000 + 10**6, 0, MemberState.UP), fleet.now_us
--- a/tests/fleet/test_quota_ledger.py
+++ b/tests/fleet/test_quota_ledger.py
@@ -1,4 +1,4 @@
-"""The quota ledger: every state of a small fleet, random histories of larger ones, mutants."""
+"""The quota ledger: all states of a small fleet, random histories of larger fleets, and mutants."""
 
 from __future__ import annotations
 
@@ -22,7 +22,8 @@
 from lemonridge.lab.checkers import escrow
 from lemonridge.lab.checkers.escrow import ALL_USE, MUTANTS, TWO_USE, Bounds, search, with_mutant
 
-TIGHT = {
+# The bounds in which a mutant is searched for, where they differ from Bounds(1, duplicates=0).
+MUTANT_BOUNDS = {
     "GrantNeverExpiresMutant": Bounds(1, duplicates=0, restarts=0, slow_clocks=0),
     "NoClockErrorMarginMutant": Bounds(1, duplicates=0, restarts=0),
     "ExpiryFromReceiptMutant": Bounds(1, duplicates=0, restarts=0, slow_clocks=0),
@@ -31,8 +32,8 @@
 }
 
 
-class EveryState(unittest.TestCase):
-    """Three brokers, two budgets; docs/fleet-state.md tells the larger bounds, which a command runs."""
+class ReachableStates(unittest.TestCase):
+    """Three brokers and two budgets; a command searches the larger bounds in docs/fleet-state.md."""
 
     def test_no_reachable_state_exceeds_a_budget(self) -> None:
         for bounds in (
@@ -40,43 +41,44 @@
             Bounds(1, restarts=0),
             Bounds(2, in_flight=1, duplicates=0, restarts=0, budgets=(TWO_USE,)),
         ):
-            found = search(bounds)
-            self.assertEqual((found.broken, found.whole), ("", True), found.path)
-            self.assertGreater(found.states, 1000)
+            result = search(bounds)
+            self.assertEqual((result.broken, result.whole), ("", True), result.path)
+            self.assertGreater(result.states, 1000)
 
-    def test_each_mutant_is_found(self) -> None:
-        for kind in MUTANTS:
-            found = search(TIGHT.get(kind.__name__, Bounds(1, duplicates=0)), with_mutant(kind))
-            self.assertTrue(found.broken, kind.__name__)
-            self.assertLess(len(found.path), 12)
+    def test_search_finds_a_violation_in_each_mutant(self) -> None:
+        for mutant in MUTANTS:
+            result = search(MUTANT_BOUNDS.get(mutant.__name__, Bounds(1, duplicates=0)), with_mutant(mutant))
+            self.assertTrue(result.broken, mutant.__name__)
+            self.assertLess(len(result.path), 12)
 
 
-class Histories(unittest.TestCase):
-    """Larger fleets, long histories: loss, doubling, long delays, restarts, clocks that run apart."""
+class RandomHistories(unittest.TestCase):
+    """Long histories of larger fleets with loss, duplicates, long delays, restarts and diverging clocks."""
 
     @settings(max_examples=60, deadline=None, derandomize=True)
     @given(seed=st.integers(0, 1 << 32), brokers=st.integers(2, 9), hosts=st.integers(2, 5))
-    def test_quotas_never_add_up_to_more_than_the_whole(self, seed: int, brokers: int, hosts: int) -> None:
+    def test_sum_of_quotas_never_exceeds_the_whole_budget(self, seed: int, brokers: int, hosts: int) -> None:
         random, hosts = Random(seed), min(brokers, hosts)
         users = random.sample(range(brokers), hosts)
-        error_us, now = 50_000, 1_000_000_000
-        lags = [random.randrange(10**9) for _ in range(brokers)]  # clocks need not agree at all
-        drift = [random.uniform(1 - 0.015, 1.015) for _ in range(brokers)]  # 3% of a span is the stated error
-        begun = now - 10 * LOAN_DURATION_US
+        clock_error_us, now = 50_000, 1_000_000_000
+        offsets = [random.randrange(10**9) for _ in range(brokers)]  # clocks need not agree
+        # Two clocks diverge by at most 3% of a duration, which is the stated clock error.
+        rates = [random.uniform(1 - 0.015, 1.015) for _ in range(brokers)]
+        start = now - 10 * LOAN_DURATION_US
 
         def clock(n: int) -> int:
-            return lags[n] + int((now - begun) * drift[n])
+            return offsets[n] + int((now - start) * rates[n])
 
-        def make(n: int, incarnation: int) -> QuotaLedger:
-            others = [o for o in range(brokers) if o != n]
-            made = QuotaLedger(n, incarnation, random.randrange(1 << 20), error_us, clock(n), others)
+        def make_ledger(n: int, incarnation: int) -> QuotaLedger:
+            others = [other for other in range(brokers) if other != n]
+            ledger = QuotaLedger(n, incarnation, random.randrange(1 << 20), clock_error_us, clock(n), others)
             if n in users:
-                made.open_budget(key, TOTAL_PARTS // hosts, hosts, True, clock(n))
-            return made
+                ledger.open_budget(key, TOTAL_PARTS // hosts, hosts, True, clock(n))
+            return ledger
 
         key, largest = BudgetKey(int(BudgetKind.LIMIT), 7), 0
-        ledgers = [make(n, 1) for n in range(brokers)]
-        messages: list[tuple[int, int, int, Item]] = []
+        ledgers = [make_ledger(n, 1) for n in range(brokers)]
+        messages: list[tuple[int, int, int, Item]] = []  # sender, receiver, incarnation and item
         now += 3 * LOAN_DURATION_US
         for _ in range(400):
             now += random.choice((0, 1000, 50_000, 400_000))
@@ -85,95 +87,108 @@
             if draw < 0.3 and n in users:
                 ledgers[n].budgets[key].demand = random.choice((0, TOTAL_PARTS // 2, TOTAL_PARTS))
                 request = ledgers[n].make_request(key, clock(n))
-                messages += [(n, o, ledgers[n].incarnation, request) for o in range(brokers) if o != n]
+                messages += [
+                    (n, other, ledgers[n].incarnation, request) for other in range(brokers) if other != n
+                ]
             elif draw < 0.33 and n in users:
                 messages += [
-                    (n, to, ledgers[n].incarnation, item) for to, item in ledgers[n].return_loans(key)
+                    (n, lender, ledgers[n].incarnation, item) for lender, item in ledgers[n].return_loans(key)
                 ]
             elif draw < 0.36:
-                ledgers[n] = make(n, ledgers[n].incarnation + 1)
+                ledgers[n] = make_ledger(n, ledgers[n].incarnation + 1)
             if clock(n) < ledgers[n].floors_until_us:
                 messages += [
-                    (n, o, ledgers[n].incarnation, LoanRecall()) for o in ledgers[n].unacknowledged_peers()
+                    (n, peer, ledgers[n].incarnation, LoanRecall())
+                    for peer in ledgers[n].unacknowledged_peers()
                 ]
             for _ in range(random.randrange(8)):
                 if not messages:
                     break
                 index = random.randrange(len(messages))
-                by, to, incarnation, item = messages[index]
+                sender, receiver, incarnation, item = messages[index]
                 if random.random() < 0.8:
                     del messages[index]
                 if random.random() < 0.2:
                     continue
                 if isinstance(item, LoanRequest):
-                    grant = ledgers[to].on_request(by, incarnation, item, clock(to))
-                    messages.append((to, by, ledgers[to].incarnation, grant))
+                    grant = ledgers[receiver].on_request(sender, incarnation, item, clock(receiver))
+                    messages.append((receiver, sender, ledgers[receiver].incarnation, grant))
                 elif isinstance(item, LoanRecall):
-                    messages.append((to, by, ledgers[to].incarnation, ledgers[to].on_recall(by, incarnation)))
+                    messages.append(
+                        (
+                            receiver,
+                            sender,
+                            ledgers[receiver].incarnation,
+                            ledgers[receiver].on_recall(sender, incarnation),
+                        )
+                    )
                 elif isinstance(item, LoanRecallAck):
-                    ledgers[to].on_recall_ack(by, item, clock(to))
+                    ledgers[receiver].on_recall_ack(sender, item, clock(receiver))
                 elif isinstance(item, LoanGrant):
-                    ledgers[to].on_grant(by, incarnation, item, clock(to))
+                    ledgers[receiver].on_grant(sender, incarnation, item, clock(receiver))
                 else:
-                    ledgers[to].on_release(by, incarnation, item)
+                    ledgers[receiver].on_release(sender, incarnation, item)
             del messages[:-40]
-            parts = [ledgers[u].quota(key, clock(u)).parts for u in users]
+            parts = [ledgers[user].quota(key, clock(user)).parts for user in users]
             largest = max(largest, *parts)
             self.assertLessEqual(sum(parts), TOTAL_PARTS, parts)
-            for u in users:
-                self.assertGreaterEqual(parts[users.index(u)], TOTAL_PARTS // hosts // FLOOR_DIVISOR)
-
-
-class OneLedger(unittest.TestCase):
-    """What one broker does."""
-
-    def pair(self, hosts: int = 2) -> tuple[QuotaLedger, QuotaLedger]:
-        made = [escrow.make_ledger(n, 1, 0) for n in range(2)]
-        for one in made:
-            one.open_budget(TWO_USE, TOTAL_PARTS // hosts, hosts, True, 0)
-            one.clock_error_us = 50_000
-        return made[0], made[1]
-
-    def test_a_fresh_start_lends_nothing_and_has_its_floor(self) -> None:
-        a, b = self.pair()
-        self.assertEqual(a.quota(TWO_USE, 10).parts, TOTAL_PARTS // 2 // FLOOR_DIVISOR)
-        self.assertEqual(b.on_request(0, 1, a.make_request(TWO_USE, 10), 10).parts, 0)
-        self.assertEqual(a.quota(TWO_USE, a.floors_until_us).parts, TOTAL_PARTS // 2)
-
-    def test_a_lender_keeps_what_it_needs_and_its_floor(self) -> None:
-        a, b = self.pair()
-        now = a.floors_until_us
-        a.budgets[TWO_USE].demand = TOTAL_PARTS
+            for user in users:
+                self.assertGreaterEqual(parts[users.index(user)], TOTAL_PARTS // hosts // FLOOR_DIVISOR)
+
+
+class LedgerPair(unittest.TestCase):
+    """Two ledgers that share a budget."""
+
+    def make_pair(self, hosts: int = 2) -> tuple[QuotaLedger, QuotaLedger]:
+        ledgers = [escrow.make_ledger(n, 1, 0) for n in range(2)]
+        for ledger in ledgers:
+            ledger.open_budget(TWO_USE, TOTAL_PARTS // hosts, hosts, True, 0)
+            ledger.clock_error_us = 50_000
+        return ledgers[0], ledgers[1]
+
+    def test_started_broker_lends_nothing_and_is_restricted_to_its_floor(self) -> None:
+        borrower, lender = self.make_pair()
+        self.assertEqual(borrower.quota(TWO_USE, 10).parts, TOTAL_PARTS // 2 // FLOOR_DIVISOR)
+        self.assertEqual(lender.on_request(0, 1, borrower.make_request(TWO_USE, 10), 10).parts, 0)
+        self.assertEqual(borrower.quota(TWO_USE, borrower.floors_until_us).parts, TOTAL_PARTS // 2)
+
+    def test_lender_keeps_its_own_demand_and_its_floor(self) -> None:
+        borrower, lender = self.make_pair()
+        now = borrower.floors_until_us
+        borrower.budgets[TWO_USE].demand = TOTAL_PARTS
         self.assertEqual(
-            b.on_request(0, 1, a.make_request(TWO_USE, now), now).parts,
+            lender.on_request(0, 1, borrower.make_request(TWO_USE, now), now).parts,
             TOTAL_PARTS // 2 - TOTAL_PARTS // 2 // FLOOR_DIVISOR,
         )
-        b.budgets[TWO_USE].demand = TOTAL_PARTS // 4
-        self.assertEqual(b.on_request(0, 1, a.make_request(TWO_USE, now), now).parts, TOTAL_PARTS // 4)
-        self.assertEqual(b.quota(TWO_USE, now).parts, TOTAL_PARTS // 2 // FLOOR_DIVISOR)  # the largest counts
-
-    def test_a_request_with_another_number_of_hosts_changes_no_quota(self) -> None:
-        a, b = self.pair()
-        now = a.floors_until_us
-        grant = b.on_request(0, 1, LoanRequest(*TWO_USE, 200, 7, TOTAL_PARTS, 1500), now)
-        self.assertEqual((grant.parts, b.quota(TWO_USE, now).parts), (0, TOTAL_PARTS // 2))
-
-    def test_too_many_loans_count_as_the_largest_and_longest(self) -> None:
-        a, b = self.pair()
-        now = a.floors_until_us
-        a.budgets[TWO_USE].demand = TOTAL_PARTS
+        lender.budgets[TWO_USE].demand = TOTAL_PARTS // 4
+        self.assertEqual(
+            lender.on_request(0, 1, borrower.make_request(TWO_USE, now), now).parts, TOTAL_PARTS // 4
+        )
+        # The largest of the two loans counts.
+        self.assertEqual(lender.quota(TWO_USE, now).parts, TOTAL_PARTS // 2 // FLOOR_DIVISOR)
+
+    def test_request_with_another_number_of_hosts_changes_no_quota(self) -> None:
+        borrower, lender = self.make_pair()
+        now = borrower.floors_until_us
+        grant = lender.on_request(0, 1, LoanRequest(*TWO_USE, 200, 7, TOTAL_PARTS, 1500), now)
+        self.assertEqual((grant.parts, lender.quota(TWO_USE, now).parts), (0, TOTAL_PARTS // 2))
+
+    def test_loans_above_the_maximum_are_merged_into_the_largest_and_longest(self) -> None:
+        borrower, lender = self.make_pair()
+        now = borrower.floors_until_us
+        borrower.budgets[TWO_USE].demand = TOTAL_PARTS
         for step in range(40):
-            b.on_request(0, 1, a.make_request(TWO_USE, now + step), now + step)
-        self.assertLessEqual(len(b.budgets[TWO_USE].loans_out[0]), 9)
+            lender.on_request(0, 1, borrower.make_request(TWO_USE, now + step), now + step)
+        self.assertLessEqual(len(lender.budgets[TWO_USE].loans_out[0]), 9)
         self.assertEqual(
-            b.quota(TWO_USE, now + LOAN_DURATION_US + 50_030).parts, TOTAL_PARTS // 2 // FLOOR_DIVISOR
+            lender.quota(TWO_USE, now + LOAN_DURATION_US + 50_030).parts, TOTAL_PARTS // 2 // FLOOR_DIVISOR
         )
-        self.assertEqual(b.quota(TWO_USE, now + LOAN_DURATION_US + 50_040).parts, TOTAL_PARTS // 2)
+        self.assertEqual(lender.quota(TWO_USE, now + LOAN_DURATION_US + 50_040).parts, TOTAL_PARTS // 2)
 
-    def test_budgets_are_bounded_and_idle_ones_are_dropped(self) -> None:
-        a, _ = self.pair()
+    def test_number_of_budgets_is_bounded_and_idle_ones_are_dropped(self) -> None:
+        ledger, _ = self.make_pair()
         with unittest.mock.patch.object(ledger_module, "BUDGETS_MAX", 2):
-            self.assertIsNotNone(a.open_budget(ALL_USE, 1, 3, True, 0))
-            self.assertIsNone(a.open_budget(BudgetKey(1, 99), 1, 3, True, 0))
-        self.assertEqual(a.budgets_refused, 1)
-        self.assertEqual(sorted(a.drop_idle(100, 50)), [ALL_USE, TWO_USE])
+            self.assertIsNotNone(ledger.open_budget(ALL_USE, 1, 3, True, 0))
+            self.assertIsNone(ledger.open_budget(BudgetKey(1, 99), 1, 3, True, 0))
+        self.assertEqual(ledger.budgets_refused, 1)
+        self.assertEqual(sorted(ledger.drop_idle(100, 50)), [ALL_USE, TWO_USE])
--- a/tests/virtual_fleet.py
+++ b/tests/virtual_fleet.py
@@ -1,4 +1,4 @@
-"""Some fleet members on a network in one thread and in virtual time."""
+"""Fleet members on a simulated network, in one thread and in virtual time."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 class VirtualFleet:
-    """Members whose datagrams arrive at once, unless a link is cut or the receiver is down."""
+    """Members whose datagrams arrive immediately unless the link is cut or the receiver is down."""
 
     def __init__(self, count: int, settings: MemberSettings | None = None) -> None:
         self.now_us = START_US
@@ -37,27 +37,29 @@
             for n in range(count)
         ]
         self.timers_us = [self.now_us] * count
-        self.cut_links: set[tuple[int, int]] = set()  # from, to
+        self.cut_links: set[tuple[int, int]] = set()  # sender, receiver
         self.down: set[int] = set()
-        self.quotas: dict[tuple[int, BudgetKind, int], QuotaUpdated] = {}  # by member, as told last
+        self.quotas: dict[
+            tuple[int, BudgetKind, int], QuotaUpdated
+        ] = {}  # the last one by member, kind and key
         self.health_changes: list[tuple[int, PeerHealthChanged]] = []
         self.usage: list[tuple[int, PeerUsageReceived]] = []
-        self.answer_sizes: list[tuple[int, int]] = []  # of questions and of the answers to them
+        self.answer_sizes: list[tuple[int, int]] = []  # bytes of the received datagram and of its answer
 
     def step(self, us: int = 10_000) -> None:
-        """Let time pass, and fire the timers that are due."""
+        """Advances the time and fires the timers that are due."""
         self.now_us += us
         for n in range(len(self.members)):
             if n not in self.down and self.timers_us[n] <= self.now_us:
                 self.carry_out(n, self.members[n].handle(self.now_us, (TimerFired(),)))
 
     def run(self, seconds: float) -> None:
-        """Let time pass in steps of 10 ms."""
+        """Advances the time in steps of 10 ms."""
         for _ in range(int(seconds * 100)):
             self.step()
 
     def carry_out(self, n: int, actions: list[FleetAction]) -> None:
-        """Carry a member's actions out; what follows from them too."""
+        """Carries out a member's actions, including the reactions of other members."""
         for action in actions:
             if isinstance(action, SetTimer):
                 self.timers_us[n] = action.at_us
@@ -83,17 +85,17 @@
         self.carry_out(datagram.to, actions)
 
     def request(self, n: int, volume: int, hosts: int = 3) -> None:
-        """A request for a volume with a limit arrives at a member."""
-        updated = self.members[n].record_limit_demand(volume, LIMIT, hosts, REQUEST_UNITS, self.now_us)
-        if updated is not None:
-            self.quotas[n, updated.kind, updated.key] = updated
+        """Records a request for a volume with a limit at a member."""
+        quota_update = self.members[n].record_limit_demand(volume, LIMIT, hosts, REQUEST_UNITS, self.now_us)
+        if quota_update is not None:
+            self.quotas[n, quota_update.kind, quota_update.key] = quota_update
 
     def quota_fraction(self, n: int, volume: int) -> float:
-        """What a member may use of a volume's limit now, of the whole."""
+        """Returns the fraction of a volume's limit that a member may use now."""
         quota = self.quotas[n, BudgetKind.LIMIT, volume].quota
         current = self.now_us < quota.until_us or quota.parts == quota.parts_after
         return (quota.parts if current else quota.parts_after) / TOTAL_PARTS
 
-    def slow_start_began(self, began_us: int, lasts_s: float = 10.0) -> SlowStartBegan:
-        """An endpoint's slow start, of which 10 units a second are each member's own."""
-        return SlowStartBegan("s-1", 77, 4, 10.0, began_us, self.now_us + int(lasts_s * 1e6))
+    def slow_start_began(self, began_us: int, duration_s: float = 10.0) -> SlowStartBegan:
+        """Returns the slow start of an endpoint at which each member owns 10 units a second."""
+        return SlowStartBegan("s-1", 77, 4, 10.0, began_us, self.now_us + int(duration_s * 1e6))
