--- a/lemonridge/coordination/errors.py
+++ b/lemonridge/coordination/errors.py
@@ -23,5 +23,5 @@
     """The revision asked for is compacted: only a range tells what holds now."""
 
 
-class OutOfStepError(EtcdError):
+class MissedChangeError(EtcdError):
     """A change was lost: only a range tells what holds now."""
--- a/lemonridge/coordination/etcd_client.py
+++ b/lemonridge/coordination/etcd_client.py
@@ -21,7 +21,8 @@
 MESSAGE_BYTES_MAX = 8 << 20  # of one message of a watch
 GRPC_OUT_OF_RANGE = 11  # the code of a revision that was compacted
 HTTP_OK = 200
-FAILURES = (aiohttp.ClientError, OSError, ValueError, KeyError, TypeError)  # of a call, to be repeated
+# Errors of a call that is made again after a pause.
+RETRYABLE_ERRORS = (aiohttp.ClientError, OSError, ValueError, KeyError, TypeError)
 
 
 @dataclass(frozen=True, slots=True)
@@ -40,7 +41,7 @@
 class EtcdClient:
     """Calls of one endpoint, for keys below one prefix; `page_size` is in keys.
 
-    Every call raises one of FAILURES where it failed, and CompactedError where its revision is compacted.
+    A failed call raises one of RETRYABLE_ERRORS, or CompactedError if its revision is compacted.
     """
 
     def __init__(self, etcd: EtcdConfig, counters: Counters, page_size: int) -> None:
--- a/lemonridge/coordination/etcd_follower.py
+++ b/lemonridge/coordination/etcd_follower.py
@@ -11,8 +11,8 @@
 
 import aiohttp
 
-from lemonridge.coordination.errors import CompactedError, OutOfStepError
-from lemonridge.coordination.etcd_client import FAILURES, EtcdClient, Event
+from lemonridge.coordination.errors import CompactedError, MissedChangeError
+from lemonridge.coordination.etcd_client import RETRYABLE_ERRORS, EtcdClient, Event
 from lemonridge.core.counters import Counters
 from lemonridge.net.watch_stream import Backoff, open_session
 
@@ -42,7 +42,7 @@
         """Applies changes, in order.
 
         Raises:
-            OutOfStepError: A change was lost: only a snapshot helps.
+            MissedChangeError: A change was lost: only a snapshot helps.
         """
 
     async def run_during_watch(self, etcd: EtcdClient, http: aiohttp.ClientSession) -> None:
@@ -79,11 +79,11 @@
                     log.info("etcd revision compacted, reading all keys", extra=self._log_keys())
                     self._counters["etcd.compacted"] += 1
                     self._revision = 0
-                except OutOfStepError:
+                except MissedChangeError:
                     log.info("etcd watch out of step, reading all keys", extra=self._log_keys())
                     self._counters["etcd.out_of_step"] += 1
                     self._revision = 0
-                except FAILURES as error:
+                except RETRYABLE_ERRORS as error:
                     await self._backoff.wait_after(error)
 
     def _log_keys(self) -> dict[str, object]:
--- a/lemonridge/coordination/etcd_source.py
+++ b/lemonridge/coordination/etcd_source.py
@@ -22,7 +22,7 @@
 from lemonridge.config.operator_rows import endpoint_from_row, plan_from_row
 from lemonridge.config.operator_schema import NodeTable, PlanTable, read
 from lemonridge.coordination.errors import CompactedError
-from lemonridge.coordination.etcd_client import FAILURES, EtcdClient, Event
+from lemonridge.coordination.etcd_client import RETRYABLE_ERRORS, EtcdClient, Event
 from lemonridge.coordination.etcd_follower import Feed, Follower, etcd_backoff
 from lemonridge.core.counters import Counters
 from lemonridge.core.endpoint_registry import EndpointAddress, EndpointRegistry
@@ -149,21 +149,21 @@
         self._plans, self._plans_revision = PlansFeed(counters), 0
         self._backoff = etcd_backoff(random, counters)
 
-    async def contracts(self, names: tuple[str, ...], settings: Settings) -> Settings:
+    async def apply_contracts(self, names: tuple[str, ...], settings: Settings) -> Settings:
         """The settings with the plans that etcd holds at the start; waits until it answers."""
         async with open_session() as http:
             while True:
                 try:
                     self._plans_revision = await self.client.range(http, PlansFeed.KIND, self._plans.add_page)
                     break
-                except (CompactedError, *FAILURES) as error:
+                except (CompactedError, *RETRYABLE_ERRORS) as error:
                     await self._backoff.wait_after(error)
         plans = tuple(
             self._plans.plans.get(name, plan) for name, plan in zip(names, settings.plans, strict=True)
         )
         return replace(settings, plans=plans)
 
-    def follow(self, on_change: Callable[[dict[str, VolumePlan]], None]) -> None:
+    def subscribe_to_plans(self, on_change: Callable[[dict[str, VolumePlan]], None]) -> None:
         """Gives the plans to `on_change` now, and at each change."""
         self._plans.on_change = on_change
         on_change(self._plans.plans)
--- a/lemonridge/extents/etcd_source.py
+++ b/lemonridge/extents/etcd_source.py
@@ -18,8 +18,8 @@
 import aiohttp
 import msgspec
 
-from lemonridge.coordination.errors import OutOfStepError
-from lemonridge.coordination.etcd_client import FAILURES, EtcdClient, Event
+from lemonridge.coordination.errors import MissedChangeError
+from lemonridge.coordination.etcd_client import RETRYABLE_ERRORS, EtcdClient, Event
 from lemonridge.extents.errors import MapError, MapRecordError
 from lemonridge.extents.extent_map import Change, ChangeResult, Extent
 from lemonridge.extents.refresh import ExtentKey
@@ -145,7 +145,7 @@
         """Applies the events of a watch; those of one revision are one change.
 
         Raises:
-            OutOfStepError: The complete map must be read again.
+            MissedChangeError: The complete map must be read again.
         """
         groups: dict[int, list[Event]] = {}
         for event in events:
@@ -156,9 +156,9 @@
             except MapRecordError as error:
                 log.error("map change rejected", extra={"error": str(error)})
                 self._router.counters["map.malformed"] += 1
-                raise OutOfStepError from None
+                raise MissedChangeError from None
             if result not in (ChangeResult.APPLIED, ChangeResult.STALE):
-                raise OutOfStepError
+                raise MissedChangeError
 
     async def run_during_watch(self, etcd: EtcdClient, http: aiohttp.ClientSession) -> None:
         """Polls the map's version, which etcd answers with the newest that its members agreed on.
@@ -166,7 +166,7 @@
         This confirms the map and detects a watch that has lost a change.
 
         Raises:
-            OutOfStepError: The complete map must be read again.
+            MissedChangeError: The complete map must be read again.
         """
         while True:
             try:
@@ -176,8 +176,8 @@
                 if freshness is Freshness.CONFIRMED:
                     self._router.confirm()
                 if freshness is Freshness.CHANGE_MISSED:
-                    raise OutOfStepError
-            except FAILURES as error:
+                    raise MissedChangeError
+            except RETRYABLE_ERRORS as error:
                 self._router.counters["etcd.unconfirmed"] += 1
                 log.info("map not confirmed", extra={"error": f"{type(error).__name__}: {error}"})
             await asyncio.sleep(CONFIRM_INTERVAL_S)
--- a/lemonridge/service/iscsi.py
+++ b/lemonridge/service/iscsi.py
@@ -48,7 +48,7 @@
     counters, etcd = Counters(), None
     if config.etcd is not None:
         etcd = EtcdSource(config.etcd, Random(), counters, config.extents.page)
-        settings = await etcd.contracts(config.plans, config.settings)
+        settings = await etcd.apply_contracts(config.plans, config.settings)
         if fleet is None or fleet.rollout is None:  # else contracts are in force once they are agreed on
             config = replace(config, settings=settings)
     service = Service("iscsi", config.settings, _random_seed(), counters)
@@ -60,7 +60,7 @@
     if fleet is not None:
         coordinator = await connect_peers(service, fleet, config, _random_seed)
         if coordinator is not None and etcd is not None:
-            etcd.follow(coordinator.propose_plans)
+            etcd.subscribe_to_plans(coordinator.propose_plans)
         if fleet.admin is not None:
             await listen_for_fleet_calls(service, fleet.admin, lambda: front.listens)
     await front.start(config.listen)
--- a/tests/extents/test_map_sources.py
+++ b/tests/extents/test_map_sources.py
@@ -16,7 +16,7 @@
 from lemonridge.config.errors import ConfigError
 from lemonridge.config.operator_file import parse
 from lemonridge.config.operator_schema import json_schema
-from lemonridge.coordination.errors import OutOfStepError
+from lemonridge.coordination.errors import MissedChangeError
 from lemonridge.coordination.etcd_client import Event
 from lemonridge.core.counters import Counters
 from lemonridge.extents.errors import MapCacheError, MapRecordError
@@ -106,7 +106,7 @@
             [Event(extent_key(0, 0), None, 6), head(5)],
             [Event(extent_key(0, 0), b"[]", 6), head(5)],
         ):
-            with self.subTest(events=events), self.assertRaises(OutOfStepError):
+            with self.subTest(events=events), self.assertRaises(MissedChangeError):
                 self.feed.apply_changes(events)
             self.assertEqual([(one.first, one.shard) for one in self.holder.map], [(0, 0), (10, 0)])
         self.assertRaises(MapRecordError, self.feed.add_page, [Event(extent_key(0, 0) + "/x", b"{}", 1)])
