--- a/lemonridge/coordination/action_queue.py
+++ b/lemonridge/coordination/action_queue.py
@@ -1,4 +1,4 @@
-"""Does the rollout's actions in their order: a vote is on disk before any message behind it is sent."""
+"""Performs the rollout's actions in order: a vote is on disk before any later message is sent."""
 
 from __future__ import annotations
 
@@ -15,41 +15,48 @@
 
 log = logging.getLogger(__name__)
 
-ACTIONS_MAX = 1024  # waiting for the disk; past it the oldest messages are dropped, as on a link
-WRITE_RETRY_S = 0.1  # between two attempts to write a vote
+# Past this limit the oldest queued messages are dropped, which the rollout handles like lost datagrams.
+ACTIONS_MAX = 1024
+WRITE_RETRY_S = 0.1  # pause between two attempts to write a vote
 
 
 class ActionQueue:
-    """The actions that are not done yet. While a vote is being written all behind it wait.
+    """The queue of the actions that are not done yet.
 
-    Until its disk takes a vote this broker is silent to its peers, as if its links were cut, and answers its
-    clients as before. `post` sends messages to peers.
+    While a vote is being written, all later actions wait. If writes fail, this broker sends no rollout
+    messages to its peers, as if it were partitioned, but still serves its clients.
+
+    Args:
+        store: The vote store.
+        send_messages: Sends messages to peers, each with the number of its member.
+        loop: The event loop.
+        counters: The counters of the process.
     """
 
     def __init__(
         self,
         store: VoteStore,
-        post: Callable[[list[tuple[int, Item]]], None],
+        send_messages: Callable[[list[tuple[int, Item]]], None],
         loop: asyncio.AbstractEventLoop,
         counters: Counters,
     ) -> None:
-        self._store, self._post, self._loop, self._counters = store, post, loop, counters
+        self._store, self._send_messages, self._loop, self._counters = store, send_messages, loop, counters
         self._actions: deque[RolloutAction] = deque()
         self._writing: asyncio.Future[None] | None = None
         self._write_failed = False
 
     def add(self, actions: Iterable[RolloutAction]) -> None:
-        """Adds actions, and does what can be done now."""
+        """Adds actions, and performs those that can be done now."""
         for action in actions:
             if (
                 isinstance(action, PersistVote)
                 and self._actions
                 and isinstance(self._actions[-1], PersistVote)
             ):
-                self._actions.pop()  # no message was to be sent between the two
+                self._actions.pop()  # no message depends on the older record
             self._actions.append(action)
         while len(self._actions) > ACTIONS_MAX:
-            self._actions.remove(next(one for one in self._actions if isinstance(one, SendMessage)))
+            self._actions.remove(next(action for action in self._actions if isinstance(action, SendMessage)))
         self._run()
 
     def _run(self) -> None:
@@ -60,24 +67,24 @@
                 messages.append((action.member, action.item))
                 continue
             if messages:
-                self._post(messages)
+                self._send_messages(messages)
                 messages = []
-            # In a thread: a disk may take seconds, and no request waits for it.
+            # In a thread, since a write may take seconds and must not block requests.
             self._writing = self._loop.run_in_executor(None, self._store.write, action.data)
             self._writing.add_done_callback(partial(self._on_written, action))
         if messages:
-            self._post(messages)
+            self._send_messages(messages)
 
-    def _on_written(self, action: PersistVote, done: asyncio.Future[None]) -> None:
+    def _on_written(self, action: PersistVote, future: asyncio.Future[None]) -> None:
         self._writing = None
-        error = None if done.cancelled() else done.exception()
+        error = None if future.cancelled() else future.exception()
         if error is None:
             self._write_failed = False
             self._counters["policy.kept"] += 1
             self._run()
             return
         if not self._write_failed:
-            log.error("vote not written, messages to peers wait for it", extra={"error": str(error)})
+            log.error("vote could not be written, messages to peers are delayed", extra={"error": str(error)})
         self._write_failed = True
         if not (self._actions and isinstance(self._actions[0], PersistVote)):
             self._actions.appendleft(action)
--- a/lemonridge/coordination/errors.py
+++ b/lemonridge/coordination/errors.py
@@ -1,27 +1,27 @@
-"""The errors of the coordination package. Each one's text is shown to operators as it is."""
+"""The errors of the coordination package. Operators see their messages unchanged."""
 
 from __future__ import annotations
 
 
 class CoordinationError(Exception):
-    """Base of the package's errors."""
+    """Base class of the errors in this package."""
 
 
 class VoteStoreError(CoordinationError):
-    """A vote store that is damaged, held by another process, or there already."""
+    """A vote store is damaged, locked by another process, or exists already."""
 
 
 class EtcdError(CoordinationError):
-    """Base of what ends a range or a watch of etcd."""
+    """Base class of the errors that end a range or a watch of etcd."""
 
 
 class EtcdResponseError(EtcdError, ValueError):
-    """An answer of etcd that is an error, or cannot be read; the call is made again after a pause."""
+    """An answer of etcd is an error or malformed; the call is repeated after a pause."""
 
 
 class CompactedError(EtcdError):
-    """The revision asked for is compacted: only a range tells what holds now."""
+    """The requested revision is compacted: a new range is needed to read the current keys."""
 
 
 class MissedChangeError(EtcdError):
-    """A change was lost: only a range tells what holds now."""
+    """A change was missed: a new range is needed to read the current keys."""
--- a/lemonridge/coordination/etcd_client.py
+++ b/lemonridge/coordination/etcd_client.py
@@ -1,4 +1,4 @@
-"""Calls of etcd by the JSON gateway of its v3 API: ranges, single keys and watches below one prefix."""
+"""A client of etcd's v3 API over its JSON gateway: ranges, single keys and watches below one prefix."""
 
 from __future__ import annotations
 
@@ -16,18 +16,24 @@
 from lemonridge.coordination.errors import CompactedError, EtcdResponseError
 from lemonridge.core.counters import Counters
 
-WATCH_DURATION_S = 60.0  # a watch is begun anew this often: a connection may die without a sign
-CALL_DEADLINE_S = 5.0  # of a call that is no watch
-MESSAGE_BYTES_MAX = 8 << 20  # of one message of a watch
-GRPC_OUT_OF_RANGE = 11  # the code of a revision that was compacted
+WATCH_DURATION_S = 60.0  # a new watch begins this often, since a connection may break without notice
+CALL_DEADLINE_S = 5.0  # of a call other than a watch
+MESSAGE_BYTES_MAX = 8 << 20  # maximum length of one message of a watch
+GRPC_OUT_OF_RANGE = 11  # the error code for a compacted revision
 HTTP_OK = 200
-# Errors of a call that is made again after a pause.
+# The errors after which a call is repeated, after a pause.
 RETRYABLE_ERRORS = (aiohttp.ClientError, OSError, ValueError, KeyError, TypeError)
 
 
 @dataclass(frozen=True, slots=True)
 class Event:
-    """A key that was set (`value`) or deleted (None), at a revision; the key without the prefix."""
+    """A key that was set or deleted.
+
+    Attributes:
+        key: The key without the operators' prefix.
+        value: The value; None if the key was deleted.
+        revision: The revision of the change.
+    """
 
     key: str
     value: bytes | None
@@ -39,7 +45,7 @@
 
 
 class EtcdClient:
-    """Calls of one endpoint, for keys below one prefix; `page_size` is in keys.
+    """A client of one endpoint, for the keys below one prefix; `page_size` is in keys.
 
     A failed call raises one of RETRYABLE_ERRORS, or CompactedError if its revision is compacted.
     """
@@ -51,7 +57,7 @@
     async def range(
         self, http: aiohttp.ClientSession, kind: str, on_page: Callable[[Sequence[Event]], None]
     ) -> int:
-        """Reads all keys that begin with `kind`, in pages of one revision; returns the revision."""
+        """Reads all keys that begin with `kind`, in pages of one revision, and returns that revision."""
         key_range = self._key_range(kind)
         request: dict[str, Any] = {**key_range, "limit": str(self._page_size)}
         revision = 0
@@ -59,7 +65,7 @@
             answer = await self._post(http, "kv/range", request)
             revision = revision or int(answer["header"]["revision"])
             page = answer.get("kvs", [])
-            on_page([self._event(row) for row in page])
+            on_page([self._parse_key_value(key_value) for key_value in page])
             if not answer.get("more") or not page:
                 self._counters["etcd.ranges"] += 1
                 return revision
@@ -72,27 +78,31 @@
             }
 
     async def get(self, http: aiohttp.ClientSession, keys: Sequence[str]) -> list[Event]:
-        """Reads single keys, all as of one moment; those that do not exist are left out."""
+        """Reads single keys, all at one revision; omits those that do not exist."""
         requests = [{"request_range": {"key": _base64(self._prefix + key)}} for key in keys]
         answer = await self._post(http, "kv/txn", {"success": requests})
-        ranges = [one["response_range"] for one in answer["responses"]]
-        return [self._event(row) for one in ranges for row in one.get("kvs", ())]
+        ranges = [response["response_range"] for response in answer["responses"]]
+        return [
+            self._parse_key_value(key_value)
+            for response_range in ranges
+            for key_value in response_range.get("kvs", ())
+        ]
 
     async def watch(
         self, http: aiohttp.ClientSession, kind: str, revision: int
     ) -> AsyncGenerator[list[Event], None]:
-        """Yields the events from `revision` on, a message at a time, until the watch is to be begun anew."""
+        """Yields the events from `revision` on, one list per message, until WATCH_DURATION_S is over."""
         create = {"create_request": {**self._key_range(kind), "start_revision": str(revision)}}
-        ends_s = asyncio.get_running_loop().time() + WATCH_DURATION_S
+        deadline_s = asyncio.get_running_loop().time() + WATCH_DURATION_S
         async with http.post(f"{self._url}/watch", data=orjson.dumps(create)) as response:
             if response.status != HTTP_OK:
                 raise EtcdResponseError(f"status {response.status}")
             self._counters["etcd.watches"] += 1
-            async with aclosing(_lines(response, ends_s)) as lines:
+            async with aclosing(_read_lines(response, deadline_s)) as lines:
                 async for line in lines:
-                    yield self._events(orjson.loads(line))
+                    yield self._parse_watch_message(orjson.loads(line))
 
-    def _events(self, message: dict[str, Any]) -> list[Event]:
+    def _parse_watch_message(self, message: dict[str, Any]) -> list[Event]:
         if "error" in message:
             raise EtcdResponseError(f"the watch failed: {message['error']}")
         result = message["result"]
@@ -101,15 +111,15 @@
         if result.get("canceled"):
             raise EtcdResponseError(f"the watch was cancelled: {result.get('cancel_reason', '')}")
         events = result.get("events", ())
-        return [self._event(event["kv"], event.get("type") == "DELETE") for event in events]
+        return [self._parse_key_value(event["kv"], event.get("type") == "DELETE") for event in events]
 
-    def _event(self, row: dict[str, Any], is_deleted: bool = False) -> Event:
-        key = base64.b64decode(row["key"]).decode()[len(self._prefix) :]
-        value = None if is_deleted else base64.b64decode(row.get("value", ""))
-        return Event(key, value, int(row.get("mod_revision", 0)))
+    def _parse_key_value(self, key_value: dict[str, Any], is_deleted: bool = False) -> Event:
+        key = base64.b64decode(key_value["key"]).decode()[len(self._prefix) :]
+        value = None if is_deleted else base64.b64decode(key_value.get("value", ""))
+        return Event(key, value, int(key_value.get("mod_revision", 0)))
 
     def _key_range(self, kind: str) -> dict[str, str]:
-        """The range of every key that begins with `kind`."""
+        """Returns the range of all keys that begin with `kind`."""
         first = self._prefix + kind
         return {"key": _base64(first), "range_end": _base64(first[:-1] + chr(ord(first[-1]) + 1))}
 
@@ -122,16 +132,20 @@
                 raise CompactedError
             raise EtcdResponseError(f"status {response.status}: {answer}")
         if not isinstance(answer, dict):
-            raise EtcdResponseError("not an object")
+            raise EtcdResponseError("the answer is not a JSON object")
         return answer
 
 
-async def _lines(response: aiohttp.ClientResponse, ends_s: float) -> AsyncGenerator[bytes, None]:
-    """The lines of a response until `ends_s` (loop time); EtcdResponseError where it ends before."""
+async def _read_lines(response: aiohttp.ClientResponse, deadline_s: float) -> AsyncGenerator[bytes, None]:
+    """Yields the lines of a response until `deadline_s` (loop time).
+
+    Raises:
+        EtcdResponseError: The response ends before the deadline, or a line is too long.
+    """
     buffer = bytearray()
     while True:
         try:
-            async with asyncio.timeout_at(ends_s):
+            async with asyncio.timeout_at(deadline_s):
                 chunk = await response.content.readany()
         except TimeoutError:
             return
@@ -141,6 +155,6 @@
         *complete, remainder = buffer.split(b"\n")
         buffer = bytearray(remainder)
         if len(buffer) > MESSAGE_BYTES_MAX:
-            raise EtcdResponseError("a message of the watch is too long")
+            raise EtcdResponseError("a watch message is too long")
         for line in filter(None, map(bytes.strip, map(bytes, complete))):
             yield line
--- a/lemonridge/coordination/etcd_follower.py
+++ b/lemonridge/coordination/etcd_follower.py
@@ -1,4 +1,4 @@
-"""Follows one kind of keys in etcd: reads all of them, then watches from there on."""
+"""Follows the keys of one kind in etcd: reads all of them, then watches for changes."""
 
 from __future__ import annotations
 
@@ -18,55 +18,61 @@
 
 log = logging.getLogger(__name__)
 
-BACKOFF_FIRST_S = 0.1  # before the first retry, doubled up to the limit below
+BACKOFF_INITIAL_S = 0.1  # before the first retry, doubled for each further one up to BACKOFF_MAX_S
 BACKOFF_MAX_S = 2.0
 
 
 class Feed(Protocol):
-    """Takes the keys of one kind: first a snapshot, page by page, then the changes."""
+    """Receives the keys of one kind: first a snapshot, page by page, then the changes."""
 
     def begin_snapshot(self) -> None:
-        """A snapshot of all keys begins, as of one revision."""
+        """Begins a snapshot of all keys at one revision."""
 
     def add_page(self, rows: Sequence[Event]) -> None:
         """Adds the next keys of the snapshot, in order.
 
         Raises:
-            ValueError: They cannot be used: the snapshot is read again after a pause.
+            ValueError: A key or value is malformed; the snapshot is read again after a pause.
         """
 
     def finish_snapshot(self) -> None:
-        """The snapshot is complete; ValueError as above."""
+        """Applies the complete snapshot.
+
+        Raises:
+            ValueError: The snapshot is invalid; it is read again after a pause.
+        """
 
     def apply_changes(self, events: Sequence[Event]) -> None:
         """Applies changes, in order.
 
         Raises:
-            MissedChangeError: A change was lost: only a snapshot helps.
+            MissedChangeError: A change was missed; a new snapshot is read.
         """
 
     async def run_during_watch(self, etcd: EtcdClient, http: aiohttp.ClientSession) -> None:
-        """Runs beside each watch; its end ends the watch."""
+        """Runs concurrently with each watch. The watch ends when this returns or raises."""
 
 
 def etcd_backoff(random: Random, counters: Counters) -> Backoff:
-    """The pauses between two attempts to reach etcd."""
-    return Backoff("etcd", log, BACKOFF_FIRST_S, BACKOFF_MAX_S, random, counters)
+    """Returns the pauses between attempts to reach etcd."""
+    return Backoff("etcd", log, BACKOFF_INITIAL_S, BACKOFF_MAX_S, random, counters)
 
 
 class Follower:
-    """Feeds one kind of keys, which begin with `kind`, to a feed; `run` never returns."""
+    """Passes the keys that begin with `kind` to a feed."""
 
     def __init__(self, etcd: EtcdClient, kind: str, feed: Feed, random: Random, counters: Counters) -> None:
         self._etcd, self._kind, self._feed, self._counters = etcd, kind, feed, counters
         self._backoff = etcd_backoff(random, counters)
-        self._revision = 0  # the newest that the feed has; 0: it needs a snapshot
+        self._revision = 0  # the newest revision that the feed has; 0 if it needs a snapshot
 
     async def run(self, revision: int = 0) -> None:
-        """Reads a snapshot, then watches from the next revision on.
+        """Reads a snapshot, then watches from the next revision on. Never returns.
+
+        After an error it continues the watch; after a compaction or a missed change it reads a new snapshot.
 
-        After a failure it watches on; after a compaction, or a lost change, it reads a snapshot again.
-        `revision` is that of a snapshot that the feed has already.
+        Args:
+            revision: The revision of a snapshot that the feed already has; 0 if it has none.
         """
         self._revision = revision
         async with open_session() as http:
@@ -96,7 +102,7 @@
         self._revision = revision
 
     async def _watch(self, http: aiohttp.ClientSession) -> None:
-        """One watch, and what the feed runs beside it; the end of either ends both."""
+        """Runs one watch and the feed's `run_during_watch`; when either ends, the other is cancelled."""
         tasks = [
             asyncio.create_task(self._apply_watch(http)),
             asyncio.create_task(self._feed.run_during_watch(self._etcd, http)),
@@ -116,6 +122,6 @@
                 self._backoff.reset()
                 if events:
                     self._feed.apply_changes(events)
-                    # A message's header holds the store's revision, which a watch that catches up has not
-                    # reached: only the events' revisions have been seen.
+                    # The header of a message has the revision of the store, which a watch that is catching
+                    # up has not reached yet, so only the revisions of the events count.
                     self._revision = max(self._revision, *(event.revision for event in events))
--- a/lemonridge/coordination/etcd_source.py
+++ b/lemonridge/coordination/etcd_source.py
@@ -1,9 +1,9 @@
 """The endpoint list and the contracts from etcd.
 
-Below the operators' prefix `nodes/NAME` holds an endpoint and `plans/NAME` the figures of a plan, each as a
-JSON object with the keys of the operators' file; the extent map stands below `map/`
-(`extents/etcd_source.py`). Each kind of keys is followed by itself, so that changes of endpoints never wait
-for the pages of a big map.
+Below the operators' prefix, the key `nodes/NAME` holds an endpoint and `plans/NAME` the values of a plan,
+each as a JSON object with the keys of the operators' file. The extent map is below `map/`
+(`extents/etcd_source.py`). Each kind of keys is followed separately, so that changes of endpoints do not wait
+for the pages of a large map.
 """
 
 from __future__ import annotations
@@ -33,13 +33,13 @@
 log = logging.getLogger(__name__)
 
 
-def _log_ignored(event: Event, error: Exception, counters: Counters) -> None:
+def _log_malformed_value(event: Event, error: Exception, counters: Counters) -> None:
     counters["etcd.malformed"] += 1
     log.warning("etcd key ignored, its value is malformed", extra={"key": event.key, "error": str(error)})
 
 
 class EndpointsFeed:
-    """Feeds the endpoint registry with the keys `nodes/NAME`."""
+    """Updates the endpoint registry from the keys `nodes/NAME`."""
 
     KIND = "nodes/"
 
@@ -53,8 +53,8 @@
 
     def add_page(self, rows: Sequence[Event]) -> None:
         """See `Feed`."""
-        for row in rows:
-            self._apply(row)
+        for event in rows:
+            self._apply(event)
 
     def finish_snapshot(self) -> None:
         """See `Feed`."""
@@ -67,13 +67,15 @@
             self._registry.update(EndpointListUpdate.DELTA, changed)
 
     async def run_during_watch(self, etcd: EtcdClient, http: aiohttp.ClientSession) -> None:
-        """See `Feed`: nothing runs."""
+        """See `Feed`. Waits forever, since nothing runs besides the watch."""
         await asyncio.Event().wait()
 
     def _apply(self, event: Event) -> EndpointAddress | None:
-        """Applies one key; returns what changed. A malformed value changes nothing: the last good one stands.
+        """Applies one key.
 
-        Of a key that is deleted the endpoint is returned as removed.
+        Returns:
+            The changed endpoint, in the state REMOVED if its key was deleted. None if nothing changed: a
+            malformed value is ignored, and the last valid one stays in use.
         """
         name = event.key.removeprefix(self.KIND)
         if event.value is None:
@@ -82,40 +84,44 @@
                 return None
             return replace(removed, endpoint=replace(removed.endpoint, state=EndpointState.REMOVED))
         try:
-            row = orjson.loads(event.value)
-            if isinstance(row, dict):
-                row["name"] = name
-            endpoint = endpoint_from_row(read(NodeTable, row, event.key), event.key)
+            table = orjson.loads(event.value)
+            if isinstance(table, dict):
+                table["name"] = name
+            endpoint = endpoint_from_row(read(NodeTable, table, event.key), event.key)
         except (ConfigError, ValueError) as error:
-            _log_ignored(event, error, self._counters)
+            _log_malformed_value(event, error, self._counters)
             return None
         self._endpoints[name] = endpoint
         return endpoint
 
 
 class PlansFeed:
-    """Keeps the contracts, the keys `plans/NAME`. A plan whose key is deleted stays as it was.
+    """Keeps the contracts, from the keys `plans/NAME`. A plan whose key is deleted stays unchanged.
 
-    Where the fleet agrees on a policy the plans are proposals, given to `on_change`. Elsewhere the scheduler
-    gets them once, at the start, and a later change counts from the next start on.
+    In a fleet with an agreed policy the plans are proposals, which are passed to `on_change`. Otherwise the
+    scheduler gets them once, at the start, and a later change takes effect at the next start.
+
+    Attributes:
+        plans: The plans, by name.
+        on_change: Called with all plans after each change; None without an agreed policy.
     """
 
     KIND = "plans/"
 
     def __init__(self, counters: Counters) -> None:
         self._counters = counters
-        self.plans: dict[str, VolumePlan] = {}  # by name
+        self.plans: dict[str, VolumePlan] = {}
         self.on_change: Callable[[dict[str, VolumePlan]], None] | None = None
 
     def begin_snapshot(self) -> None:
-        """See `Feed`: the plans stay."""
+        """See `Feed`. The known plans stay."""
 
     def add_page(self, rows: Sequence[Event]) -> None:
         """See `Feed`."""
         self.apply_changes(rows)
 
     def finish_snapshot(self) -> None:
-        """See `Feed`: nothing is left to do."""
+        """See `Feed`. The pages are applied already."""
 
     def apply_changes(self, events: Sequence[Event]) -> None:
         """See `Feed`."""
@@ -126,22 +132,22 @@
             try:
                 plan = plan_from_row(read(PlanTable, orjson.loads(event.value), event.key))
             except (ConfigError, ValueError) as error:
-                _log_ignored(event, error, self._counters)
+                _log_malformed_value(event, error, self._counters)
                 continue
             if self.on_change is not None:
                 self.plans[name] = plan
             elif self.plans.setdefault(name, plan) != plan:
-                log.warning("plan changed in etcd, in force from the next start on", extra={"plan": name})
+                log.warning("plan changed in etcd, takes effect at the next start", extra={"plan": name})
         if self.on_change is not None:
             self.on_change(self.plans)
 
     async def run_during_watch(self, etcd: EtcdClient, http: aiohttp.ClientSession) -> None:
-        """See `Feed`: nothing runs."""
+        """See `Feed`. Waits forever, since nothing runs besides the watch."""
         await asyncio.Event().wait()
 
 
 class EtcdSource:
-    """Everything that is followed at one endpoint; `page_size` is in keys."""
+    """Follows the plans and other kinds of keys at one etcd endpoint; `page_size` is in keys."""
 
     def __init__(self, etcd: EtcdConfig, random: Random, counters: Counters, page_size: int) -> None:
         self.client = EtcdClient(etcd, counters, page_size)
@@ -150,7 +156,10 @@
         self._backoff = etcd_backoff(random, counters)
 
     async def apply_contracts(self, names: tuple[str, ...], settings: Settings) -> Settings:
-        """The settings with the plans that etcd holds at the start; waits until it answers."""
+        """Returns the settings with the plans that etcd has at the start; waits until etcd answers.
+
+        `names` are the names of the settings' plans, in order.
+        """
         async with open_session() as http:
             while True:
                 try:
@@ -164,12 +173,12 @@
         return replace(settings, plans=plans)
 
     def subscribe_to_plans(self, on_change: Callable[[dict[str, VolumePlan]], None]) -> None:
-        """Gives the plans to `on_change` now, and at each change."""
+        """Calls `on_change` with all plans now and after each change."""
         self._plans.on_change = on_change
         on_change(self._plans.plans)
 
     async def run(self, feeds: dict[str, Feed]) -> None:
-        """Follows the plans, and each kind of keys that there is a feed for; never returns."""
+        """Follows the plans and the kinds of keys in `feeds`. Never returns."""
         async with asyncio.TaskGroup() as group:
             for kind, feed in feeds.items():
                 group.create_task(self._follower(kind, feed).run())
--- a/lemonridge/coordination/lease_guard.py
+++ b/lemonridge/coordination/lease_guard.py
@@ -1,4 +1,7 @@
-"""Guards the decisions by the lease: which settings they use, and whether one made earlier still counts."""
+"""Checks the policy lease for the decision host.
+
+The lease determines the settings that the scheduler uses, and whether an earlier decision is still valid.
+"""
 
 from __future__ import annotations
 
@@ -17,45 +20,52 @@
 
 log = logging.getLogger(__name__)
 
-FLOOR = "floor"  # what operators and nodes see in place of epochs where there is no lease
+FLOOR = "floor"  # shown to operators and nodes in place of epochs if there is no lease
 
 
 def format_epochs(epochs: EpochInterval) -> str:
-    """An interval as nodes see it with an attempt: `3`, `3-4` or `floor`."""
+    """Returns an interval as it is sent to nodes with an attempt: `3`, `3-4` or `floor`."""
     low, high = epochs
     return FLOOR if epochs == NO_EPOCHS else str(low) if low == high else f"{low}-{high}"
 
 
 class PolicyLeaseGuard:
-    """The host's `LeaseGuard`.
-
-    Asked before each decision, so that none is made by a lease that has ended, whatever timer did not fire.
-
-    `own` is what this broker's file says; `loop_time` is in seconds.
+    """The `LeaseGuard` of the decision host.
+
+    The host checks it before each decision, so that no decision is based on an expired lease, even if a timer
+    is late.
+
+    Args:
+        rollout: This broker's member of the rollout.
+        local_policy: The settings in this broker's own file.
+        clock: The clock of the process.
+        loop_time: Returns the event loop's time in seconds.
+        peers: The connection to the other brokers, which lend each other parts of the limits.
+        counters: The counters of the process.
     """
 
     def __init__(
         self,
         rollout: RolloutMember,
-        own: LocalPolicy,
+        local_policy: LocalPolicy,
         clock: Clock,
         loop_time: Callable[[], float],
         peers: PeerTransport,
         counters: Counters,
     ) -> None:
-        self.own = own
+        self.local_policy = local_policy
         self._rollout, self._clock, self._loop_time = rollout, clock, loop_time
         self._peers, self._counters = peers, counters
-        self._in_use: tuple[EpochInterval, int] | None = None  # by the decisions, and the newest epoch
-        self._changed_s = 0.0  # when that changed
-        self._has_had_lease = False  # since this start
+        self._in_use: tuple[EpochInterval, int] | None = None  # the decisions' epochs, and the newest epoch
+        self._changed_s = 0.0  # loop time of the last change of `_in_use`
+        self._has_had_lease = False  # since the start of the process
 
     def _current(self) -> tuple[EpochInterval, int]:
         return self._rollout.epochs_in_use(self._clock.now_us()), self._rollout.state.epoch
 
     @property
     def is_outdated(self) -> bool:
-        """Whether the decisions use other epochs than they are to use now."""
+        """Whether the decisions use other epochs than the current ones."""
         return self._in_use != self._current()
 
     def changed_settings(self, now_us: int) -> Settings | None:
@@ -76,17 +86,27 @@
             },
         )
         settings = self.settings()
-        self._peers.configure(settings)  # what is lent of a limit is counted by the limit in force
+        self._peers.configure(settings)  # loans are parts of the limits in force
         return settings
 
     def settings(self) -> Settings:
-        """This broker's settings with the policy in use; PolicyError where the two do not go together."""
+        """Returns this broker's settings with the policy in use.
+
+        Raises:
+            PolicyError: The broker's own settings are incompatible with the policy.
+        """
         epochs, _ = self._in_use or self._current()
         return self.apply(self._rollout.policy_for(epochs))
 
     def apply(self, policy: Policy) -> Settings:
-        """This broker's settings with a policy; PolicyError where the two do not go together."""
-        return policy_document.apply(policy, self.own.settings, self.own.plans, self.own.classes)
+        """Returns this broker's settings with a policy.
+
+        Raises:
+            PolicyError: The broker's own settings are incompatible with the policy.
+        """
+        return policy_document.apply(
+            policy, self.local_policy.settings, self.local_policy.plans, self.local_policy.classes
+        )
 
     def epoch(self, decided_at_s: float) -> str | None:
         """See `LeaseGuard`."""
@@ -95,5 +115,5 @@
         return format_epochs(self._in_use[0])
 
     def has_lease(self) -> bool:
-        """Whether this broker knows what to decide by: it has had a lease since its start."""
+        """Returns whether this broker has had a lease since its start and can use the policy in force."""
         return self._has_had_lease and self._rollout.policy_error is None
--- a/lemonridge/coordination/policy_admin_calls.py
+++ b/lemonridge/coordination/policy_admin_calls.py
@@ -1,4 +1,4 @@
-"""The operators' calls about the policy: a handler for each."""
+"""Handles the admin calls about the policy."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class PolicyAdminCalls:
-    """The calls at one broker. `flush` does the actions that a call leaves behind."""
+    """The admin calls at one broker; `flush` performs the rollout actions that a call queues."""
 
     def __init__(
         self, rollout: RolloutMember, source: SourceProposal, clock: Clock, flush: Callable[[], None]
@@ -37,7 +37,7 @@
         }
 
     def act(self, request: AdminRequest) -> AdminReply:
-        """Answers a call."""
+        """Handles a call and returns the reply."""
         return self._handlers[request.call](request)
 
     def _show(self, request: AdminRequest) -> AdminReply:
@@ -67,7 +67,7 @@
         except (orjson.JSONDecodeError, PolicyError, KeyError, TypeError) as error:
             return AdminReply(False, f"not a proposal: {error}")
         try:
-            self._source.check_agrees(policy)
+            self._source.check_no_conflict(policy)
             if proposal.get("dry"):
                 self._rollout.check_policy(policy)
                 return AdminReply(True, self._difference(policy))
@@ -80,7 +80,7 @@
         return "; ".join(lines) or "nothing differs"
 
     def _begin(self, begin: Callable[[int], None]) -> AdminReply:
-        """Begins a change, and answers with the epoch that it would have."""
+        """Begins a change, and replies with the epoch that it would create."""
         try:
             begin(self._clock.now_us())
         except RolloutError as error:
@@ -90,7 +90,7 @@
         return AdminReply(True, f"epoch {self._rollout.state.epoch + 1} is proposed")
 
     def _force(self, request: AdminRequest) -> AdminReply:
-        """The emergency call: to go on without a majority."""
+        """Handles the emergency call, which continues without a majority of the voters."""
         try:
             call: dict[str, Any] = orjson.loads(request.text)
             lost_voters, note = tuple(map(str, call["lost"])), str(call.get("note", ""))
--- a/lemonridge/coordination/policy_coordinator.py
+++ b/lemonridge/coordination/policy_coordinator.py
@@ -1,6 +1,6 @@
-"""The policy of the fleet at one broker: hosts its part in the rollout in the process.
+"""Connects a broker's `RolloutMember` to the event loop, the peers, the disk and the scheduler.
 
-Loaded only where an operator's file sets `[fleet.policy]`.
+Loaded only if the operator's file has a table `[fleet.policy]`.
 """
 
 from __future__ import annotations
@@ -37,10 +37,12 @@
 STORE_ID_BITS = 62  # of the random id of a new vote store
 
 
-def first_state(fleet: FleetConfig, own: LocalPolicy) -> PolicyState:
-    """Epoch 0: what the brokers' own files say, which have to be alike."""
+def genesis_state(fleet: FleetConfig, local_policy: LocalPolicy) -> PolicyState:
+    """Returns the state of epoch 0, from the brokers' own files, which must have the same policy."""
     assert fleet.rollout is not None
-    policy = policy_document.policy_from(own.settings, own.plans, own.classes)
+    policy = policy_document.policy_from_settings(
+        local_policy.settings, local_policy.plans, local_policy.classes
+    )
     return PolicyState(
         epoch=0,
         previous_digest="",
@@ -51,18 +53,27 @@
 
 
 class PolicyCoordinator:
-    """This broker's policy: drives its `RolloutMember` by messages, time and operators' calls.
-
-    Args of the constructor: `own` is what this broker's file says, `record` what `store` holds.
+    """The policy of one broker: drives its `RolloutMember` by messages, timers and admin calls.
+
+    Args:
+        fleet: The configuration of the fleet.
+        local_policy: The settings in this broker's own file.
+        seed: The seed of the rollout's random pauses.
+        peers: The connection to the other brokers.
+        decision_host: The host of the scheduler.
+        clock: The clock of the process.
+        counters: The counters of the process.
+        store: The vote store.
+        record: The record in the vote store, or None if it has none.
 
     Raises:
-        ConfigError: The record cannot be used.
+        ConfigError: The record is malformed or invalid.
     """
 
     def __init__(
         self,
         fleet: FleetConfig,
-        own: LocalPolicy,
+        local_policy: LocalPolicy,
         seed: int,
         peers: PeerTransport,
         decision_host: DecisionHost,
@@ -72,14 +83,19 @@
         record: bytes | None,
     ) -> None:
         assert fleet.rollout is not None
-        self._own, self._decision_host, self._clock, self._counters = own, decision_host, clock, counters
+        self._local_policy, self._decision_host, self._clock, self._counters = (
+            local_policy,
+            decision_host,
+            clock,
+            counters,
+        )
         self._loop = asyncio.get_running_loop()
         try:
             self.rollout = RolloutMember(
                 fleet.own_index,
                 fleet.names,
                 peers.incarnation,
-                first_state(fleet, own),
+                genesis_state(fleet, local_policy),
                 record,
                 1 + secrets.randbelow(1 << STORE_ID_BITS),
                 self._validate,
@@ -90,7 +106,9 @@
             )
         except (PolicyError, msgspec.DecodeError) as error:
             raise ConfigError(f"{fleet.rollout.votes_path} cannot be used: {error}") from None
-        self.lease_guard = PolicyLeaseGuard(self.rollout, own, clock, self._loop.time, peers, counters)
+        self.lease_guard = PolicyLeaseGuard(
+            self.rollout, local_policy, clock, self._loop.time, peers, counters
+        )
         self._source = SourceProposal(fleet.own_index)
         self._admin_calls = PolicyAdminCalls(self.rollout, self._source, clock, self._flush)
         self._actions = ActionQueue(store, peers.send_rollout_items, self._loop, counters)
@@ -101,40 +119,46 @@
         self._tick()
 
     def _validate(self, policy: Policy) -> None:
-        """Checks that this broker could decide by a policy; PolicyError if not."""
-        policy_document.apply(policy, self._own.settings, self._own.plans, self._own.classes)
+        """Checks that this broker can decide by a policy.
+
+        Raises:
+            PolicyError: The broker's own settings are incompatible with the policy.
+        """
+        policy_document.apply(
+            policy, self._local_policy.settings, self._local_policy.plans, self._local_policy.classes
+        )
 
     # Events
 
     def on_rollout_item(self, member: int, incarnation: int, item: Item) -> None:
-        """A member's message about the policy arrived."""
+        """Handles a rollout message from a member."""
         self.rollout.handle(member, incarnation, item, self._clock.now_us())
         self._flush()
 
     def _tick(self) -> None:
         now_us = self._clock.now_us()
         self.rollout.tick(now_us)
-        self._propose_source(now_us)
+        self._propose_source_plans(now_us)
         self._flush()
         self._timer = self._loop.call_at(self._clock.loop_time(self.rollout.next_tick_us(now_us)), self._tick)
 
     def _flush(self) -> None:
-        """Does the rollout's actions, has the decisions ask the guard, and logs changes that ended."""
+        """Performs queued rollout actions, rechecks an outdated lease and logs finished changes."""
         self._actions.add(self.rollout.take_actions())
         if self.lease_guard.is_outdated:
             self._decision_host.recheck_lease()
-        ended = self.rollout.proposals.results_ended - self._results_logged
-        for result in self.rollout.proposals.results[-ended:] if ended else ():
+        unlogged = self.rollout.proposals.results_total - self._results_logged
+        for result in self.rollout.proposals.results[-unlogged:] if unlogged else ():
             log.info(
                 "policy change ended",
                 extra={"outcome": result.outcome.value, "reason": result.reason, "epoch": result.epoch},
             )
             if result.is_rejection:
                 self._source.on_rejected(self._clock.now_us())
-        self._results_logged = self.rollout.proposals.results_ended
+        self._results_logged = self.rollout.proposals.results_total
 
     def stop(self) -> None:
-        """The program ends: stops the timer, and leaves the rollout's counters."""
+        """Stops the timer, and adds the rollout's counters to those of the process."""
         if self._timer is not None:
             self._timer.cancel()
         self._counters["policy.epoch"] = self.rollout.state.epoch
@@ -144,12 +168,14 @@
     # Configuration
 
     def propose_plans(self, plans: Mapping[str, VolumePlan]) -> None:
-        """A source outside the fleet holds these plans now; they are proposed until they are in force."""
-        self._source.set({name: policy_document.plan_of(name, plan) for name, plan in plans.items()})
-
-    def _propose_source(self, now_us: int) -> None:
-        """Proposes the source's plans, if it is time and a change can begin."""
-        policy = self._source.due(self.rollout.state.policy, now_us)
+        """Sets the plans of a source outside the fleet, which are proposed until they are in force."""
+        self._source.set_plans(
+            {name: policy_document.plan_from_volume_plan(name, plan) for name, plan in plans.items()}
+        )
+
+    def _propose_source_plans(self, now_us: int) -> None:
+        """Proposes the source's plans if a proposal is due and a change can begin."""
+        policy = self._source.due_policy(self.rollout.state.policy, now_us)
         if policy is None:
             return
         try:
@@ -165,17 +191,29 @@
         else:
             log.info("plans of etcd proposed", extra={"epoch": epoch})
 
-    def configure(self, own: LocalPolicy) -> Settings:
-        """A new configuration: what of it is policy is proposed, the rest counts from now on."""
-        old, self._own, self.lease_guard.own = self._own, own, own
-        policy = policy_document.policy_from(own.settings, own.plans, own.classes)
-        if policy != policy_document.policy_from(old.settings, old.plans, old.classes):
+    def configure(self, local_policy: LocalPolicy) -> Settings:
+        """Applies a new configuration: proposes its policy, and uses its other settings at once.
+
+        Returns:
+            The new settings with the policy in force, or as they are if they are incompatible with it.
+        """
+        previous, self._local_policy, self.lease_guard.local_policy = (
+            self._local_policy,
+            local_policy,
+            local_policy,
+        )
+        policy = policy_document.policy_from_settings(
+            local_policy.settings, local_policy.plans, local_policy.classes
+        )
+        if policy != policy_document.policy_from_settings(
+            previous.settings, previous.plans, previous.classes
+        ):
             self._propose_configured(policy)
         try:
             return self.lease_guard.settings()
-        except PolicyError as error:  # the machine's own part does not go with the policy in force
+        except PolicyError as error:  # the new settings are incompatible with the policy in force
             self.rollout.policy_error = error
-            return own.settings
+            return local_policy.settings
 
     def _propose_configured(self, policy: Policy) -> None:
         epoch = self.rollout.state.epoch + 1
@@ -187,16 +225,16 @@
             log.info("configured policy proposed", extra={"epoch": epoch})
         self._flush()
 
-    # Callers
+    # Lease and admin calls
 
     def has_lease(self) -> bool:
-        """Whether this broker knows what to decide by."""
+        """Returns whether this broker has had a lease since its start and can use the policy in force."""
         return self.lease_guard.has_lease()
 
     def epoch(self, decided_at_s: float) -> str | None:
-        """The epochs that an attempt decided on at a time names; None: it may not begin any more."""
+        """Returns the epochs sent with an attempt that was decided at a time, or None if it may not begin."""
         return self.lease_guard.epoch(decided_at_s)
 
     def act(self, request: AdminRequest) -> AdminReply:
-        """Answers an operators' call about the policy."""
+        """Handles an admin call about the policy and returns the reply."""
         return self._admin_calls.act(request)
--- a/lemonridge/rollout/__init__.py
+++ b/lemonridge/rollout/__init__.py
@@ -1,1 +1,1 @@
-"""A change of policy over the whole fleet: in force everywhere from one moment on, or nowhere."""
+"""Rollout of policy changes: a majority of the voters decides each change, which applies fleet-wide."""
--- a/lemonridge/rollout/change_proposal.py
+++ b/lemonridge/rollout/change_proposal.py
@@ -1,4 +1,4 @@
-"""One member as a proposer: the check of a change by all members, then its vote, until it is decided."""
+"""The proposer role of one member: has all members check a change, then runs the vote on it."""
 
 from __future__ import annotations
 
@@ -24,52 +24,79 @@
 from lemonridge.rollout.state_transfer import StateTransfer
 from lemonridge.rollout.vote_log import VoteLog
 
-CHECK_SILENCE_US = 800_000  # a member that has not answered the check after this counts as down
-GIVE_UP_US = 5_000_000  # until the outcome is called unknown: what was proposed may still be decided
-RESEND_US = 120_000  # between two messages that were not answered
-BACKOFF_US = 150_000  # mean pause of a proposer whose ballot was rejected
-BACKOFF_JITTER = (0.3, 1.7)  # of the mean
-RESULTS_MAX = 8  # outcomes that are kept for operators
+CHECK_TIMEOUT_US = 800_000  # a member that has not replied to the check by then counts as down
+CHANGE_TIMEOUT_US = 5_000_000  # of an undecided change; if its vote has begun, it may still be decided
+RESEND_INTERVAL_US = 120_000  # between two sends of a message that was not answered
+BACKOFF_MEAN_US = 150_000  # mean pause of a proposer after a rejected ballot
+BACKOFF_JITTER_FACTORS = (0.3, 1.7)  # range of the pause, as multiples of the mean
+RESULTS_MAX = 8  # newest results, shown to operators
 
 
 class ChangeOutcome(Enum):
-    """What became of a change; the value is what operators see."""
+    """The outcome of a change; operators see the value."""
 
     IN_FORCE = "in force"  # decided
     NOWHERE = "nowhere"  # never decided
     ANOTHER = "another"  # another change was decided in its slot
-    UNKNOWN = "unknown"  # put to the vote, and not known to be decided
+    UNKNOWN = "unknown"  # the vote began, and it is not known whether the change was decided
 
 
 @dataclass(frozen=True, slots=True)
 class ChangeResult:
-    """The outcome of a change, the reason of a failure, and the epoch of a decision."""
+    """The result of a finished change.
+
+    Attributes:
+        outcome: The outcome.
+        reason: Why the change failed; empty if it is in force.
+        epoch: The epoch that was decided in the change's slot; 0 if none is known.
+        is_rejection: Whether a member or an operator rejected the change. Proposing the same change again
+            would have the same outcome.
+    """
 
     outcome: ChangeOutcome
     reason: str = ""
     epoch: int = 0
-    is_rejection: bool = False  # by a member or an operator: the same change again ends the same way
+    is_rejection: bool = False
 
 
 @dataclass(slots=True)
 class Change:
-    """A change that this member proposes: its own, or one of another member that it takes over."""
+    """A change that this member proposes: its own, or one of another member that it has taken over.
+
+    Attributes:
+        data: The encoded state.
+        digest: The digest of `data`.
+        slot: The slot, which is the epoch of the state.
+        started_us: When this member began the change.
+        is_own: Whether an operator or a source began the change here. Other changes (taken over from another
+            member, or this member's automatic readmission) leave no result.
+        check_answers: The replies to the check by member: None if the member can decide by the state, else
+            the reason why it cannot.
+        proposer: The proposer of the vote; None before the vote.
+        sent_us: When the messages of the current step were sent last.
+        backoff_until_us: No message of the vote is sent before this time.
+    """
 
-    data: bytes  # the encoded state
+    data: bytes
     digest: bytes
     slot: int
-    begun_us: int
+    started_us: int
     is_own: bool = True
-    check_answers: dict[int, str | None] = field(default_factory=dict)  # by member; None: it could
-    proposer: Proposer | None = None  # once it is put to the vote
+    check_answers: dict[int, str | None] = field(default_factory=dict)
+    proposer: Proposer | None = None
     sent_us: int = 0
     backoff_until_us: int = 0
 
 
 class ChangeProposals:
-    """The change under way at this member, and the results of the last ones.
-
-    `on_chosen` is called with the slot, the digest and the time once a quorum has accepted a value.
+    """The change under way at this member, and the results of the newest finished changes.
+
+    Args:
+        context: The member's identity and action queue.
+        log: The member's durable record.
+        transfer: The state transfers of the member.
+        acceptor: The acceptor of this member, which votes without messages.
+        on_chosen: Called with the slot, the digest and the time once a quorum has accepted a value.
     """
 
     def __init__(
@@ -84,8 +111,8 @@
         self._on_chosen = on_chosen
         self.change: Change | None = None
         self.results: list[ChangeResult] = []
-        self.results_ended = 0  # how many results there were in all
-        log.documents.in_use.append(self._digests_in_use)
+        self.results_total = 0  # number of results since the start
+        log.documents.pinned_digest_sources.append(self._digests_in_use)
 
     def _digests_in_use(self) -> set[bytes]:
         if self.change is None:
@@ -94,7 +121,7 @@
         return {self.change.digest, proposer.value if proposer is not None else NO_VALUE}
 
     def begin(self, state: PolicyState, now_us: int, *, is_own: bool = True) -> None:
-        """Begins the change to a state.
+        """Begins the change to a state, with the check by all members.
 
         Raises:
             PolicyError: The state cannot be encoded.
@@ -107,7 +134,7 @@
         self.advance(now_us)
 
     def take_over(self, now_us: int) -> None:
-        """Proposes what this member accepted and nobody finished."""
+        """Proposes the value that this member accepted and whose proposer did not finish the vote."""
         acceptor = self._log.acceptor
         digest = acceptor.accepted_value
         self._context.counts["taken_over"] += 1
@@ -115,67 +142,69 @@
         self._begin_vote(self.change, now_us)
 
     def abort(self) -> bool:
-        """Ends this member's own change. False where there is none, or it is put to the vote already."""
+        """Aborts this member's own change. Returns False if there is none or its vote has begun."""
         if self.change is None or not self.change.is_own or self.change.proposer is not None:
             return False
-        self._end(ChangeResult(ChangeOutcome.NOWHERE, "called off", is_rejection=True))
+        self._finish(ChangeResult(ChangeOutcome.NOWHERE, "called off", is_rejection=True))
         return True
 
     def on_decided(self, slot: int, digest: bytes) -> None:
-        """Ends the change whose slot is decided."""
+        """Finishes the change under way if its slot is decided."""
         if self.change is None or self.change.slot > slot:
             return
         if self.change.digest == digest:
-            self._end(ChangeResult(ChangeOutcome.IN_FORCE, epoch=slot))
+            self._finish(ChangeResult(ChangeOutcome.IN_FORCE, epoch=slot))
         else:
-            self._end(ChangeResult(ChangeOutcome.ANOTHER, "another change came first", slot))
+            self._finish(ChangeResult(ChangeOutcome.ANOTHER, "another change came first", slot))
 
-    def _end(self, result: ChangeResult) -> None:
+    def _finish(self, result: ChangeResult) -> None:
         if self.change is not None and self.change.is_own:
             self.results.append(result)
-            self.results_ended += 1
+            self.results_total += 1
             del self.results[:-RESULTS_MAX]
         self.change = None
 
     def advance(self, now_us: int) -> None:
-        """Takes the next step of the change under way, if it is time."""
+        """Advances the change under way: times it out, or resends or begins the messages that are due."""
         change = self.change
         if change is None:
             return
-        if now_us - change.begun_us > GIVE_UP_US:
+        if now_us - change.started_us > CHANGE_TIMEOUT_US:
             reason = "no majority of the voters answers"
-            self._end(
+            self._finish(
                 ChangeResult(ChangeOutcome.UNKNOWN, f"{reason}; it may still be decided")
                 if change.proposer is not None
                 else ChangeResult(ChangeOutcome.NOWHERE, reason)
             )
         elif change.proposer is None:
             self._advance_check(change, now_us)
-        elif now_us >= change.backoff_until_us and now_us - change.sent_us >= RESEND_US:
+        elif now_us >= change.backoff_until_us and now_us - change.sent_us >= RESEND_INTERVAL_US:
             self._send_phase(change, now_us)
 
     def _advance_check(self, change: Change, now_us: int) -> None:
-        """Asks all members whether they could decide by the state, then puts it to the vote.
+        """Sends check requests to the members that have not replied, and begins the vote once it may begin.
 
-        Of those who vote afterwards a majority must have answered too, or nothing could be decided any more.
+        The vote begins when all members have replied, or when those that have not count as down and a
+        majority of the voters has replied. A majority of the voters of the new state must have replied as
+        well, since otherwise no later change could be decided.
         """
         for member, reason in change.check_answers.items():
             if reason is not None:
-                named = f"{self._context.names[member]}: {reason}"
-                self._end(ChangeResult(ChangeOutcome.NOWHERE, named, is_rejection=True))
+                reason_with_member = f"{self._context.names[member]}: {reason}"
+                self._finish(ChangeResult(ChangeOutcome.NOWHERE, reason_with_member, is_rejection=True))
                 return
         silent = [member for member in range(len(self._context.names)) if member not in change.check_answers]
         if not silent or (
-            now_us - change.begun_us >= CHECK_SILENCE_US and self._voters_have_answered(change)
+            now_us - change.started_us >= CHECK_TIMEOUT_US and self._majorities_have_answered(change)
         ):
             self._begin_vote(change, now_us)
-        elif now_us - change.sent_us >= RESEND_US:
+        elif now_us - change.sent_us >= RESEND_INTERVAL_US:
             change.sent_us = now_us
             for member in silent:
                 self._context.send(member, CheckRequest(change.slot, change.digest))
 
-    def _voters_have_answered(self, change: Change) -> bool:
-        """Whether a majority has, both of those who vote now and of those who vote afterwards."""
+    def _majorities_have_answered(self, change: Change) -> bool:
+        """Whether majorities of both the current voters and the voters of the new state have replied."""
         return all(
             is_quorum(sum(member in change.check_answers for member in voters), len(voters))
             for voters in (
@@ -185,7 +214,7 @@
         )
 
     def on_check_reply(self, member: int, message: CheckReply, now_us: int) -> None:
-        """Records a member's answer to the check."""
+        """Records a member's reply to the check."""
         change = self.change
         if change is None or change.proposer is not None or message.digest != change.digest:
             return
@@ -204,17 +233,17 @@
         self._send_phase(change, now_us)
 
     def resume_vote(self, now_us: int) -> None:
-        """Goes on with the vote: a state that it may have waited for has arrived."""
+        """Continues the vote, which may have waited for a state whose transfer is now complete."""
         if self.change is not None and self.change.proposer is not None:
             self._send_phase(self.change, now_us)
 
     def _send_phase(self, change: Change, now_us: int) -> None:
-        """Sends each voter the message of the phase under way that it has not answered."""
+        """Sends the message of the current phase to each voter that has not answered it."""
         proposer = change.proposer
         assert proposer is not None
         change.sent_us = now_us
         if proposer.value != NO_VALUE and proposer.value not in self._log.documents:
-            return  # another member's value, which is being transferred
+            return  # the value was proposed by another member, and its state is still being transferred
         for member in proposer.unanswered():
             message = (
                 Prepare(proposer.slot, proposer.ballot)
@@ -222,13 +251,13 @@
                 else Accept(proposer.slot, proposer.ballot, proposer.value)
             )
             if member == self._context.number:
-                self._vote_itself(message, now_us)
+                self._cast_own_vote(message, now_us)
             else:
                 self._context.send(member, message)
             if self.change is not change or change.proposer is not proposer:
-                return  # its own vote was the last that was needed, or was a rejection
+                return  # this member's own vote completed the quorum or rejected the ballot
 
-    def _vote_itself(self, message: Prepare | Accept, now_us: int) -> None:
+    def _cast_own_vote(self, message: Prepare | Accept, now_us: int) -> None:
         number = self._context.number
         answer = (
             self._acceptor.on_prepare(message)
@@ -243,7 +272,7 @@
             self.on_rejected(answer, now_us)
 
     def on_promise(self, member: int, message: Promise, now_us: int) -> None:
-        """Records a promise; with the last that is needed phase 2 begins."""
+        """Records a promise, and begins phase 2 once a quorum has promised."""
         change = self.change
         if change is None or change.proposer is None:
             return
@@ -255,7 +284,7 @@
             self._send_phase(change, now_us)
 
     def on_accepted(self, member: int, message: AcceptReply, now_us: int) -> None:
-        """Records an acceptance; with the last that is needed the value is chosen, and all are told."""
+        """Records an acceptance. Once a quorum has accepted, announces the chosen value to all members."""
         if self.change is None or self.change.proposer is None:
             return
         proposer = self.change.proposer
@@ -264,14 +293,14 @@
             self._on_chosen(proposer.slot, proposer.value, now_us)
 
     def on_rejected(self, message: BallotRejected, now_us: int) -> None:
-        """Another proposer has a higher ballot: a higher round begins after a random pause."""
-        self._acceptor.observe(message.ballot)
+        """Handles a rejection by a higher ballot: begins a higher round, after a random pause."""
+        self._acceptor.observe_ballot(message.ballot)
         change = self.change
         if change is None or change.proposer is None or message.slot != change.proposer.slot:
             return
         proposer = change.proposer
         if message.ballot > proposer.ballot:
-            pause_us = BACKOFF_US * self._context.random.uniform(*BACKOFF_JITTER)
+            pause_us = BACKOFF_MEAN_US * self._context.random.uniform(*BACKOFF_JITTER_FACTORS)
             change.backoff_until_us = now_us + int(pause_us)
             self._acceptor.highest_round += 1
             change.proposer = Proposer(
--- a/lemonridge/rollout/errors.py
+++ b/lemonridge/rollout/errors.py
@@ -1,27 +1,27 @@
-"""The errors of the rollout package. Each one's text is shown to operators as it is."""
+"""The errors of the rollout package. Operators see their messages unchanged."""
 
 from __future__ import annotations
 
 
 class RolloutError(Exception):
-    """Base of the package's errors."""
+    """Base class of the errors in this package."""
 
 
 class PolicyError(RolloutError, ValueError):
-    """A policy or a state that is malformed, or that a broker cannot decide by."""
+    """A policy or a state is malformed, or a broker cannot decide by it."""
 
 
 class FloorError(PolicyError):
-    """A policy that allows less than the floor, which every policy has to contain."""
+    """A policy allows less than the floor."""
 
 
 class VoterChangeError(PolicyError):
-    """A state whose set of voters does not follow from the state before it."""
+    """The voters of a state may not follow those of the previous state."""
 
 
 class ChangeRejectedError(RolloutError):
-    """A change that cannot begin at this broker at this moment."""
+    """A change cannot begin at this broker now."""
 
 
 class EmergencyRejectedError(RolloutError):
-    """An emergency call whose conditions do not hold."""
+    """The conditions of an emergency call do not hold."""
--- a/lemonridge/rollout/member_context.py
+++ b/lemonridge/rollout/member_context.py
@@ -1,4 +1,4 @@
-"""What all parts of one member share: who it is, and the actions that it wants done."""
+"""The data that all components of one member share: its identity and its queued actions."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 
 @dataclass(frozen=True, slots=True)
 class PersistVote:
-    """Write this record to disk, complete, before any action that follows is done."""
+    """Write this complete record to disk before any later action is done."""
 
     data: bytes
 
 
 @dataclass(frozen=True, slots=True)
 class SendMessage:
-    """Send a message to a member, by its number."""
+    """Send a message to a member, given by its member number."""
 
     member: int
     item: Item
@@ -33,14 +33,23 @@
 
 @dataclass(slots=True)
 class MemberContext:
-    """Who this member is among the members of the file, and its actions that are not done yet."""
-
-    number: int  # this member's place among `names`
+    """The identity of this member, and its queued actions.
+
+    Attributes:
+        number: This member's number, an index into `names`.
+        names: The names of all members, in the order of the operator's file.
+        incarnation: This member's incarnation, drawn at each start.
+        random: The source of random pauses and choices.
+        actions: The queued actions, in the order in which they must be done.
+        counts: Counters, by the names that operators see.
+    """
+
+    number: int
     names: tuple[str, ...]
-    incarnation: int  # drawn at each start
+    incarnation: int
     random: Random
-    actions: list[RolloutAction] = field(default_factory=list)  # in the order in which they must happen
-    counts: dict[str, int] = field(default_factory=_counts)  # by the operators' names
+    actions: list[RolloutAction] = field(default_factory=list)
+    counts: dict[str, int] = field(default_factory=_counts)
 
     @property
     def name(self) -> str:
@@ -48,19 +57,20 @@
         return self.names[self.number]
 
     def send(self, member: int, item: Item) -> None:
-        """Sends to a member; to this one, or to one that is no member here, nothing is sent."""
+        """Queues a message to a member; ignores this member and numbers without a member."""
         if member != self.number and member < len(self.names):
             self.actions.append(SendMessage(member, item))
 
     def broadcast(self, item: Item) -> None:
-        """Sends to all other members."""
+        """Queues a message to each other member."""
         for member in range(len(self.names)):
             self.send(member, item)
 
     def voters_of(self, state: PolicyState) -> dict[int, int]:
-        """The store ids that vote after a state, by member number.
+        """Returns the store ids of a state's voters, by member number.
 
-        A voter that is no member here has a number past the members': it counts, and is never heard.
+        A voter that is not in this broker's file gets a number past those of the members. It counts for the
+        quorum but cannot be reached.
         """
         numbers = {name: number for number, name in enumerate(self.names)}
         unknown = sorted(set(state.voters) - set(numbers))
--- a/lemonridge/rollout/rollout_member.py
+++ b/lemonridge/rollout/rollout_member.py
@@ -1,17 +1,22 @@
-"""One broker's part in changes of policy: it votes, proposes, learns and leases. Pure.
+"""The state machine of one broker in the rollout of policy changes. Pure.
 
-`handle`, `tick` and the operators' calls leave actions (`take_actions`), in the order in which they must
-happen: a vote is persisted before the message that rests on it is sent.
+A member votes on proposed policy states, proposes states, learns decisions and exchanges leases. `handle`,
+`tick` and the operators' calls queue actions, which `take_actions` returns in the order in which they must be
+done: a vote is persisted before the message that depends on it is sent.
 
-A change goes: the proposer asks every member whether it could decide by the new state, which transfers the
-state there as well; one rejection makes it nowhere. Silence for CHECK_SILENCE_US counts as being down. Then a
-majority of the voters agrees on it, and from that moment no lease of the epoch before is renewed. Whoever
-learns of it decides by the stricter of both at once, and by the new one alone as soon as no lease of the old
-one is out.
+A policy change proceeds in these steps:
 
-A slot is the epoch that a decision makes. Each concern is a part of its own: `vote_log` (what is durable),
-`ballot_acceptor` and `change_proposal` (the two roles of the agreement in `paxos`), `state_transfer`,
-`lease_exchange` (over `leases`), `emergency`.
+1. Check: the proposer asks every member whether it can decide by the new state, which also transfers the
+   state to that member. One rejection ends the change. A member that does not answer within CHECK_TIMEOUT_US
+   counts as down.
+2. Vote: a majority of the voters accepts the state. From that moment no lease of the previous epoch is
+   renewed.
+3. Switch: a member that learns the decision uses the stricter combination of the previous and the new policy
+   at once, and the new policy alone as soon as no lease of the previous epoch is outstanding.
+
+A slot has the number of the epoch that its decision creates. The modules `vote_log` (durable data),
+`ballot_acceptor` and `change_proposal` (the two Paxos roles of `paxos`), `state_transfer`, `lease_exchange`
+(on top of `leases`) and `emergency` handle one concern each.
 """
 
 from __future__ import annotations
@@ -54,25 +59,39 @@
 from lemonridge.rollout.state_transfer import StateTransfer
 from lemonridge.rollout.vote_log import VoteLog
 
-REASON_BYTES_MAX = 100  # of the reason in a CheckReply
+REASON_BYTES_MAX = 100  # maximum length of the reason in a CheckReply
 
 
 class Sender(NamedTuple):
-    """Where a message came from."""
+    """The sender of a message.
+
+    Attributes:
+        member: The sender's member number.
+        incarnation: The sender's incarnation, drawn at each start.
+    """
 
     member: int
     incarnation: int
 
 
 class RolloutMember:
-    """One broker; hands each event to the part that it concerns.
-
-    Args of the constructor: `genesis` is what the brokers' own files say; `record` what the vote store holds,
-    None where there is none, and then `new_store_id` is a new one's; `validate` raises PolicyError where this
-    broker could not decide by a policy.
+    """One broker as a member of the rollout; dispatches each event to the component that handles it.
+
+    Args:
+        number: This broker's member number, an index into `names`.
+        names: The names of all members, in the order of the operator's file.
+        incarnation: This broker's incarnation, drawn at each start.
+        genesis: The state of epoch 0, from the brokers' own files.
+        record: The record in the vote store, or None if there is no usable store.
+        new_store_id: The id of the new vote store if `record` is None.
+        validate: Raises PolicyError if this broker cannot decide by a policy.
+        seed: The seed of the random pauses.
+        now_us: The current time in microseconds.
+        lease_us: The length of a lease in microseconds.
+        clock_error_us: The maximum error between two clocks over one lease, in microseconds.
 
     Raises:
-        PolicyError: The record's state cannot be used.
+        PolicyError: The state in the record is invalid.
         msgspec.DecodeError: The record is malformed.
     """
 
@@ -93,7 +112,7 @@
         self._context = MemberContext(number, names, incarnation, Random(f"{seed}/rollout"))
         self.log = VoteLog(self._context, genesis, record, new_store_id)
         self._check = StateCheck(self._context, self.log, validate)
-        self.policy_error = self._check.policy_error()  # why it cannot decide by the policy in force
+        self.policy_error = self._check.policy_error()  # why this broker cannot use the policy in force
         self.transfer = StateTransfer(self._context, self.log.documents)
         self._acceptor = BallotAcceptor(self._context, self.log, self.transfer, now_us)
         self.proposals = ChangeProposals(
@@ -120,7 +139,7 @@
 
     @property
     def state(self) -> PolicyState:
-        """The newest decided state."""
+        """The newest decided state that this member knows."""
         return self.log.state
 
     @property
@@ -130,40 +149,46 @@
 
     @property
     def counts(self) -> dict[str, int]:
-        """Counters, by the operators' names."""
+        """The member's counters, by the names that operators see."""
         return self._context.counts
 
     def take_actions(self) -> list[RolloutAction]:
-        """The actions that are to be done, in order; they are the caller's from now on."""
+        """Returns the queued actions in the order in which they must be done, and clears the queue."""
         actions, self._context.actions = self._context.actions, []
         return actions
 
     def epochs_in_use(self, now_us: int) -> EpochInterval:
-        """The epochs that it decides by at this moment; NO_EPOCHS: by the floor alone."""
-        usable = self.policy_error is None and self.leases.holder.is_valid(now_us)
-        return self.leases.holder.in_use if usable else NO_EPOCHS
+        """Returns the epochs that this broker decides by now, or NO_EPOCHS if it uses the floor."""
+        is_usable = self.policy_error is None and self.leases.holder.is_valid(now_us)
+        return self.leases.holder.in_use if is_usable else NO_EPOCHS
 
     def policy_for(self, epochs: EpochInterval) -> Policy:
-        """The policy to decide by under some epochs in use."""
+        """Returns the policy to decide by while the given epochs are in use."""
         if epochs == NO_EPOCHS or epochs[1] != self.state.epoch:
             return self.state.floor
         if epochs[0] == epochs[1]:
             return self.state.policy
         previous = self.log.previous
-        before = previous.policy if previous is not None else self.state.floor
-        return policy_document.stricter(before, self.state.policy)
+        previous_policy = previous.policy if previous is not None else self.state.floor
+        return policy_document.stricter(previous_policy, self.state.policy)
 
     def check_policy(self, policy: Policy) -> None:
-        """Checks that this broker could decide by a policy; PolicyError if not."""
+        """Checks that this broker can decide by a policy.
+
+        Raises:
+            FloorError: The policy allows less than the floor.
+            PolicyError: The broker's own settings are incompatible with the policy.
+        """
         self._check.check_policy(policy)
 
     # Operators' calls
 
     def check_can_propose(self, now_us: int) -> None:
-        """Checks that a change can begin here now.
+        """Checks that this broker can begin a change now.
 
         Raises:
-            ChangeRejectedError: Another one is under way, or this broker may not know the newest state.
+            ChangeRejectedError: Another change is under way at this broker, or it may not know the newest
+                state.
         """
         if self.proposals.change is not None:
             raise ChangeRejectedError("a change is under way")
@@ -176,11 +201,11 @@
         return self.epochs_in_use(now_us) == (self.state.epoch, self.state.epoch)
 
     def propose(self, policy: Policy, note: str, now_us: int) -> None:
-        """Begins a change of policy. Its outcome is shown in `proposals.results`.
+        """Begins a change of policy. Its outcome is appended to `proposals.results`.
 
         Raises:
-            ChangeRejectedError: It cannot begin now, or changes nothing.
-            PolicyError: This broker could not decide by the policy.
+            ChangeRejectedError: The change cannot begin now, or the policy equals the one in force.
+            PolicyError: This broker cannot decide by the policy.
         """
         self.check_can_propose(now_us)
         if policy == self.state.policy:
@@ -190,7 +215,12 @@
         self.proposals.begin(state, now_us)
 
     def admit(self, now_us: int) -> None:
-        """Begins to let this broker vote; raises as `propose` does."""
+        """Begins a change that makes this broker a voter.
+
+        Raises:
+            ChangeRejectedError: The change cannot begin now, or this broker is a voter already.
+            PolicyError: The new set of voters is invalid, or the state cannot be encoded.
+        """
         self.check_can_propose(now_us)
         if self.is_voter:
             raise ChangeRejectedError("it votes already")
@@ -203,7 +233,12 @@
         return policy_document.state_with_voter(self.state, name, self.log.store_id, name)
 
     def retire(self, voter: str, now_us: int) -> None:
-        """Begins to take a voter's vote away; raises as `propose` does."""
+        """Begins a change that removes a broker from the voters.
+
+        Raises:
+            ChangeRejectedError: The change cannot begin now, or the named broker is not a voter.
+            PolicyError: The new set of voters is invalid, or the state cannot be encoded.
+        """
         self.check_can_propose(now_us)
         if voter not in self.state.voters:
             raise ChangeRejectedError(f"'{voter}' does not vote")
@@ -212,17 +247,17 @@
         self.proposals.begin(state, now_us)
 
     def abort(self) -> bool:
-        """Ends this broker's change, if it is not put to the vote yet; whether there was one."""
+        """Aborts this broker's own change if its vote has not begun. Returns whether it was aborted."""
         return self.proposals.abort()
 
     def force(self, lost_voters: Collection[str], note: str, now_us: int) -> None:
-        """The emergency call.
+        """Performs the emergency call: continues without voters that are permanently lost.
 
-        Goes on without voters that are lost for good. No majority decides it: if the lost are only cut off,
-        they may use another policy until this decision reaches them, and what they decide is void.
+        No majority decides the new state. If the lost voters are only partitioned, they may use another
+        policy until this decision reaches them; it then replaces everything that they decided meanwhile.
 
         Raises:
-            EmergencyRejectedError: Its conditions do not hold (`EmergencyCall.next_state`).
+            EmergencyRejectedError: The conditions of the call do not hold (`EmergencyCall.next_state`).
             PolicyError: The new state cannot be encoded.
         """
         state = self._emergency.next_state(lost_voters, note, now_us)
@@ -232,21 +267,21 @@
         self._context.broadcast(Chosen(state.epoch, digest))
         self._on_decided(state.epoch, digest, now_us)
 
-    # Learning
+    # Decisions
 
     def _on_decided(self, slot: int, digest: bytes, now_us: int) -> None:
-        """A slot is decided, and its state is among the documents."""
+        """Applies the decision of a slot, whose state is in the document cache."""
         if slot <= self.state.epoch:
             return
-        self.log.decide(slot, digest)
+        self.log.record_decision(slot, digest)
         self.policy_error = self._check.policy_error()
         self.leases.on_decided(slot, now_us)
         self.proposals.on_decided(slot, digest)
         self.transfer.on_decided(slot)
         self.leases.request(now_us)
 
-    def _learn(self, source: int, slot: int, digest: bytes, now_us: int) -> None:
-        """A member says what a slot's decision is."""
+    def _learn_decision(self, source: int, slot: int, digest: bytes, now_us: int) -> None:
+        """Applies a decision that another member reported, after transferring its state if necessary."""
         if slot <= self.state.epoch:
             return
         if digest in self.log.documents:
@@ -257,18 +292,18 @@
     # Events
 
     def handle(self, member: int, incarnation: int, item: Item, now_us: int) -> None:
-        """A message arrived from a member's incarnation; one of another concern is ignored."""
+        """Handles a message from a member; messages of other protocols are ignored."""
         handler = self._handlers.get(type(item))
         if handler is not None:
             handler(Sender(member, incarnation), item, now_us)
 
     def _handle_lease_request(self, sender: Sender, message: LeaseRequest, now_us: int) -> None:
-        self.leases.answer(sender.member, sender.incarnation, message, now_us)
+        self.leases.answer_request(sender.member, sender.incarnation, message, now_us)
 
     def _handle_lease_reply(self, sender: Sender, message: LeaseReply, now_us: int) -> None:
         self.leases.record_message(sender.member, message.epoch, now_us)
-        self._learn(sender.member, message.epoch, message.digest, now_us)
-        self.leases.record_answer(sender.member, message, now_us)
+        self._learn_decision(sender.member, message.epoch, message.digest, now_us)
+        self.leases.record_reply(sender.member, message, now_us)
 
     def _handle_prepare(self, sender: Sender, message: Prepare, now_us: int) -> None:
         answer = self._acceptor.on_prepare(message)
@@ -290,13 +325,13 @@
         self.proposals.on_rejected(message, now_us)
 
     def _handle_check_request(self, sender: Sender, message: CheckRequest, now_us: int) -> None:
-        """Answers whether this broker could decide by a state, which is transferred first."""
+        """Replies whether this broker can decide by a state; first transfers a state that it lacks."""
         epoch = self.state.epoch
         if message.slot > epoch + 1 or (message.slot <= epoch and message.digest != self.log.digest):
-            return  # one of the two missed a decision, which the next lease message corrects
+            return  # this member or the sender missed a decision; the next lease message corrects that
         data = self.log.documents.get(message.digest)
         if data is None:
-            self.transfer.begin(message.digest, 0, sender.member, now_us).check = message
+            self.transfer.begin(message.digest, 0, sender.member, now_us).pending_check = message
             return
         try:
             self._check.check_document(data)
@@ -314,21 +349,21 @@
         self.transfer.serve_chunk(sender.member, message)
 
     def _handle_chunk(self, sender: Sender, message: Chunk, now_us: int) -> None:
-        complete = self.transfer.add_chunk(message, now_us)
-        if complete is None:
+        transfer = self.transfer.add_chunk(message, now_us)
+        if transfer is None:
             return
-        if complete.decided_slot:
-            self._on_decided(complete.decided_slot, message.digest, now_us)
-        if complete.check is not None:
-            source = Sender(complete.source, sender.incarnation)
-            self._handle_check_request(source, complete.check, now_us)
+        if transfer.decided_slot:
+            self._on_decided(transfer.decided_slot, message.digest, now_us)
+        if transfer.pending_check is not None:
+            source = Sender(transfer.source, sender.incarnation)
+            self._handle_check_request(source, transfer.pending_check, now_us)
         self.proposals.resume_vote(now_us)
 
     def _handle_chosen(self, sender: Sender, message: Chosen, now_us: int) -> None:
-        self._learn(sender.member, message.slot, message.digest, now_us)
+        self._learn_decision(sender.member, message.slot, message.digest, now_us)
 
     def tick(self, now_us: int) -> None:
-        """Time has passed: renews leases, repeats messages, takes over changes that nobody finishes."""
+        """Renews leases, resends unanswered messages and takes over unfinished changes, as time passes."""
         self.leases.tick(now_us)
         self.transfer.tick(now_us)
         if self.proposals.change is None and self.is_voter and self.log.acceptor.accepted_ballot:
@@ -339,26 +374,26 @@
             and self.proposals.change is None
             and self._uses_newest_epoch_alone(now_us)
         ):
-            with suppress(PolicyError):  # the state is too long with one more line of history
+            with suppress(PolicyError):  # with one more history line the state may be too long
                 self.proposals.begin(self._state_with_own_vote(), now_us, is_own=False)
         self.proposals.advance(now_us)
 
     def _needs_admission(self) -> bool:
-        """Whether this broker is one of the voters, and its store another than theirs."""
+        """Whether the newest state lists this broker as a voter, but with another store id."""
         return not self.is_voter and self._context.name in self.state.voters
 
     def next_tick_us(self, now_us: int) -> int:
-        """When `tick` is to be called next, at the latest."""
+        """Returns the time by which `tick` must be called next."""
         is_busy = (
             self.proposals.change is not None
             or self.transfer.transfers
             or self.log.acceptor.accepted_ballot
-            or not self.leases.is_settled(now_us)
+            or not self.leases.holds_newest_lease(now_us)
         )
         return now_us + (SWITCH_INTERVAL_US // 2 if is_busy else self.leases.lease_us // 8)
 
     def status(self, now_us: int) -> dict[str, object]:
-        """What operators are shown, by the keys of the admin call `policy`."""
+        """Returns the status that operators see, by the keys of the admin call `policy`."""
         return rollout_status.status(
             self._context,
             self.log,
--- a/lemonridge/rollout/rollout_status.py
+++ b/lemonridge/rollout/rollout_status.py
@@ -1,4 +1,4 @@
-"""What operators are shown of a member; the keys are those of the admin call `policy`."""
+"""The status of a member that operators see, by the keys of the admin call `policy`."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
     policy_error: PolicyError | None,
     now_us: int,
 ) -> dict[str, object]:
-    """The status of a member; `in_use` are the epochs that it decides by. Times are in milliseconds."""
+    """Returns the status of a member that decides by the epochs `in_use`. Times are in milliseconds."""
     return {
         "name": context.name,
         "life": context.incarnation,
@@ -35,15 +35,15 @@
         "accepted": log.acceptor.accepted_ballot,
         "under_way": _change_status(context, proposals.change),
         "heard": {
-            context.names[member]: {"epoch": message.epoch, "ms": (now_us - message.at_us) // 1000}
+            context.names[member]: {"epoch": message.epoch, "ms": (now_us - message.received_at_us) // 1000}
             for member, message in sorted(leases.last_messages.items())
         },
         "leases_out": {
-            context.names[member]: [[*one.interval, (one.end_us - now_us) // 1000] for one in grants]
+            context.names[member]: [[*grant.interval, (grant.end_us - now_us) // 1000] for grant in grants]
             for member, grants in sorted(leases.grantor.outstanding(now_us).items())
         },
-        "results_ended": proposals.results_ended,
-        "results": [[one.outcome.value, one.reason, one.epoch] for one in proposals.results],
+        "results_ended": proposals.results_total,
+        "results": [[result.outcome.value, result.reason, result.epoch] for result in proposals.results],
         "history": list(log.state.history),
         "counts": context.counts,
     }
--- a/lemonridge/rollout/vote_log.py
+++ b/lemonridge/rollout/vote_log.py
@@ -1,4 +1,4 @@
-"""The durable part of a member: the newest decided state, and its vote in the slot after it."""
+"""The durable data of a member: the newest decided state, and the member's vote in the next slot."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from lemonridge.rollout.paxos import Acceptor
 from lemonridge.rollout.policy_document import PolicyState
 
-DOCUMENTS_MAX = 8  # encoded states kept in memory
+DOCUMENTS_MAX = 8  # encoded states in memory; those in use are not removed
 
 
 class StoredVote(
@@ -25,10 +25,14 @@
         "accepted_state": "taken",
     },
 ):
-    """The record on disk.
-
-    The store's id, the newest state (empty: what the brokers' files say), and the vote in the slot after it.
-    The order of the fields is part of the format.
+    """The record in the vote store. The order of the fields is part of the format.
+
+    Attributes:
+        store_id: The id of the vote store.
+        state: The newest decided state, encoded; empty for the genesis state of the brokers' own files.
+        promised_ballot: The promised ballot in the slot after that state; 0 for none.
+        accepted_ballot: The ballot of the accepted value in that slot; 0 for none.
+        accepted_state: The accepted state, encoded; empty for none.
     """
 
     store_id: int
@@ -39,11 +43,13 @@
 
 
 class DocumentCache:
-    """Encoded states by their digest. The oldest are removed, except for those in use."""
+    """Encoded states by digest. The oldest ones are removed, except for those in use."""
 
     def __init__(self) -> None:
         self._documents: dict[bytes, bytes] = {}
-        self.in_use: list[Callable[[], Iterable[bytes]]] = []  # each gives digests that have to stay
+        self.pinned_digest_sources: list[
+            Callable[[], Iterable[bytes]]
+        ] = []  # functions that return digests in use
 
     def __contains__(self, digest: bytes) -> bool:
         return digest in self._documents
@@ -52,30 +58,33 @@
         return self._documents[digest]
 
     def get(self, digest: bytes) -> bytes | None:
-        """The encoded state of a digest, or None."""
+        """Returns the encoded state with a digest, or None."""
         return self._documents.get(digest)
 
     def add(self, data: bytes) -> bytes:
-        """Keeps an encoded state as the newest; returns its digest."""
+        """Adds an encoded state as the newest entry, and returns its digest."""
         digest = policy_document.digest(data)
         self._documents.pop(digest, None)
         self._documents[digest] = data
         excess = len(self._documents) - DOCUMENTS_MAX
         if excess > 0:
-            pinned = {digest}.union(*(digests() for digests in self.in_use))
-            for unused in [one for one in self._documents if one not in pinned][:excess]:
+            pinned = {digest}.union(*(digests() for digests in self.pinned_digest_sources))
+            for unused in [cached for cached in self._documents if cached not in pinned][:excess]:
                 del self._documents[unused]
         return digest
 
 
 class VoteLog:
-    """The newest decided state and the acceptor of the slot after it; `persist` orders the record written.
+    """The newest decided state, and the acceptor of the next slot.
 
-    Args of the constructor: `genesis` is the state of the brokers' own files, `record` what the store holds.
-    Without a record `new_store_id` identifies the new store, and the record is persisted at once.
+    Args:
+        context: The member's identity and action queue.
+        genesis: The state of epoch 0, from the brokers' own files.
+        record: The record in the vote store. None creates a new record, which is persisted at once.
+        new_store_id: The id of the new vote store if `record` is None.
 
     Raises:
-        PolicyError: The record's state cannot be used.
+        PolicyError: The state in the record is invalid.
         msgspec.DecodeError: The record is malformed.
     """
 
@@ -86,10 +95,12 @@
         stored = msgspec.msgpack.decode(record, type=StoredVote) if record is not None else None
         self.store_id = stored.store_id if stored is not None else new_store_id
         self.documents = DocumentCache()
-        self.documents.in_use.append(lambda: (self.digest, self.acceptor.accepted_value))
+        self.documents.pinned_digest_sources.append(lambda: (self.digest, self.acceptor.accepted_value))
         self.state = policy_document.decode(stored.state) if stored is not None and stored.state else genesis
         self.digest = self.documents.add(policy_document.encode(self.state))
-        self.previous: PolicyState | None = None  # the one before, while leases of it may be in use
+        self.previous: PolicyState | None = (
+            None  # the state of the previous epoch, whose leases may be in use
+        )
         self.acceptor = Acceptor(self.store_id, self.state.epoch + 1)
         if stored is not None:
             self.acceptor.promised_ballot = stored.promised_ballot
@@ -101,20 +112,23 @@
 
     @property
     def is_voter(self) -> bool:
-        """Whether this member's votes count: its store is the one that the state names."""
+        """Whether this member's votes count: the newest state lists it with the id of its store."""
         return self.state.voters.get(self._context.name) == self.store_id
 
-    def decide(self, slot: int, digest: bytes) -> None:
-        """Makes the state of a decided slot, which is among the documents, the newest, and persists it."""
-        before, self.previous = self.state, None
+    def record_decision(self, slot: int, digest: bytes) -> None:
+        """Makes the state of a decided slot the newest one and persists it.
+
+        The state must be in the document cache.
+        """
+        previous_state, self.previous = self.state, None
         self.state, self.digest = policy_document.decode(self.documents[digest]), digest
-        if before.epoch == slot - 1:
-            self.previous = before
+        if previous_state.epoch == slot - 1:
+            self.previous = previous_state
         self.acceptor.close_slot(slot)
         self.persist()
 
     def persist(self) -> None:
-        """Orders the record to be written, where it differs from the one written last."""
+        """Queues a write of the record if it differs from the record that was written last."""
         acceptor = self.acceptor
         record = msgspec.msgpack.encode(
             StoredVote(
--- a/tests/rollout/test_source_proposal.py
+++ b/tests/rollout/test_source_proposal.py
@@ -6,7 +6,7 @@
 
 from lemonridge.lab.measure.rollout import policy, rejection
 from lemonridge.rollout import policy_document
-from lemonridge.rollout.source_proposal import RETRY_US, STAGGER_US, SourceProposal
+from lemonridge.rollout.source_proposal import PROPOSAL_STAGGER_US, RETRY_DELAY_US, SourceProposal
 from lemonridge.scheduling.settings import VolumePlan
 
 LEASE_MS, BROKERS = 1000, 3
@@ -17,31 +17,33 @@
         before, after = policy(24.0), policy(36.0)
         proposals = [SourceProposal(me) for me in range(3)]
         for proposal in proposals:
-            proposal.set({"basic": after.plan[0], "unknown": after.plan[1]})
-            self.assertIn("plan 'basic' comes from etcd", rejection(proposal.check_agrees, before))
-            self.assertEqual(rejection(proposal.check_agrees, after), "")
-        self.assertEqual([proposal.due(before, 0) == after for proposal in proposals], [True, False, False])
-        self.assertEqual(proposals[2].due(before, 2 * STAGGER_US), after)
-        self.assertIsNone(proposals[0].due(after, 5))
-        self.assertIsNone(proposals[1].due(before, 1))  # what it saw met begins anew
+            proposal.set_plans({"basic": after.plan[0], "unknown": after.plan[1]})
+            self.assertIn("plan 'basic' comes from etcd", rejection(proposal.check_no_conflict, before))
+            self.assertEqual(rejection(proposal.check_no_conflict, after), "")
+        self.assertEqual(
+            [proposal.due_policy(before, 0) == after for proposal in proposals], [True, False, False]
+        )
+        self.assertEqual(proposals[2].due_policy(before, 2 * PROPOSAL_STAGGER_US), after)
+        self.assertIsNone(proposals[0].due_policy(after, 5))
+        self.assertIsNone(proposals[1].due_policy(before, 1))  # what it saw met begins anew
 
     def test_what_on_rejected_rests_unless_the_wish_changes(self) -> None:
         proposal, before = SourceProposal(0), policy(24.0)
-        proposal.set({"basic": policy(36.0).plan[0]})
-        self.assertIsNotNone(proposal.due(before, 0))
+        proposal.set_plans({"basic": policy(36.0).plan[0]})
+        self.assertIsNotNone(proposal.due_policy(before, 0))
         proposal.on_rejected(0)
-        self.assertIsNone(proposal.due(before, RETRY_US - 1))
-        proposal.set({"basic": policy(36.0).plan[0]})  # said again
-        self.assertIsNone(proposal.due(before, RETRY_US - 1))
-        self.assertIsNotNone(proposal.due(before, RETRY_US))
-        proposal.on_rejected(RETRY_US)
-        proposal.set({"basic": policy(30.0).plan[0]})
-        self.assertIsNotNone(proposal.due(before, RETRY_US))
+        self.assertIsNone(proposal.due_policy(before, RETRY_DELAY_US - 1))
+        proposal.set_plans({"basic": policy(36.0).plan[0]})  # said again
+        self.assertIsNone(proposal.due_policy(before, RETRY_DELAY_US - 1))
+        self.assertIsNotNone(proposal.due_policy(before, RETRY_DELAY_US))
+        proposal.on_rejected(RETRY_DELAY_US)
+        proposal.set_plans({"basic": policy(30.0).plan[0]})
+        self.assertIsNotNone(proposal.due_policy(before, RETRY_DELAY_US))
 
     def test_a_plan_of_the_settings_becomes_one_of_the_document(self) -> None:
         row = VolumePlan(1.0, 2.0, 3.0, 4.0, 5.0, 6.0)
         self.assertEqual(
-            policy_document.plan_of("x", row),
+            policy_document.plan_from_volume_plan("x", row),
             policy_document.Plan(
                 name="x", base_rate=1.0, reserve=2.0, weight=3.0, limit=4.0, burst=5.0, slack=6.0
             ),
