--- a/lemonridge/rollout/emergency.py
+++ b/lemonridge/rollout/emergency.py
@@ -27,7 +27,8 @@
 
         Raises:
             EmergencyRejectedError: This member still has a lease from a majority, the remaining voters are a
-                majority, a voter declared lost is reachable, or another voter is not.
+                majority, a voter declared lost is reachable or no voter at all, another voter is not
+                reachable, or this member started too recently to know.
         """
         state, name = self._log.state, self._context.name
         if self._leases.holder.is_valid(now_us):
--- a/lemonridge/rollout/lease_exchange.py
+++ b/lemonridge/rollout/lease_exchange.py
@@ -9,15 +9,13 @@
 from lemonridge.rollout.member_context import MemberContext
 from lemonridge.rollout.vote_log import VoteLog
 
-LEASE_US = (
-    2_000_000  # default; a dead broker delays a switch by one lease, and a shorter lease costs more messages
-)
+# Default lease. A dead broker delays a switch by one lease; a shorter lease costs more messages.
+LEASE_US = 2_000_000
 CLOCK_ERROR_US = 50_000  # default maximum error between two clocks over one lease
 RENEWALS_PER_LEASE = 4
 SWITCH_INTERVAL_US = 60_000  # between two lease requests during a switch to a new epoch
-EMERGENCY_EPOCH_STEP = (
-    1 << 16
-)  # an emergency epoch is at least the next multiple, which lost voters do not reach
+# An emergency call uses an epoch past the next multiple, which the lost voters do not reach.
+EMERGENCY_EPOCH_STEP = 1 << 16
 
 
 @dataclass(frozen=True, slots=True)
--- a/lemonridge/rollout/leases.py
+++ b/lemonridge/rollout/leases.py
@@ -97,7 +97,7 @@
         """Handles a lease request.
 
         Once it has sent the request, the member uses `in_use` or the interval granted here, and no interval
-        that it used before.
+        from before the request.
 
         Args:
             member: The requesting member.
--- a/lemonridge/rollout/source_proposal.py
+++ b/lemonridge/rollout/source_proposal.py
@@ -15,9 +15,8 @@
 from lemonridge.rollout.errors import ChangeRejectedError
 from lemonridge.rollout.policy_document import PLANS_MAX, Plan, Policy
 
-PROPOSAL_STAGGER_US = (
-    300_000  # between two brokers of the roster; about the time of a change while all brokers are up
-)
+# Between two brokers of the roster; about the duration of a change while all brokers are up.
+PROPOSAL_STAGGER_US = 300_000
 RETRY_DELAY_US = 30_000_000  # before a rejected proposal is proposed again
 
 
--- a/lemonridge/rollout/state_transfer.py
+++ b/lemonridge/rollout/state_transfer.py
@@ -13,9 +13,8 @@
 CHUNK_BYTES = 176
 CHUNKS_IN_FLIGHT = 8  # chunks requested at a time
 CHUNK_RETRY_US = 60_000  # between two requests for a chunk that did not arrive
-SOURCE_TIMEOUT_US = (
-    480_000  # without a chunk, after which another member that has the state becomes the source
-)
+# Time without a chunk after which another member that has the state becomes the source.
+SOURCE_TIMEOUT_US = 480_000
 TRANSFER_TIMEOUT_US = 5_000_000  # of a transfer; a new one begins when the state is needed again
 
 
--- a/tests/coordination/test_vote_store.py
+++ b/tests/coordination/test_vote_store.py
@@ -1,4 +1,4 @@
-"""The vote store on disk: what is damaged is not believed, what cannot be read is read again."""
+"""Tests of the vote store on disk: damaged files are rejected, and failed reads are repeated."""
 
 from __future__ import annotations
 
@@ -28,39 +28,45 @@
                 store.create()
             store.lock()
             with self.assertRaises(VoteStoreError):
-                VoteStore(f"{folder}/votes").lock()  # one process at a time
+                VoteStore(f"{folder}/votes").lock()  # the store is locked already
             store.write(b"a vote" * 20)
-            whole = store.path.read_bytes()
+            valid_file = store.path.read_bytes()
             self.assertEqual(store.read(), b"a vote" * 20)
-            for at in range(len(whole)):
-                for damaged in (whole[:at], whole[:at] + bytes((whole[at] ^ 0x41,)) + whole[at + 1 :]):
+            for offset in range(len(valid_file)):
+                for damaged in (
+                    valid_file[:offset],
+                    valid_file[:offset] + bytes((valid_file[offset] ^ 0x41,)) + valid_file[offset + 1 :],
+                ):
                     store.path.write_bytes(damaged)
                     with self.assertRaises(VoteStoreError):
                         store.read()
-            (Path(folder) / "votes.part").write_bytes(whole[:7])  # a write that was cut
-            store.path.write_bytes(whole)
+            (Path(folder) / "votes.part").write_bytes(valid_file[:7])  # an interrupted write
+            store.path.write_bytes(valid_file)
             self.assertEqual(store.read(), b"a vote" * 20)
 
 
 class FailedReads(unittest.IsolatedAsyncioTestCase):
-    """A read that fails for a moment loses no vote, and ends no start."""
+    """A temporary read error neither loses a vote nor aborts the start."""
 
-    async def test_the_store_is_read_again_until_it_can_be(self) -> None:
+    async def test_failed_read_of_the_store_is_repeated_until_it_succeeds(self) -> None:
         with tempfile.TemporaryDirectory() as folder:
             VoteStore(f"{folder}/votes").write(b"a vote")
-            plain, failures = (
+            real_read_bytes, failures = (
                 Path.read_bytes,
                 [OSError(errno.EIO, "I/O error"), OSError(errno.ENFILE, "full")],
             )
 
-            def failing(path: Path) -> bytes:
+            def read_with_failures(path: Path) -> bytes:
                 if failures:
                     raise failures.pop()
-                return plain(path)
+                return real_read_bytes(path)
 
-            with patch.object(Path, "read_bytes", failing), self.assertLogs(level="ERROR") as logged:
-                store, kept = await open_vote_store(f"{folder}/votes")
-            self.assertEqual((kept, failures, len(logged.output)), (b"a vote", [], 1))
-            with self.assertRaises(ConfigError):  # it is held
+            with (
+                patch.object(Path, "read_bytes", read_with_failures),
+                self.assertLogs(level="ERROR") as logged,
+            ):
+                store, record = await open_vote_store(f"{folder}/votes")
+            self.assertEqual((record, failures, len(logged.output)), (b"a vote", [], 1))
+            with self.assertRaises(ConfigError):  # the first store holds the lock
                 await open_vote_store(f"{folder}/votes")
             self.assertEqual(store.read(), b"a vote")
--- a/tests/rollout/test_rollout_search.py
+++ b/tests/rollout/test_rollout_search.py
@@ -1,4 +1,4 @@
-"""Every state of a small agreement and of small leases, and faults planted there."""
+"""Exhaustive searches of small Paxos and lease models, which must also find injected faults."""
 
 from __future__ import annotations
 
@@ -12,88 +12,96 @@
 
 
 class ExhaustiveSearch(unittest.TestCase):
-    """Every state of a small one, and faults that are found there."""
+    """Searches all states of small models, and checks that injected faults are found."""
 
-    def test_no_two_values_are_chosen_in_any_order_of_messages(self) -> None:
+    def test_no_message_order_chooses_two_values(self) -> None:
         for bounds in checker.STATED_AGREEMENT[:2]:
             found = checker.agreement(bounds)
             self.assertEqual((found.broken, found.whole), ("", True))
             self.assertGreater(found.states, 3_000)
 
-    def test_no_two_policies_are_in_use_in_any_order_of_messages(self) -> None:
+    def test_no_message_order_puts_two_policies_in_use(self) -> None:
         found = checker.leases(checker.Bounds(messages=0, ticks=1))
         self.assertEqual((found.broken, found.whole), ("", True))
 
-    def test_planted_faults_of_the_agreement_are_found(self) -> None:
-        def deaf(made: paxos.Proposer, who: int, ident: int, told: paxos.Promised) -> bool:
-            """Puts what it wants, whatever was accepted before."""
-            return real_promise(made, who, ident, paxos.Promised(told.slot, told.ballot, 0, paxos.NO_VALUE))
-
-        def hasty(made: paxos.Acceptor, slot: int, number: int, value: bytes) -> paxos.Accepted:
-            """Accepts what is under its promise."""
-            made.accepted_ballot, made.accepted_value = number, value
-            return paxos.Accepted(slot, number)
-
-        real_promise = paxos.Proposer.on_promise
-        for what, plant in (
-            ("promise", mock.patch.object(paxos.Proposer, "on_promise", deaf)),
-            ("accept", mock.patch.object(paxos.Acceptor, "accept", hasty)),
+    def test_injected_paxos_faults_are_found(self) -> None:
+        def ignore_accepted_values(
+            proposer: paxos.Proposer, member: int, store_id: int, promised: paxos.Promised
+        ) -> bool:
+            """Proposes the own value, whatever value was accepted before."""
+            return real_on_promise(
+                proposer, member, store_id, paxos.Promised(promised.slot, promised.ballot, 0, paxos.NO_VALUE)
+            )
+
+        def accept_any_ballot(
+            acceptor: paxos.Acceptor, slot: int, ballot: int, value: bytes
+        ) -> paxos.Accepted:
+            """Accepts a ballot lower than the promised one."""
+            acceptor.accepted_ballot, acceptor.accepted_value = ballot, value
+            return paxos.Accepted(slot, ballot)
+
+        real_on_promise = paxos.Proposer.on_promise
+        for label, fault in (
+            ("promise", mock.patch.object(paxos.Proposer, "on_promise", ignore_accepted_values)),
+            ("accept", mock.patch.object(paxos.Acceptor, "accept", accept_any_ballot)),
             ("quorum", mock.patch.object(paxos.Proposer, "quorum", 1)),
         ):
-            with self.subTest(what), plant:
+            with self.subTest(label), fault:
                 self.assertIn("two values", checker.agreement(checker.Bounds()).broken)
-        forgets = checker.agreement(checker.Bounds(wipes=1), wipe=lambda ident: ident)
-        self.assertIn("two values", forgets.broken)  # a lost disk that votes as if it remembered
+        # A member that lost its disk votes with its old store id.
+        same_store_id = checker.agreement(checker.Bounds(wipes=1), wipe=lambda store_id: store_id)
+        self.assertIn("two values", same_store_id.broken)
 
-    def test_a_switch_that_does_not_wait_for_other_leases_is_found(self) -> None:
+    def test_switch_that_ignores_outstanding_leases_is_found(self) -> None:
         self.assertEqual(checker.wander(checker.WIDE, 1, 60), "")
         with mock.patch.object(leases, "overlap", lambda *_: True):
             self.assertIn("they go by", checker.leases(checker.Bounds(messages=0, ticks=2)).broken)
 
-    def test_every_state_of_neighbouring_voter_sets_and_the_faults_found_there(self) -> None:
-        kinds = [bounds for bounds in checker.STATED_LEASES if bounds.sets]
-        for bounds in kinds[:2]:
+    def test_changes_of_voters_are_safe_and_injected_faults_are_found(self) -> None:
+        voter_changes = [bounds for bounds in checker.STATED_LEASES if bounds.sets]
+        for bounds in voter_changes[:2]:
             found = checker.leases(bounds)
             self.assertEqual((found.broken, found.whole), ("", True))
-        two = replace(kinds[0], sets=(kinds[0].sets[0], (0,)))
-        self.assertIn("they go by", checker.leases(two).broken)  # two voters at a time
+        two_voters_change = replace(voter_changes[0], sets=(voter_changes[0].sets[0], (0,)))
+        self.assertIn("they go by", checker.leases(two_voters_change).broken)
 
-        def earlier(made: leases.LeaseHolder, interval: leases.EpochInterval) -> list[tuple[int, ...]]:
-            return [made.voters if interval[0] == made.target_epoch else made.previous_voters]
+        def voters_of_first_epoch(
+            holder: leases.LeaseHolder, interval: leases.EpochInterval
+        ) -> list[tuple[int, ...]]:
+            return [holder.voters if interval[0] == holder.target_epoch else holder.previous_voters]
 
-        with mock.patch.object(
-            leases.LeaseHolder, "_voters_by_epoch", earlier
-        ):  # of two epochs the first one's voters alone
-            self.assertIn("they go by", checker.leases(kinds[2]).broken)
+        with mock.patch.object(leases.LeaseHolder, "_voters_by_epoch", voters_of_first_epoch):
+            self.assertIn("they go by", checker.leases(voter_changes[2]).broken)
 
-    def test_states_that_differ_by_member_numbers_alone_count_once(self) -> None:
+    def test_states_that_differ_only_by_member_numbers_count_once(self) -> None:
         model = checker.LeaseModel(checker.Bounds(messages=1, ticks=1))
         start = model.start()
-        after = dict(model.moves(start))
+        next_states = dict(model.moves(start))
         for name in ("{} asks, {} answers, {} answers", "{} accepts"):
             keys = {
-                checker._renamed(after[name.format(n, *(m for m in range(3) if m != n))]) for n in range(3)
+                checker._renamed(next_states[name.format(n, *(m for m in range(3) if m != n))])
+                for n in range(3)
             }
             self.assertEqual(len(keys), 1, name)
-        self.assertNotEqual(checker._renamed(after["0 accepts"]), checker._renamed(start))
+        self.assertNotEqual(checker._renamed(next_states["0 accepts"]), checker._renamed(start))
 
 
-class PlantedLeaseFaults(unittest.TestCase):
-    """Faults of the leases, each in the history that shows it; the same history holds without it."""
+class InjectedLeaseFaults(unittest.TestCase):
+    """Lease faults, each in a scenario in which it breaks the invariant and the correct code does not."""
 
-    def late_answers(self) -> None:
-        """One broker's last answers come nearly a lease late, and then it is cut off."""
+    def run_late_replies(self) -> None:
+        """The last replies to a broker arrive almost one lease late, and then it is partitioned."""
         net = Net(3).steady()
         net.extra[0] = 1_800_000
-        net.run(0.55)  # it has asked once
+        net.run(0.55)  # one lease request
         net.cut = {(0, 1), (0, 2)}
         net.run(1.0)
         net.broker(1).propose(policy(12), "half", net.now)
         net.run(4.0)
         assert net.modes()[1] == (1, 1)
 
-    def slow_clock(self, error_us: int) -> None:
-        """A broker whose clock runs a tenth slow is cut off."""
+    def run_slow_clock(self, error_us: int) -> None:
+        """A broker whose clock runs slow by a tenth is partitioned."""
         net = Net(3, error_us=error_us)
         net.slow[0] = 0.9
         net.steady()
@@ -103,8 +111,8 @@
         net.run(4.0)
         assert net.modes()[1] == (1, 1)
 
-    def restarts(self) -> None:
-        """One broker is cut off, the other two start again and change the policy at once."""
+    def run_restarts(self) -> None:
+        """One broker is partitioned; the other two restart and change the policy at once."""
         net = Net(3).steady()
         net.cut = {(0, 1), (0, 2), (1, 0), (2, 0)}
         for n in (1, 2):
@@ -114,40 +122,46 @@
         net.run(3.0)
         assert net.modes()[1] == (1, 1)
 
-    def test_a_lease_that_counts_from_its_answer_is_found(self) -> None:
-        def from_now(
-            made: leases.LeaseHolder, voter: int, ask: int, told: leases.EpochInterval, now: int
+    def test_lease_measured_from_the_reply_is_found(self) -> None:
+        def measure_from_reply(
+            holder: leases.LeaseHolder,
+            voter: int,
+            request_id: int,
+            granted: leases.EpochInterval,
+            now_us: int,
         ) -> bool:
-            asked = made._requests.get(ask)
-            if asked is not None:
-                asked.sent_us = now
-            return real(made, voter, ask, told, now)
+            request = holder._requests.get(request_id)
+            if request is not None:
+                request.sent_us = now_us
+            return real_record_grant(holder, voter, request_id, granted, now_us)
 
-        real = leases.LeaseHolder.record_grant
-        self.late_answers()
+        real_record_grant = leases.LeaseHolder.record_grant
+        self.run_late_replies()
         with (
-            mock.patch.object(leases.LeaseHolder, "record_grant", from_now),
-            self.assertRaises(AssertionError) as told,
+            mock.patch.object(leases.LeaseHolder, "record_grant", measure_from_reply),
+            self.assertRaises(AssertionError) as caught,
         ):
-            self.late_answers()
-        self.assertIn("(0, 0)", str(told.exception))
-
-    def test_a_grantor_that_adds_no_clock_error_is_found(self) -> None:
-        self.slow_clock(300_000)
-        with self.assertRaises(AssertionError) as told:
-            self.slow_clock(0)
-        self.assertIn("(0, 0)", str(told.exception))
-
-    def test_a_grantor_that_grants_at_once_after_its_start_is_found(self) -> None:
-        def at_once(made: leases.LeaseGrantor, span: int, error: int, now: int) -> None:
-            real(made, span, error, now)
-            made.grants_from_us = now
-
-        real = leases.LeaseGrantor.__init__
-        self.restarts()
+            self.run_late_replies()
+        self.assertIn("(0, 0)", str(caught.exception))
+
+    def test_grantor_that_adds_no_clock_error_is_found(self) -> None:
+        self.run_slow_clock(300_000)
+        with self.assertRaises(AssertionError) as caught:
+            self.run_slow_clock(0)
+        self.assertIn("(0, 0)", str(caught.exception))
+
+    def test_grantor_that_grants_right_after_its_start_is_found(self) -> None:
+        def grant_from_start(
+            grantor: leases.LeaseGrantor, lease_us: int, clock_error_us: int, now_us: int
+        ) -> None:
+            real_init(grantor, lease_us, clock_error_us, now_us)
+            grantor.grants_from_us = now_us
+
+        real_init = leases.LeaseGrantor.__init__
+        self.run_restarts()
         with (
-            mock.patch.object(leases.LeaseGrantor, "__init__", at_once),
-            self.assertRaises(AssertionError) as told,
+            mock.patch.object(leases.LeaseGrantor, "__init__", grant_from_start),
+            self.assertRaises(AssertionError) as caught,
         ):
-            self.restarts()
-        self.assertIn("(0, 0)", str(told.exception))
+            self.run_restarts()
+        self.assertIn("(0, 0)", str(caught.exception))
