--- a/lemonridge/coordination/policy_admin_calls.py
+++ b/lemonridge/coordination/policy_admin_calls.py
@@ -113,7 +113,7 @@
                 "voters": ",".join(rollout.state.voters),
                 "previous_epoch": previous_epoch,
                 "epoch": rollout.state.epoch,
-                "warning": "two policies may be in use until all brokers hear of this",
+                "warning": "two policies may be in use until all brokers learn of this decision",
             },
         )
         self._flush()
--- a/lemonridge/rollout/change_proposal.py
+++ b/lemonridge/rollout/change_proposal.py
@@ -25,7 +25,7 @@
 from lemonridge.rollout.vote_log import VoteLog
 
 CHECK_TIMEOUT_US = 800_000  # a member that has not replied to the check by then counts as down
-CHANGE_TIMEOUT_US = 5_000_000  # of an undecided change; if its vote has begun, it may still be decided
+CHANGE_TIMEOUT_US = 5_000_000  # an undecided change ends then; if its vote has begun, it may still be decided
 RESEND_INTERVAL_US = 120_000  # between two sends of a message that was not answered
 BACKOFF_MEAN_US = 150_000  # mean pause of a proposer after a rejected ballot
 BACKOFF_JITTER_FACTORS = (0.3, 1.7)  # range of the pause, as multiples of the mean
--- a/lemonridge/rollout/policy_document.py
+++ b/lemonridge/rollout/policy_document.py
@@ -36,7 +36,10 @@
 
 
 class Plan(Struct, forbid_unknown_fields=True, frozen=True, kw_only=True):
-    """The limits of a plan's volumes over all brokers, in request units (per second); 0 means no limit."""
+    """The limits of a plan's volumes over all brokers, in request units (per second).
+
+    A `limit` of 0 means no limit.
+    """
 
     name: Name
     base_rate: NonNegativeFloat = 0.0
@@ -64,7 +67,11 @@
 class Rules(
     Struct, forbid_unknown_fields=True, frozen=True, kw_only=True, rename={"retry_rate": "further_attempts"}
 ):
-    """The rules for all requests; `retry_rate` is per second over all brokers, 0 means no retry budget."""
+    """The rules for all requests.
+
+    `retry_rate` is the number of retries per second over all brokers; 0 means that there is no retry budget,
+    so the rate is not limited.
+    """
 
     max_attempts: Annotated[int, Meta(ge=1, le=4)] = 4
     retry_rate: NonNegativeFloat = 0.0
@@ -214,7 +221,7 @@
 
 
 def check_voter_change(previous: PolicyState, new: PolicyState, members: Iterable[str]) -> None:
-    """Checks that at most one voter changes, that all voters are members, and their number.
+    """Checks that at most one voter changes, and that there are 1 to VOTERS_MAX voters, all of them members.
 
     Raises:
         VoterChangeError: The voters of `new` may not follow those of `previous`.
--- a/lemonridge/rollout/vote_log.py
+++ b/lemonridge/rollout/vote_log.py
@@ -98,9 +98,8 @@
         self.documents.pinned_digest_sources.append(lambda: (self.digest, self.acceptor.accepted_value))
         self.state = policy_document.decode(stored.state) if stored is not None and stored.state else genesis
         self.digest = self.documents.add(policy_document.encode(self.state))
-        self.previous: PolicyState | None = (
-            None  # the state of the previous epoch, whose leases may be in use
-        )
+        # The state of the previous epoch, while its leases may be in use.
+        self.previous: PolicyState | None = None
         self.acceptor = Acceptor(self.store_id, self.state.epoch + 1)
         if stored is not None:
             self.acceptor.promised_ballot = stored.promised_ballot
