--- a/lemonridge/rollout/change_proposal.py
+++ b/lemonridge/rollout/change_proposal.py
@@ -165,7 +165,7 @@
         self.change = None
 
     def advance(self, now_us: int) -> None:
-        """Advances the change under way: times it out, or resends or begins the messages that are due."""
+        """Advances the change under way: ends it after its timeout, or sends the messages that are due."""
         change = self.change
         if change is None:
             return
