--- a/lemonridge/cli/simulator.py
+++ b/lemonridge/cli/simulator.py
@@ -11,7 +11,7 @@
 from collections.abc import Callable, Iterable
 from typing import Any, TextIO
 
-from lemonridge.config.scheduler_settings import SettingsError, settings_from
+from lemonridge.config.scheduler_settings import SettingsError, parse_settings
 from lemonridge.fleet.actions import SendDatagram
 from lemonridge.fleet.member_list import MEMBERS_MAX, MemberList
 from lemonridge.fleet.scheduler_bridge import SchedulerBridge, decide
@@ -158,7 +158,7 @@
     """One broker of the simulator: its scheduler, and its part in the fleet where it speaks to the others."""
 
     def __init__(self, facts: Any, seed: int, now_us: int, peers: bool) -> None:
-        settings = settings_from(facts)
+        settings = parse_settings(facts)
         self.scheduler = Scheduler(settings, seed)
         self.bridge: SchedulerBridge | None = None
         if peers and facts["limits"].get("peers") and 2 <= settings.hosts <= MEMBERS_MAX:
--- a/lemonridge/config/operator_file.py
+++ b/lemonridge/config/operator_file.py
@@ -17,7 +17,7 @@
 from lemonridge.config.errors import ConfigError
 from lemonridge.config.etcd import EtcdConfig
 from lemonridge.config.fleet import FleetConfig, RolloutConfig
-from lemonridge.config.operator_rows import endpoint_from_row, plan_from_row
+from lemonridge.config.operator_rows import endpoint_from_table, plan_from_table
 from lemonridge.config.operator_schema import (
     AccountTable,
     ClassTable,
@@ -34,7 +34,7 @@
     PolicyTable,
     SecretsFile,
     TargetTable,
-    read,
+    convert,
 )
 from lemonridge.extents.config import ExtentsConfig
 from lemonridge.extents.errors import MapError
@@ -69,8 +69,8 @@
     except (tomllib.TOMLDecodeError, UnicodeDecodeError) as error:
         raise ConfigError(f"{path} is not TOML: {error}") from None
     if set(values) == {"fleet"}:
-        return None, read(FleetFile, values).fleet
-    return parse(values), read(OperatorFile, values).fleet
+        return None, convert(FleetFile, values).fleet
+    return parse(values), convert(OperatorFile, values).fleet
 
 
 def fleet_config(table: FleetTable, platform_name: str | None, broker_count: int) -> FleetConfig:
@@ -133,7 +133,7 @@
     Raises:
         ConfigError: a table contradicts the schema or another table; the message names the key.
     """
-    file = read(OperatorFile, values)
+    file = convert(OperatorFile, values)
     front, initiator = file.iscsi, file.initiator
     plans = _plan_names(file.plan)
     luns, fixed = _luns(file.lun, plans)
@@ -157,7 +157,7 @@
         settings=_settings(file),
         plans=plans,
         luns=luns,
-        endpoints=tuple(endpoint_from_row(row, f"node[{number}]") for number, row in enumerate(file.node)),
+        endpoints=tuple(endpoint_from_table(row, f"node[{number}]") for number, row in enumerate(file.node)),
         etcd=etcd,
         extents=_extents(file.extents, fixed),
         targets=targets,
@@ -214,7 +214,7 @@
             _class(file.classes.read, IdempotencyKind.IDEMPOTENT),
             _class(file.classes.write, IdempotencyKind.NOT_IDEMPOTENT),
         ),
-        plans=tuple(map(plan_from_row, file.plan)),
+        plans=tuple(map(plan_from_table, file.plan)),
         polls_endpoint_list=False,
         largest_request_units=float(math.ceil(front.max_transfer_kib / front.unit_kib)),
         mean_request_units=rules.mean_request_units,
@@ -282,7 +282,7 @@
     except (tomllib.TOMLDecodeError, UnicodeDecodeError):
         # The parser's message would quote the file's text, which is not for a log.
         raise ConfigError(f"iscsi.secrets: {path} is not TOML") from None
-    return {row.name: _account(row) for row in read(SecretsFile, values, "secrets").account}
+    return {row.name: _account(row) for row in convert(SecretsFile, values, "secrets").account}
 
 
 def _account(row: AccountTable) -> Account:
--- a/lemonridge/config/operator_rows.py
+++ b/lemonridge/config/operator_rows.py
@@ -11,7 +11,7 @@
 ENDPOINT_STATES = {"up": EndpointState.ACTIVE, "draining": EndpointState.DRAINING}
 
 
-def plan_from_row(row: PlanTable) -> VolumePlan:
+def plan_from_table(row: PlanTable) -> VolumePlan:
     """The contract of a volume: rates in units a second, a limit of 0 is none."""
     return VolumePlan(
         base_rate=row.rate,
@@ -23,7 +23,7 @@
     )
 
 
-def endpoint_from_row(row: NodeTable, path: str) -> EndpointAddress:
+def endpoint_from_table(row: NodeTable, path: str) -> EndpointAddress:
     """A node of the file or of etcd; its address here is `HOST:PORT/TARGET`.
 
     Args:
--- a/lemonridge/config/operator_schema.py
+++ b/lemonridge/config/operator_schema.py
@@ -251,7 +251,7 @@
     fleet: FleetTable | None = None
 
 
-def read(kind: type[TableT], values: Any, path: str = "") -> TableT:
+def convert(kind: type[TableT], values: Any, path: str = "") -> TableT:
     """Values of a parsed file or key as the struct `kind`.
 
     Args:
@@ -265,10 +265,10 @@
     try:
         return msgspec.convert(values, kind)
     except msgspec.ValidationError as error:
-        raise ConfigError(plain(str(error), path)) from None
+        raise ConfigError(format_validation_error(str(error), path)) from None
 
 
-def plain(text: str, path: str = "") -> str:
+def format_validation_error(text: str, path: str = "") -> str:
     """Msgspec's message with the path first: `lun[2].shard: Expected ...`."""
     words, _, where = text.partition(" - at `")
     where = where.rstrip("`").removeprefix("key in ").lstrip("$").lstrip(".")
--- a/lemonridge/config/platform.py
+++ b/lemonridge/config/platform.py
@@ -16,7 +16,7 @@
 from lemonridge.config.address import Address
 from lemonridge.config.errors import ConfigError
 from lemonridge.config.fleet import FleetConfig
-from lemonridge.config.scheduler_settings import SettingsError, in_flight_field, row_names, settings_from
+from lemonridge.config.scheduler_settings import SettingsError, entry_names, in_flight_field, parse_settings
 from lemonridge.scheduling.settings import Settings
 
 SOCKETS_DEFAULT, MEMORY_DEFAULT_MIB = 1024, 192  # where the file gives no limit
@@ -150,9 +150,9 @@
         SettingsError: the settings lack something.
     """
     facts = values.get("settings")
-    settings = settings_from(facts)
-    assert isinstance(facts, dict)  # settings_from saw to it
-    classes = row_names(facts, "classes")
+    settings = parse_settings(facts)
+    assert isinstance(facts, dict)  # parse_settings has checked this
+    classes = entry_names(facts, "classes")
     class_writes = facts["family-info"].get("class-writes")
     if not isinstance(class_writes, list) or len(class_writes) != len(classes):
         raise SettingsError("settings lack the list 'family-info.class-writes'")
@@ -166,7 +166,7 @@
         settings=settings,
         classes=classes,
         class_writes=tuple(map(bool, class_writes)),
-        plans=row_names(facts, "grades"),
+        plans=entry_names(facts, "grades"),
         zones=tuple(map(str, facts.get("azs") or ())),
         connect_us=_required_limit(facts, "connect-timeout-us"),
         keepalive_us=_required_limit(facts, "keepalive-us"),
--- a/lemonridge/config/scheduler_settings.py
+++ b/lemonridge/config/scheduler_settings.py
@@ -88,7 +88,7 @@
     )
 
 
-def settings_from(facts: Any) -> Settings:
+def parse_settings(facts: Any) -> Settings:
     """Parses the settings.
 
     Args:
@@ -144,7 +144,7 @@
     return next((one for one in fields if one in OUTSTANDING_FIELDS), "") if isinstance(fields, list) else ""
 
 
-def row_names(facts: dict[str, Any], table: str) -> tuple[str, ...]:
+def entry_names(facts: dict[str, Any], table: str) -> tuple[str, ...]:
     """The names of a table's rows, in the order of their numbers.
 
     Raises:
--- a/lemonridge/coordination/etcd_source.py
+++ b/lemonridge/coordination/etcd_source.py
@@ -19,8 +19,8 @@
 
 from lemonridge.config.errors import ConfigError
 from lemonridge.config.etcd import EtcdConfig
-from lemonridge.config.operator_rows import endpoint_from_row, plan_from_row
-from lemonridge.config.operator_schema import NodeTable, PlanTable, read
+from lemonridge.config.operator_rows import endpoint_from_table, plan_from_table
+from lemonridge.config.operator_schema import NodeTable, PlanTable, convert
 from lemonridge.coordination.errors import CompactedError
 from lemonridge.coordination.etcd_client import FAILURES, EtcdClient, Event
 from lemonridge.coordination.etcd_follower import Feed, Follower, etcd_backoff
@@ -85,7 +85,7 @@
             row = orjson.loads(event.value)
             if isinstance(row, dict):
                 row["name"] = name
-            endpoint = endpoint_from_row(read(NodeTable, row, event.key), event.key)
+            endpoint = endpoint_from_table(convert(NodeTable, row, event.key), event.key)
         except (ConfigError, ValueError) as error:
             _log_ignored(event, error, self._counters)
             return None
@@ -124,7 +124,7 @@
             if event.value is None:
                 continue
             try:
-                plan = plan_from_row(read(PlanTable, orjson.loads(event.value), event.key))
+                plan = plan_from_table(convert(PlanTable, orjson.loads(event.value), event.key))
             except (ConfigError, ValueError) as error:
                 _log_ignored(event, error, self._counters)
                 continue
--- a/lemonridge/lab/links/schedule.py
+++ b/lemonridge/lab/links/schedule.py
@@ -14,7 +14,7 @@
 from msgspec import Meta, Struct
 
 from lemonridge.config.errors import ConfigError
-from lemonridge.config.operator_schema import plain
+from lemonridge.config.operator_schema import format_validation_error
 
 Share = Annotated[float, Meta(ge=0, le=1)]
 Seconds = Annotated[float, Meta(ge=0, le=3600)]
@@ -100,7 +100,7 @@
     try:
         return msgspec.convert(values, Schedule, strict=False)
     except msgspec.ValidationError as error:
-        raise ConfigError(plain(str(error))) from None
+        raise ConfigError(format_validation_error(str(error))) from None
 
 
 def write(schedule: Schedule) -> str:
--- a/lemonridge/lab/model/spec.py
+++ b/lemonridge/lab/model/spec.py
@@ -12,7 +12,7 @@
 from msgspec import Meta, Struct, field
 
 from lemonridge.config.errors import ConfigError
-from lemonridge.config.operator_schema import plain
+from lemonridge.config.operator_schema import format_validation_error
 
 Share = Annotated[float, Meta(ge=0, le=1)]
 Positive = Annotated[float, Meta(gt=0, lt=1e9)]
@@ -156,7 +156,7 @@
     try:
         return msgspec.convert(values, Scenario)
     except msgspec.ValidationError as error:
-        raise ConfigError(plain(str(error), path)) from None
+        raise ConfigError(format_validation_error(str(error), path)) from None
 
 
 def load(path: str) -> Experiment:
@@ -169,7 +169,7 @@
     except (tomllib.TOMLDecodeError, UnicodeDecodeError) as error:
         raise ConfigError(f"{path} is not TOML: {error}") from None
     except msgspec.ValidationError as error:
-        raise ConfigError(plain(str(error))) from None
+        raise ConfigError(format_validation_error(str(error))) from None
     for levels in combinations(made):
         read_scenario(vary(made.scenario, levels), "scenario")
     return made
--- a/tests/cli/test_simulator.py
+++ b/tests/cli/test_simulator.py
@@ -12,7 +12,7 @@
 import pytest
 
 from lemonridge.cli import simulator
-from lemonridge.config.scheduler_settings import SettingsError, settings_from
+from lemonridge.config.scheduler_settings import SettingsError, parse_settings
 from lemonridge.scheduling.actions import Action, Cancel
 
 ROOT = Path(__file__).resolve().parents[2]
@@ -101,12 +101,12 @@
     for allowed in (True, False):
         facts = copy.deepcopy(FACTS)
         facts["limits"]["retry-after"] = allowed
-        settings = settings_from(facts)
+        settings = parse_settings(facts)
         assert settings.max_backoff_us == (2000000 if allowed else 0)
 
 
 def test_optional_rules_may_be_absent() -> None:
-    settings = settings_from(FACTS)
+    settings = parse_settings(FACTS)
     assert settings.retry_budget_window_us == settings.key_quarantine_us == settings.poll_within_us == 0
 
 
@@ -119,7 +119,7 @@
     part = facts if table is None else facts[table][0] if table == "classes" else facts[table]
     del part[key]
     with pytest.raises(SettingsError, match=key):
-        settings_from(facts)
+        parse_settings(facts)
 
 
 @pytest.mark.parametrize(
--- a/tests/formats/test_format_etcd.py
+++ b/tests/formats/test_format_etcd.py
@@ -17,7 +17,7 @@
 from lemonridge.config.address import Address
 from lemonridge.config.errors import ConfigError
 from lemonridge.config.etcd import EtcdConfig
-from lemonridge.config.operator_schema import NodeTable, PlanTable, read
+from lemonridge.config.operator_schema import NodeTable, PlanTable, convert
 from lemonridge.coordination.errors import CompactedError
 from lemonridge.coordination.etcd_client import EtcdClient, Event
 from lemonridge.coordination.etcd_source import EndpointsFeed, PlansFeed
@@ -242,7 +242,7 @@
             (PlanTable, "plans/p", {"odd": 1}, "unknown key plans/p.odd"),
         ):
             with self.assertRaises(ConfigError) as caught:
-                read(kind, value, key)
+                convert(kind, value, key)
             self.assertEqual(str(caught.exception), words)
         with self.assertLogs(level="WARNING"):
             self.assertEqual(
--- a/tests/formats/test_format_operator_file.py
+++ b/tests/formats/test_format_operator_file.py
@@ -20,7 +20,7 @@
 
 from lemonridge.cli.main import main
 from lemonridge.config.errors import ConfigError
-from lemonridge.config.operator_schema import FleetFile, OperatorFile, SecretsFile, read
+from lemonridge.config.operator_schema import FleetFile, OperatorFile, SecretsFile, convert
 
 ROOT = Path(__file__).resolve().parents[2]
 
@@ -371,7 +371,7 @@
 
     def test_every_key_is_accepted_and_comes_back_alike(self) -> None:
         values = tomllib.loads(ALL_KEYS)
-        again = json.loads(msgspec.json.encode(read(OperatorFile, values)))
+        again = json.loads(msgspec.json.encode(convert(OperatorFile, values)))
         for row in again["lun"]:  # what is not set there is none
             for key in [key for key, value in row.items() if value in (None, [])]:
                 del row[key]
@@ -379,11 +379,11 @@
 
     def test_the_fleet_may_stand_alone(self) -> None:
         values = {"fleet": tomllib.loads(ALL_KEYS)["fleet"]}
-        self.assertEqual(json.loads(msgspec.json.encode(read(FleetFile, values))), values)
+        self.assertEqual(json.loads(msgspec.json.encode(convert(FleetFile, values))), values)
 
     def test_the_file_of_secrets_is_accepted(self) -> None:
         values = tomllib.loads(SECRETS)
-        self.assertEqual(json.loads(msgspec.json.encode(read(SecretsFile, values))), values)
+        self.assertEqual(json.loads(msgspec.json.encode(convert(SecretsFile, values))), values)
 
     def test_a_wrong_key_or_value_is_named_by_its_path(self) -> None:
         for path, value, words in (
@@ -401,10 +401,10 @@
             ("node.0.shard", "1", "node[0].shard: expected int, got str"),
         ):
             with self.subTest(path=path), self.assertRaises(ConfigError) as caught:
-                read(OperatorFile, changed(path, value))
+                convert(OperatorFile, changed(path, value))
             self.assertEqual(str(caught.exception), words)
         with self.assertRaises(ConfigError) as caught:
-            read(SecretsFile, {"account": [{"name": "portal", "odd": 1}]}, "secrets")
+            convert(SecretsFile, {"account": [{"name": "portal", "odd": 1}]}, "secrets")
         self.assertEqual(str(caught.exception), "unknown key secrets.account[0].odd")
 
 
@@ -412,7 +412,7 @@
     def test_each_is_read(self) -> None:
         for name, kind in (("iscsi", OperatorFile), ("extents", OperatorFile), ("fleet", FleetFile)):
             with self.subTest(name=name):
-                read(kind, tomllib.loads((ROOT / f"deploy/{name}.toml").read_text()))
+                convert(kind, tomllib.loads((ROOT / f"deploy/{name}.toml").read_text()))
 
     def test_the_platforms_file_has_its_keys(self) -> None:
         values = tomllib.loads((ROOT / "deploy/balancer.toml").read_text())
--- a/tests/formats/test_format_settings.py
+++ b/tests/formats/test_format_settings.py
@@ -116,7 +116,7 @@
 
 
 def test_every_key_comes_to_its_field() -> None:
-    assert asdict(scheduler_settings.settings_from(FACTS)) == asdict(SETTINGS)
+    assert asdict(scheduler_settings.parse_settings(FACTS)) == asdict(SETTINGS)
 
 
 def test_what_may_be_left_out_is_none() -> None:
@@ -130,7 +130,7 @@
     facts["discovery"] = "push"
     del facts["clients"]
 
-    read = scheduler_settings.settings_from(facts)
+    read = scheduler_settings.parse_settings(facts)
 
     assert (
         read.polls_endpoint_list,
@@ -157,7 +157,7 @@
     facts = copy.deepcopy(FACTS)
     facts["limits"]["retry-after"] = False
 
-    assert scheduler_settings.settings_from(facts).max_backoff_us == 0
+    assert scheduler_settings.parse_settings(facts).max_backoff_us == 0
 
 
 @pytest.mark.parametrize(
@@ -182,7 +182,7 @@
     del (facts[table] if table else facts)[key]
 
     with pytest.raises(scheduler_settings.SettingsError) as caught:
-        scheduler_settings.settings_from(facts)
+        scheduler_settings.parse_settings(facts)
 
     assert str(caught.value) == words
 
@@ -202,7 +202,7 @@
     facts["classes"][1][key] = value
 
     with pytest.raises(scheduler_settings.SettingsError) as caught:
-        scheduler_settings.settings_from(facts)
+        scheduler_settings.parse_settings(facts)
 
     assert str(caught.value) == words
 
@@ -222,8 +222,8 @@
 
 
 def test_names_of_rows() -> None:
-    assert scheduler_settings.row_names(FACTS, "classes") == ("read", "write", "zoned", "celled", "order")
-    assert scheduler_settings.row_names(FACTS, "grades") == ("priority", "bare")
+    assert scheduler_settings.entry_names(FACTS, "classes") == ("read", "write", "zoned", "celled", "order")
+    assert scheduler_settings.entry_names(FACTS, "grades") == ("priority", "bare")
 
 
 # The platform's file
