--- a/lemonridge/__init__.py
+++ b/lemonridge/__init__.py
@@ -1,4 +1,4 @@
-"""lemonridge: a broker between many services, with contracts and budgets, before shared storage nodes."""
+"""lemonridge: a broker between many client services and shared storage nodes, with per-volume contracts."""
 
 from __future__ import annotations
 
@@ -12,7 +12,10 @@
 
 
 def __getattr__(name: str) -> object:
-    """Load the decisions where they are asked for: a start handles its signals before it loads anything."""
+    """Imports the scheduler on first access.
+
+    `lemonridge serve` must install its signal handling before it imports anything slow.
+    """
     if name == "Scheduler":
         from lemonridge.scheduling import Scheduler
 
--- a/lemonridge/__main__.py
+++ b/lemonridge/__main__.py
@@ -1,8 +1,8 @@
-"""`python -m lemonridge`."""
+"""Entry point of `python -m lemonridge`."""
 
 import sys
 
-if sys.argv[1:2] == ["serve"]:  # before anything that takes a while to load
+if sys.argv[1:2] == ["serve"]:  # before the slow imports, during which SIGHUP would end the process
     from lemonridge.service.ignored_signals import ignore_reload_signals
 
     ignore_reload_signals()
--- a/lemonridge/cli/simulator.py
+++ b/lemonridge/cli/simulator.py
@@ -157,12 +157,12 @@
 class Instance:
     """One broker of the simulator: its scheduler, and its part in the fleet where it speaks to the others."""
 
-    def __init__(self, facts: Any, seed: int, now_us: int, peers: bool) -> None:
-        settings = parse_settings(facts)
+    def __init__(self, raw_settings: Any, seed: int, now_us: int, peers: bool) -> None:
+        settings = parse_settings(raw_settings)
         self.scheduler = Scheduler(settings, seed)
         self.bridge: SchedulerBridge | None = None
-        if peers and facts["limits"].get("peers") and 2 <= settings.hosts <= MEMBERS_MAX:
-            member_list = MemberList(tuple(map(str, range(settings.hosts))), int(facts["me"]))
+        if peers and raw_settings["limits"].get("peers") and 2 <= settings.hosts <= MEMBERS_MAX:
+            member_list = MemberList(tuple(map(str, range(settings.hosts))), int(raw_settings["me"]))
             self.bridge = SchedulerBridge(member_list, now_us // 1000, seed, now_us, settings)
 
     def handle(
--- a/lemonridge/config/__init__.py
+++ b/lemonridge/config/__init__.py
@@ -1,1 +1,1 @@
-"""What the program is told: the platform's settings, the operator's file, and plain types for addresses."""
+"""Configuration: the platform's settings, the operator's file, and the types that hold their values."""
--- a/lemonridge/config/address.py
+++ b/lemonridge/config/address.py
@@ -1,4 +1,4 @@
-"""A TCP or UDP address as configuration gives it."""
+"""The type of a configured TCP or UDP address."""
 
 from __future__ import annotations
 
@@ -11,21 +11,21 @@
 
 @dataclass(frozen=True, slots=True)
 class Address:
-    """A host's name or IP address and a port; an IPv6 address stands without its brackets."""
+    """A host name or IP address and a port; an IPv6 address is stored without brackets."""
 
     host: str
     port: int
 
     @classmethod
     def parse(cls, text: object, name: str) -> Address:
-        """Read `HOST:PORT` or `[HOST]:PORT`.
+        """Parses `HOST:PORT` or `[HOST]:PORT`.
 
         Args:
-            text: the configured value.
-            name: the key that holds it, for the error's message.
+            text: The configured value.
+            name: The configuration key of the value, for the error message.
 
         Raises:
-            ConfigError: the value has no host, or no port from 0 to 65535.
+            ConfigError: The value has no host, or no port from 0 to 65535.
         """
         host, colon, port = str(text).rpartition(":")
         if not colon or not host or not port.isascii() or not port.isdigit() or int(port) > PORT_MAX:
--- a/lemonridge/config/errors.py
+++ b/lemonridge/config/errors.py
@@ -1,7 +1,7 @@
-"""The error of every configuration that cannot be used."""
+"""The exception for configuration that cannot be used."""
 
 from __future__ import annotations
 
 
 class ConfigError(Exception):
-    """Bad configuration; the message is one plain line for the operator."""
+    """Configuration that cannot be used; the message is a single line for the operator."""
--- a/lemonridge/config/etcd.py
+++ b/lemonridge/config/etcd.py
@@ -1,4 +1,4 @@
-"""Where etcd is, and which of its keys are ours."""
+"""The configured etcd endpoint and key prefix."""
 
 from __future__ import annotations
 
@@ -12,4 +12,4 @@
     """The etcd endpoint that holds the endpoint list, the contracts and the extent map."""
 
     endpoint: Address
-    prefix: str  # begins and ends with "/"
+    prefix: str  # of all keys that the broker reads; begins and ends with "/"
--- a/lemonridge/config/local_policy.py
+++ b/lemonridge/config/local_policy.py
@@ -1,4 +1,4 @@
-"""The part of a broker's own configuration that is policy: what the fleet may agree on in its place."""
+"""The policy in a broker's own configuration, which a policy that the fleet agrees on can replace."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class LocalPolicy(Protocol):
-    """The settings of a front, with the names that its clients use; both fronts' configurations are one."""
+    """A front's settings, plan names and class names; both fronts' configuration types implement it."""
 
     @property
     def settings(self) -> Settings:
@@ -17,10 +17,10 @@
 
     @property
     def plans(self) -> tuple[str, ...]:
-        """The names of the settings' plans, in their order."""
+        """The names of the plans, in the order of `settings.plans`."""
         ...
 
     @property
     def classes(self) -> tuple[str, ...]:
-        """The names of the settings' classes, in their order."""
+        """The names of the classes, in the order of `settings.classes`."""
         ...
--- a/lemonridge/config/operator_file.py
+++ b/lemonridge/config/operator_file.py
@@ -1,7 +1,7 @@
-"""Reads the operator's file: the iSCSI front with its contracts, LUNs, extents and nodes, and the fleet.
+"""Loads the operator's file: the iSCSI front with its contracts, LUNs, extents and nodes, and the fleet.
 
-`operator_schema.py` bounds each key by itself. Here the tables are checked against each other and turned into
-the types that the program uses.
+`operator_schema.py` checks each key by itself. This module checks the tables against each other and converts
+them to the broker's types.
 """
 
 from __future__ import annotations
@@ -54,13 +54,14 @@
 
 
 def load(path: str) -> tuple[IscsiConfig | None, FleetTable | None]:
-    """Read the operator's file.
+    """Loads the operator's file.
 
     Returns:
-        The iSCSI front, None in a file that only sets up the fleet, and the fleet's table, if there is one.
+        The iSCSI front, None for a file that only has the table `[fleet]`; and that table, None if it is
+        missing.
 
     Raises:
-        ConfigError: the file cannot be read, is not TOML, or contradicts the schema or itself.
+        ConfigError: The file cannot be read, is not TOML, violates the schema, or contradicts itself.
     """
     try:
         values = tomllib.loads(Path(path).read_text(encoding="utf-8"))
@@ -74,32 +75,33 @@
 
 
 def fleet_config(table: FleetTable, platform_name: str | None, broker_count: int) -> FleetConfig:
-    """This broker's place in the fleet.
+    """Returns the fleet's members and this broker's place among them.
 
     Args:
-        table: the file's table `[fleet]`.
-        platform_name: what the platform calls this broker; the table's own name goes before it.
-        broker_count: how many brokers the settings count with.
+        table: The table `[fleet]` of the file.
+        platform_name: This broker's name on the platform, used if the table has no name.
+        broker_count: The number of brokers according to the settings.
 
     Raises:
-        ConfigError: the members contradict each other, the name or the count; the secret cannot be used.
+        ConfigError: Two members have the same name, this broker is not a member, the number of members is not
+            `broker_count`, an address is malformed, or the secret cannot be used.
     """
-    names = tuple(row.name for row in table.member)
+    names = tuple(member.name for member in table.member)
     if len(set(names)) != len(names):
         raise ConfigError("fleet.member: two have one name")
-    own = table.name or platform_name
-    if own not in names:
-        raise ConfigError(f"fleet.name: {own!r} is no member" if own else "fleet.name is missing")
+    own_name = table.name or platform_name
+    if own_name not in names:
+        raise ConfigError(f"fleet.name: {own_name!r} is no member" if own_name else "fleet.name is missing")
     if len(names) != broker_count:
         raise ConfigError(f"fleet.member names {len(names)} brokers, the settings {broker_count}")
     secret = _fleet_secret(table.secret) if table.secret is not None else b""
     return FleetConfig(
         names,
-        names.index(own),
+        names.index(own_name),
         Address.parse(table.listen, "fleet.listen"),
         tuple(
-            Address.parse(row.address, f"fleet.member[{number}].address")
-            for number, row in enumerate(table.member)
+            Address.parse(member.address, f"fleet.member[{number}].address")
+            for number, member in enumerate(table.member)
         ),
         table.bytes_per_s,
         int(table.clock_error_ms * 1000),
@@ -111,7 +113,11 @@
 
 
 def _fleet_secret(path: str) -> bytes:
-    """The key of the fleet's datagrams, from a file that only its owner can read."""
+    """Reads the key that authenticates the fleet's datagrams.
+
+    Raises:
+        ConfigError: The file cannot be read, is accessible to others than its owner, or is too short.
+    """
     try:
         if os.stat(path).st_mode & READABLE_BY_GROUP_OR_OTHERS:
             raise ConfigError(f"fleet.secret: {path} is open to others")
@@ -128,16 +134,16 @@
 
 
 def parse(values: Mapping[str, Any]) -> IscsiConfig:
-    """The file's tables, each by the schema, then against each other.
+    """Converts the file's parsed values to the iSCSI front's configuration.
 
     Raises:
-        ConfigError: a table contradicts the schema or another table; the message names the key.
+        ConfigError: A table violates the schema or contradicts another table; the message names the key.
     """
     file = convert(OperatorFile, values)
     front, initiator = file.iscsi, file.initiator
     plans = _plan_names(file.plan)
     luns, fixed = _luns(file.lun, plans)
-    etcd = _etcd(file.etcd)
+    etcd = _etcd_config(file.etcd)
     _check_nodes(file.node, etcd)
     _check_map_source(file, luns, fixed)
     accounts = _accounts(front.secrets)
@@ -157,9 +163,11 @@
         settings=_settings(file),
         plans=plans,
         luns=luns,
-        endpoints=tuple(endpoint_from_table(row, f"node[{number}]") for number, row in enumerate(file.node)),
+        endpoints=tuple(
+            endpoint_from_table(node, f"node[{number}]") for number, node in enumerate(file.node)
+        ),
         etcd=etcd,
-        extents=_extents(file.extents, fixed),
+        extents=_extents_config(file.extents, fixed),
         targets=targets,
         wishes=_target_wishes(front),
         max_connections=front.max_connections,
@@ -173,46 +181,46 @@
     )
 
 
-def _plan_names(rows: Sequence[PlanTable]) -> tuple[str, ...]:
-    names = tuple(row.name for row in rows)
+def _plan_names(tables: Sequence[PlanTable]) -> tuple[str, ...]:
+    names = tuple(plan.name for plan in tables)
     if not all(names):
         raise ConfigError(f"plan[{names.index('')}].name is missing")
     if len(set(names)) != len(names):
-        raise ConfigError("two plans have one name")
+        raise ConfigError("plan: two plans have the same name")
     return names
 
 
-def _etcd(table: EtcdTable | None) -> EtcdConfig | None:
+def _etcd_config(table: EtcdTable | None) -> EtcdConfig | None:
     if table is None:
         return None
     return EtcdConfig(Address.parse(table.endpoint, "etcd.endpoint"), table.prefix)
 
 
-def _check_nodes(rows: Sequence[NodeTable], etcd: EtcdConfig | None) -> None:
-    if not rows and etcd is None:
-        raise ConfigError("neither node nor etcd says where the nodes are")
-    for number, row in enumerate(rows):
-        if not row.name:
+def _check_nodes(nodes: Sequence[NodeTable], etcd: EtcdConfig | None) -> None:
+    if not nodes and etcd is None:
+        raise ConfigError("no nodes configured: the file has neither node nor etcd")
+    for number, node in enumerate(nodes):
+        if not node.name:
             raise ConfigError(f"node[{number}].name is missing")
 
 
 def _check_map_source(file: OperatorFile, luns: Mapping[int, Lun], fixed: Sequence[Extent]) -> None:
-    """Exactly one source of the extent map, where a LUN lies in extents."""
+    """Checks that the extent map has exactly one source, if any LUN is mapped by extents."""
     mapped = any(lun.mapped for lun in luns.values())
     if mapped and not fixed and file.etcd is None and file.extents.file is None:
-        raise ConfigError("lun.extents: neither etcd nor extents.file says where the map is")
-    if fixed and (file.extents.file or any(row.extents for row in file.lun)):
-        raise ConfigError("lun.extent: the map stands in this file or elsewhere, not both")
+        raise ConfigError("lun.extents: the map has no source: neither etcd nor extents.file is set")
+    if fixed and (file.extents.file or any(table.extents for table in file.lun)):
+        raise ConfigError("lun.extent: cannot be combined with extents.file or lun.extents")
 
 
 def _settings(file: OperatorFile) -> Settings:
-    """The scheduler's settings; those that the file has no key for are off."""
+    """Returns the scheduler's settings; rules for which the file has no key are disabled."""
     front, rules = file.iscsi, file.rules
     return Settings(
         hosts=front.brokers,
         classes=(
-            _class(file.classes.read, IdempotencyKind.IDEMPOTENT),
-            _class(file.classes.write, IdempotencyKind.NOT_IDEMPOTENT),
+            _request_class(file.classes.read, IdempotencyKind.IDEMPOTENT),
+            _request_class(file.classes.write, IdempotencyKind.NOT_IDEMPOTENT),
         ),
         plans=tuple(map(plan_from_table, file.plan)),
         polls_endpoint_list=False,
@@ -239,15 +247,15 @@
     )
 
 
-def _class(row: ClassTable, idempotency: IdempotencyKind) -> RequestClass:
+def _request_class(table: ClassTable, idempotency: IdempotencyKind) -> RequestClass:
     return RequestClass(
-        latency_objective_us=int(row.aim_ms * 1000),
-        deadline_us=int(row.deadline_ms * 1000),
+        latency_objective_us=int(table.aim_ms * 1000),
+        deadline_us=int(table.deadline_ms * 1000),
         idempotency=idempotency,
         deduplication_scope=DeduplicationScope.ALL,
         deduplication_window_us=0,
         sequential=False,
-        priority_weight=row.priority_weight,
+        priority_weight=table.priority_weight,
     )
 
 
@@ -266,10 +274,10 @@
 
 
 def _accounts(path: str | None) -> dict[str, Account]:
-    """The accounts of the file of secrets, by name.
+    """Returns the CHAP accounts of the file of secrets, by name.
 
     Raises:
-        ConfigError: others may read the file, or one secret serves both directions.
+        ConfigError: The file cannot be read, is accessible to others, or an account's secrets cannot be used.
     """
     if path is None:
         return {}
@@ -280,19 +288,21 @@
     except OSError as error:
         raise ConfigError(f"iscsi.secrets: cannot read {path}: {error.strerror}") from None
     except (tomllib.TOMLDecodeError, UnicodeDecodeError):
-        # The parser's message would quote the file's text, which is not for a log.
+        # The parser's message is left out: it quotes the file's text, and secrets must not be logged.
         raise ConfigError(f"iscsi.secrets: {path} is not TOML") from None
-    return {row.name: _account(row) for row in convert(SecretsFile, values, "secrets").account}
+    return {table.name: _account(table) for table in convert(SecretsFile, values, "secrets").account}
 
 
-def _account(row: AccountTable) -> Account:
-    if row.own_secret and (
-        row.own_secret == row.secret or len(row.own_secret) < OWN_SECRET_MIN_BYTES or not row.own_name
+def _account(table: AccountTable) -> Account:
+    """Returns an account; the two directions of mutual CHAP must use different secrets."""
+    if table.own_secret and (
+        table.own_secret == table.secret or len(table.own_secret) < OWN_SECRET_MIN_BYTES or not table.own_name
     ):
         raise ConfigError(
-            f"secrets: own_secret of {row.name} must be of its own, of 12 bytes or more, with own_name"
+            f"secrets: own_secret of {table.name} must differ from secret, have 12 bytes or more, "
+            "and come with own_name"
         )
-    return Account(row.name, row.secret.encode(), row.own_name, row.own_secret.encode())
+    return Account(table.name, table.secret.encode(), table.own_name, table.own_secret.encode())
 
 
 def _named_account(accounts: Mapping[str, Account], name: str, path: str) -> Account:
@@ -302,43 +312,50 @@
 
 
 def _endpoint_account(table: InitiatorTable, accounts: Mapping[str, Account]) -> Account | None:
-    """The account by which this side logs in to the nodes."""
+    """Returns the account that the broker uses to log in to the nodes; None if CHAP is off."""
     return _named_account(accounts, table.chap, "initiator.chap") if table.chap else None
 
 
 def _targets(
-    front: FrontTable, rows: Sequence[TargetTable], accounts: Mapping[str, Account]
+    front: FrontTable, tables: Sequence[TargetTable], accounts: Mapping[str, Account]
 ) -> dict[str, TargetRule]:
-    """The target's names, each with the initiators and accounts that may log in."""
-    targets = {front.target: _target(front.target, front.initiators, front.chap, accounts, "iscsi")}
-    for number, row in enumerate(rows):
-        targets[row.name] = _target(row.name, row.initiators, row.chap, accounts, f"target[{number}]")
-    if len(targets) != 1 + len(rows):
-        raise ConfigError("two targets have one name")
+    """Returns the access rule of each target name: the initiators and CHAP accounts that may log in."""
+    targets = {front.target: _target_rule(front.target, front.initiators, front.chap, accounts, "iscsi")}
+    for number, table in enumerate(tables):
+        targets[table.name] = _target_rule(
+            table.name, table.initiators, table.chap, accounts, f"target[{number}]"
+        )
+    if len(targets) != 1 + len(tables):
+        raise ConfigError("target: two targets have the same name")
     return targets
 
 
-def _target(
+def _target_rule(
     name: str, initiators: list[str], chap: list[str], accounts: Mapping[str, Account], path: str
 ) -> TargetRule:
-    admitted = {one: _named_account(accounts, one, f"{path}.chap") for one in chap}
-    return TargetRule(name, frozenset(initiators), admitted)
+    admitted_accounts = {
+        account_name: _named_account(accounts, account_name, f"{path}.chap") for account_name in chap
+    }
+    return TargetRule(name, frozenset(initiators), admitted_accounts)
 
 
-def _luns(rows: list[LunTable], plans: tuple[str, ...]) -> tuple[dict[int, Lun], tuple[Extent, ...]]:
-    """The LUNs, and the extents that stand with them."""
+def _luns(tables: list[LunTable], plans: tuple[str, ...]) -> tuple[dict[int, Lun], tuple[Extent, ...]]:
+    """Returns the LUNs by number, and the extents that their tables list."""
     luns: dict[int, Lun] = {}
     fixed: list[Extent] = []
-    for number, row in enumerate(rows):
+    for number, table in enumerate(tables):
         path = f"lun[{number}]"
-        if row.lun in luns:
-            raise ConfigError(f"{path}.lun must be of its own, not {row.lun}")
-        if row.plan not in plans:
-            raise ConfigError(f"{path}.plan names no plan: {row.plan!r}")
-        if (row.shard is not None) + (row.extents is not None) + bool(row.extent) != 1:
-            raise ConfigError(f"{path}: one of shard, extents and extent says where it lies")
-        luns[row.lun] = Lun(row.lun, plans.index(row.plan), -1 if row.shard is None else row.shard)
-        fixed += [Extent(row.lun, one.first, one.blocks, one.shard, one.version) for one in row.extent]
+        if table.lun in luns:
+            raise ConfigError(f"{path}.lun: two tables have the number {table.lun}")
+        if table.plan not in plans:
+            raise ConfigError(f"{path}.plan: no plan is named {table.plan!r}")
+        if (table.shard is not None) + (table.extents is not None) + bool(table.extent) != 1:
+            raise ConfigError(f"{path}: one of shard, extents and extent must be set, and only one")
+        luns[table.lun] = Lun(table.lun, plans.index(table.plan), -1 if table.shard is None else table.shard)
+        fixed += [
+            Extent(table.lun, extent.first, extent.blocks, extent.shard, extent.version)
+            for extent in table.extent
+        ]
     try:
         ExtentMap(len(fixed)).replace_all(0, fixed)
     except MapError as error:
@@ -346,7 +363,7 @@
     return luns, tuple(fixed)
 
 
-def _extents(table: ExtentsTable, fixed: tuple[Extent, ...]) -> ExtentsConfig:
+def _extents_config(table: ExtentsTable, fixed: tuple[Extent, ...]) -> ExtentsConfig:
     limits = Limits(
         redirects=table.max_redirects,
         refreshes=table.max_refreshes,
--- a/lemonridge/config/operator_rows.py
+++ b/lemonridge/config/operator_rows.py
@@ -1,4 +1,4 @@
-"""Rows that the operator's file and etcd's keys have in common, as the types that the program uses."""
+"""Converts tables that both the operator's file and etcd contain (plans, nodes) to the broker's types."""
 
 from __future__ import annotations
 
@@ -11,34 +11,34 @@
 ENDPOINT_STATES = {"up": EndpointState.ACTIVE, "draining": EndpointState.DRAINING}
 
 
-def plan_from_table(row: PlanTable) -> VolumePlan:
-    """The contract of a volume: rates in units a second, a limit of 0 is none."""
+def plan_from_table(table: PlanTable) -> VolumePlan:
+    """Returns the contract of a volume: rates are in units per second, a limit of 0 means no limit."""
     return VolumePlan(
-        base_rate=row.rate,
-        reserve=row.reserve,
-        weight=row.weight,
-        limit=row.limit,
-        burst=row.limit if row.burst is None else row.burst,
+        base_rate=table.rate,
+        reserve=table.reserve,
+        weight=table.weight,
+        limit=table.limit,
+        burst=table.limit if table.burst is None else table.burst,
         slack=0.0,
     )
 
 
-def endpoint_from_table(row: NodeTable, path: str) -> EndpointAddress:
-    """A node of the file or of etcd; its address here is `HOST:PORT/TARGET`.
+def endpoint_from_table(table: NodeTable, path: str) -> EndpointAddress:
+    """Returns the endpoint of a node, with the address `HOST:PORT/TARGET`.
 
     Args:
-        row: the node's table.
-        path: the key that holds it, for an error's message.
+        table: The node's table.
+        path: The table's key, for the error message.
 
     Raises:
-        ConfigError: the address is not HOST:PORT.
+        ConfigError: The address is not HOST:PORT.
     """
-    address = Address.parse(row.address, f"{path}.address")
+    address = Address.parse(table.address, f"{path}.address")
     endpoint = Endpoint(
-        endpoint_id=row.name,
-        shard=row.shard,
+        endpoint_id=table.name,
+        shard=table.shard,
         zone=0,
-        state=ENDPOINT_STATES[row.health],
-        started_us=row.started_ms * 1000,
+        state=ENDPOINT_STATES[table.health],
+        started_us=table.started_ms * 1000,
     )
-    return EndpointAddress(endpoint, f"{address}/{row.target}")
+    return EndpointAddress(endpoint, f"{address}/{table.target}")
--- a/lemonridge/config/operator_schema.py
+++ b/lemonridge/config/operator_schema.py
@@ -1,8 +1,8 @@
-"""The operator's file as a schema: one definition for parsing it, for its errors and for `lemonridge schema`.
+"""The schema of the operator's file, used for parsing, error messages and `lemonridge schema`.
 
-Each struct is a table of the file and each field a key, by its own name or by the one that `rename` gives.
-Unknown keys are rejected by name, and every bound stands with its key (msgspec). Names and docstrings of the
-structs are part of the printed schema.
+Each struct is a table of the file and each field a key, named like the field or as `rename` says. msgspec
+rejects unknown keys and checks the bounds given in the types. Names and docstrings of the structs are part of
+the printed schema.
 """
 
 from __future__ import annotations
@@ -106,7 +106,7 @@
     priority_weight: Amount = 1.0
 
 
-# Without a docstring: the printed JSON schema would have it as a description.
+# No docstring: msgspec would add it to the printed schema as a description.
 class ClassesTable(Struct, forbid_unknown_fields=True, frozen=True, kw_only=True):  # noqa: D101
     read: ClassTable
     write: ClassTable
@@ -210,22 +210,24 @@
 class PolicyTable(Struct, forbid_unknown_fields=True, frozen=True, kw_only=True):
     """[fleet.policy]: all brokers decide by one policy, which they change together."""
 
-    store: Annotated[str, Meta(min_length=1)]  # a file of this broker's own, made by `policy init`
+    store: Annotated[str, Meta(min_length=1)]  # path of this broker's vote store, created by `policy init`
     lease_ms: Annotated[float, Meta(ge=300, le=60_000)] = 2000
-    floor: Annotated[float, Meta(gt=0, le=1)] = 0.25  # of the file's limits, for a broker without a lease
+    floor: Annotated[float, Meta(gt=0, le=1)] = (
+        0.25  # fraction of the limits that a broker without a lease applies
+    )
 
 
 class FleetTable(Struct, forbid_unknown_fields=True, frozen=True, kw_only=True):
     """[fleet]: this broker among the others, by UDP."""
 
-    name: str | None = None  # this broker's; the platform's name by default
+    name: str | None = None  # of this broker; by default its name on the platform
     listen: AddressText
     member: Annotated[list[MemberTable], Meta(min_length=2, max_length=256)]
-    secret: str | None = None  # a file that only its owner can read
+    secret: str | None = None  # path of a file that only its owner can read
     clock_error_ms: Annotated[float, Meta(ge=1, le=1000)] = 50
     bytes_per_s: Annotated[float, Meta(ge=1024, lt=1e9)] = 8192
-    further_attempts: Amount = 0  # a second, of all brokers; 0: each class's own rules alone
-    admin: AddressText | None = None  # where operators call, if the platform names nowhere
+    further_attempts: Amount = 0  # retries per second of all brokers; 0: only the rules of each class apply
+    admin: AddressText | None = None  # for operators' calls, if the platform configures no address
     policy: PolicyTable | None = None
 
 
@@ -252,15 +254,15 @@
 
 
 def convert(kind: type[TableT], values: Any, path: str = "") -> TableT:
-    """Values of a parsed file or key as the struct `kind`.
+    """Converts parsed values to the struct `kind`.
 
     Args:
-        kind: the struct that says what the values may be.
-        values: as TOML or JSON gives them.
-        path: of the values in their file, for an error's message.
+        kind: The struct that defines the allowed keys and values.
+        values: The values as parsed from TOML or JSON.
+        path: The path of the values in their file, for the error message.
 
     Raises:
-        ConfigError: a value is missing, unknown or out of its bounds; the message names its key by the path.
+        ConfigError: A key is missing or unknown, or a value is out of bounds; the message has the key's path.
     """
     try:
         return msgspec.convert(values, kind)
@@ -269,21 +271,27 @@
 
 
 def format_validation_error(text: str, path: str = "") -> str:
-    """Msgspec's message with the path first: `lun[2].shard: Expected ...`."""
-    words, _, where = text.partition(" - at `")
-    where = where.rstrip("`").removeprefix("key in ").lstrip("$").lstrip(".")
-    where = f"{path}.{where}" if path and where else path or where
-    if words.startswith("Object contains unknown field `"):
-        name = words.split("`")[1]
-        return f"unknown key {where + '.' if where else ''}{name}"
-    if words.startswith("Object missing required field `"):
-        name = words.split("`")[1]
-        return f"{where + '.' if where else ''}{name} is missing"
-    words = words.replace("`", "")
-    return f"{where}: {words[0].lower()}{words[1:]}" if where else words
+    """Reformats a msgspec message so that it begins with the key's path: `lun[2].shard: expected ...`."""
+    message, _, key_path = text.partition(" - at `")
+    key_path = key_path.rstrip("`").removeprefix("key in ").lstrip("$").lstrip(".")
+    key_path = f"{path}.{key_path}" if path and key_path else path or key_path
+    if message.startswith("Object contains unknown field `"):
+        name = message.split("`")[1]
+        return f"unknown key {key_path + '.' if key_path else ''}{name}"
+    if message.startswith("Object missing required field `"):
+        name = message.split("`")[1]
+        return f"{key_path + '.' if key_path else ''}{name} is missing"
+    message = message.replace("`", "")
+    return f"{key_path}: {message[0].lower()}{message[1:]}" if key_path else message
 
 
 def json_schema() -> dict[str, Any]:
-    """The JSON Schema (2020-12) of the operator's file."""
-    both, parts = msgspec.json.schema_components([OperatorFile, FleetFile], ref_template="#/$defs/{name}")
-    return {"$schema": "https://json-schema.org/draft/2020-12/schema", "anyOf": list(both), "$defs": parts}
+    """Returns the JSON Schema (2020-12) of the operator's file."""
+    root_schemas, definitions = msgspec.json.schema_components(
+        [OperatorFile, FleetFile], ref_template="#/$defs/{name}"
+    )
+    return {
+        "$schema": "https://json-schema.org/draft/2020-12/schema",
+        "anyOf": list(root_schemas),
+        "$defs": definitions,
+    }
--- a/lemonridge/config/scheduler_settings.py
+++ b/lemonridge/config/scheduler_settings.py
@@ -1,7 +1,7 @@
-"""The parser of a deployment's settings, in the simulator's first message and in a broker's configuration.
+"""Parses a deployment's settings, from the simulator's `provision` event or a broker's configuration.
 
-The only place that knows the pages' keys: they are mapped to the fields of `lemonridge.scheduling.settings`,
-of which `docs/glossary.md` has the meaning. Keys that are not known are ignored.
+Maps the keys of the operators' pages to the fields of `lemonridge.scheduling.settings`; `docs/glossary.md`
+explains them. No other module uses these keys. Unknown keys are ignored.
 """
 
 from __future__ import annotations
@@ -28,16 +28,16 @@
     "cell": DeduplicationScope.SHARD,
 }
 
-# The requests at an endpoint, in a load report: in the settings' words and in the protocol's.
+# Names of the load report's field with the requests at the endpoint: in the settings and in the protocol.
 OUTSTANDING_FIELDS = ("busy_reqs", "inflight")
 
 
 class SettingsError(Exception):
-    """Settings that lack something or have an unknown word; the message is one plain line."""
+    """Settings with a missing or unknown value; the message is a single line."""
 
 
-def _table(facts: Any, name: str) -> dict[str, Any]:
-    table = facts.get(name) if isinstance(facts, dict) else None
+def _table(raw_settings: Any, name: str) -> dict[str, Any]:
+    table = raw_settings.get(name) if isinstance(raw_settings, dict) else None
     if not isinstance(table, dict):
         raise SettingsError(f"settings lack the table '{name}'")
     return table
@@ -50,64 +50,64 @@
     return value
 
 
-def _rows(facts: dict[str, Any], name: str) -> list[dict[str, Any]]:
-    rows = facts.get(name)
-    if not isinstance(rows, list) or not all(isinstance(row, dict) for row in rows):
+def _entries(raw_settings: dict[str, Any], name: str) -> list[dict[str, Any]]:
+    entries = raw_settings.get(name)
+    if not isinstance(entries, list) or not all(isinstance(entry, dict) for entry in entries):
         raise SettingsError(f"settings lack the list '{name}'")
-    return rows
+    return entries
 
 
-def _request_class(row: dict[str, Any]) -> RequestClass:
-    idempotency = IDEMPOTENCY_KINDS.get(row.get("semantics", ""))
+def _request_class(entry: dict[str, Any]) -> RequestClass:
+    idempotency = IDEMPOTENCY_KINDS.get(entry.get("semantics", ""))
     if idempotency is None:
         raise SettingsError("settings lack a known 'classes.semantics'")
     has_key = idempotency is IdempotencyKind.WITH_IDEMPOTENCY_KEY
     try:
-        scope = DEDUPLICATION_SCOPES[row["group"]] if has_key else DeduplicationScope.ALL
+        scope = DEDUPLICATION_SCOPES[entry["group"]] if has_key else DeduplicationScope.ALL
     except (KeyError, TypeError):
         raise SettingsError("settings lack a known 'classes.group'") from None
     return RequestClass(
-        latency_objective_us=_number(row, "aim-us", "classes"),
-        deadline_us=_number(row, "deadline-us", "classes"),
+        latency_objective_us=_number(entry, "aim-us", "classes"),
+        deadline_us=_number(entry, "deadline-us", "classes"),
         idempotency=idempotency,
         deduplication_scope=scope,
-        deduplication_window_us=_number(row, "memory-span-us", "classes") if has_key else 0,
-        sequential=bool(row.get("sequential", False)),
-        priority_weight=row.get("gain") or 0.0,
+        deduplication_window_us=_number(entry, "memory-span-us", "classes") if has_key else 0,
+        sequential=bool(entry.get("sequential", False)),
+        priority_weight=entry.get("gain") or 0.0,
     )
 
 
-def _plan(row: dict[str, Any]) -> VolumePlan:
+def _plan(entry: dict[str, Any]) -> VolumePlan:
     return VolumePlan(
-        base_rate=row.get("base-rate") or 0.0,
-        reserve=row.get("guaranteed") or 0.0,
-        weight=row.get("weight") or 0.0,
-        limit=row.get("cap") or 0.0,
-        burst=row.get("burst") or 0.0,
-        slack=row.get("limit-slack") or 0.0,
+        base_rate=entry.get("base-rate") or 0.0,
+        reserve=entry.get("guaranteed") or 0.0,
+        weight=entry.get("weight") or 0.0,
+        limit=entry.get("cap") or 0.0,
+        burst=entry.get("burst") or 0.0,
+        slack=entry.get("limit-slack") or 0.0,
     )
 
 
-def parse_settings(facts: Any) -> Settings:
+def parse_settings(raw_settings: Any) -> Settings:
     """Parses the settings.
 
     Args:
-        facts: The parsed JSON or TOML. A rule that it does not mention is not in force.
+        raw_settings: The settings as parsed from JSON or TOML. A rule that they do not mention is disabled.
 
     Returns:
-        The settings of the scheduler; `retry_rate` is 0, as only the operators' file has one.
+        The scheduler's settings; `retry_rate` is 0, because only the operator's file can set it.
 
     Raises:
-        SettingsError: A table, a list, a number or a word is missing or unknown.
+        SettingsError: A required table, list, number or keyword is missing, or a keyword is unknown.
     """
-    rules, limits = _table(facts, "rules"), _table(facts, "limits")
-    family = _table(facts, "family-info")
-    clients = facts.get("clients")
+    rules, limits = _table(raw_settings, "rules"), _table(raw_settings, "limits")
+    family = _table(raw_settings, "family-info")
+    clients = raw_settings.get("clients")
     return Settings(
-        hosts=_number(facts, "fleet-size", "facts"),
-        classes=tuple(map(_request_class, _rows(facts, "classes"))),
-        plans=tuple(map(_plan, _rows(facts, "grades"))),
-        polls_endpoint_list=facts.get("discovery") == "ask",
+        hosts=_number(raw_settings, "fleet-size", "facts"),
+        classes=tuple(map(_request_class, _entries(raw_settings, "classes"))),
+        plans=tuple(map(_plan, _entries(raw_settings, "grades"))),
+        polls_endpoint_list=raw_settings.get("discovery") == "ask",
         largest_request_units=family.get("units-top") or 0.0,
         mean_request_units=family.get("unit-mean") or 0.0,
         slow_start_units=family.get("cold-units") or 0.0,
@@ -117,7 +117,7 @@
         max_attempts=_number(limits, "max-attempts", "limits"),
         may_cancel=bool(limits.get("cancelling")),
         max_backoff_us=(limits.get("max-retry-after-us") or 0) if limits.get("retry-after") else 0,
-        tick_us=_number(facts, "tick-us", "facts"),
+        tick_us=_number(raw_settings, "tick-us", "facts"),
         poll_within_us=rules.get("ask-within-us") or 0,
         slow_start_initial_fraction=_number(rules, "cold-share", "rules"),
         slow_start_ramp_us=_number(rules, "ramp-time-us", "rules"),
@@ -132,25 +132,27 @@
     )
 
 
-def in_flight_field(facts: dict[str, Any]) -> str:
-    """The field of a response's load report that says how many requests are at its endpoint.
+def in_flight_field(raw_settings: dict[str, Any]) -> str:
+    """Returns the name of the load report's field with the number of requests at the endpoint.
 
-    Empty where the settings name none, or where responses carry no reports.
+    Empty if the settings name no such field, or if responses carry no load reports.
     """
-    report = facts.get("load-info")
+    report = raw_settings.get("load-info")
     if not isinstance(report, dict) or report.get("source") != "piggyback":
         return ""
     fields = report.get("names")
-    return next((one for one in fields if one in OUTSTANDING_FIELDS), "") if isinstance(fields, list) else ""
+    return (
+        next((name for name in fields if name in OUTSTANDING_FIELDS), "") if isinstance(fields, list) else ""
+    )
 
 
-def entry_names(facts: dict[str, Any], table: str) -> tuple[str, ...]:
-    """The names of a table's rows, in the order of their numbers.
+def entry_names(raw_settings: dict[str, Any], list_name: str) -> tuple[str, ...]:
+    """Returns the names of a list's entries, in their order.
 
     Raises:
-        SettingsError: The table is missing, or a row has no name.
+        SettingsError: The list is missing, or an entry has no name.
     """
-    rows = _rows(facts, table)
-    if not all(isinstance(row.get("name"), str) for row in rows):
-        raise SettingsError(f"settings lack a name in '{table}'")
-    return tuple(row["name"] for row in rows)
+    entries = _entries(raw_settings, list_name)
+    if not all(isinstance(entry.get("name"), str) for entry in entries):
+        raise SettingsError(f"settings lack a name in '{list_name}'")
+    return tuple(entry["name"] for entry in entries)
--- a/lemonridge/service/__init__.py
+++ b/lemonridge/service/__init__.py
@@ -1,1 +1,1 @@
-"""The process: assembly of its parts, signals, logging, start and graceful shutdown."""
+"""The broker's process: assembly of the fronts, signals, logging, startup and graceful shutdown."""
--- a/lemonridge/service/admin.py
+++ b/lemonridge/service/admin.py
@@ -1,4 +1,4 @@
-"""Carries out the operators' calls, and the handover to the successor process."""
+"""Handles operators' calls and the handover between two processes of one broker."""
 
 from __future__ import annotations
 
@@ -25,21 +25,27 @@
 
 
 def fleet_reply(service: Service) -> AdminReply:
-    """The fleet as this broker sees it, in JSON."""
+    """Returns this broker's view of the fleet as JSON."""
     if service.peers is None:
         return AdminReply(False, ReplyText.NO_PEERS)
     return AdminReply(True, orjson.dumps(service.peers.report()).decode())
 
 
 def policy_reply(service: Service, request: AdminRequest) -> AdminReply:
-    """The reply to a call about the fleet's policy."""
+    """Returns the reply to a call about the fleet's policy."""
     if service.coordinator is None:
         return AdminReply(False, ReplyText.NO_FLEET_POLICY)
     return service.coordinator.act(request)
 
 
 class AdminService:
-    """Carries out calls of operators and of the other process of this broker."""
+    """Handles calls from operators and from the other process of this broker.
+
+    Args:
+        service: The platform's service.
+        front: Its HTTP front.
+        lifecycle: The drain, handover and stop state of this process.
+    """
 
     def __init__(self, service: Service, front: HttpFront, lifecycle: Lifecycle) -> None:
         self._service = service
@@ -52,7 +58,11 @@
     # Operators' calls
 
     async def handle(self, request: AdminRequest) -> AdminReply:
-        """The reply to one call; a call that is done holds in the other process too, if there is one."""
+        """Carries out a call and returns the reply.
+
+        During a handover, a successful ban or drain call is forwarded to the other process, so that it takes
+        effect in both.
+        """
         if request.call is AdminCall.READY:
             return self._ready()
         if request.call is AdminCall.FLEET:
@@ -67,7 +77,7 @@
         return reply
 
     def apply(self, request: AdminRequest) -> AdminReply:
-        """Carries out a ban, the end of one, a drain or a resume, in this process alone."""
+        """Sets or lifts a ban, or starts or ends a drain, in this process only."""
         if request.call is AdminCall.DISABLE:
             done = self._registry.disable(request.endpoint_id)
             return AdminReply(done, ReplyText.BANNED if done else ReplyText.BAN_REJECTED)
@@ -82,7 +92,7 @@
         return AdminReply(done, self._lifecycle.phase.value)
 
     def _ready(self) -> AdminReply:
-        """Whether this process can serve; one that drains could, it only asks not to be used."""
+        """Returns whether this process can serve; a draining process still can, so it counts as ready."""
         phase = self._lifecycle.phase
         if phase is Phase.STOPPING:
             return AdminReply(False, phase.value)
@@ -90,13 +100,14 @@
             return AdminReply(False, ReplyText.NO_ENDPOINT_LIST)
         return AdminReply(self._front.listener.listens or phase is Phase.HANDED_OVER, phase.value)
 
-    # Handover: this process as the successor
+    # Handover: this process is the successor
 
     async def take_over(self, handover: ProcessHandover) -> None:
-        """Takes over from the process that serves, if there is one, and becomes the one to ask.
+        """Takes over from the serving process, if there is one, and listens for the next successor.
 
-        It waits for discovery's own list first, so that the first request goes by that and not by a cached
-        list; where discovery is silent, the predecessor's list is newer than the cached one.
+        Waits up to `FIRST_LIST_WAIT_US` for a list from discovery first, so that the first request uses that
+        list and not a cached one. If discovery does not answer, the predecessor's list is used, since it is
+        newer than the cached one.
         """
         self._taking_over = True
         with contextlib.suppress(TimeoutError):
@@ -110,7 +121,7 @@
 
     def _import_state(self, state: HandoverState) -> None:
         if not self._registry.source_has_answered.is_set():
-            endpoints = [EndpointAddress(one.endpoint, one.address) for one in state.endpoints]
+            endpoints = [EndpointAddress(listed.endpoint, listed.address) for listed in state.endpoints]
             self._registry.update(EndpointListUpdate.CACHED, endpoints)
         self._registry.import_start_times(state.start_times)
         self._registry.import_bans(Bans(state.banned, state.returned))
@@ -126,12 +137,12 @@
             },
         )
 
-    # Handover: this process as the predecessor
+    # Handover: this process is the predecessor
 
     def export_state(self) -> HandoverState:
-        """Stops accepting connections and returns what the successor goes on from.
+        """Stops accepting connections and returns the state for the successor.
 
-        Both in one step, or two processes would draw on the same limit.
+        Both happen in one step: otherwise both processes would spend from the same limits.
         """
         self._front.listener.stop_accepting()
         self._lifecycle.hand_over(self._clock.now_us())
@@ -144,14 +155,14 @@
             drain_began_us=self._lifecycle.drain_began_us,
             limit_levels=self._decision_host.export_limits(),
             endpoints=tuple(
-                HandedOverEndpoint(one.endpoint, one.address) for one in self._registry.source_list()
+                HandedOverEndpoint(listed.endpoint, listed.address) for listed in self._registry.source_list()
             ),
             start_times=self._registry.export_start_times(),
             clock_base_us=self._clock.base_us,
         )
 
     def undo_handover(self) -> None:
-        """Serves again, as the successor is gone, unless this process is to stop."""
+        """Resumes serving after the successor has gone, unless this process is stopping."""
         if not self._lifecycle.undo_handover():
             return
         log.warning("successor gone, serving again")
@@ -160,7 +171,7 @@
         self._listen_task = asyncio.create_task(self._listen_again())
 
     def set_processes(self, processes: int) -> None:
-        """The processes share what clients may hold of the broker."""
+        """Sets the number of running processes, which share the broker's limit of open requests."""
         self._decision_host.set_processes(processes)
 
     async def _listen_again(self) -> None:
@@ -169,7 +180,7 @@
             await self._handover.listen()
 
     def stop(self) -> None:
-        """Ends the connection to the other process."""
+        """Closes the connection to the other process."""
         if self._handover is not None:
             self._handover.stop()
 
@@ -177,19 +188,19 @@
 async def listen_for_fleet_calls(
     service: Service, address: Address, front_listens: Callable[[], bool]
 ) -> None:
-    """Answers calls about the fleet at a broker without the platform's front.
+    """Starts the operators' server of a broker without the platform's front; it handles fleet calls only.
 
     Args:
-        service: The broker's one front.
-        address: Where operators call.
-        front_listens: Whether clients can connect.
+        service: The service of the broker's only front.
+        address: The address to listen on for operators' calls.
+        front_listens: Returns whether the front accepts client connections.
 
     Raises:
-        OSError: The address cannot be had.
+        OSError: The server cannot listen on the address.
     """
 
     async def reply_to(request: AdminRequest) -> AdminReply:
-        """The reply to one call."""
+        """Returns the reply to one call."""
         if request.call is AdminCall.FLEET:
             return fleet_reply(service)
         if request.call is AdminCall.READY:
--- a/lemonridge/service/ignored_signals.py
+++ b/lemonridge/service/ignored_signals.py
@@ -1,6 +1,6 @@
-"""Ignores signals before the program can act on them, and once it is about to end.
+"""Ignores the process's signals before their handlers are installed and after they are removed.
 
-It loads nothing but `signal`, so that it can be the first thing of a start; see `signals`.
+Imports nothing but `signal`, so that startup can call it before any slow import; see `signals`.
 """
 
 from __future__ import annotations
@@ -12,12 +12,15 @@
 
 
 def ignore_reload_signals() -> None:
-    """Ignores SIGHUP and SIGUSR1; SIGTERM ends a program that has accepted nothing yet."""
+    """Ignores SIGHUP and SIGUSR1.
+
+    SIGTERM keeps its default action: it ends a process that has not accepted any connection yet.
+    """
     for number in RELOAD_SIGNALS:
         signal.signal(number, signal.SIG_IGN)
 
 
 def ignore_all() -> None:
-    """Ignores every signal of the pages, so that none changes how an ending process ends."""
+    """Ignores all signals that the broker handles, so that a late one does not change the exit status."""
     for number in (*RELOAD_SIGNALS, *STOP_SIGNALS):
         signal.signal(number, signal.SIG_IGN)
--- a/lemonridge/service/iscsi.py
+++ b/lemonridge/service/iscsi.py
@@ -1,4 +1,4 @@
-"""Puts the iSCSI front together: its core, endpoints, extent map and sources."""
+"""Assembles the iSCSI front: its core, endpoints, extent map and configuration sources."""
 
 from __future__ import annotations
 
@@ -37,19 +37,26 @@
 
 
 async def iscsi_service(config: IscsiConfig, fleet: FleetConfig | None = None) -> Service:
-    """The iSCSI front of an operator's file, which listens once this returns.
+    """Starts the iSCSI front of an operator's file; it accepts connections when this returns.
 
-    It listens last: whoever sees that it does can call this broker at its operators' address too.
+    The front starts to listen last: once it does, operators' calls are accepted as well.
+
+    Args:
+        config: The iSCSI front's configuration.
+        fleet: This broker's membership in the fleet; None where the iSCSI front is no fleet member.
+
+    Returns:
+        The running service.
 
     Raises:
         ConfigError: A part of the configuration cannot be used.
-        OSError: An address to listen on cannot be had.
+        OSError: The broker cannot listen on a configured address.
     """
     counters, etcd = Counters(), None
     if config.etcd is not None:
         etcd = EtcdSource(config.etcd, Random(), counters, config.extents.page)
         settings = await etcd.contracts(config.plans, config.settings)
-        if fleet is None or fleet.rollout is None:  # else contracts are in force once they are agreed on
+        if fleet is None or fleet.rollout is None:  # otherwise the fleet agrees on contracts first
             config = replace(config, settings=settings)
     service = Service("iscsi", config.settings, _random_seed(), counters)
     router = _router(config, service) if config.mapped else None
@@ -70,7 +77,11 @@
 def _follow_sources(
     config: IscsiConfig, service: Service, etcd: EtcdSource | None, router: Router | None
 ) -> Refresher | None:
-    """Follows etcd, or takes the endpoints of the file; returns what reads single extents from etcd."""
+    """Starts to follow etcd, or loads the configured endpoints if there is no etcd.
+
+    Returns:
+        The reader of single extents from etcd; None if the extent map does not come from etcd.
+    """
     if etcd is None:
         service.registry.update(EndpointListUpdate.SNAPSHOT, list(config.endpoints))
         return None
@@ -87,7 +98,7 @@
 async def _front(
     config: IscsiConfig, service: Service, endpoints: IscsiEndpoints, router: Router | None
 ) -> IscsiFront:
-    """The initiators' side, with its LUNs by the extent map and its reservations on disk."""
+    """Builds the initiator-facing side, with its mapped LUNs and its stored reservations."""
     broker = Broker(service.decision_host, endpoints, service.counters, router)
     mapped = MappedLuns(config, broker, router, service.counters) if router is not None else None
     reservations = ReservationFile(config.reservations) if config.reservations is not None else None
@@ -110,7 +121,11 @@
 
 
 def _router(config: IscsiConfig, service: Service) -> Router:
-    """The extent map from the operator's file, a file of its own, or etcd; begun with the cached map."""
+    """Builds the router, with the extent map of the operator's file or the cached map on disk.
+
+    Without fixed extents, the map is then followed in a separate file or in etcd; for etcd, see
+    `_follow_sources`.
+    """
     extents = config.extents
     router = Router(extents.limits, extents.extents_max, service.clock, service.registry, service.counters)
     if extents.fixed:
@@ -127,12 +142,18 @@
 
 
 def _load_cached_map(path: str, size_bytes: int, age_max_us: int, router: Router) -> None:
-    """Begins with the map on disk, which serves reads until the source has answered.
+    """Loads the map cached on disk, which serves reads until the map's source has answered.
+
+    Args:
+        path: The cache's directory.
+        size_bytes: The cache's size limit.
+        age_max_us: A cached map older than this is not used.
+        router: Receives the map, and writes later maps to the cache.
 
     Raises:
-        ConfigError: The file cannot be used at all.
+        ConfigError: The cache cannot be opened.
     """
-    from lemonridge.extents.map_cache import BackgroundMapWriter, MapCache  # only here is LMDB loaded
+    from lemonridge.extents.map_cache import BackgroundMapWriter, MapCache  # loads LMDB
 
     try:
         cache = MapCache(path, size_bytes)
--- a/lemonridge/service/peers.py
+++ b/lemonridge/service/peers.py
@@ -1,4 +1,4 @@
-"""Connects a service to the other brokers of its fleet, and to the fleet's policy."""
+"""Connects a service to the other brokers of its fleet and to the coordination of the fleet's policy."""
 
 from __future__ import annotations
 
@@ -16,12 +16,21 @@
 async def connect_peers(
     service: Service, fleet: FleetConfig, local_policy: LocalPolicy, next_seed: Callable[[], int]
 ) -> PolicyCoordinator | None:
-    """Starts messages to the peers and, where the fleet has an agreed policy, its coordinator.
+    """Starts the exchange of datagrams with the peers, and the policy coordinator if one is configured.
 
-    Nothing of the two is loaded before they are needed.
+    Their modules are imported here, so that a broker without a fleet does not load them.
+
+    Args:
+        service: The service to connect.
+        fleet: The fleet's members and this broker's place among them.
+        local_policy: The policy of this broker's own configuration.
+        next_seed: Returns a seed for each component that draws random numbers.
+
+    Returns:
+        The policy coordinator; None where each broker applies its own file.
 
     Raises:
-        ConfigError: The store of votes cannot be used.
+        ConfigError: The vote store cannot be used.
     """
     from lemonridge.net.peer_transport import PeerTransport
 
--- a/lemonridge/service/platform.py
+++ b/lemonridge/service/platform.py
@@ -1,4 +1,4 @@
-"""Puts the platform's front together: clients and endpoints over HTTP/1.1, with discovery."""
+"""Assembles the platform's front: clients and endpoints over HTTP/1.1, with discovery."""
 
 from __future__ import annotations
 
@@ -24,15 +24,15 @@
 
 log = logging.getLogger(__name__)
 
-OPEN_REQUESTS_FRACTION = 1 / 4  # of the sockets: past it waiting requests are rejected
+OPEN_REQUESTS_FRACTION = 1 / 4  # of the process's socket limit; with more, queued requests are rejected
 
 
 async def platform_service(config: PlatformConfig) -> Service:
-    """The platform's front, which listens once this returns.
+    """Starts the platform's front; it accepts connections when this returns.
 
     Raises:
         ConfigError: A part of the configuration cannot be used.
-        OSError: An address to listen on cannot be had.
+        OSError: The broker cannot listen on a configured address.
     """
     assembly = PlatformAssembly(config)
     await assembly.connect_peers()
@@ -44,11 +44,11 @@
 
 
 class PlatformAssembly:
-    """The parts of the platform's front, and how a new configuration reaches them.
+    """Builds the parts of the platform's front and passes a new configuration to them.
 
     Attributes:
-        service: The service that the parts make up.
-        front: The clients' side.
+        service: The service that consists of these parts.
+        front: The HTTP front that clients connect to.
     """
 
     def __init__(self, config: PlatformConfig) -> None:
@@ -60,7 +60,7 @@
         self._endpoints = HttpEndpoints(service.registry, service.clock, config, service.counters)
         service.close = self._endpoints.close
         self._random = Random(config.seed)
-        # A list that has to be polled costs its source less from the cached position on.
+        # Polling from the cached sequence number spares the source from sending the complete list.
         self._watch_discovery(cached_seq if config.settings.polls_endpoint_list else None)
         self._broker = Broker(service.decision_host, self._endpoints, service.counters)
         self._lifecycle = Lifecycle(max(cls.deadline_us for cls in config.settings.classes))
@@ -87,7 +87,7 @@
         )
 
     def _load_cached_list(self) -> int | None:
-        """Begins with the endpoint list of the configuration; returns its sequence number, if it has one."""
+        """Loads the configuration's cached endpoint list; returns its sequence number, or None."""
         cached = self._config.cached_endpoint_list
         if not cached.get("hosts"):
             return None
@@ -101,7 +101,7 @@
         return seq if isinstance(seq, int) and not isinstance(seq, bool) else None
 
     def _watch_discovery(self, seq: int | None = None) -> None:
-        """Follows discovery at the configured address, from this sequence number on."""
+        """Follows discovery at the configured address; None for `seq` requests the complete list first."""
         discovery = Discovery(
             str(self._config.discovery),
             self._config.zones,
@@ -113,14 +113,14 @@
         self.service.follow(discovery.run(seq))
 
     def _configure(self, new: PlatformConfig) -> None:
-        """Puts a new configuration in force.
+        """Applies a new configuration.
 
-        Nothing is awaited between its parts, so no request meets half of it. Open requests go on, and
-        discovery is asked at its new address at once.
+        There is no await between the steps, so no request sees a partly applied configuration. Open requests
+        continue, and discovery is queried at its new address immediately.
         """
         old, self._config = self._config, new
         coordinator, peers = self.service.coordinator, self.service.peers
-        if coordinator is not None:  # what of it is the fleet's policy is proposed, the rest is in force
+        if coordinator is not None:  # fleet policy is proposed; the rest applies now
             new = replace(new, settings=coordinator.configure(new))
         self.service.decision_host.configure(new.settings)
         self.service.decision_host.bound_open_requests(int(new.sockets * OPEN_REQUESTS_FRACTION))
@@ -132,7 +132,7 @@
             self._watch_discovery()
 
     async def connect_peers(self) -> None:
-        """Starts messages to the other brokers, where the configuration allows them."""
+        """Starts the exchange of datagrams with the other brokers, if the configuration allows it."""
         config, fleet = self._config, self._config.fleet
         log.info(
             "fleet", extra={"peers": len(fleet.names) if fleet else 0, "speaks": config.exchanges_datagrams}
@@ -147,14 +147,14 @@
             self._endpoints.epoch, self.front.has_lease = coordinator.epoch, coordinator.has_lease
 
     async def listen_for_operators(self) -> None:
-        """Answers operators' calls, where there is an address for them."""
+        """Starts the server for operators' calls, if an address is configured."""
         if self._config.admin is not None:
             server = AdminServer(self._admin.handle, self.service.counters)
             await server.start(self._config.admin)
             self.service.on_stop.append(server.stop)
 
     async def take_over(self) -> None:
-        """Takes over from the process before, where this one has got its listening socket."""
+        """Takes over from the predecessor process, if this process has inherited its listening socket."""
         folder = os.environ.get("TMPDIR")
         if self._config.inherited_fd is None or not folder:
             return
--- a/lemonridge/service/process.py
+++ b/lemonridge/service/process.py
@@ -1,4 +1,4 @@
-"""The broker's process: start of the configured fronts, signals, reload, and graceful shutdown."""
+"""The broker's process: startup of the configured fronts, signals, reload and graceful shutdown."""
 
 from __future__ import annotations
 
@@ -24,22 +24,27 @@
 async def serve(
     platform: PlatformConfig | None, iscsi: IscsiConfig | None, fleet: FleetConfig | None = None
 ) -> None:
-    """Runs every front that is configured, until SIGTERM or SIGINT.
+    """Runs all configured fronts until SIGTERM or SIGINT.
+
+    Args:
+        platform: The platform's front; None if it is not configured.
+        iscsi: The iSCSI front; None if it is not configured.
+        fleet: The fleet of a process without the platform's front; otherwise `platform.fleet` applies.
 
     Raises:
         ConfigError: A part of the configuration cannot be used.
-        OSError: An address to listen on cannot be had.
+        OSError: The broker cannot listen on a configured address.
     """
     await BrokerProcess(platform, iscsi, fleet).run()
 
 
 class BrokerProcess:
-    """The fronts of one process, and its signals.
+    """Starts and stops the fronts of one process and handles its signals.
 
     Args:
-        platform: The platform's front.
-        iscsi: The iSCSI front.
-        fleet: The fleet of a process without the platform's front; that one's is in `platform`.
+        platform: The platform's front; None if it is not configured.
+        iscsi: The iSCSI front; None if it is not configured.
+        fleet: The fleet of a process without the platform's front; otherwise `platform.fleet` applies.
     """
 
     def __init__(
@@ -51,19 +56,19 @@
         self._signals = SignalReceiver()
 
     async def run(self) -> None:
-        """Starts the fronts, waits for the signal to stop, and stops them."""
+        """Starts the fronts, waits for SIGTERM or SIGINT, and stops them."""
         for number in STOP_SIGNALS:
             self._signals.handle(number, self._stop_requested.set)
         self._signals.handle(signal.SIGHUP, self._reload)
         if self._platform is not None and read_file_content() != self._platform.file_content:
-            self._reload()  # changed since it was read: its SIGHUP may have come before there was a handler
+            self._reload()  # the file has changed; its SIGHUP may have come before the handler was installed
         self._signals.handle(signal.SIGUSR1, self._print_counters)
         await self._start_until_stop()
         await asyncio.gather(*(service.stop() for service in self._services))
         self._signals.close()
 
     async def _start_until_stop(self) -> None:
-        """Starts the fronts and waits for the signal, which ends a start that waits (for etcd) too."""
+        """Starts the fronts and waits for the stop signal, which also cancels a start that waits for etcd."""
         starting = asyncio.create_task(self._start())
         stopping = asyncio.create_task(self._stop_requested.wait())
         await asyncio.wait((starting, stopping), return_when=asyncio.FIRST_COMPLETED)
@@ -81,25 +86,27 @@
     async def _start_platform(self, platform: PlatformConfig) -> None:
         service = await platform_service(platform)
         if self._platform is not None and self._platform is not platform and service.configure is not None:
-            service.configure(self._platform)  # reloaded during the start
+            service.configure(self._platform)  # the file was reloaded during startup
         self._services.append(service)
 
     async def _start_iscsi(self, iscsi: IscsiConfig) -> None:
-        from lemonridge.service.iscsi import iscsi_service  # the platform's broker does not load it
+        from lemonridge.service.iscsi import (
+            iscsi_service,
+        )  # not loaded by a broker with the platform's front only
 
         # A process is one fleet member. Where the platform's front runs too, that front is the member.
         fleet = self._fleet if self._platform is None else None
         self._services.append(await iscsi_service(iscsi, fleet))
 
     def _reload(self) -> None:
-        """Reads the platform's file again. A file that cannot be used changes nothing."""
+        """Reloads the platform's file; keeps the present configuration if the file cannot be used."""
         if self._platform is None or self._stop_requested.is_set():
-            log.info("nothing to reload")
+            log.info("reload ignored: no platform configuration, or the process is stopping")
             return
         try:
-            self._platform = load(before=self._platform)
+            self._platform = load(previous=self._platform)
         except ConfigError as error:
-            log.error("configuration rejected, the one before stays", extra={"error": str(error)})
+            log.error("configuration rejected, the previous one stays in force", extra={"error": str(error)})
             return
         log.info("configuration reloaded", extra={"discovery": str(self._platform.discovery)})
         for service in self._services:
--- a/lemonridge/service/service.py
+++ b/lemonridge/service/service.py
@@ -1,4 +1,4 @@
-"""One front with the core and the endpoints' side behind it, from its assembly to its stop."""
+"""One front with its core and its connections to endpoints, from assembly to shutdown."""
 
 from __future__ import annotations
 
@@ -21,14 +21,14 @@
 
 log = logging.getLogger(__name__)
 
-OPEN_REQUESTS_POLL_S = 0.005  # how often a service that stops looks whether its last request has ended
+OPEN_REQUESTS_POLL_S = 0.005  # how often a stopping service checks whether all requests have ended
 
 
 class Front(Protocol):
-    """The clients' side, as a stop needs it."""
+    """The client-facing side, as far as shutdown needs it."""
 
     async def stop(self) -> None:
-        """Stops accepting, once that is due."""
+        """Stops accepting connections, at the time that the front's shutdown schedule sets."""
         ...
 
     @property
@@ -38,36 +38,41 @@
 
 
 class PolicyCoordination(Protocol):
-    """The fleet's policy at this broker; see `coordination.policy_coordinator`."""
+    """This broker's part in agreeing on the fleet's policy; see `coordination.policy_coordinator`."""
 
     def configure(self, own: LocalPolicy) -> Settings:
-        """Proposes the policy of a new file; returns the settings to go by until it is agreed."""
+        """Proposes the policy of a new configuration; returns the settings to apply until it is agreed."""
         ...
 
     def act(self, request: AdminRequest) -> AdminReply:
-        """The reply to an operators' call about the policy."""
+        """Carries out an operators' call about the policy and returns the reply."""
         ...
 
     def has_lease(self) -> bool:
-        """Whether it is known by which policy to decide."""
+        """Returns whether this broker holds a lease on the policy in force."""
         ...
 
     def epoch(self, decided_at_s: float) -> str | None:
-        """See `core.decision_host.LeaseGuard`."""
+        """Returns the epochs to send with an attempt; see `core.decision_host.LeaseGuard`."""
         ...
 
 
 class Service:
-    """One front with the core and the endpoints' side behind it.
+    """One front with its core and its connections to endpoints.
 
-    Attributes:
+    Args:
         name: The front's name, for the log.
-        front: The clients' side.
-        close: Closes the endpoints' side.
-        configure: Puts a new configuration in force, where the front has one that can change.
-        on_stop: Called last in a stop, in this order.
-        peers: The other brokers of the fleet.
-        coordinator: The fleet's policy.
+        settings: The scheduler's settings.
+        seed: The scheduler's random seed.
+        counters: The counters of the front.
+
+    Attributes:
+        front: The client-facing side; set by the assembly.
+        close: Closes the connections to endpoints; set by the assembly.
+        configure: Applies a new configuration; None if the front cannot be reconfigured.
+        on_stop: Callbacks that run at the end of a stop, in this order.
+        peers: The connections to the other brokers of the fleet; None without a fleet.
+        coordinator: The coordinator of the fleet's policy; None where each broker applies its own file.
     """
 
     def __init__(self, name: str, settings: Settings, seed: int, counters: Counters) -> None:
@@ -81,30 +86,30 @@
         self.on_stop: list[Callable[[], None]] = []
         self.peers: PeerTransport | None = None
         self.coordinator: PolicyCoordination | None = None
-        self._followers: dict[str, asyncio.Task[None]] = {}  # by the source's name
+        self._followers: dict[str, asyncio.Task[None]] = {}  # by source name
 
     def connect(self, peers: PeerTransport) -> None:
-        """Starts messages to the other brokers."""
+        """Starts the exchange of datagrams with the other brokers."""
         self.peers = peers
         self.on_stop.append(peers.stop)
         self.follow(peers.start(), "peers")
         self.decision_host.stall_detector.start()
 
     def follow(self, source: Coroutine[None, None, None], name: str = "endpoints") -> None:
-        """Follows a source until the stop, in place of the one of the same name."""
-        before = self._followers.get(name)
-        if before is not None:
-            before.cancel()
+        """Runs a source's follower until the service stops; replaces the follower of the same name."""
+        previous = self._followers.get(name)
+        if previous is not None:
+            previous.cancel()
         self._followers[name] = asyncio.create_task(source)
 
     def print_counters(self, reason: str) -> None:
-        """Logs all counters; `reason` says what asked for it."""
+        """Logs all counters; `reason` names the trigger, for example a signal."""
         if self.peers is not None:
             self.peers.count()
         self.counters.print(reason, self.name)
 
     async def stop(self) -> None:
-        """Shuts down gracefully: accepts until it is due, ends the open requests, closes."""
+        """Shuts down gracefully: stops the front, waits for open requests to end, then closes everything."""
         log.info("stopping", extra={"front": self.name, "open_requests": self.decision_host.open_requests})
         await self.front.stop()
         while self.decision_host.open_requests or self.front.busy:
@@ -112,6 +117,6 @@
         for follower in self._followers.values():
             follower.cancel()
         await self.close()
-        for call in self.on_stop:
-            call()
+        for callback in self.on_stop:
+            callback()
         self.print_counters("exit")
--- a/lemonridge/service/signals.py
+++ b/lemonridge/service/signals.py
@@ -1,10 +1,10 @@
-"""Calls actions in the event loop for the process's signals.
+"""Runs callbacks in the event loop for the process's signals.
 
-A signal without a handler ends a process, so those of the pages are ignored until the program can act on
-them (`ignored_signals`), and again once it is about to end. asyncio's own handlers would go with its loop, a
-moment too early. What a signal meant that came while it was ignored is found out otherwise: `process` reads
-the configuration again once SIGHUP has a handler. Where a shell starts the program, the deploy file's line
-ignores the signals before the program is loaded.
+Without a handler, a signal's default action ends the process. So the broker ignores its signals until their
+handlers are installed (`ignored_signals`), and again once it is about to exit. asyncio's own signal handlers
+are not used: they are removed with the event loop, before the process exits. A SIGHUP that is ignored during
+startup is not lost: `process` rereads the configuration once the handler is installed. Where a shell starts
+the broker, the command line in the deploy file ignores the signals before Python starts.
 """
 
 from __future__ import annotations
@@ -19,19 +19,19 @@
 
 
 class SignalReceiver:
-    """Calls actions in turns of the running loop for the signals that come, until it is closed."""
+    """Runs a callback in the running event loop for each received signal, until it is closed."""
 
     def __init__(self) -> None:
         self._loop = asyncio.get_running_loop()
         self._read_end, self._write_end = socket.socketpair()
         for end in (self._read_end, self._write_end):
             end.setblocking(False)
-        # The interpreter writes a byte there at once, which ends the loop's wait.
+        # On a signal, the interpreter writes a byte to this socket, which wakes the event loop.
         signal.set_wakeup_fd(self._write_end.fileno(), warn_on_full_buffer=False)
         self._loop.add_reader(self._read_end, self._drain)
 
     def handle(self, number: signal.Signals, action: Callable[[], object]) -> None:
-        """Calls `action` for each signal of this number; signals in quick series may be one."""
+        """Installs `action` for this signal; several signals in quick succession may cause a single call."""
 
         def on_signal(_number: int, _frame: object) -> None:
             """Runs in the interpreter's signal handler."""
@@ -44,7 +44,7 @@
             self._read_end.recv(4096)
 
     def close(self) -> None:
-        """Ends the handling: from here on the signals are ignored, as the process is about to end."""
+        """Stops handling signals and ignores them from here on, because the process is about to exit."""
         ignore_all()
         signal.set_wakeup_fd(-1)
         self._loop.remove_reader(self._read_end)
