--- a/lemonridge/cli/__init__.py
+++ b/lemonridge/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The command line: argument parsers, commands and the simulator's adapter."""
+"""The command-line interface: argument parsers, commands and the adapter for the simulator."""
--- a/lemonridge/cli/configuration.py
+++ b/lemonridge/cli/configuration.py
@@ -1,4 +1,4 @@
-"""`check-config` and `schema`, and the configuration that `serve` and `check-config` read."""
+"""The commands `check-config` and `schema`, and the loading of the configuration for `serve`."""
 
 from __future__ import annotations
 
@@ -17,16 +17,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Configuration:
-    """What a process runs: one front or both."""
+    """The configuration of a broker process, which runs one front or both."""
 
-    platform: PlatformConfig | None  # None: there is only an operator's file
-    iscsi: IscsiConfig | None  # None: no operator's file, or one that only sets up the fleet
-    fleet: FleetConfig | None  # of the operator's file
+    platform: PlatformConfig | None  # None: only the operator's file is given
+    iscsi: IscsiConfig | None  # None: no operator's file, or one with the table [fleet] only
+    fleet: FleetConfig | None  # from the operator's file
 
 
 def add_parsers(commands: argparse._SubParsersAction[argparse.ArgumentParser]) -> None:
-    """Add `check-config` and `schema`."""
-    check = commands.add_parser("check-config", help="read the configuration, say what it holds")
+    """Adds the parsers of `check-config` and `schema`."""
+    check = commands.add_parser("check-config", help="check the configuration and summarize it")
     add_options(check)
     check.set_defaults(run=check_config)
     schema = commands.add_parser("schema", help="print the JSON Schema of the operator's file")
@@ -34,24 +34,24 @@
 
 
 def add_options(command: argparse.ArgumentParser) -> None:
-    """Add the options that `load` reads."""
+    """Adds the options that `load` uses."""
     command.add_argument(
         "--peers",
         action="store_true",
-        help="speak to the peers of ROUTER_CONFIG, where its settings allow messages",
+        help="exchange datagrams with the peers in ROUTER_CONFIG, if its settings allow it",
     )
-    command.add_argument("--config", metavar="FILE", help="an operator's file: the iSCSI front")
+    command.add_argument("--config", metavar="FILE", help="the operator's file: iSCSI front and fleet")
 
 
 def load(options: argparse.Namespace) -> Configuration:
-    """Read the platform's file and the operator's, and lay the operator's fleet over the platform.
+    """Loads the platform's and the operator's configuration; the operator's fleet replaces the platform's.
 
     Raises:
-        ConfigError: one of them cannot be used.
+        ConfigError: One of them cannot be used.
     """
     iscsi = table = fleet = None
     if options.config:
-        from lemonridge.config import operator_file  # without a file its library is not loaded
+        from lemonridge.config import operator_file  # loads msgspec, which is not needed without a file
 
         iscsi, table = operator_file.load(options.config)
     platform = None if iscsi and "ROUTER_CONFIG" not in os.environ else platform_config.load()
@@ -72,7 +72,7 @@
 
 
 def check_config(options: argparse.Namespace) -> int:
-    """Print a line for each part of the configuration; the exit status is 0."""
+    """Prints a line for each part of the configuration; returns the exit status 0."""
     configuration = load(options)
     platform, fleet, iscsi = configuration.platform, configuration.fleet, configuration.iscsi
     if platform:
@@ -110,7 +110,7 @@
 
 
 def print_schema(_: argparse.Namespace) -> int:
-    """Print the JSON Schema of the operator's file."""
+    """Prints the JSON Schema of the operator's file; returns the exit status 0."""
     import orjson
 
     from lemonridge.config.operator_schema import json_schema
--- a/lemonridge/cli/drill_commands.py
+++ b/lemonridge/cli/drill_commands.py
@@ -1,6 +1,6 @@
-"""`drill`: rehearses failures against the real program on loopback.
+"""The command `drill`: injects failures into the real program on loopback and checks its guarantees.
 
-Exit status: 0, or 1 where a rule broke or the drill did not meet what it is for.
+The exit status is 0 if all rules held, and 1 if one was broken or the drill did not exercise what it tests.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 
 import orjson
 
-from lemonridge.cli.figures import line
+from lemonridge.cli.figures import format_figures
 from lemonridge.config.errors import ConfigError
 from lemonridge.lab.drills import extents as drill_extents
 from lemonridge.lab.drills import iscsi as drill_iscsi
@@ -21,20 +21,20 @@
 
 
 def drill(options: argparse.Namespace) -> int:
-    """Run the drill, print its notes and figures; the exit status.
+    """Runs a drill and prints its notes and figures; returns the exit status.
 
     Raises:
-        ConfigError: an option lies outside its bounds.
+        ConfigError: An option is out of bounds.
     """
     if not 0 < options.seconds <= 3600 or options.move_every_ms < 0:
-        raise ConfigError("drill: --seconds must lie within an hour, --move-every-ms must not be negative")
+        raise ConfigError("drill: --seconds must be above 0 and at most 3600, --move-every-ms at least 0")
     return DRILLS[options.name](options)
 
 
 def _print_figures(options: argparse.Namespace, notes: Iterable[str], figures: dict[str, object]) -> None:
     for note in notes:
         print(note)
-    print(orjson.dumps(figures).decode() if options.json else line(figures))
+    print(orjson.dumps(figures).decode() if options.json else format_figures(figures))
 
 
 def _broker_failed(error: ProgramError, broker: str = "the broker") -> int:
@@ -44,17 +44,17 @@
 
 def _drill_iscsi(options: argparse.Namespace) -> int:
     try:
-        figures, found = asyncio.run(
+        figures, findings = asyncio.run(
             drill_iscsi.Drill(drill_iscsi.Options(options.seed, options.seconds)).run()
         )
     except ProgramError as error:
         return _broker_failed(error)
-    _print_figures(options, found.notes, figures)
+    _print_figures(options, findings.notes, figures)
     return 0 if drill_iscsi.held(figures) else 1
 
 
 def _drill_extents(options: argparse.Namespace) -> int:
-    chosen = drill_extents.Options(
+    drill_options = drill_extents.Options(
         options.seed,
         options.seconds,
         options.move_every_ms / 1000,
@@ -62,11 +62,11 @@
         checked=options.mutation != "unchecked",
     )
     try:
-        figures, found = asyncio.run(drill_extents.Drill(chosen).run())
+        figures, findings = asyncio.run(drill_extents.Drill(drill_options).run())
     except ProgramError as error:
         return _broker_failed(error)
-    _print_figures(options, found.notes, figures)
-    return 0 if drill_extents.held(figures, chosen) else 1
+    _print_figures(options, findings.notes, figures)
+    return 0 if drill_extents.held(figures, drill_options) else 1
 
 
 def _drill_fleet(options: argparse.Namespace) -> int:
@@ -74,8 +74,8 @@
     from lemonridge.lab.links import schedule
 
     if not 2 <= options.brokers <= 32 or options.mutation == "unchecked":
-        raise ConfigError("drill fleet: --brokers from 2 to 32, and a mutation of its own")
-    chosen = fleet.Options(
+        raise ConfigError("drill fleet: --brokers must be from 2 to 32, --mutation must be one of this drill")
+    drill_options = fleet.Options(
         options.seed,
         options.seconds,
         options.brokers,
@@ -83,16 +83,16 @@
         not options.calm,
         options.mutation or "",
     )
-    faults = schedule.read(options.schedule) if options.schedule else fleet.plan(chosen)
+    faults = schedule.read(options.schedule) if options.schedule else fleet.plan(drill_options)
     if options.write_schedule:
         Path(options.write_schedule).write_text(schedule.write(faults))
         return 0
     try:
-        figures, found, _ = asyncio.run(fleet.run(chosen, faults))
+        figures, findings, _ = asyncio.run(fleet.run(drill_options, faults))
     except ProgramError as error:
         return _broker_failed(error, "a broker")
-    _print_figures(options, found.notes, figures)
-    return 0 if fleet.held(figures, found) else 1
+    _print_figures(options, findings.notes, figures)
+    return 0 if fleet.held(figures, findings) else 1
 
 
 def _drill_soak(options: argparse.Namespace) -> int:
@@ -100,28 +100,28 @@
     from lemonridge.lab.soak_mutants import MUTANTS
 
     if options.mutation is not None and options.mutation not in MUTANTS:
-        raise ConfigError(f"drill soak: --mutation is one of {', '.join(MUTANTS)}")
-    figures, found = asyncio.run(
+        raise ConfigError(f"drill soak: --mutation must be one of {', '.join(MUTANTS)}")
+    figures, findings = asyncio.run(
         soak.run(soak.Options(options.seed, options.seconds, options.mutation or ""))
     )
-    _print_figures(options, found.notes, figures)
-    return 0 if soak.held(found) else 1
+    _print_figures(options, findings.notes, figures)
+    return 0 if soak.held(findings) else 1
 
 
 def _drill_policy(options: argparse.Namespace) -> int:
     from lemonridge.lab.drills import policy
 
     if not 3 <= options.brokers <= 16 or options.seconds < 12:
-        raise ConfigError("drill policy: --brokers from 3 to 16, --seconds from 12")
-    chosen = policy.Options(
+        raise ConfigError("drill policy: --brokers must be from 3 to 16, --seconds at least 12")
+    drill_options = policy.Options(
         options.seed, options.seconds, options.brokers, not options.calm, options.mutation or ""
     )
     try:
-        figures, found, answers = asyncio.run(policy.run(chosen))
+        figures, findings, answer_findings = asyncio.run(policy.run(drill_options))
     except ProgramError as error:
         return _broker_failed(error, "a broker")
-    _print_figures(options, (*found.notes, *answers.notes), figures)
-    return 0 if policy.held(figures, found, answers) else 1
+    _print_figures(options, (*findings.notes, *answer_findings.notes), figures)
+    return 0 if policy.held(figures, findings, answer_findings) else 1
 
 
 DRILLS: dict[str, Callable[[argparse.Namespace], int]] = {
--- a/lemonridge/cli/figures.py
+++ b/lemonridge/cli/figures.py
@@ -1,12 +1,12 @@
-"""How the lab's commands print their figures."""
+"""The output format of figures in the lab's commands."""
 
 from __future__ import annotations
 
 from collections.abc import Mapping
 
 
-def line(figures: Mapping[str, object]) -> str:
-    """`key=value` pairs, as the log has them."""
+def format_figures(figures: Mapping[str, object]) -> str:
+    """Formats figures as one line of `key=value` pairs, like a log line."""
     return " ".join(
         f'{name}="{value}"' if " " in str(value) else f"{name}={value}" for name, value in figures.items()
     )
--- a/lemonridge/cli/fleet_commands.py
+++ b/lemonridge/cli/fleet_commands.py
@@ -1,4 +1,4 @@
-"""`fleet status`: the fleet as its brokers see it."""
+"""The command `fleet status`: shows the fleet as seen by its brokers."""
 
 from __future__ import annotations
 
@@ -9,18 +9,18 @@
 
 
 def add_parser(commands: argparse._SubParsersAction[argparse.ArgumentParser]) -> None:
-    """Add `fleet`."""
-    command = commands.add_parser("fleet", help="the fleet, as its brokers see it")
+    """Adds the parser of `fleet`."""
+    command = commands.add_parser("fleet", help="show the fleet as seen by its brokers")
     command.add_argument("part", choices=("status",))
     command.add_argument(
-        "address", nargs="+", metavar="ADDR", help="HOST:PORT, where operators call a broker"
+        "address", nargs="+", metavar="ADDR", help="HOST:PORT of a broker's server for operators' calls"
     )
     command.add_argument("--json", action="store_true")
     command.set_defaults(run=status)
 
 
 def status(options: argparse.Namespace) -> int:
-    """Print each broker's view; 0 if all brokers answered and their views are of a whole fleet, else 1."""
+    """Prints each broker's view; returns 0 if all brokers answered and see all members up, else 1."""
     import asyncio
 
     import orjson
@@ -28,12 +28,12 @@
     from lemonridge.fleet.status_report import all_members_up, table
     from lemonridge.net.admin_client import views
 
-    addresses = [Address.parse(one, "ADDR") for one in options.address]
+    addresses = [Address.parse(address, "ADDR") for address in options.address]
     reports, failures = asyncio.run(views(addresses))
     if options.json:
         print(orjson.dumps({"brokers": reports, "silent": failures}, option=orjson.OPT_INDENT_2).decode())
     elif reports:
         print(table(reports))
-    for line in failures:
-        print(f"lemonridge: {line}", file=sys.stderr)
+    for failure in failures:
+        print(f"lemonridge: {failure}", file=sys.stderr)
     return 0 if reports and not failures and all_members_up(reports) else 1
--- a/lemonridge/cli/lab_commands.py
+++ b/lemonridge/cli/lab_commands.py
@@ -1,4 +1,4 @@
-"""`conform`, `demo` and `lab`: what they print, and how they end."""
+"""The commands `conform`, `demo` and `lab`: their output and exit status."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 import orjson
 
-from lemonridge.cli.figures import line
+from lemonridge.cli.figures import format_figures
 from lemonridge.config.address import Address
 from lemonridge.config.errors import ConfigError
 from lemonridge.lab.conform import suite
@@ -17,7 +17,7 @@
 
 
 def conform(options: argparse.Namespace) -> int:
-    """Print what failed and what was skipped, then the counts; 0 only if nothing failed."""
+    """Prints the failed and skipped cases and the counts; returns 0 if cases ran and none failed, else 1."""
     target = None
     if options.target:
         address = Address.parse(options.target, "--target")
@@ -35,44 +35,45 @@
         print(f"lemonridge: the broker failed: {error}", file=sys.stderr)
         return 1
     counts = {
-        outcome: sum(one.outcome == outcome for one in results) for outcome in ("passed", "failed", "skipped")
+        outcome: sum(result.outcome == outcome for result in results)
+        for outcome in ("passed", "failed", "skipped")
     }
-    print(line({"conform": options.name, "cases": len(results), **counts}))
+    print(format_figures({"conform": options.name, "cases": len(results), **counts}))
     return 0 if results and not counts["failed"] else 1
 
 
 def demo(options: argparse.Namespace) -> int:
-    """Print the figures; 0 if most requests were served though an endpoint died.
+    """Prints the figures; returns 0 if over half of the requests were served although a node died, else 1.
 
     Raises:
-        ConfigError: the extra `lab` is missing, or an option lies outside its bounds.
+        ConfigError: The extra `lab` is not installed, or an option is out of bounds.
     """
     if not 2 <= options.seconds <= 3600:
-        raise ConfigError("demo: --seconds must lie between 2 and 3600")
+        raise ConfigError("demo: --seconds must be from 2 to 3600")
     try:
-        from lemonridge.lab import demo as shown
+        from lemonridge.lab import demo as demo_run
     except ImportError:
         raise ConfigError("demo needs the extra lab: pip install 'lemonridge[lab]'") from None
     try:
-        figures = shown.main(options.seconds)
+        figures = demo_run.main(options.seconds)
     except ProgramError as error:
         print(f"lemonridge: the broker failed: {error}", file=sys.stderr)
         return 1
-    print(line(figures))
+    print(format_figures(figures))
     return 0 if int(str(figures["served"])) * 2 > int(str(figures["due"])) else 1
 
 
 def lab(options: argparse.Namespace) -> int:
-    """Run one of the parts of `lab`; the exit status.
+    """Runs one of the subcommands of `lab`; returns the exit status.
 
     Raises:
-        ConfigError: the extra `lab` is missing, or a file or an option cannot be used.
+        ConfigError: The extra `lab` is not installed, or a file or an option cannot be used.
     """
     try:
         import numpy  # noqa: F401
         import simpy  # noqa: F401
     except ImportError:
-        raise ConfigError("lab needs the extra of that name: pip install 'lemonridge[lab]'") from None
+        raise ConfigError("lab needs the extra lab: pip install 'lemonridge[lab]'") from None
     from lemonridge.lab.model import runs
 
     if options.part == "one":
@@ -91,7 +92,11 @@
             )
         except (ValueError, KeyError) as error:
             raise ConfigError(f"cannot compare: {error}") from None
-        print(line({"figure": options.figure, **{name: round(value, 6) for name, value in figures.items()}}))
+        print(
+            format_figures(
+                {"figure": options.figure, **{name: round(value, 6) for name, value in figures.items()}}
+            )
+        )
         return 0
     results = runs.read_results(options.results)
     if not results or options.factor not in results[0]["levels"]:
@@ -106,40 +111,42 @@
     if options.jobs < 1:
         raise ConfigError("lab: --jobs must be 1 or more")
     out = Path(options.out or f"{options.file}.results")
-    results, died = asyncio.run(
+    results, failed_runs = asyncio.run(
         runs.run_all(
             options.file, options.jobs, out, options.seed_base, lambda text: print(text, file=sys.stderr)
         )
     )
     for result in results:
         print(
-            line(
+            format_figures(
                 {**result["levels"], "seed": result["seed"], **result["figures"], "cpu_us": result["cpu_us"]}
             )
         )
-    wrong = runs.broken(results)
+    broken_rules = runs.broken(results)
     print(
-        line(
+        format_figures(
             {
                 "lab": Path(options.file).stem,
                 "runs": len(results),
-                "died": len(died),
-                "rules_broken": wrong,
+                "died": len(failed_runs),
+                "rules_broken": broken_rules,
                 "digest": runs.digest(results),
             }
         )
     )
-    return 0 if not died and not wrong else 1
+    return 0 if not failed_runs and not broken_rules else 1
 
 
 def _lab_validate(options: argparse.Namespace) -> int:
-    """`lemonridge lab validate`: the figures side by side; 0 only where each lies within its bound."""
+    """Prints the figures of the model and the program; returns 0 if all are within their bounds, else 1."""
     from lemonridge.lab.measure import validate
 
     if not 1 <= options.nodes <= 32 or not 1 <= options.work_ms <= 1000 or not 0 < options.load <= 1.5:
-        raise ConfigError("validate: --nodes from 1 to 32, --work-ms from 1 to 1000, --load above 0 to 1.5")
+        raise ConfigError(
+            "validate: --nodes must be 1 to 32, --work-ms 1 to 1000, --load above 0 and at most 1.5"
+        )
     if not 1 <= options.seconds <= 600:
-        raise ConfigError("validate: --seconds from 1 to 600")
+        raise ConfigError("validate: --seconds must be from 1 to 600")
     try:
         rows = validate.validate(options.nodes, options.work_ms, options.load, options.seconds, options.seed)
     except ProgramError as error:
@@ -153,5 +160,5 @@
     figures: dict[str, object] = {"lab": "validate", "held": int(all(row.held for row in rows))}
     for row in rows:
         figures[f"{row.name}_model"], figures[f"{row.name}_program"] = round(row.model, 3), round(row.real, 3)
-    print(line(figures))
+    print(format_figures(figures))
     return 0 if figures["held"] else 1
--- a/lemonridge/cli/main.py
+++ b/lemonridge/cli/main.py
@@ -1,4 +1,4 @@
-"""The command line: one module for each group of commands."""
+"""The entry point of the command line; each group of commands has a module of its own."""
 
 from __future__ import annotations
 
@@ -10,18 +10,18 @@
 from lemonridge.cli import configuration, fleet_commands, lab_parsers, serve
 from lemonridge.config.errors import ConfigError
 
-BAD_INPUT = 2  # exit status
+EXIT_BAD_INPUT = 2
 
 
 def parser() -> argparse.ArgumentParser:
-    """The options and sub-commands, in the order of the help."""
-    top = argparse.ArgumentParser(prog="lemonridge", description="A broker before shared storage nodes.")
+    """Returns the parser of all commands, in the order of the help text."""
+    top = argparse.ArgumentParser(prog="lemonridge", description="A broker for shared storage nodes.")
     commands = top.add_subparsers(required=True, metavar="COMMAND")
     serve.add_parser(commands)
     configuration.add_parsers(commands)
     lab_parsers.add_parsers(commands)
     fleet_commands.add_parser(commands)
-    policy = commands.add_parser("policy", help="one policy for the whole fleet: check, propose, status ...")
+    policy = commands.add_parser("policy", help="manage the fleet's policy: check, propose, status ...")
     policy.add_argument("words", nargs=argparse.REMAINDER, metavar="PART ...")
     policy.set_defaults(run=_policy)
     lab_parsers.add_lab(commands)
@@ -31,7 +31,7 @@
 
 
 def _policy(options: argparse.Namespace) -> int:
-    from lemonridge.cli import policy_commands  # it needs the libraries of operators' files
+    from lemonridge.cli import policy_commands  # loads msgspec, which `serve` may not need
 
     return policy_commands.run(policy_commands.parser().parse_args(options.words))
 
@@ -42,10 +42,10 @@
 
 
 def main(arguments: Sequence[str] | None = None) -> int:
-    """Run a sub-command; bad input gets one plain line and exit status 2."""
+    """Runs a command and returns its exit status; bad input is reported in one line, with exit status 2."""
     options = parser().parse_args(arguments)
     try:
         return int(options.run(options))
     except ConfigError as error:
         print(f"lemonridge: {error}", file=sys.stderr)
-        return BAD_INPUT
+        return EXIT_BAD_INPUT
--- a/lemonridge/cli/policy_commands.py
+++ b/lemonridge/cli/policy_commands.py
@@ -1,7 +1,8 @@
-"""`lemonridge policy`: check, propose and follow changes of policy, from the command line.
+"""The command `policy`: checks policy files, and proposes and follows changes of the fleet's policy.
 
-Exit status: 0 done, or in force with `--wait`; 1 rejected, or nowhere; 2 a file or an address that cannot be
-used; 3 not known in the time of `--wait`: the change may still come into force.
+Exit status: 0 if the call succeeded and, with `--wait`, the change is in force; 1 if the change was rejected
+or not adopted; 2 if a file or an address cannot be used; 3 if the outcome is unknown after `--wait`: the
+change may still come into force.
 """
 
 from __future__ import annotations
@@ -29,54 +30,65 @@
 from lemonridge.rollout.policy_document import Policy
 
 EXIT_REJECTED, EXIT_UNKNOWN = 1, 3
-POLL_INTERVAL_S = 0.1  # between two looks at a change that is waited for
+POLL_INTERVAL_S = 0.1  # between two queries while waiting for a change
 METAVARS = {"file": "FILE", "address": "ADDR", "name": "NAME"}
 FORCE_WARNING = """\
-lemonridge: this goes on without a majority of the voters. If those that are called lost are only
-cut off and still serve, two policies are gone by, so limits may be passed twice, until the two sides hear
-each other; what the lost decided meanwhile is void then. With --accept-two-policies it is done."""
+lemonridge: this continues without a majority of the voters. If the brokers that are given as lost are
+only cut off and still serve, two policies are in force, so limits may be exceeded twofold, until the two
+sides can communicate again; what the lost brokers decided meanwhile is then void. To proceed, repeat the
+command with --accept-two-policies."""
 
 
 def parser() -> argparse.ArgumentParser:
-    """The options of the subcommands. They are here, so that no other command loads this module."""
-    top = argparse.ArgumentParser(prog="lemonridge policy", description="One policy for the whole fleet.")
+    """Returns the parser of the subcommands; defined here so that other commands do not load this module."""
+    top = argparse.ArgumentParser(
+        prog="lemonridge policy", description="Manage the policy of the whole fleet."
+    )
     parts = top.add_subparsers(required=True, metavar="PART", dest="part")
 
-    def part(name: str, text: str, *arguments: str) -> argparse.ArgumentParser:
-        subcommand: argparse.ArgumentParser = parts.add_parser(name, help=text)
+    def add_subcommand(name: str, help_text: str, *arguments: str) -> argparse.ArgumentParser:
+        subcommand: argparse.ArgumentParser = parts.add_parser(name, help=help_text)
         for argument in arguments:
             nargs = "+" if argument == "address" and name == "status" else None
             subcommand.add_argument(argument, nargs=nargs, metavar=METAVARS[argument])
         return subcommand
 
-    part("init", "make the store of a new fleet's broker", "file")
-    part("check", "read a policy, say what it holds", "file")
-    part("show", "the policy in force, as a file", "address")
-    part("diff", "what a file would change", "file", "address")
-    propose = part("propose", "change the policy of the fleet", "file", "address")
-    propose.add_argument("--note", default="", help="why, for the history")
-    propose.add_argument("--dry-run", action="store_true", help="only ask that broker whether it could")
-    propose.add_argument("--wait", type=float, default=0.0, metavar="S", help="until it is in force, or not")
-    status = part("status", "what each broker goes by", "address")
+    add_subcommand("init", "create the vote store of a broker of a new fleet", "file")
+    add_subcommand("check", "check a policy file and summarize it", "file")
+    add_subcommand("show", "print the policy in force as TOML", "address")
+    add_subcommand("diff", "show what a policy file would change", "file", "address")
+    propose = add_subcommand("propose", "propose a new policy for the fleet", "file", "address")
+    propose.add_argument("--note", default="", help="reason, for the history")
+    propose.add_argument(
+        "--dry-run", action="store_true", help="only ask this broker whether it would accept the policy"
+    )
+    propose.add_argument(
+        "--wait", type=float, default=0.0, metavar="S", help="seconds to wait for the outcome"
+    )
+    status = add_subcommand("status", "show the policy state of each broker", "address")
     status.add_argument("--json", action="store_true")
-    part("history", "the last changes", "address")
-    part("abort", "call off a change that is not put to the vote yet", "address")
-    admit = part("admit", "let the broker at ADDR vote", "address")
-    retire = part("retire", "take a broker's vote away, for good", "name", "address")
+    add_subcommand("history", "show the last changes", "address")
+    add_subcommand("abort", "abort a change that has not been put to the vote yet", "address")
+    admit = add_subcommand("admit", "admit the broker at ADDR as a voter", "address")
+    retire = add_subcommand("retire", "permanently remove a broker from the voters", "name", "address")
     for subcommand in (admit, retire):
         subcommand.add_argument(
-            "--wait", type=float, default=0.0, metavar="S", help="until it is in force, or not"
+            "--wait", type=float, default=0.0, metavar="S", help="seconds to wait for the outcome"
         )
-    force = part("force", "EMERGENCY: go on without a majority of the voters", "address")
+    force = add_subcommand("force", "EMERGENCY: continue without a majority of the voters", "address")
     force.add_argument(
         "--lost",
         action="append",
         required=True,
         metavar="NAME",
-        help="a voter that is lost for good; once for each",
+        help="a permanently lost voter; repeat for each",
+    )
+    force.add_argument("--note", default="", help="reason, for the history and the log")
+    force.add_argument(
+        "--accept-two-policies",
+        action="store_true",
+        help="confirm that two policies may be in force meanwhile",
     )
-    force.add_argument("--note", default="", help="why, for the history and the log")
-    force.add_argument("--accept-two-policies", action="store_true", help="the price is understood")
     return top
 
 
@@ -160,11 +172,15 @@
 
 
 def _begin_change(line: str, address: Address, wait_s: float) -> int:
-    """Makes a call that begins a change, and follows the change for `wait_s` seconds."""
+    """Sends a call that starts a change and follows the change for up to `wait_s` seconds.
+
+    Returns:
+        The exit status.
+    """
     results_before = _status_of(address)["results_ended"]
     print(_call(address, line))
-    give_up_s = time.monotonic() + wait_s
-    while time.monotonic() < give_up_s:
+    deadline_s = time.monotonic() + wait_s
+    while time.monotonic() < deadline_s:
         status = _status_of(address)
         if status["results_ended"] > results_before:
             outcome, reason, epoch = status["results"][-1]
@@ -189,15 +205,15 @@
         except CallError as error:
             errors.append(str(error))
     if options.json:
-        shown = {"brokers": statuses, "silent": errors}
-        print(orjson.dumps(shown, option=orjson.OPT_INDENT_2).decode())
+        report = {"brokers": statuses, "silent": errors}
+        print(orjson.dumps(report, option=orjson.OPT_INDENT_2).decode())
     else:
         print(table(statuses))
     for error_text in errors:
         print(f"lemonridge: {error_text}", file=sys.stderr)
-    is_alike = len({(status["epoch"], status["state"]) for status in statuses}) == 1
-    has_leases = all(status["goes_by"] != "floor" for status in statuses)
-    return 0 if is_alike and not errors and has_leases else EXIT_REJECTED
+    all_agree = len({(status["epoch"], status["state"]) for status in statuses}) == 1
+    all_have_leases = all(status["goes_by"] != "floor" for status in statuses)
+    return 0 if all_agree and not errors and all_have_leases else EXIT_REJECTED
 
 
 SUBCOMMANDS: dict[str, Callable[[argparse.Namespace], int]] = {
@@ -216,7 +232,7 @@
 
 
 def table(statuses: list[dict[str, Any]]) -> str:
-    """A line for each broker: its state, epochs, lease, vote, the change under way, its fault."""
+    """Formats statuses as a table with one line per broker."""
     rows = [("broker", "epoch", "state", "goes by", "lease ms", "votes", "under way", "fault")]
     for status in statuses:
         epochs, change = status["goes_by"], status["under_way"]
@@ -239,10 +255,10 @@
 
 
 def read(path: str) -> Policy:
-    """The policy of a TOML file.
+    """Reads a policy from a TOML file.
 
     Raises:
-        PolicyError: The file cannot be read, or is no policy; the text names the key.
+        PolicyError: The file cannot be read or is not a valid policy; the message names the key.
     """
     try:
         return policy_document.parse_policy(tomllib.loads(Path(path).read_text(encoding="utf-8")))
@@ -253,13 +269,13 @@
 
 
 def to_toml(policy: Policy) -> str:
-    """A policy as TOML, which `read` reads back alike."""
+    """Formats a policy as TOML; `read` returns an equal policy."""
     document = msgspec.to_builtins(policy)
     lines = ["[rules]", *(f"{key} = {value}" for key, value in document["rules"].items())]
     for name in ("plan", "class"):
-        for row in document[name]:
+        for entry in document[name]:
             lines += ["", f"[[{name}]]"]
-            lines += [f"{key} = {orjson.dumps(value).decode()}" for key, value in row.items()]
+            lines += [f"{key} = {orjson.dumps(value).decode()}" for key, value in entry.items()]
     return "\n".join(lines) + "\n"
 
 
--- a/lemonridge/cli/serve.py
+++ b/lemonridge/cli/serve.py
@@ -1,4 +1,4 @@
-"""`serve`: the broker's process."""
+"""The command `serve`: runs the broker."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def add_parser(commands: argparse._SubParsersAction[argparse.ArgumentParser]) -> None:
-    """Add `serve`."""
+    """Adds the parser of `serve`."""
     command = commands.add_parser("serve", help="run the broker")
     command.add_argument("--log-level", default="info", choices=("debug", "info", "warning", "error"))
     configuration.add_options(command)
@@ -20,22 +20,22 @@
 
 
 def run(options: argparse.Namespace) -> int:
-    """Serve until SIGTERM or SIGINT; the exit status is 0.
+    """Serves until SIGTERM or SIGINT; returns the exit status 0.
 
     Raises:
-        ConfigError: the configuration cannot be used, or its address cannot be listened at.
+        ConfigError: The configuration cannot be used, or the broker cannot listen on a configured address.
     """
-    gc.disable()  # a start makes no garbage, and collecting it takes a seventh of a start's processor time
+    gc.disable()  # startup creates no garbage, and collections would take a seventh of its CPU time
     ignored_signals.ignore_reload_signals()
     configured = configuration.load(options)
     writer = log_format.set_up(options.log_level)
     if configured.iscsi is None:
-        # The platform speaks plain TCP, and OpenSSL with its certificates is a sixth of a start. Both asyncio
-        # and aiohttp do without it where it cannot be loaded.
+        # The platform uses plain TCP, and loading OpenSSL with its certificates takes a sixth of startup.
+        # Both asyncio and aiohttp work without ssl if it cannot be imported.
         sys.modules["ssl"] = None  # type: ignore[assignment]
     import asyncio
 
-    from lemonridge.service.process import serve  # only `serve` pays for loading the network's parts
+    from lemonridge.service.process import serve  # slow to import, so only for `serve`
 
     gc.freeze()
     gc.enable()
--- a/lemonridge/cli/simulator.py
+++ b/lemonridge/cli/simulator.py
@@ -1,7 +1,8 @@
-"""Adapter between the simulator's wire and the scheduler. It decides nothing.
+"""Adapter between the simulator's wire protocol and the scheduler; it makes no decisions itself.
 
-One JSON batch a line on standard input, one JSON reply a line on standard output (WIRE). The wire's words and
-positions stand in this module alone: a decoder for each event, an encoder for each action.
+Reads one JSON batch per line from standard input and writes one JSON reply per line to standard output
+(WIRE). This module alone knows the event names, order names and field positions of the protocol: it has a
+decoder for each event and an encoder for each action.
 """
 
 from __future__ import annotations
@@ -41,8 +42,8 @@
     TimerFired,
 )
 
-WireItem = list[Any]  # an event or an order of a batch: its word, its instance, its values
-Datagram = tuple[int, bytes]  # the sending instance's number, and what it sent
+WireItem = list[Any]  # an event or an order: its name, the number of an instance or page, its values
+Datagram = tuple[int, bytes]  # the sending instance's number, and the payload
 
 ATTEMPT_RESULTS = {
     0: AttemptResult.OK,
@@ -65,29 +66,29 @@
     "leaving": EndpointState.DRAINING,
     "left": EndpointState.REMOVED,
 }
-CLIENT_RETRY_FLAG = 2  # of a request's `opts`
+CLIENT_RETRY_FLAG = 2  # bit of `opts` in `inbound`
 
 
 class WireError(Exception):
-    """A line that the wire does not allow; the message is one plain line."""
+    """A line that violates the wire protocol; the message is a single line."""
 
 
 # Events
 
 
-def decode_endpoint(row: WireItem) -> Endpoint:
-    """Decodes a row of a page of the endpoint list."""
+def decode_endpoint(entry: WireItem) -> Endpoint:
+    """Decodes an entry of a page of the endpoint list."""
     return Endpoint(
-        endpoint_id=row[5],
-        shard=row[4],
-        zone=row[6],
-        state=ENDPOINT_STATES[row[1]],
-        started_us=row[3] or 0,
+        endpoint_id=entry[5],
+        shard=entry[4],
+        zone=entry[6],
+        state=ENDPOINT_STATES[entry[1]],
+        started_us=entry[3] or 0,
     )
 
 
 def decode_request_arrived(item: WireItem) -> RequestArrived:
-    """Decodes `inbound`."""
+    """Decodes `inbound`: a request arrived."""
     return RequestArrived(
         request=item[2],
         shard=ANY_SHARD if item[3] is None else int(item[3]),
@@ -103,7 +104,7 @@
 
 
 def decode_attempt_ended(item: WireItem) -> AttemptEnded:
-    """Decodes `completed`, whose last three values may be left out."""
+    """Decodes `completed`: an attempt ended. Its last three values are optional."""
     return AttemptEnded(
         request=item[2],
         attempt=item[3],
@@ -118,7 +119,7 @@
 
 
 def _outstanding(load_report: Any) -> float | None:
-    """The requests at the endpoint by its load report; None where it does not say."""
+    """Returns the number of requests at the endpoint from its load report; None if the report lacks it."""
     requests = load_report.get("busy_reqs") if isinstance(load_report, dict) else None
     if isinstance(requests, (int, float)) and not isinstance(requests, bool):
         return float(requests)
@@ -136,26 +137,36 @@
 # Actions
 
 ACTION_ENCODERS: dict[type[Action], Callable[[int, Any], WireItem]] = {
-    Send: lambda who, send: ["issue", who, send.request, send.endpoint_id, 0],
-    Cancel: lambda who, cancel: ["undo-send", who, cancel.request, cancel.attempt],
-    Reject: lambda who, reject: ["push-back", who, reject.request, reject.backoff_us],
-    Fail: lambda who, fail: ["drop-request", who, fail.request],
-    SetTimer: lambda who, timer: ["schedule", who, 0, timer.at_us],
-    Subscribe: lambda who, subscribe: ["stream-changes", who, True],
+    Send: lambda instance_id, send: ["issue", instance_id, send.request, send.endpoint_id, 0],
+    Cancel: lambda instance_id, cancel: ["undo-send", instance_id, cancel.request, cancel.attempt],
+    Reject: lambda instance_id, reject: ["push-back", instance_id, reject.request, reject.backoff_us],
+    Fail: lambda instance_id, fail: ["drop-request", instance_id, fail.request],
+    SetTimer: lambda instance_id, timer: ["schedule", instance_id, 0, timer.at_us],
+    Subscribe: lambda instance_id, subscribe: ["stream-changes", instance_id, True],
 }
 
 
-def encode_actions(who: int, actions: Iterable[Action]) -> list[WireItem]:
-    """Encodes an instance's actions as orders; the wire has no word for the start of a slow start."""
+def encode_actions(instance_id: int, actions: Iterable[Action]) -> list[WireItem]:
+    """Encodes an instance's actions as orders; `SlowStartBegan` has no order and is left out."""
     return [
-        ACTION_ENCODERS[type(action)](who, action)
+        ACTION_ENCODERS[type(action)](instance_id, action)
         for action in actions
         if not isinstance(action, SlowStartBegan)
     ]
 
 
 class Instance:
-    """One broker of the simulator: its scheduler, and its part in the fleet where it speaks to the others."""
+    """One simulated broker: its scheduler and, if it exchanges datagrams, its fleet membership.
+
+    Args:
+        raw_settings: The settings in the `provision` event.
+        seed: The random seed of the `provision` event.
+        now_us: The simulator's time in microseconds.
+        peers: Whether the instance exchanges datagrams with the others, if its settings allow it.
+
+    Raises:
+        SettingsError: The settings cannot be used.
+    """
 
     def __init__(self, raw_settings: Any, seed: int, now_us: int, peers: bool) -> None:
         settings = parse_settings(raw_settings)
@@ -168,12 +179,12 @@
     def handle(
         self, now_us: int, events: list[Event], datagrams: list[Datagram]
     ) -> tuple[list[Action], list[SendDatagram]]:
-        """Handles the events of one moment.
+        """Handles the events of one batch.
 
         Args:
             now_us: The simulator's time in microseconds.
-            events: The events.
-            datagrams: What other instances have sent.
+            events: The events of the batch, in their order.
+            datagrams: The datagrams received from other instances.
 
         Returns:
             The scheduler's actions, and the datagrams to send.
@@ -185,15 +196,15 @@
 
 
 class Host:
-    """All instances of one process; they share nothing but the pages of the endpoint list.
+    """All simulated brokers of one process; they share only the pages of the endpoint list.
 
     Args:
-        peers: Lets the instances speak to each other.
+        peers: Whether the instances exchange datagrams.
 
     Attributes:
-        instances: By their numbers.
-        pages: The pages of the endpoint list, by their numbers.
-        datagrams: Received for each instance, and not handled yet.
+        instances: The instances by number.
+        pages: The pages of the endpoint list by number.
+        datagrams: Received datagrams that are not handled yet, by instance.
     """
 
     def __init__(self, peers: bool = False) -> None:
@@ -202,13 +213,13 @@
         self.datagrams: dict[int, list[Datagram]] = {}
         self._peers = peers
         self._now_us = 0
-        self._events: dict[int, list[Event]] = {}  # of the batch that is read, by instance
+        self._events: dict[int, list[Event]] = {}  # of the current batch, by instance
 
     def batch(self, line: str) -> str:
-        """Answers one line.
+        """Handles one batch and returns the reply, without a line end.
 
         Raises:
-            WireError: The line is no batch, or one of its events is malformed.
+            WireError: The line is not a batch, or one of its events is malformed or unknown.
             SettingsError: The settings of a new instance cannot be used.
         """
         try:
@@ -227,61 +238,65 @@
             except (ValueError, KeyError, TypeError, IndexError, AttributeError):
                 raise WireError(f"malformed event: {str(item)[:120]}") from None
         orders: list[WireItem] = []
-        for who, events in self._events.items():
-            orders.extend(self._decide(who, events))
+        for instance_id, events in self._events.items():
+            orders.extend(self._decide(instance_id, events))
         return json.dumps({"orders": orders}, separators=(",", ":"))
 
     def _apply(self, item: WireItem) -> None:
-        """Applies one item of a batch: to the pages, the instances, or the events of an instance."""
-        word, who = item[0], item[1]
-        if word == "page":
-            self.pages[who] = tuple(map(decode_endpoint, item[2]))
-        elif word == "provision":
-            self.instances[who] = Instance(item[3], int(item[2]), self._now_us, self._peers)
-            self.datagrams.pop(who, None)
-            self._events[who] = []
-        elif who not in self.instances:
-            raise WireError(f"event '{word}' for an unknown instance: {who}")
-        elif word == "kill":
-            del self.instances[who]
-            self._events.pop(who, None)
+        """Applies one event of a batch to the pages, to the instances, or to the events of an instance."""
+        event_name, number = item[0], item[1]  # of the page for `page`, else of the instance
+        if event_name == "page":
+            self.pages[number] = tuple(map(decode_endpoint, item[2]))
+        elif event_name == "provision":
+            self.instances[number] = Instance(item[3], int(item[2]), self._now_us, self._peers)
+            self.datagrams.pop(number, None)
+            self._events[number] = []
+        elif number not in self.instances:
+            raise WireError(f"event '{event_name}' for an unknown instance: {number}")
+        elif event_name == "kill":
+            del self.instances[number]
+            self._events.pop(number, None)
         else:
-            self._apply_to_instance(word, who, item)
-
-    def _apply_to_instance(self, word: Any, who: int, item: WireItem) -> None:
-        """Adds an event or a datagram for an instance, which is handled at the end of the batch."""
-        if word == "peer-data":
-            self.datagrams.setdefault(who, []).append((int(item[2]), bytes.fromhex(item[3])))
-            self._events.setdefault(who, [])
-        elif word == "pong":
-            self._events.setdefault(who, [])
-        elif word == "discovery":
+            self._apply_to_instance(event_name, number, item)
+
+    def _apply_to_instance(self, event_name: Any, instance_id: int, item: WireItem) -> None:
+        """Queues an event or a datagram for an instance; it is handled at the end of the batch."""
+        if event_name == "peer-data":
+            self.datagrams.setdefault(instance_id, []).append((int(item[2]), bytes.fromhex(item[3])))
+            self._events.setdefault(instance_id, [])
+        elif event_name == "pong":
+            self._events.setdefault(instance_id, [])
+        elif event_name == "discovery":
             event = self._endpoints_changed(item)
-            self._events.setdefault(who, []).append(event)
-        elif isinstance(word, str) and word in EVENT_DECODERS:
-            decoded = EVENT_DECODERS[word](item)
-            self._events.setdefault(who, []).append(decoded)
+            self._events.setdefault(instance_id, []).append(event)
+        elif isinstance(event_name, str) and event_name in EVENT_DECODERS:
+            decoded = EVENT_DECODERS[event_name](item)
+            self._events.setdefault(instance_id, []).append(decoded)
         else:
-            raise WireError(f"unknown event '{word}'")
+            raise WireError(f"unknown event '{event_name}'")
 
     def _endpoints_changed(self, item: WireItem) -> EndpointsChanged:
-        """Decodes `discovery`, which names a page; a failed watch has none."""
-        kind = LIST_UPDATES[item[2]]
-        failed = kind is EndpointListUpdate.WATCH_FAILED
-        return EndpointsChanged(kind, () if failed else self.pages[item[4]])
+        """Decodes `discovery`, which refers to a page, except when the watch has failed."""
+        update_kind = LIST_UPDATES[item[2]]
+        failed = update_kind is EndpointListUpdate.WATCH_FAILED
+        return EndpointsChanged(update_kind, () if failed else self.pages[item[4]])
 
-    def _decide(self, who: int, events: list[Event]) -> list[WireItem]:
-        """Lets an instance decide; an exception is reported, as the wire wants a broken policy reported."""
+    def _decide(self, instance_id: int, events: list[Event]) -> list[WireItem]:
+        """Returns the orders of an instance; an exception is reported as a `fault`, as WIRE requires."""
         try:
-            actions, sends = self.instances[who].handle(self._now_us, events, self.datagrams.pop(who, []))
+            actions, sends = self.instances[instance_id].handle(
+                self._now_us, events, self.datagrams.pop(instance_id, [])
+            )
         except Exception as error:
-            return [["fault", who, f"{type(error).__name__}: {error}"]]
-        memos: list[WireItem] = [["memo-to", who, send.to, send.data.hex()] for send in sends]
-        return encode_actions(who, actions) + memos
+            return [["fault", instance_id, f"{type(error).__name__}: {error}"]]
+        datagram_orders: list[WireItem] = [
+            ["memo-to", instance_id, send.to, send.data.hex()] for send in sends
+        ]
+        return encode_actions(instance_id, actions) + datagram_orders
 
 
 def run(source: TextIO, sink: TextIO, peers: bool = False) -> None:
-    """Answers every line of `source` until it ends; `peers` lets the instances speak to each other."""
+    """Handles every line of `source` until it ends; `peers` is whether the instances exchange datagrams."""
     host = Host(peers)
     for line in source:
         sink.write(host.batch(line) + "\n")
@@ -289,7 +304,7 @@
 
 
 def main() -> int:
-    """Serves standard input; a malformed line ends it with one plain line on standard error."""
+    """Handles standard input; exits with status 2 and a one-line error at the first malformed line."""
     try:
         run(sys.stdin, sys.stdout, sys.argv[1:] == ["--peers"])
     except (WireError, SettingsError) as error:
--- a/lemonridge/config/fleet.py
+++ b/lemonridge/config/fleet.py
@@ -27,10 +27,6 @@
     datagram_bytes_per_s: float = 8192.0  # limit for sent datagrams
     clock_error_us: int = 50_000  # maximum difference between the clocks of two members
     secret: bytes = b""  # key that authenticates the datagrams; empty: no authentication
-    retry_rate: float = (
-        0.0  # retries per second of all brokers together; 0: only the rules of each class apply
-    )
-    admin: Address | None = (
-        None  # for operators' calls, if there is no platform configuration with an address
-    )
+    retry_rate: float = 0.0  # retries per second of all brokers; 0: only the rules of each class apply
+    admin: Address | None = None  # for operators' calls, if no platform configuration gives an address
     rollout: RolloutConfig | None = None  # None: each broker applies its own file
--- a/lemonridge/config/platform.py
+++ b/lemonridge/config/platform.py
@@ -48,9 +48,7 @@
     cached_endpoint_list: Mapping[str, Any]  # the last known list, in discovery's format; empty: none
     file_values: Mapping[str, Any]  # values of `OVERRIDABLE_KEYS` in the file, without the variables
     admin: Address | None = None  # listening address for operators' calls; None: no such server
-    fleet: FleetConfig | None = (
-        None  # from the platform, if its settings allow datagrams, or from the operator
-    )
+    fleet: FleetConfig | None = None  # the platform's, if its settings allow datagrams, or the operator's
     exchanges_datagrams: bool = False  # whether it exchanges datagrams with the other members of `fleet`
     inherited_fd: int | None = None  # file descriptor of an inherited listening socket
     file_content: bytes = b""  # the JSON file as read
@@ -133,7 +131,7 @@
 
 
 def _reloaded(platform: PlatformConfig, previous: PlatformConfig) -> PlatformConfig:
-    """Returns a reloaded configuration; sockets and fleet membership are kept from the previous one."""
+    """Returns a reloaded configuration, with the sockets, fleet and retry rate of the previous one."""
     if (platform.name, platform.listen) != (previous.name, previous.listen):
         raise ConfigError("'name' and 'listen' cannot change without a restart")
     return replace(
--- a/lemonridge/service/admin.py
+++ b/lemonridge/service/admin.py
@@ -92,7 +92,7 @@
         return AdminReply(done, self._lifecycle.phase.value)
 
     def _ready(self) -> AdminReply:
-        """Returns whether this process can serve; a draining process still can, so it counts as ready."""
+        """Returns the reply to `ready`: whether this process can serve. A draining process still can."""
         phase = self._lifecycle.phase
         if phase is Phase.STOPPING:
             return AdminReply(False, phase.value)
@@ -168,13 +168,13 @@
         log.warning("successor gone, serving again")
         self._decision_host.import_limits({})
         self._front.changed()
-        self._listen_task = asyncio.create_task(self._listen_again())
+        self._listen_task = asyncio.create_task(self._resume_listening())
 
     def set_processes(self, processes: int) -> None:
         """Sets the number of running processes, which share the broker's limit of open requests."""
         self._decision_host.set_processes(processes)
 
-    async def _listen_again(self) -> None:
+    async def _resume_listening(self) -> None:
         await self._front.listen()
         if self._handover is not None:
             await self._handover.listen()
@@ -199,7 +199,7 @@
         OSError: The server cannot listen on the address.
     """
 
-    async def reply_to(request: AdminRequest) -> AdminReply:
+    async def handle_call(request: AdminRequest) -> AdminReply:
         """Returns the reply to one call."""
         if request.call is AdminCall.FLEET:
             return fleet_reply(service)
@@ -214,6 +214,6 @@
             return policy_reply(service, request)
         return AdminReply(False, ReplyText.NOT_ANSWERED_HERE)
 
-    server = AdminServer(reply_to, service.counters)
+    server = AdminServer(handle_call, service.counters)
     await server.start(address)
     service.on_stop.append(server.stop)
--- a/lemonridge/service/service.py
+++ b/lemonridge/service/service.py
@@ -28,7 +28,7 @@
     """The client-facing side, as far as shutdown needs it."""
 
     async def stop(self) -> None:
-        """Stops accepting connections, at the time that the front's shutdown schedule sets."""
+        """Stops accepting connections, at the time given by the front's shutdown schedule."""
         ...
 
     @property
@@ -70,7 +70,7 @@
         front: The client-facing side; set by the assembly.
         close: Closes the connections to endpoints; set by the assembly.
         configure: Applies a new configuration; None if the front cannot be reconfigured.
-        on_stop: Callbacks that run at the end of a stop, in this order.
+        on_stop: Callbacks that run at the end of the shutdown, in this order.
         peers: The connections to the other brokers of the fleet; None without a fleet.
         coordinator: The coordinator of the fleet's policy; None where each broker applies its own file.
     """
--- a/tests/config/test_sites.py
+++ b/tests/config/test_sites.py
@@ -1,4 +1,4 @@
-"""Load reports' fields and the sites to try."""
+"""Tests of the load report's field and of the example sites in deploy/sites."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 from lemonridge.config.scheduler_settings import in_flight_field
 
 
-class Reports(unittest.TestCase):
-    def test_the_field_of_a_load_report_is_the_one_that_the_settings_name(self) -> None:
+class LoadReportField(unittest.TestCase):
+    def test_field_is_taken_from_the_names_in_the_settings(self) -> None:
         for report, field in (
             ({"source": "piggyback", "names": ["pending", "busy_reqs"]}, "busy_reqs"),
             ({"source": "piggyback", "names": ["inflight"]}, "inflight"),
@@ -24,12 +24,12 @@
             self.assertEqual(in_flight_field({"load-info": report}), field)
 
 
-class Sites(unittest.TestCase):
-    def test_the_sites_to_try_differ_in_every_name_from_each_other(self) -> None:
+class ExampleSites(unittest.TestCase):
+    def test_example_sites_have_no_class_tenant_or_zone_name_in_common(self) -> None:
         paths = sorted((ROOT / "deploy" / "sites").glob("*.toml"))
-        told = [tomllib.loads(path.read_text()) for path in paths]
-        self.assertEqual(len(told), 2)
+        sites = [tomllib.loads(path.read_text()) for path in paths]
+        self.assertEqual(len(sites), 2)
         for table in ("class", "tenant"):
-            first, second = ({row["name"] for row in one[table]} for one in told)
+            first, second = ({entry["name"] for entry in site[table]} for site in sites)
             self.assertFalse(first & second)
-        self.assertFalse(set(told[0]["net"]["zones"]) & set(told[1]["net"]["zones"]))
+        self.assertFalse(set(sites[0]["net"]["zones"]) & set(sites[1]["net"]["zones"]))
--- a/tests/integration/test_rollout_live.py
+++ b/tests/integration/test_rollout_live.py
@@ -271,7 +271,7 @@
 
             await until(alone, 3.0)
             code, text = await ask(*lost, "--note", "both burnt")
-            self.assertEqual((code, "two policies are gone by" in text), (1, True))  # not without the price
+            self.assertEqual((code, "two policies are in force" in text), (1, True))  # not without the price
 
             async def forced() -> bool:
                 return (await ask(*lost, "--note", "both burnt", "--accept-two-policies"))[0] == 0
