--- a/lemonridge/__main__.py
+++ b/lemonridge/__main__.py
@@ -3,9 +3,9 @@
 import sys
 
 if sys.argv[1:2] == ["serve"]:  # before the slow imports, during which SIGHUP would end the process
-    from lemonridge.service.ignored_signals import ignore_reload_signals
+    from lemonridge.service.ignored_signals import ignore_control_signals
 
-    ignore_reload_signals()
+    ignore_control_signals()
 
 from lemonridge.cli.main import main  # noqa: E402
 
--- a/lemonridge/cli/bench_commands.py
+++ b/lemonridge/cli/bench_commands.py
@@ -17,7 +17,7 @@
 
 
 def bench(options: argparse.Namespace) -> int:
-    """Runs a benchmark and prints its figures; returns 1 if one of them exceeds its bound, else 0."""
+    """Runs a benchmark and prints its figures; returns 1 if one of them misses its bound, else 0."""
     return BENCHES[options.name](options)
 
 
@@ -58,7 +58,7 @@
 
 
 def _bench_fleet(options: argparse.Namespace) -> int:
-    """Reproduces the figures of docs/fleet-state.md; returns 1 if a node failed or a budget was exceeded."""
+    """Measures the figures of docs/fleet-state.md; returns 1 if a node failed or a budget was exceeded."""
     if options.part == "membership":
         from lemonridge.lab.measure import membership
 
@@ -103,7 +103,7 @@
 
 
 def _bench_policy(options: argparse.Namespace) -> int:
-    """Reproduces the figures of docs/policy-change.md; returns 1 if a state breaks the invariant."""
+    """Measures the figures of docs/policy-change.md; returns 1 if a state breaks the invariant."""
     if options.part in ("switch", "processes"):
         return _bench_policy_switch(options)
     from lemonridge.lab.checkers import rollout
--- a/lemonridge/cli/serve.py
+++ b/lemonridge/cli/serve.py
@@ -26,7 +26,7 @@
         ConfigError: The configuration cannot be used, or the broker cannot listen on a configured address.
     """
     gc.disable()  # startup creates no garbage, and collections would take a seventh of its CPU time
-    ignored_signals.ignore_reload_signals()
+    ignored_signals.ignore_control_signals()
     configured = configuration.load(options)
     writer = log_format.set_up(options.log_level)
     if configured.iscsi is None:
--- a/lemonridge/config/operator_schema.py
+++ b/lemonridge/config/operator_schema.py
@@ -212,9 +212,7 @@
 
     store: Annotated[str, Meta(min_length=1)]  # path of this broker's vote store, created by `policy init`
     lease_ms: Annotated[float, Meta(ge=300, le=60_000)] = 2000
-    floor: Annotated[float, Meta(gt=0, le=1)] = (
-        0.25  # fraction of the limits that a broker without a lease applies
-    )
+    floor: Annotated[float, Meta(gt=0, le=1)] = 0.25  # fraction of the limits to apply without a lease
 
 
 class FleetTable(Struct, forbid_unknown_fields=True, frozen=True, kw_only=True):
@@ -262,7 +260,7 @@
         path: The path of the values in their file, for the error message.
 
     Raises:
-        ConfigError: A key is missing or unknown, or a value is out of bounds; the message has the key's path.
+        ConfigError: A key is missing or unknown, or a value is out of bounds; the message names the path.
     """
     try:
         return msgspec.convert(values, kind)
--- a/lemonridge/service/ignored_signals.py
+++ b/lemonridge/service/ignored_signals.py
@@ -7,20 +7,20 @@
 
 import signal
 
-RELOAD_SIGNALS = (signal.SIGHUP, signal.SIGUSR1)
+CONTROL_SIGNALS = (signal.SIGHUP, signal.SIGUSR1)
 STOP_SIGNALS = (signal.SIGTERM, signal.SIGINT)
 
 
-def ignore_reload_signals() -> None:
+def ignore_control_signals() -> None:
     """Ignores SIGHUP and SIGUSR1.
 
     SIGTERM keeps its default action: it ends a process that has not accepted any connection yet.
     """
-    for number in RELOAD_SIGNALS:
+    for number in CONTROL_SIGNALS:
         signal.signal(number, signal.SIG_IGN)
 
 
 def ignore_all() -> None:
     """Ignores all signals that the broker handles, so that a late one does not change the exit status."""
-    for number in (*RELOAD_SIGNALS, *STOP_SIGNALS):
+    for number in (*CONTROL_SIGNALS, *STOP_SIGNALS):
         signal.signal(number, signal.SIG_IGN)
--- a/lemonridge/service/iscsi.py
+++ b/lemonridge/service/iscsi.py
@@ -100,12 +100,12 @@
 ) -> IscsiFront:
     """Builds the initiator-facing side, with its mapped LUNs and its stored reservations."""
     broker = Broker(service.decision_host, endpoints, service.counters, router)
-    mapped = MappedLuns(config, broker, router, service.counters) if router is not None else None
+    mapped_luns = MappedLuns(config, broker, router, service.counters) if router is not None else None
     reservations = ReservationFile(config.reservations) if config.reservations is not None else None
     if reservations is not None:
         await reservations.read()
     front = IscsiFront(
-        config, broker, service.clock, service.registry, service.counters, mapped, reservations
+        config, broker, service.clock, service.registry, service.counters, mapped_luns, reservations
     )
     if router is not None:
         router.on_resize = lambda luns: front.device.tell(CAPACITY_CHANGED, luns)
@@ -135,9 +135,9 @@
     if extents.cache_path is not None:
         _load_cached_map(extents.cache_path, extents.cache_bytes, extents.cache_age_max_us, router)
     if extents.file is not None:
-        file = FileSource(extents.file, router, config.mapped)
-        router.read_extents = file.read
-        service.follow(file.run(), "map")
+        file_source = FileSource(extents.file, router, config.mapped)
+        router.read_extents = file_source.read
+        service.follow(file_source.run(), "map")
     return router
 
 
--- a/lemonridge/service/log_format.py
+++ b/lemonridge/service/log_format.py
@@ -31,9 +31,9 @@
 
     def format(self, record: logging.LogRecord) -> str:
         """Returns the record as one line."""
-        stamp = time.strftime("%Y-%m-%dT%H:%M:%S", time.gmtime(record.created))
+        timestamp = time.strftime("%Y-%m-%dT%H:%M:%S", time.gmtime(record.created))
         pairs: dict[str, object] = {
-            "ts": f"{stamp}.{int(record.msecs):03d}Z",
+            "ts": f"{timestamp}.{int(record.msecs):03d}Z",
             "level": record.levelname.lower(),
             "logger": record.name,
             "event": record.getMessage(),
@@ -62,7 +62,7 @@
         self._thread.start()
 
     def emit(self, record: logging.LogRecord) -> None:
-        """Queues a line; never blocks."""
+        """Queues a line without blocking; drops it if the queue is full."""
         try:
             self._lines.put_nowait(self.format(record))
         except queue.Full:
--- a/lemonridge/service/platform.py
+++ b/lemonridge/service/platform.py
@@ -47,7 +47,7 @@
     """Builds the parts of the platform's front and passes a new configuration to them.
 
     Attributes:
-        service: The service that consists of these parts.
+        service: The service that the parts belong to.
         front: The HTTP front that clients connect to.
     """
 
@@ -155,12 +155,12 @@
 
     async def take_over(self) -> None:
         """Takes over from the predecessor process, if this process has inherited its listening socket."""
-        folder = os.environ.get("TMPDIR")
-        if self._config.inherited_fd is None or not folder:
+        directory = os.environ.get("TMPDIR")
+        if self._config.inherited_fd is None or not directory:
             return
         service = self.service
         handover = ProcessHandover(
-            folder, self._config.name, self._admin, service.clock, service.counters, self._broker.open_ids
+            directory, self._config.name, self._admin, service.clock, service.counters, self._broker.open_ids
         )
         await self._admin.take_over(handover)
         service.on_stop.append(self._admin.stop)
--- a/lemonridge/service/process.py
+++ b/lemonridge/service/process.py
@@ -90,9 +90,8 @@
         self._services.append(service)
 
     async def _start_iscsi(self, iscsi: IscsiConfig) -> None:
-        from lemonridge.service.iscsi import (
-            iscsi_service,
-        )  # not loaded by a broker with the platform's front only
+        # Imported here so that a broker with the platform's front alone does not load it.
+        from lemonridge.service.iscsi import iscsi_service
 
         # A process is one fleet member. Where the platform's front runs too, that front is the member.
         fleet = self._fleet if self._platform is None else None
