--- a/lemonridge/config/scheduler_settings.py
+++ b/lemonridge/config/scheduler_settings.py
@@ -1,7 +1,7 @@
 """Parses a deployment's settings, from the simulator's `provision` event or a broker's configuration.
 
 Maps the keys of the operators' pages to the fields of `lemonridge.scheduling.settings`; `docs/glossary.md`
-explains them. No other module uses these keys. Unknown keys are ignored.
+explains them. The mapping of keys to fields is defined here alone. Unknown keys are ignored.
 """
 
 from __future__ import annotations
