--- a/lemonridge/__main__.py
+++ b/lemonridge/__main__.py
@@ -1,11 +1,11 @@
-"""`python -m lemonridge`."""
+"""Entry point of `python -m lemonridge`."""
 
 import sys
 
-if sys.argv[1:2] == ["serve"]:  # before anything that takes a while to load
-    from lemonridge.service.ignored_signals import ignore_reload_signals
+if sys.argv[1:2] == ["serve"]:  # before the slow imports, during which SIGHUP would end the process
+    from lemonridge.service.ignored_signals import ignore_control_signals
 
-    ignore_reload_signals()
+    ignore_control_signals()
 
 from lemonridge.cli.main import main  # noqa: E402
 
