--- a/lemonridge/cli/fleet_commands.py
+++ b/lemonridge/cli/fleet_commands.py
@@ -26,10 +26,10 @@
     import orjson
 
     from lemonridge.fleet.status_report import all_members_up, table
-    from lemonridge.net.admin_client import views
+    from lemonridge.net.admin_client import fetch_fleet_views
 
     addresses = [Address.parse(one, "ADDR") for one in options.address]
-    reports, failures = asyncio.run(views(addresses))
+    reports, failures = asyncio.run(fetch_fleet_views(addresses))
     if options.json:
         print(orjson.dumps({"brokers": reports, "silent": failures}, option=orjson.OPT_INDENT_2).decode())
     elif reports:
--- a/lemonridge/iscsi/portal.py
+++ b/lemonridge/iscsi/portal.py
@@ -86,7 +86,7 @@
     @property
     def listens(self) -> bool:
         """Whether initiators can connect."""
-        return self._listener is not None and self._listener.listens
+        return self._listener is not None and self._listener.is_listening
 
     @property
     def busy(self) -> bool:
--- a/lemonridge/net/admin_client.py
+++ b/lemonridge/net/admin_client.py
@@ -42,7 +42,7 @@
     return text
 
 
-async def views(addresses: Iterable[Address]) -> tuple[list[dict[str, object]], list[str]]:
+async def fetch_fleet_views(addresses: Iterable[Address]) -> tuple[list[dict[str, object]], list[str]]:
     """Each broker's view of the fleet, and the errors of those that gave none."""
     results = await asyncio.gather(*(call(one, "fleet") for one in addresses), return_exceptions=True)
     found: list[dict[str, object]] = []
--- a/lemonridge/net/connection_table.py
+++ b/lemonridge/net/connection_table.py
@@ -139,7 +139,7 @@
         """Whether a request is open, or a response may still be on its way."""
         return bool(self._states[ConnectionState.SERVING] or self._states[ConnectionState.CLOSING])
 
-    def changed(self) -> None:
+    def on_lifecycle_changed(self) -> None:
         """Apply a change of the lifecycle's state at once."""
         self._timer.cancel()
         self._sweep()
--- a/lemonridge/net/http_endpoints.py
+++ b/lemonridge/net/http_endpoints.py
@@ -55,7 +55,7 @@
         self._counters = counters
         self._loop = asyncio.get_running_loop()
         # The policy's epoch at the time of a decision, in seconds on the loop's clock; None: it has ended.
-        self.epoch: Callable[[float], str | None] | None = None
+        self.policy_epoch_at: Callable[[float], str | None] | None = None
         # A decision from before a stop of the process is not carried out after it: its quota has expired.
         self.expires_decisions = False
         trace = aiohttp.TraceConfig()
@@ -108,8 +108,8 @@
     def _headers(self, payload: Payload, decided_at_s: float) -> dict[str, str]:
         """The client's headers, with the epoch of the policy by which the attempt was decided."""
         headers = dict(payload.headers)
-        if self.epoch is not None:
-            epoch = self.epoch(decided_at_s)
+        if self.policy_epoch_at is not None:
+            epoch = self.policy_epoch_at(decided_at_s)
             if epoch is None:
                 raise AttemptSuppressedError
             headers["X-Policy-Epoch"] = epoch
--- a/lemonridge/net/http_front.py
+++ b/lemonridge/net/http_front.py
@@ -119,7 +119,7 @@
 
     async def listen(self) -> None:
         """Accept connections from here on."""
-        if not self.listener.listens:
+        if not self.listener.is_listening:
             self.listener.listen()
             log.info("listening", extra={"address": self.listener.address})
 
@@ -131,7 +131,7 @@
         connections. A connection that is accepted meanwhile is closed after its first response.
         """
         self._lifecycle.stop(self._clock.now_us())
-        self.changed()
+        self.on_lifecycle_changed()
         loop = asyncio.get_running_loop()
         await asyncio.sleep((self._lifecycle.accept_until_us - self._clock.now_us()) / 1e6)
         until_s = self._clock.loop_time(self._lifecycle.request_complete_by_us)
@@ -140,11 +140,11 @@
         while self.listener.accepting or self._table.close_waiting(patient=loop.time() < until_s):
             await asyncio.sleep(CLOSE_CHECK_INTERVAL_S)
 
-    def changed(self) -> None:
+    def on_lifecycle_changed(self) -> None:
         """Apply a change of the lifecycle's state at once."""
         for connection, open_request in self._open.items():
             self._schedule_answer(connection, open_request)
-        self._table.changed()
+        self._table.on_lifecycle_changed()
 
     @property
     def busy(self) -> bool:
--- a/lemonridge/net/listener.py
+++ b/lemonridge/net/listener.py
@@ -67,7 +67,7 @@
         self._accepting: set[asyncio.Task[object]] = set()  # connections that the loop does not have yet
 
     @property
-    def listens(self) -> bool:
+    def is_listening(self) -> bool:
         """Whether new connections are accepted."""
         return self._listening is not None
 
--- a/lemonridge/net/peer_transport.py
+++ b/lemonridge/net/peer_transport.py
@@ -150,7 +150,7 @@
         if self._timer is not None:
             self._timer.cancel()
         self._decision_host.observer = None
-        self.count()
+        self.update_counters()
 
     def _flush(self) -> None:
         """Take what the bridge holds: first the scheduler's events, then the datagrams."""
@@ -228,7 +228,7 @@
         """What operators are shown: see `fleet/status_report.py`."""
         return report(self._bridge.fleet, self._clock.now_us(), self._bridge.endpoints)
 
-    def count(self) -> None:
+    def update_counters(self) -> None:
         """Bring the process's counters up to date."""
         for name, value in self._bridge.fleet.counts.items():
             self._counters[f"fleet.{name}"] = value
--- a/lemonridge/service/admin.py
+++ b/lemonridge/service/admin.py
@@ -78,7 +78,7 @@
             done = self._lifecycle.drain(self._clock.now_us())
         else:
             done = self._lifecycle.resume()
-        self._front.changed()
+        self._front.on_lifecycle_changed()
         return AdminReply(done, self._lifecycle.phase.value)
 
     def _ready(self) -> AdminReply:
@@ -88,7 +88,7 @@
             return AdminReply(False, phase.value)
         if not self._registry.has_list:
             return AdminReply(False, ReplyText.NO_ENDPOINT_LIST)
-        return AdminReply(self._front.listener.listens or phase is Phase.HANDED_OVER, phase.value)
+        return AdminReply(self._front.listener.is_listening or phase is Phase.HANDED_OVER, phase.value)
 
     # Handover: this process as the successor
 
@@ -137,7 +137,7 @@
         """
         self._front.listener.stop_accepting()
         self._lifecycle.hand_over(self._clock.now_us())
-        self._front.changed()
+        self._front.on_lifecycle_changed()
         bans = self._registry.export_bans()
         log.info("handed over", extra={"open_requests": self._decision_host.open_requests})
         return HandoverState(
@@ -158,7 +158,7 @@
             return
         log.warning("successor gone, serving again")
         self._decision_host.import_limits({})
-        self._front.changed()
+        self._front.on_lifecycle_changed()
         self._listen_task = asyncio.create_task(self._listen_again())
 
     def set_processes(self, processes: int) -> None:
--- a/lemonridge/service/platform.py
+++ b/lemonridge/service/platform.py
@@ -144,7 +144,7 @@
         coordinator = await connect_peers(self.service, fleet, config, lambda: config.seed)
         self._endpoints.expires_decisions = True
         if coordinator is not None:
-            self._endpoints.epoch, self.front.has_lease = coordinator.epoch, coordinator.has_lease
+            self._endpoints.policy_epoch_at, self.front.has_lease = coordinator.epoch, coordinator.has_lease
 
     async def listen_for_operators(self) -> None:
         """Answers operators' calls, where there is an address for them."""
--- a/lemonridge/service/service.py
+++ b/lemonridge/service/service.py
@@ -100,7 +100,7 @@
     def print_counters(self, reason: str) -> None:
         """Logs all counters; `reason` says what asked for it."""
         if self.peers is not None:
-            self.peers.count()
+            self.peers.update_counters()
         self.counters.log_all(reason, self.name)
 
     async def stop(self) -> None:
--- a/tests/formats/test_format_admin.py
+++ b/tests/formats/test_format_admin.py
@@ -229,10 +229,10 @@
 ) -> None:
     told = [{"name": "b0", "members": [{"name": "b1", "state": "up"}]}]
 
-    async def views(_: object) -> tuple[list[dict[str, Any]], list[str]]:
+    async def fetch_fleet_views(_: object) -> tuple[list[dict[str, Any]], list[str]]:
         return told, []
 
-    monkeypatch.setattr("lemonridge.net.admin_client.views", views)
+    monkeypatch.setattr("lemonridge.net.admin_client.fetch_fleet_views", fetch_fleet_views)
 
     status = main.main(["fleet", "status", "127.0.0.1:1", "--json"])
 
--- a/tests/integration/test_fleet_live.py
+++ b/tests/integration/test_fleet_live.py
@@ -17,7 +17,7 @@
 from lemonridge.lab.load.fleet import Clients, VolumeTraffic
 from lemonridge.lab.measure import fleet_cold
 from lemonridge.lab.rig import Rig, Site, standing
-from lemonridge.net.admin_client import views
+from lemonridge.net.admin_client import fetch_fleet_views
 
 SITE = Site()
 SHARDS = (0, 1)
@@ -134,7 +134,7 @@
             bytes_s = rig.network.bytes / 12 / max(1.0, rig.now())
             self.assertLess(bytes_s, 600)
             await asyncio.sleep(6.0)
-            told, silent = await views(Address("127.0.0.1", one.admin) for one in rig.brokers)
+            told, silent = await fetch_fleet_views(Address("127.0.0.1", one.admin) for one in rig.brokers)
             self.assertEqual((len(told), silent), (12, []))
             states = [m["state"] for view in told for m in view["members"]]  # type: ignore[attr-defined]
             self.assertFalse({"suspect", "dead"} & set(states), states)
@@ -162,7 +162,7 @@
                 rig.network._pass_on(1, 0, cut)  # from where a member is
             rig.network._pass_on(2, 0, told)  # one member in the name of another
             await asyncio.sleep(0.5)
-            view = (await views([Address("127.0.0.1", rig.brokers[0].admin)]))[0][0]
+            view = (await fetch_fleet_views([Address("127.0.0.1", rig.brokers[0].admin)]))[0][0]
             member = view["members"][0]  # type: ignore[index]
             self.assertLess(member["life"], now)
             counts = view["counters"]
--- a/tests/integration/test_fleet_members.py
+++ b/tests/integration/test_fleet_members.py
@@ -11,7 +11,7 @@
 from lemonridge.config.address import Address
 from lemonridge.fleet.status_report import all_members_up, table
 from lemonridge.lab.rig import Broker, Rig, Site
-from lemonridge.net.admin_client import CallError, call, views
+from lemonridge.net.admin_client import CallError, call, fetch_fleet_views
 
 
 class OnProcesses(unittest.TestCase):
@@ -49,7 +49,7 @@
                     await rig.start(lambda n: ("lemonridge",))
                     await asyncio.sleep(4.0)
                     addresses = [Address("127.0.0.1", one.admin) for one in rig.brokers]
-                    good, bad = await views([*addresses, Address("127.0.0.1", 1)])
+                    good, bad = await fetch_fleet_views([*addresses, Address("127.0.0.1", 1)])
                     self.assertEqual((len(good), len(bad)), (3, 1))
                     with self.assertRaises(CallError):
                         await call(addresses[0], "fleeet")
--- a/tests/net/test_connection_closing.py
+++ b/tests/net/test_connection_closing.py
@@ -124,7 +124,7 @@
         self.assertIn(b"200 OK", answer)
         self.assertIn(b"connection: close", answer.lower())
         await stopping
-        self.assertFalse(self.front.listener.listens)
+        self.assertFalse(self.front.listener.is_listening)
 
     async def test_a_request_that_is_half_read_at_the_end_is_completed(self) -> None:
         client, text = await self.idle_client(), self.text()
@@ -132,7 +132,7 @@
         await asyncio.sleep(0)
         await asyncio.sleep(0)
         stopping = asyncio.create_task(self.front.stop())
-        while self.front.listener.listens:
+        while self.front.listener.is_listening:
             await asyncio.sleep(0)
         client.send(text[40:])
         answer = await self.read(client, b"")
@@ -215,7 +215,7 @@
         self.front.listener.accept_batch()
         self.front.listener.stop_accepting()  # as a handover does, with the state in the same step
         self.lifecycle.hand_over(self.clock.now_us())
-        self.front.changed()
+        self.front.on_lifecycle_changed()
         answer = await self.read(client, b"")
         self.assertIn(b"200 OK", answer)
         self.assertIn(b"connection: close", answer.lower())
