--- a/lemonridge/net/__init__.py
+++ b/lemonridge/net/__init__.py
@@ -1,1 +1,1 @@
-"""The platform's wire: HTTP/1.1 towards clients, nodes and discovery."""
+"""The platform's network protocols: HTTP/1.1 to clients, endpoints and discovery."""
--- a/lemonridge/net/admin_client.py
+++ b/lemonridge/net/admin_client.py
@@ -1,4 +1,4 @@
-"""Operators' calls to brokers, from the command line."""
+"""The client side of operators' calls to brokers; used by the command line."""
 
 from __future__ import annotations
 
@@ -9,19 +9,23 @@
 
 from lemonridge.config.address import Address
 
-REPLY_MAX = 4 << 20  # bytes of a reply
-REPLY_WAIT_S = 2.0  # a broker replies within 1 s
+REPLY_MAX = 4 << 20  # maximum size of a reply, in bytes
+REPLY_WAIT_S = 2.0  # timeout of a call; a broker replies within 1 s
 
 
 class CallError(Exception):
-    """A call that was not done; the text is fit to print."""
+    """A call failed; the message can be printed to the operator as it is."""
 
 
 async def call(address: Address, line: str) -> str:
-    """The text behind the ACK.
+    """Sends a call to a broker and returns the text after ACK.
+
+    Args:
+        address: The broker's address for operators' calls.
+        line: The call, without a newline.
 
     Raises:
-        CallError: The reply is a NAK, or there is none in time.
+        CallError: The reply is a NAK, or no reply was received within `REPLY_WAIT_S`.
     """
     loop = asyncio.get_running_loop()
     try:
@@ -36,16 +40,20 @@
         raise CallError(f"{address} does not answer") from None
     except (OSError, ValueError) as error:
         raise CallError(f"{address}: {error}") from None
-    word, _, text = reply.partition(" ")
-    if word != "ACK":
+    status, _, text = reply.partition(" ")
+    if status != "ACK":
         raise CallError(f"{address}: {text or 'no answer'}")
     return text
 
 
 async def fetch_fleet_views(addresses: Iterable[Address]) -> tuple[list[dict[str, object]], list[str]]:
-    """Each broker's view of the fleet, and the errors of those that gave none."""
-    results = await asyncio.gather(*(call(one, "fleet") for one in addresses), return_exceptions=True)
-    found: list[dict[str, object]] = []
+    """Returns each broker's view of the fleet, and the errors of the brokers that returned none.
+
+    Args:
+        addresses: The brokers' addresses for operators' calls.
+    """
+    results = await asyncio.gather(*(call(address, "fleet") for address in addresses), return_exceptions=True)
+    fleet_views: list[dict[str, object]] = []
     errors: list[str] = []
     for result in results:
         if isinstance(result, CallError):
@@ -53,5 +61,5 @@
         elif isinstance(result, BaseException):
             raise result
         else:
-            found.append(orjson.loads(result))
-    return found, errors
+            fleet_views.append(orjson.loads(result))
+    return fleet_views, errors
--- a/lemonridge/net/admin_server.py
+++ b/lemonridge/net/admin_server.py
@@ -1,4 +1,4 @@
-"""The listener for operators' calls: a line in, a line out, a connection for each call."""
+"""The listener for operators' calls: one call and one reply per connection, each a single line."""
 
 from __future__ import annotations
 
@@ -14,19 +14,23 @@
 
 log = logging.getLogger(__name__)
 
-CONNECTIONS_MAX = 32  # one more evicts the oldest
-CONNECTION_LIFETIME_S = 6.0  # after it a connection is closed, whatever it has sent
-LATENESS_PERIOD_S = 0.05  # how often the event loop's lateness is measured: a caller waits for 1 s at most
+CONNECTIONS_MAX = 32  # a further connection evicts the oldest
+CONNECTION_LIFETIME_S = 6.0  # after this time a connection is closed in any case
+DELAY_PERIOD_S = 0.05  # interval of measurements of the event loop's delay; callers wait 1 s at most
 
 CallHandler = Callable[[AdminRequest], Awaitable[AdminReply]]
 
 
 class _AdminConnection(asyncio.Protocol):
-    """One caller's connection."""
+    """One caller's connection.
+
+    Args:
+        server: The server that accepted the connection.
+    """
 
     def __init__(self, server: AdminServer) -> None:
         self._server = server
-        self._data = bytearray()
+        self._received = bytearray()
         self._task: asyncio.Task[None] | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -39,17 +43,17 @@
 
     def data_received(self, data: bytes) -> None:
         if self._task is not None:
-            return  # one line a connection: whatever follows it is not read
-        self._data += data
-        line, end, _ = self._data.partition(b"\n")
-        if end or len(line) > line_max(bytes(line[:64])):
+            return  # one call per connection: further bytes are ignored
+        self._received += data
+        line, newline, _ = self._received.partition(b"\n")
+        if newline or len(line) > line_max(bytes(line[:64])):
             self.transport.pause_reading()
             self._task = asyncio.create_task(self._reply(bytes(line)))
 
     def eof_received(self) -> bool:
         if self._task is None:
-            self._task = asyncio.create_task(self._reply(bytes(self._data)))
-        return True  # the caller may still read
+            self._task = asyncio.create_task(self._reply(bytes(self._received)))
+        return True  # keep the connection open for the reply
 
     async def _reply(self, line: bytes) -> None:
         reply = await self._server.reply(line)
@@ -68,24 +72,27 @@
 
     def __init__(self, handler: CallHandler, counters: Counters) -> None:
         self._handler, self._counters = handler, counters
-        self._connections: dict[_AdminConnection, asyncio.TimerHandle] = {}  # the oldest first
+        self._connections: dict[_AdminConnection, asyncio.TimerHandle] = {}  # lifetime timers, oldest first
         self._loop = asyncio.get_running_loop()
-        self._measure_at_s = self._loop.time() + LATENESS_PERIOD_S
-        self._timer = self._loop.call_at(self._measure_at_s, self._measure_lateness)
+        self._next_measurement_s = self._loop.time() + DELAY_PERIOD_S
+        self._timer = self._loop.call_at(self._next_measurement_s, self._measure_loop_delay)
         self._listener: Listener | None = None
 
     async def start(self, address: Address) -> None:
-        """Listens.
+        """Starts to listen.
+
+        Args:
+            address: The address to listen on.
 
         Raises:
-            OSError: The address cannot be had.
+            OSError: The address cannot be bound.
         """
         self._listener = Listener(listening_socket(address), lambda: _AdminConnection(self), self._counters)
         self._listener.listen()
         log.info("operators call at", extra={"address": self._listener.address})
 
     def stop(self) -> None:
-        """Closes the listener and every connection."""
+        """Closes the listener and all connections."""
         self._timer.cancel()
         if self._listener is not None:
             self._listener.close()
@@ -93,7 +100,7 @@
             connection.transport.abort()
 
     def admit(self, connection: _AdminConnection) -> None:
-        """Adds a connection; with too many, the oldest goes, whose caller has finished no call yet."""
+        """Adds a connection; above the limit, evicts the oldest, which has not received a reply yet."""
         if len(self._connections) >= CONNECTIONS_MAX:
             self._counters["calls.evicted"] += 1
             oldest = next(iter(self._connections))
@@ -104,31 +111,31 @@
         )
 
     def remove(self, connection: _AdminConnection) -> None:
-        """Forgets a connection that has ended."""
+        """Removes a connection that has ended."""
         timer = self._connections.pop(connection, None)
         if timer is not None:
             timer.cancel()
 
     async def reply(self, line: bytes) -> AdminReply:
-        """Carries out the call of a line; a fault in the broker is a reply too."""
+        """Carries out the call in a line and returns its reply, which also reports an internal error."""
         try:
             request = parse(line)
         except BadCallError as error:
-            reply, call = AdminReply(False, str(error)), "unreadable"
+            reply, call_text = AdminReply(False, str(error)), "unreadable"
         else:
-            call = f"{request.call.value} {request.endpoint_id}".strip()
+            call_text = f"{request.call.value} {request.endpoint_id}".strip()
             try:
                 reply = await self._handler(request)
             except Exception:
-                log.exception("call failed", extra={"call": call})
+                log.exception("call failed: internal error", extra={"call": call_text})
                 reply = AdminReply(False, ReplyText.CALL_FAILED)
         self._counters["calls.done" if reply.done else "calls.declined"] += 1
-        log.info("call", extra={"call": call, "done": reply.done, "reply": reply.text})
+        log.info("call", extra={"call": call_text, "done": reply.done, "reply": reply.text})
         return reply
 
-    def _measure_lateness(self) -> None:
-        """Notes how late this timer comes, which is how long something else held the event loop up."""
-        late_ms = int((self._loop.time() - self._measure_at_s) * 1000)
-        self._counters["loop.late_ms_most"] = max(self._counters["loop.late_ms_most"], late_ms)
-        self._measure_at_s = self._loop.time() + LATENESS_PERIOD_S
-        self._timer = self._loop.call_at(self._measure_at_s, self._measure_lateness)
+    def _measure_loop_delay(self) -> None:
+        """Records the delay of this timer, which is the time for which the event loop was blocked."""
+        delay_ms = int((self._loop.time() - self._next_measurement_s) * 1000)
+        self._counters["loop.late_ms_most"] = max(self._counters["loop.late_ms_most"], delay_ms)
+        self._next_measurement_s = self._loop.time() + DELAY_PERIOD_S
+        self._timer = self._loop.call_at(self._next_measurement_s, self._measure_loop_delay)
--- a/lemonridge/net/client_responses.py
+++ b/lemonridge/net/client_responses.py
@@ -1,4 +1,4 @@
-"""The bytes of responses to clients (RFC 9110, RFC 9112)."""
+"""Encodes responses to clients (RFC 9110, RFC 9112)."""
 
 from __future__ import annotations
 
@@ -10,34 +10,35 @@
 from http import HTTPStatus
 
 LAST_CHUNK = b"0\r\n\r\n"
-BYTES_TYPE = "application/octet-stream"
-TEXT_TYPE = "text/plain; charset=utf-8"
+BYTES_CONTENT_TYPE = "application/octet-stream"
+TEXT_CONTENT_TYPE = "text/plain; charset=utf-8"
 
 
 @dataclass(frozen=True, slots=True)
 class ClientResponse:
-    """A response whose body is known.
+    """A response whose complete body is known.
 
     Attributes:
-        status: its code.
-        body: its content.
-        content_type: of the body.
-        retry_after_us: when the client should come back; 0: no advice.
+        status: The status code.
+        body: The body.
+        content_type: The media type of the body.
+        retry_after_us: How long the client is advised to wait before a retry, in microseconds; 0 for no
+            advice.
     """
 
     status: int
     body: bytes = b""
-    content_type: str = BYTES_TYPE
+    content_type: str = BYTES_CONTENT_TYPE
     retry_after_us: int = 0
 
 
 def text_response(status: int, text: str) -> ClientResponse:
-    """A response that says something to a person."""
-    return ClientResponse(status, f"{text}\n".encode(), TEXT_TYPE)
+    """Returns a response with a plain-text message."""
+    return ClientResponse(status, f"{text}\n".encode(), TEXT_CONTENT_TYPE)
 
 
 class ConnectionOption(Enum):
-    """What a response says of its connection (RFC 9112, 9.3); the value is the field."""
+    """What a response announces about its connection (RFC 9112, 9.3); the value is the header line."""
 
     PERSISTS = ""
     PERSISTS_FOR_HTTP_1_0 = "Connection: keep-alive\r\n"
@@ -45,7 +46,7 @@
 
 
 def encode_response(response: ClientResponse, option: ConnectionOption) -> bytes:
-    """Head and body of a response."""
+    """Encodes the head and the body of a response."""
     fields = f"Content-Length: {len(response.body)}\r\n"
     if response.body:
         fields += f"Content-Type: {response.content_type}\r\n"
@@ -55,8 +56,14 @@
 
 
 def encode_stream_head(length: int | None, is_chunked: bool, option: ConnectionOption) -> bytes:
-    """The head of a good response whose body follows: with its length, in chunks, or up to its end."""
-    fields = f"Content-Type: {BYTES_TYPE}\r\n"
+    """Encodes the head of a 200 response whose body is sent separately.
+
+    Args:
+        length: The length of the body in bytes; None if it is not known.
+        is_chunked: Whether a body of unknown length is chunked; otherwise it ends with the connection.
+        option: What the response announces about its connection.
+    """
+    fields = f"Content-Type: {BYTES_CONTENT_TYPE}\r\n"
     if length is not None:
         fields += f"Content-Length: {length}\r\n"
     elif is_chunked:
@@ -65,7 +72,7 @@
 
 
 def encode_chunk(data: bytes) -> bytes:
-    """A part of a chunked body."""
+    """Encodes one chunk of a chunked body."""
     return b"%x\r\n%b\r\n" % (len(data), data)
 
 
--- a/lemonridge/net/discovery.py
+++ b/lemonridge/net/discovery.py
@@ -1,7 +1,7 @@
-"""Keeps the endpoint list in step with the platform's discovery, by long polls over HTTP.
+"""Keeps the endpoint list in sync with the platform's discovery, by long polling over HTTP.
 
-Discovery is either an agent on this machine, which learns of each change by itself and answers at no cost, or
-a service that has to be polled and pays for each call.
+Discovery is either an agent on this machine, which learns of each change by itself and answers without cost,
+or a service that must be polled and charges for each call.
 """
 
 from __future__ import annotations
@@ -23,31 +23,41 @@
 
 log = logging.getLogger(__name__)
 
-CHANGE_COUNTS_AFTER_S = 6.0  # a change that was missed counts as notified so long after a silence began
-AGENT_WAIT_S = 2.0  # of a watch at an agent: its silence, the next call and a slow answer fit into those 6 s
-POLL_WAIT_S = 60.0  # of a watch where each call costs discovery: the longest that the protocol allows
-SILENCE_MAX_S = 1.0  # without a byte past the wait, or in the middle of an answer: the call is lost
-ANSWER_MAX_S = 5.0  # for a complete answer that keeps arriving
-AGENT_CALLS_MAX = 4  # that are open at a time at an agent
-CHANGES_WAIT_MS = 1  # of a call for the changes until now
+MISSED_CHANGE_NOTIFIED_AFTER_S = 6.0  # a missed change counts as notified this long after a silence began
+AGENT_WATCH_S = 2.0  # watch at an agent: it, a silence, the next call and a slow answer take under 6 s
+POLL_WATCH_S = 60.0  # watch where calls are charged: the longest that the protocol allows
+SILENCE_MAX_S = 1.0  # without a byte after the watch time or within an answer: the call is lost
+ANSWER_MAX_S = 5.0  # for a complete answer, even if it keeps arriving
+AGENT_OPEN_CALLS_MAX = 4  # concurrent calls to an agent
+CHANGES_WATCH_MS = 1  # watch time of a call for the changes up to now
 BACKOFF_FIRST_S = 0.05
-POLL_INTERVAL_PER_BROKER_S = 0.125  # brokers that poll spread their calls by that, each for all
-LIST_MAX_BYTES = 4 * 2**20  # some 20,000 endpoints
+POLL_INTERVAL_PER_BROKER_S = 0.125  # brokers that poll wait this long per broker, to spread their calls
+LIST_MAX_BYTES = 4 * 2**20  # about 20,000 endpoints
 
 CALL_FAILURES = (aiohttp.ClientError, OSError, DiscoveryError)  # OSError includes TimeoutError
 
 
 class _ListCall:
-    """A call for the list that is open."""
+    """An open call for the list.
+
+    Attributes:
+        task: Returns the body of the answer.
+        is_answering: Whether the head of the response has arrived.
+    """
 
     task: asyncio.Task[bytes]
-    is_answering = False  # the head of its response has arrived
+    is_answering = False
 
 
 async def _first_answer(calls: list[_ListCall]) -> bytes:
-    """The first answer to any of these calls.
+    """Returns the first answer to any of these calls.
+
+    Failed calls are removed from `calls`. Once no call is left, the error of the last one is raised.
 
-    Calls that failed are removed from `calls`; once none is left, the last one's error is raised.
+    Raises:
+        DiscoveryError: The last call got no endpoint list.
+        aiohttp.ClientError: The connection of the last call failed.
+        OSError: The connection of the last call failed or timed out.
     """
     while True:
         done, _ = await asyncio.wait([call.task for call in calls], return_when=asyncio.FIRST_COMPLETED)
@@ -57,32 +67,43 @@
             if error is None:
                 return task.result()
         if not calls:
-            raise errors[0] or DiscoveryStatusError("no answer")
+            raise errors[0] or DiscoveryStatusError("discovery call ended without an answer")
 
 
 def backoff_bounds_s(settings: Settings) -> tuple[float, float]:
-    """The first and the longest pause before a call, in seconds.
+    """Returns the first and the longest pause before a call, in seconds.
 
-    What an agent has counts as notified though no watch is open: with a pause, a call that is not answered
-    and the next one, it has to be heard well within the grace time of a drain.
+    Changes known to an agent count as notified even if no watch is open. A pause, an unanswered call and the
+    next call must therefore take well under the grace time of a drain.
 
-    Where discovery must be polled, the calls of all brokers wait in one queue, and one that waited for too
-    long costs as much as one that is answered: polled by all at once and again, it answers none. The pauses
-    grow with the number of brokers, and end within the time after which a broker counts as one that did not
-    poll.
+    Where discovery must be polled, the calls of all brokers share one queue, and a call that timed out in it
+    costs as much as an answered one; if all brokers poll again and again without a pause, none gets an
+    answer. The pauses grow with the number of brokers, but stay within the time after which a broker counts
+    as not polling.
+
+    Args:
+        settings: The scheduler's settings.
     """
     if not settings.polls_endpoint_list:
         longest_s = settings.drain_grace_us / 4e6 or BACKOFF_FIRST_S
         return min(BACKOFF_FIRST_S, longest_s), longest_s
-    within_s = (settings.poll_within_us or MAX_POLL_BACKOFF_US) / 1e6
-    first_s = max(BACKOFF_FIRST_S, min(POLL_INTERVAL_PER_BROKER_S * settings.hosts, within_s / 2))
-    return first_s, max(first_s, within_s)
+    limit_s = (settings.poll_within_us or MAX_POLL_BACKOFF_US) / 1e6
+    first_s = max(BACKOFF_FIRST_S, min(POLL_INTERVAL_PER_BROKER_S * settings.hosts, limit_s / 2))
+    return first_s, max(first_s, limit_s)
 
 
 class Discovery:
-    """Keeps the endpoint registry in step with discovery.
+    """Keeps the endpoint registry in sync with discovery.
+
+    Counters: `discovery.answers`, and `discovery.failed` from the backoff.
 
-    Counters: `discovery.answers`, and `discovery.failed` of the backoff.
+    Args:
+        address: The address of discovery, as HOST:PORT.
+        zones: The zones in the settings, in the order of their numbers.
+        registry: Receives the endpoint list.
+        random: The random generator of the backoff's jitter.
+        counters: The process's counters.
+        settings: The scheduler's settings.
     """
 
     def __init__(
@@ -96,77 +117,84 @@
     ) -> None:
         self._url, self._zones, self._registry = f"http://{address}/api/targets", zones, registry
         self._polls = settings.polls_endpoint_list
-        self._wait_s = POLL_WAIT_S if self._polls else AGENT_WAIT_S
-        # An agent answers a call that does not wait at once, or its connection has fallen silent.
-        self._answer_s = (
-            CHANGE_COUNTS_AFTER_S - SILENCE_MAX_S
+        self._watch_s = POLL_WATCH_S if self._polls else AGENT_WATCH_S
+        # An agent answers a call without a watch immediately; otherwise its connection has failed silently.
+        self._answer_timeout_s = (
+            MISSED_CHANGE_NOTIFIED_AFTER_S - SILENCE_MAX_S
             if self._polls
             else settings.drain_grace_us / 2e6 or SILENCE_MAX_S
         )
         self._backoff = Backoff("discovery", log, *backoff_bounds_s(settings), random, counters)
         self._counters = counters
-        self._version: int | None = None  # of the list; None: the complete list is asked for next
+        self._version: int | None = None  # of the list; None: request the complete list next
 
     async def run(self, version: int | None) -> None:
-        """Get the complete list, or the changes since `version`, then watch; this never returns.
+        """Gets the complete list, or the changes since a version, then watches for changes; never returns.
 
-        The next call leaves at once, or it would be a new watch. No error ends this: without it the broker
-        would hear of no drain again.
+        After a failed call to an agent the next call asks for the changes up to now, not for a watch. No
+        error ends this method, because the broker would not learn of any later drain.
+
+        Args:
+            version: The version of the list that is already known; None if there is none.
         """
         self._version = version
         if version is not None:
-            await self._backoff.wait_before_first()  # the cached list serves meanwhile
-        is_broken = False
+            await self._backoff.wait_before_first()  # the cached list is used meanwhile
+        polls_next = False
         async with open_session() as http:
             while True:
                 try:
-                    watches = self._version is not None and not is_broken
-                    body = await (self._watch(http) if watches else self._poll(http))
+                    is_watch = self._version is not None and not polls_next
+                    body = await (self._watch(http) if is_watch else self._poll(http))
                     self._version = self._apply(body)
-                    is_broken = False
+                    polls_next = False
                     self._backoff.reset()
                 except CALL_FAILURES as error:
-                    is_broken = not self._polls  # an agent is asked at once for the changes that were missed
+                    polls_next = not self._polls  # get the missed changes from an agent immediately
                     self._check_version(error)
                     await self._backoff.wait_after(error)
                 except Exception as error:
-                    log.exception("discovery failed")
+                    log.exception("discovery failed: internal error")
                     self._version = None
                     await self._backoff.wait_after(error)
 
     def _check_version(self, error: Exception) -> None:
-        """Ask for the complete list next, where the error leaves doubt of the version.
+        """Requests the complete list next if the error makes the known version doubtful.
 
-        That is so where an answer was malformed, or where an agent refuses connections: its process has ended
-        and may count its versions from the beginning.
+        This is the case if an answer was malformed, or if an agent refuses connections: its process has
+        exited, and the next one may restart its version numbers.
         """
-        agent_has_ended = isinstance(error, aiohttp.ClientConnectorError) and not self._polls
-        if agent_has_ended or isinstance(error, MalformedListError):
+        has_agent_exited = isinstance(error, aiohttp.ClientConnectorError) and not self._polls
+        if has_agent_exited or isinstance(error, MalformedListError):
             self._version = None
 
     async def _watch(self, http: aiohttp.ClientSession) -> bytes:
-        """Wait for a change; the answer's body. `TimeoutError` where the watch fell silent."""
-        query = f"?after={self._version}&wait_ms={int(self._wait_s * 1000)}"
-        head_by_s = asyncio.get_running_loop().time() + self._wait_s + SILENCE_MAX_S
+        """Waits for a change and returns the body of the answer.
+
+        Raises:
+            TimeoutError: No answer arrived within the watch time, plus `SILENCE_MAX_S`.
+        """
+        query = f"?after={self._version}&wait_ms={int(self._watch_s * 1000)}"
+        head_by_s = asyncio.get_running_loop().time() + self._watch_s + SILENCE_MAX_S
         return await self._call(http, query, head_by_s, _ListCall())
 
     async def _poll(self, http: aiohttp.ClientSession) -> bytes:
-        """The complete list as of now, or the changes since the version; the answer's body.
+        """Returns an answer with the current list, or with the changes since the known version.
 
-        A call that is not answered at once may be slow or lost. So the next one leaves beside it, and the
-        first answer counts; one whose answer has begun is waited for. Where each call costs discovery, there
-        is one at a time.
+        A call that is not answered soon may be slow or lost, so another call is started beside it, and the
+        first answer is used. If the answer to one call has begun, no other call is started. Where calls are
+        charged, only one is open at a time.
         """
         loop, calls = asyncio.get_running_loop(), list[_ListCall]()
         try:
             while True:
                 now_s = loop.time()
                 if not any(call.is_answering for call in calls):
-                    if len(calls) >= (1 if self._polls else AGENT_CALLS_MAX):
+                    if len(calls) >= (1 if self._polls else AGENT_OPEN_CALLS_MAX):
                         calls.pop(0).task.cancel()
                     calls.append(self._start_call(http, now_s + ANSWER_MAX_S))
                 try:
-                    async with asyncio.timeout_at(now_s + self._answer_s):
+                    async with asyncio.timeout_at(now_s + self._answer_timeout_s):
                         return await _first_answer(calls)
                 except CALL_FAILURES as error:
                     self._check_version(error)
@@ -176,8 +204,8 @@
                 call.task.cancel()
 
     def _start_call(self, http: aiohttp.ClientSession, head_by_s: float) -> _ListCall:
-        """Start a call for the list as of now."""
-        query = "" if self._version is None else f"?after={self._version}&wait_ms={CHANGES_WAIT_MS}"
+        """Starts a call for the current list, or for the changes up to now."""
+        query = "" if self._version is None else f"?after={self._version}&wait_ms={CHANGES_WATCH_MS}"
         call = _ListCall()
         call.task = asyncio.create_task(self._call(http, query, head_by_s, call))
         return call
@@ -185,45 +213,44 @@
     async def _call(
         self, http: aiohttp.ClientSession, query: str, head_by_s: float, call: _ListCall
     ) -> bytes:
-        """The body of the answer to one call.
+        """Returns the body of the answer to one call.
 
         Args:
-            http: the session to call by.
-            query: of the URL.
-            head_by_s: when the response's head has to be there, on the loop's clock.
-            call: where the arrival of that head is marked.
+            http: The HTTP session.
+            query: The query of the URL.
+            head_by_s: When the head of the response must have arrived, in seconds of the event loop's clock.
+            call: Its `is_answering` is set when the head has arrived.
 
         Raises:
-            TimeoutError: the head is late, or no more of the answer arrives. The connection is closed then,
-            so
-                that nothing of it is read later.
-            DiscoveryError: the status is not 200, or the list is too long.
+            TimeoutError: The head is late, or the answer does not continue. The connection is closed, so that
+                the rest of the answer is never read.
+            DiscoveryError: The status is not 200, or the list is too long.
         """
         loop = asyncio.get_running_loop()
-        async with asyncio.timeout_at(head_by_s) as scope:
+        async with asyncio.timeout_at(head_by_s) as timeout:
             async with http.get(self._url + query, allow_redirects=False) as response:
                 call.is_answering, complete_by_s = True, loop.time() + ANSWER_MAX_S
-                scope.reschedule(loop.time() + SILENCE_MAX_S)
+                timeout.reschedule(loop.time() + SILENCE_MAX_S)
                 if response.status != 200:
-                    raise DiscoveryStatusError(f"status {response.status}")
+                    raise DiscoveryStatusError(f"discovery responded with status {response.status}")
                 body = bytearray()
                 async for part in response.content.iter_any():
-                    scope.reschedule(min(complete_by_s, loop.time() + SILENCE_MAX_S))
+                    timeout.reschedule(min(complete_by_s, loop.time() + SILENCE_MAX_S))
                     body += part
                     if len(body) > LIST_MAX_BYTES:
-                        raise MalformedListError("the list is too long")
+                        raise MalformedListError(f"endpoint list exceeds {LIST_MAX_BYTES} bytes")
                 return bytes(body)
 
     def _apply(self, body: bytes) -> int:
-        """Apply an answer to the registry, completely or not at all; the version that the list is at then.
+        """Applies an answer to the registry, completely or not at all; returns the new version of the list.
 
         Raises:
-            MalformedListError: the answer is malformed, or goes back behind the version of the list.
+            MalformedListError: The answer is malformed, or its version is lower than that of the list.
         """
         answer = parse_answer(body)
         if not answer.is_snapshot and self._version is not None and answer.version < self._version:
             raise MalformedListError(
-                f"version {answer.version} after {self._version}: discovery has begun anew"
+                f"version {answer.version} is below the known version {self._version}: discovery restarted"
             )
         endpoints = answer.endpoints(self._zones)
         self._counters["discovery.answers"] += 1
--- a/lemonridge/net/discovery_format.py
+++ b/lemonridge/net/discovery_format.py
@@ -1,7 +1,7 @@
-"""The JSON of discovery's endpoint list; the only place that knows its keys.
+"""Parses the JSON of discovery's endpoint list; the only module that knows its keys.
 
-An answer is `{"seq": VERSION, "whole": BOOL, "hosts": [ROW, ...]}`, a row `{"host", "block", "site",
-"health", "born_ms", "dial"}`.
+An answer is `{"seq": VERSION, "whole": BOOL, "hosts": [ENTRY, ...]}`, and an entry has the keys `"host"`,
+`"block"`, `"site"`, `"health"`, `"born_ms"` and `"dial"`.
 """
 
 from __future__ import annotations
@@ -26,22 +26,29 @@
 
 @dataclass(frozen=True, slots=True)
 class DiscoveryAnswer:
-    """The answer to one call, with its rows still in discovery's form."""
+    """The answer to one call; its entries are not parsed yet.
 
-    version: int  # that the list is at once the answer is applied
-    is_snapshot: bool  # the complete list; else the changes since the version that was asked for
+    Attributes:
+        version: The version of the list once the answer is applied.
+        is_snapshot: Whether the answer is the complete list; otherwise it holds the changes since the
+            requested version.
+        content: The decoded JSON object.
+    """
+
+    version: int
+    is_snapshot: bool
     content: Any
 
     def endpoints(self, zones: tuple[str, ...]) -> list[EndpointAddress]:
-        """The rows; see `parse_endpoint_list`."""
+        """Parses the entries; see `parse_endpoint_list`."""
         return parse_endpoint_list(self.content, zones)
 
 
 def parse_answer(body: bytes) -> DiscoveryAnswer:
-    """Parse an answer's version and kind.
+    """Parses the version and the kind of an answer.
 
     Raises:
-        MalformedListError: it is not JSON, or lacks one of them.
+        MalformedListError: The answer is not JSON, or its version or kind is missing or malformed.
     """
     try:
         content = orjson.loads(body)
@@ -54,25 +61,26 @@
 
 
 def parse_endpoint_list(content: Any, zones: tuple[str, ...]) -> list[EndpointAddress]:
-    """Parse the rows of a list.
+    """Parses the entries of a list.
 
     Args:
-        content: the object that holds them as `hosts`.
-        zones: the settings' zones, in the order of their numbers.
+        content: The object with the entries under `hosts`.
+        zones: The zones in the settings, in the order of their numbers.
 
     Raises:
-        MalformedListError: a row is malformed; the others would then be a list that discovery never had.
+        MalformedListError: An entry is malformed. The list is rejected as a whole, because the other entries
+            alone would form a list that discovery never published.
     """
     try:
         if not isinstance(content["hosts"], list):
             raise MalformedListError("'hosts' must be a list")
-        return [_parse_row(row, zones) for row in content["hosts"]]
+        return [_parse_entry(entry, zones) for entry in content["hosts"]]
     except (KeyError, TypeError, ValueError, OverflowError, ConfigError) as error:
         raise MalformedListError(f"{type(error).__name__}: {error}") from None
 
 
-def _parse_row(row: Any, zones: tuple[str, ...]) -> EndpointAddress:
-    endpoint_id, shard, started_ms = row["host"], row["block"], row["born_ms"] or 0
+def _parse_entry(entry: Any, zones: tuple[str, ...]) -> EndpointAddress:
+    endpoint_id, shard, started_ms = entry["host"], entry["block"], entry["born_ms"] or 0
     if (
         not isinstance(endpoint_id, str)
         or not endpoint_id
@@ -83,19 +91,20 @@
     endpoint = Endpoint(
         endpoint_id=endpoint_id,
         shard=shard,
-        zone=_zone_number(row["site"], zones),
-        state=ENDPOINT_STATES[row["health"]],
+        zone=_zone_number(entry["site"], zones),
+        state=ENDPOINT_STATES[entry["health"]],
         started_us=int(started_ms) * 1000,
     )
     if endpoint.state is EndpointState.REMOVED:
-        return EndpointAddress(endpoint, "")  # nobody connects to it
-    return EndpointAddress(endpoint, str(Address.parse(row["dial"], "'dial'")))
+        return EndpointAddress(endpoint, "")  # no connection is made to it
+    return EndpointAddress(endpoint, str(Address.parse(entry["dial"], "'dial'")))
 
 
 def _zone_number(site: Any, zones: tuple[str, ...]) -> int:
-    """A site's place among the settings' zones, by its name or by the last part of it.
+    """Returns the index of a site in the settings' zones, matched by name or by the last part of the name.
 
-    An unknown site gets a number past them that is the same for the same name, which is all that is compared.
+    An unknown site gets a number above the zones' that depends only on its name; zone numbers are only
+    compared for equality.
     """
     for number, zone in enumerate(zones):
         if site == zone or zone.rpartition("-")[2] == site:
--- a/lemonridge/net/endpoint_connector.py
+++ b/lemonridge/net/endpoint_connector.py
@@ -1,4 +1,4 @@
-"""The pool of connections to the platform's endpoints."""
+"""The connection pool for the platform's endpoints."""
 
 from __future__ import annotations
 
@@ -17,25 +17,34 @@
 from lemonridge.net.http_response import ResponseReader
 from lemonridge.net.sockets import input_is_empty
 
-REUSE_DELAY_S = 0.01  # after a response: a surplus one, milliseconds late, must be seen before the reuse
+REUSE_DELAY_S = 0.01  # after a response: detects surplus responses, which arrive milliseconds late
 IDLE_FRACTION = 0.9  # of the time after which an endpoint closes an idle connection
-IDLE_MARGIN_S = 0.2  # at least that much before: the process may be held up before it writes, and get a reset
+IDLE_MARGIN_S = 0.2  # at least this long before it: the process may stall before a write and get a reset
 
-# The connection that the request of the running task goes out on.
+# The endpoint connection that carries the request of the current task.
 request_connection: ContextVar[ResponseReader] = ContextVar("request_connection")
 
 
 def idle_limit_s(keepalive_us: int) -> float:
-    """How long an idle connection is reused, in seconds, where endpoints close it after `keepalive_us`."""
+    """Returns for how long an idle connection may be reused, in seconds.
+
+    Args:
+        keepalive_us: The time after which endpoints close an idle connection, in microseconds.
+    """
     keepalive_s = keepalive_us / 1e6
     return max(keepalive_s / 2, min(keepalive_s * IDLE_FRACTION, keepalive_s - IDLE_MARGIN_S))
 
 
 class EndpointConnector(aiohttp.TCPConnector):
-    """Connections to endpoints: the latest used is reused first, and a connect has a deadline of its own.
+    """Pools connections to endpoints; the most recently used is reused first, and connects time out.
 
-    Counters: `connections.opened`, `connections.spoilt` (idle ones that were found closed or with surplus
+    Counters: `connections.opened`, `connections.spoilt` (idle connections that had ended or received surplus
     data).
+
+    Args:
+        connect_us: The connect timeout, in microseconds.
+        keepalive_us: The time after which endpoints close an idle connection, in microseconds.
+        counters: The process's counters.
     """
 
     def __init__(self, connect_us: int, keepalive_us: int, counters: Counters) -> None:
@@ -51,20 +60,30 @@
 
     @property
     def connect_s(self) -> float:
-        """How long a connect may take, in seconds."""
+        """The connect timeout, in seconds."""
         return self._connect_us / 1e6
 
     def configure(self, connect_us: int, keepalive_us: int) -> None:
-        """Apply new settings to the connects and reuses to come."""
+        """Applies new settings to later connects and reuses.
+
+        Args:
+            connect_us: The connect timeout, in microseconds.
+            keepalive_us: The time after which endpoints close an idle connection, in microseconds.
+        """
         self._connect_us, self._keepalive_timeout = connect_us, idle_limit_s(keepalive_us)
 
     async def connect(
         self, req: ClientRequest, traces: list[Trace], timeout: aiohttp.ClientTimeout
     ) -> Connection:
-        """A reused or a new connection.
+        """Returns a reused or a new connection for a request.
+
+        Args:
+            req: The request.
+            traces: The trace callbacks of the request.
+            timeout: aiohttp's timeouts of the request.
 
         Raises:
-            ConnectFailedError: it took longer than the settings allow.
+            ConnectFailedError: The connect timeout has passed.
         """
         try:
             async with asyncio.timeout_at(self._loop.time() + self._connect_us / 1e6):
@@ -82,20 +101,20 @@
         return await super()._create_connection(req, traces, timeout)
 
     async def _get(self, key: ConnectionKey, traces: list[Trace]) -> Connection | None:
-        """An idle connection past its reuse delay, on which nothing arrived and which has not ended.
+        """Returns an idle connection past its reuse delay that has neither received data nor ended.
 
-        The delay is shorter than making a connection. The system is asked for what arrived, since the event
-        loop may not have read it yet.
+        Waiting for the delay takes less time than opening a connection. The operating system is asked for
+        received data, because the event loop may not have read them yet.
         """
         if idle := self._conns.get(key):
-            reusable = next((one for one in idle if _reusable(one[0])), idle[0])
+            reusable = next((entry for entry in idle if _is_reusable(entry[0])), idle[0])
             idle.remove(reusable)
             idle.appendleft(reusable)
         while (connection := await super()._get(key, traces)) is not None:
             protocol = connection.protocol
             try:
                 if isinstance(protocol, ResponseReader):
-                    await self._reuse_delay_over(protocol)
+                    await self._wait_for_reuse_delay(protocol)
             except BaseException:
                 connection.close()
                 raise
@@ -106,20 +125,21 @@
             connection.close()
         return None
 
-    async def _reuse_delay_over(self, protocol: ResponseReader) -> None:
-        """Wait until the connection may be reused.
+    async def _wait_for_reuse_delay(self, protocol: ResponseReader) -> None:
+        """Waits until the reuse delay of a connection has passed.
 
-        Its timer decides and not the clock: in a turn of the loop that was held up for longer than the delay,
-        nothing that arrived meanwhile has been read. The timer fires after the next look at all sockets.
+        The connection's timer decides and not the clock: if an iteration of the event loop was delayed for
+        longer than the reuse delay, data that arrived during it have not been read yet. The timer fires after
+        the next poll of all sockets.
         """
         while not protocol.reusable:
             await asyncio.sleep(max(0.0, protocol.reusable_at_s - self._loop.time()))
 
     def _release(self, key: ConnectionKey, protocol: ResponseHandler, *, should_close: bool = False) -> None:
-        """Give a connection back, on the left.
+        """Returns a connection to the left end of the pool.
 
-        Aiohttp takes from the left and gives back on the right, so that every connection stays in use; given
-        back on the left, the ones that are not needed grow old and are closed.
+        aiohttp takes connections from the left end and returns them to the right end, which keeps all of them
+        in use. If they are returned to the left end, surplus connections stay idle and are closed.
         """
         if isinstance(protocol, ResponseReader):
             protocol.is_reused = True
@@ -131,6 +151,6 @@
             idle.rotate(1)
 
 
-def _reusable(protocol: ResponseHandler) -> bool:
-    """Whether a connection is past its reuse delay."""
+def _is_reusable(protocol: ResponseHandler) -> bool:
+    """Whether the reuse delay of a connection has passed."""
     return not isinstance(protocol, ResponseReader) or protocol.reusable
--- a/lemonridge/net/errors.py
+++ b/lemonridge/net/errors.py
@@ -1,4 +1,4 @@
-"""The errors of the platform's HTTP/1.1 and of its discovery."""
+"""The errors of the HTTP/1.1 implementation and of discovery."""
 
 from __future__ import annotations
 
@@ -6,14 +6,20 @@
 
 
 class NetError(Exception):
-    """Base of this package's errors about what the other side sent."""
+    """Base of this package's errors about received data."""
 
 
 class MessageRejectedError(NetError):
-    """An HTTP message that goes no further.
+    """An HTTP message is malformed or not acceptable.
+
+    If a client sent the message, it receives the status code and the reason.
+
+    Args:
+        status: The status code.
+        reason: The reason; the body of the error response to a client.
 
     Attributes:
-        status: the status code that a client is answered with.
+        status: The status code.
     """
 
     def __init__(self, status: int, reason: str) -> None:
@@ -22,19 +28,19 @@
 
 
 class ConnectionBrokenError(NetError, aiohttp.ClientError):
-    """A connection to a server broke, or brought what is no response.
+    """A connection to a server broke, or the server sent something other than a valid response.
 
-    It is none of the errors after which aiohttp sends a request again by itself.
+    It is not one of the errors after which aiohttp repeats a request automatically.
     """
 
 
 class DiscoveryError(NetError):
-    """A call of discovery without an endpoint list."""
+    """A call to discovery returned no endpoint list."""
 
 
 class MalformedListError(DiscoveryError):
-    """Discovery's response holds no endpoint list that can be used."""
+    """Discovery's response does not contain a valid endpoint list."""
 
 
 class DiscoveryStatusError(DiscoveryError):
-    """Discovery answered with another status than 200."""
+    """Discovery responded with a status other than 200."""
--- a/lemonridge/net/http_chunks.py
+++ b/lemonridge/net/http_chunks.py
@@ -1,4 +1,4 @@
-"""The chunked transfer coding (RFC 9112, 7.1), decoded strictly."""
+"""Strict decoder of the chunked transfer coding (RFC 9112, 7.1)."""
 
 from __future__ import annotations
 
@@ -12,19 +12,27 @@
 
 
 class ChunkedBodyDecoder:
-    """Decodes one chunked body; extensions and trailer fields are checked and dropped."""
+    """Decodes one chunked body; chunk extensions and trailer fields are validated and dropped.
+
+    Attributes:
+        is_complete: Whether the body, including its trailer, has been decoded.
+    """
 
     def __init__(self) -> None:
         self._chunk_bytes_left = 0
-        self._expects_chunk_end = False  # the line end behind a chunk's data comes next
-        self._trailer_bytes: int | None = None  # so far; None: the last chunk has not come
+        self._expects_chunk_end = False  # whether the CRLF after a chunk's data is next
+        self._trailer_bytes: int | None = None  # received so far; None before the last chunk
         self.is_complete = False
 
     def feed(self, data: bytearray, body: bytearray) -> None:
-        """Move the decoded bytes from `data` to `body`; what belongs to a line that is not complete stays.
+        """Moves decoded bytes from `data` to `body`; an incomplete line stays in `data`.
+
+        Args:
+            data: The received bytes, from which the consumed ones are removed.
+            body: The decoded body, to which bytes are appended.
 
         Raises:
-            MessageRejectedError: `data` does not go on with a chunked body.
+            MessageRejectedError: `data` does not continue a valid chunked body.
         """
         while not self.is_complete:
             if self._chunk_bytes_left:
@@ -38,8 +46,8 @@
                 continue
             end = data.find(b"\r\n")
             if end < 0:
-                misses_chunk_end = self._expects_chunk_end and not b"\r\n".startswith(bytes(data))
-                if len(data) > CHUNK_LINE_MAX_BYTES or misses_chunk_end:
+                lacks_chunk_end = self._expects_chunk_end and not b"\r\n".startswith(bytes(data))
+                if len(data) > CHUNK_LINE_MAX_BYTES or lacks_chunk_end:
                     raise MessageRejectedError(400, "a chunk cannot be read")
                 return
             line = bytes(data[:end])
@@ -47,6 +55,7 @@
             self._handle_line(line)
 
     def _handle_line(self, line: bytes) -> None:
+        """Handles a chunk size, the end of a chunk's data or a trailer field."""
         if self._expects_chunk_end:
             if line:
                 raise MessageRejectedError(400, "a chunk is longer than it says")
--- a/lemonridge/net/http_client.py
+++ b/lemonridge/net/http_client.py
@@ -1,4 +1,4 @@
-"""An HTTP client session that does nothing on its own."""
+"""An HTTP client session without automatic behaviour such as retries, cookies or proxies."""
 
 from __future__ import annotations
 
@@ -11,7 +11,14 @@
 
 @dataclass(slots=True)
 class Payload:
-    """The parts of a client's request that are forwarded unchanged to an endpoint."""
+    """The parts of a client's request that are forwarded to an endpoint unchanged.
+
+    Attributes:
+        method: The method.
+        target: The request target, in origin form.
+        headers: The forwarded headers.
+        body: The body.
+    """
 
     method: str
     target: str
@@ -22,11 +29,11 @@
 async def _send_once(
     request: aiohttp.ClientRequest, handler: aiohttp.ClientHandlerType
 ) -> aiohttp.ClientResponse:
-    """Let a request reach a server once.
+    """Sends a request at most once.
 
     When a reused connection breaks, aiohttp silently repeats GET, PUT and other idempotent methods (as RFC
-    9110, 9.2.2 allows): that would be an attempt that nobody decided on, or a watch where the list is wanted
-    at once.
+    9110, 9.2.2 allows). That would be an attempt that the scheduler did not decide on, or a repeated watch
+    where the current list is needed immediately.
     """
     try:
         return await handler(request)
@@ -37,9 +44,13 @@
 
 
 def plain_session(connector: aiohttp.BaseConnector, **options: object) -> aiohttp.ClientSession:
-    """A session that sends nothing twice, keeps no cookies, uses no proxy and adds no header.
+    """Returns a session that sends no request twice, keeps no cookies, uses no proxy and adds no headers.
+
+    It does not decompress bodies and has no timeouts, because every caller sets its own.
 
-    It decompresses nothing and has no time limit, since every deadline is the caller's.
+    Args:
+        connector: The connection pool.
+        **options: Further arguments of `aiohttp.ClientSession`.
     """
     return aiohttp.ClientSession(
         connector=connector,
--- a/lemonridge/net/http_connection.py
+++ b/lemonridge/net/http_connection.py
@@ -1,7 +1,7 @@
-"""A client's connection: its bytes, from the socket to complete requests, and the bytes of its responses.
+"""A client's connection: parses received bytes into complete requests and writes the responses.
 
-The front gets complete requests only, one at a time. A client that sends nothing, or what cannot be read,
-costs no task.
+The front receives only complete requests, one at a time. A client that sends nothing, or something that
+cannot be parsed, does not occupy a task.
 """
 
 from __future__ import annotations
@@ -19,29 +19,36 @@
 from lemonridge.net.sockets import input_is_empty, peer_has_closed
 from lemonridge.operate.lifecycle import Phase
 
-HEAD_MAX_S = 2.3  # a client may take 2 s for a head; one that is owed an error has it, or the end, within 3 s
-BODY_MARGIN_S = 1.0  # for a body, beyond what it takes at the lowest rate
-BODY_MIN_BYTES_PER_S = 64_000
-SHORT_BODY_BYTES = 16 * 1024  # a body up to that is not counted against the limit of the long ones
-READ_AHEAD_BYTES = 16 * 1024  # behind an open request, before they are left in the socket
-READ_BYTES = 32 * 1024  # read at once, and so the most beyond that: asyncio would read 256 KiB
-CLOSE_CHECK_INTERVAL_S = 0.1  # for the end of a connection that is not read meanwhile
+HEAD_MAX_S = 2.3  # a client may take 2 s for a head; an error response or a close is due within 3 s
+BODY_MARGIN_S = 1.0  # time for a body in addition to its transfer time at the lowest rate
+BODY_MIN_BYTES_PER_S = 64_000  # lowest accepted transfer rate of a body
+SHORT_BODY_BYTES = 16 * 1024  # bodies up to this size do not count against the limit for long bodies
+READ_AHEAD_BYTES = 16 * 1024  # buffered beyond an open request before reading is paused
+READ_BYTES = 32 * 1024  # per read, so also the overshoot past READ_AHEAD_BYTES; asyncio reads 256 KiB
+CLOSE_CHECK_INTERVAL_S = 0.1  # interval of checks for a disconnect while reading is paused
 
 
 class Connection(asyncio.Protocol):
-    """One client's connection: requests are read from it one by one, and each gets its response.
+    """One client's connection, from which requests are read one at a time, each followed by its response.
 
-    Counters: `requests.bad` (rejected by their bytes), `requests.buffers_full` (rejected for their length).
+    Counters: `requests.bad` (rejected as malformed), `requests.buffers_full` (rejected because buffered
+    bodies reached their limit).
 
     Args:
-        table: All connections.
-        on_request: Called with each request that is complete.
-        on_disconnect: Called once the connection has ended.
+        table: All client connections.
+        on_request: Called with this connection when a request is complete.
+        on_disconnect: Called with this connection when it has ended.
 
     Attributes:
-        head: Of the open request.
-        body: Of the open request.
-        arrived_us: When the last byte of the open request arrived.
+        head: The head of the open request.
+        body: The body of the open request.
+        arrived_us: When the last byte of the open request arrived, in microseconds of the broker's clock.
+        receive_by_s: See `TableEntry`.
+        state: See `TableEntry`.
+        accepted_late: Whether the connection was accepted while the process stops; it is closed after its
+            first response.
+        response_unread_since_s: See `TableEntry`.
+        closing_since_s: See `TableEntry`.
     """
 
     def __init__(
@@ -51,60 +58,59 @@
         on_disconnect: Callable[[Connection], None],
     ) -> None:
         self._table, self._on_request, self._on_disconnect = table, on_request, on_disconnect
-        self._data = bytearray()  # not parsed yet
-        self._searched_bytes = 0  # of the data, for the end of a head
-        self._head: http_headers.RequestHead | None = None  # of the request that has begun, once it is parsed
-        self._chunks: ChunkedBodyDecoder | None = None  # where its body is chunked
+        self._data = bytearray()  # received bytes that are not parsed yet
+        self._searched_bytes = 0  # prefix of `_data` already searched for the end of a head
+        self._head: http_headers.RequestHead | None = None  # of the request being received, once parsed
+        self._chunks: ChunkedBodyDecoder | None = None  # set if the body being received is chunked
         self._body = bytearray()
-        self._announced_bytes = 0  # of its body
+        self._announced_bytes = 0  # this request's share of the table's `announced_bytes`
         self.head: http_headers.RequestHead
         self.body = b""
-        self.receive_by_s = 0.0  # when the request that has begun has to be complete, on the loop's clock
+        self.receive_by_s = 0.0
         self._drops_input = self._reading_is_paused = self._is_closing = False
-        self.state: ConnectionState | None = None  # the table sets it
-        # Whether it was accepted while the process stops: it is closed after its first response.
+        self.state: ConnectionState | None = None
         self.accepted_late = table.lifecycle.phase is Phase.STOPPING
         self.arrived_us = 0
         self._received_bytes = 0
-        # How many bytes had arrived when: a request that waits behind another has its time from its last
+        # Number of bytes received up to each time: a pipelined request is dated by the arrival of its last
         # byte.
         self._arrivals: deque[tuple[int, int]] = deque()
-        self._paused_since_us = 0  # since when what comes next may have waited in the system; 0: it has not
-        self.response_unread_since_s: float | None = None  # as in `TableEntry`
-        self.closing_since_s = 0.0  # the same
-        self._ends_once_read = False  # the open response is written, and the client has not read it yet
-        self._write_waiter: asyncio.Future[None] | None = None  # of `drain`
+        self._paused_since_us = 0  # later bytes may have waited since this time; 0: not paused
+        self.response_unread_since_s: float | None = None
+        self.closing_since_s = 0.0
+        self._ends_when_read = False  # the response is written, but the client has not read all of it
+        self._write_waiter: asyncio.Future[None] | None = None  # set while `drain` waits
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """The socket is there."""
+        """Adds the new connection to the table."""
         assert isinstance(transport, asyncio.Transport)
-        transport.max_size = READ_BYTES  # type: ignore[attr-defined]  # of asyncio's own for sockets
+        transport.max_size = READ_BYTES  # type: ignore[attr-defined]  # of asyncio's socket transport
         self._transport = transport
         self._table.admit(self)
 
     def connection_lost(self, exc: BaseException | None) -> None:
-        """The socket has ended."""
+        """Removes the ended connection from the table and releases its buffers."""
         self._drops_input = True
         self._table.buffered_bytes -= len(self._data) + len(self._body)
         self._table.announced_bytes -= self._announced_bytes
-        self._table.move(self, None)
+        self._table.set_state(self, None)
         self._on_disconnect(self)
 
     def pause_writing(self) -> None:
-        """The client does not read what is sent."""
+        """Notes since when the client has not been reading its response; called by asyncio."""
         self.response_unread_since_s = asyncio.get_running_loop().time()
 
     def resume_writing(self) -> None:
-        """The client reads again."""
+        """Resumes waiting writers once the client reads again; called by asyncio."""
         self.response_unread_since_s = None
         if self._write_waiter is not None and not self._write_waiter.done():
             self._write_waiter.set_result(None)
-        if self._ends_once_read:
-            self._ends_once_read = False
+        if self._ends_when_read:
+            self._ends_when_read = False
             self._response_ended(keeps_alive=True)
 
     def data_received(self, data: bytes) -> None:
-        """Buffer bytes, and hand over a request once it is complete."""
+        """Buffers the received bytes and passes on a request once it is complete."""
         if self._drops_input:
             return
         if not self._data and self.state in (ConnectionState.IDLE, ConnectionState.NEW):
@@ -122,10 +128,10 @@
             self._check_for_close()
 
     def _check_for_close(self) -> None:
-        """Notice the end of a connection that is not read.
+        """Detects that the client has disconnected while reading from it is paused.
 
-        The loop would report it behind all that waits there only, and until then the request of a client that
-        has left would be sent on.
+        The event loop would report the end of the connection only after all unread bytes, and until then the
+        request of a disconnected client would be forwarded.
         """
         if self._drops_input or not self._reading_is_paused or self._transport.is_closing():
             return
@@ -135,27 +141,31 @@
             asyncio.get_running_loop().call_later(CLOSE_CHECK_INTERVAL_S, self._check_for_close)
 
     def write(self, data: bytes) -> bool:
-        """Write a part of the open response; False where the client has left."""
+        """Writes a part of the open response; returns False if the client has disconnected."""
         if self._transport.is_closing():
             return False
         self._transport.write(data)
         return True
 
     async def drain(self) -> None:
-        """Wait until the client has read enough for more to be written."""
+        """Waits until the client has read enough that more can be written."""
         if self.response_unread_since_s is not None:
             self._write_waiter = asyncio.get_running_loop().create_future()
             await self._write_waiter
 
     def end_response(self, keeps_alive: bool) -> None:
-        """The open response is written; `keeps_alive`: the connection goes on once its client has read it."""
+        """Ends the open response, all of which has been written.
+
+        Args:
+            keeps_alive: Whether the connection stays open once the client has read the response.
+        """
         if keeps_alive and self.response_unread_since_s is not None:
-            self._ends_once_read = True
+            self._ends_when_read = True
         else:
             self._response_ended(keeps_alive)
 
     def _response_ended(self, keeps_alive: bool) -> None:
-        """Go on with the next request, or close."""
+        """Continues with the next request, or closes the connection."""
         if self._drops_input or not keeps_alive:
             self.close()
             return
@@ -168,18 +178,22 @@
             self._begin_request()
             asyncio.get_running_loop().call_soon(self._next_request)
         else:
-            self._table.move(self, ConnectionState.IDLE)
+            self._table.set_state(self, ConnectionState.IDLE)
 
     def _begin_request(self) -> None:
-        """The next request begins."""
+        """Starts to receive the next request."""
         self.receive_by_s = asyncio.get_running_loop().time() + HEAD_MAX_S
-        self._table.move(self, ConnectionState.RECEIVING)
+        self._table.set_state(self, ConnectionState.RECEIVING)
 
     def reject(self, status: int, reason: str) -> None:
-        """Answer what must not go further, and close: where the next request begins is not known.
+        """Answers a request that is not forwarded, and closes: the next request's start is unknown.
+
+        The connection is not read any more, and it is closed after a delay: if it were closed immediately,
+        TCP would reset it, and a client that is still sending could lose the response (RFC 9112, 9.6).
 
-        The connection is not read any more, and closed a moment later: at once, TCP would take the response
-        back from a client that still sends (RFC 9112, 9.6).
+        Args:
+            status: The status code.
+            reason: The text of the body, which the client receives.
         """
         self._table.counters["requests.bad"] += 1
         body = f"{reason}\n".encode()
@@ -189,29 +203,28 @@
         self._table.buffered_bytes -= len(self._data) + len(self._body)
         self._data, self._body = bytearray(), bytearray()
         self.closing_since_s = asyncio.get_running_loop().time()
-        if status != HTTPStatus.SERVICE_UNAVAILABLE:  # a client that may retry is read, so that it reads this
+        if status != HTTPStatus.SERVICE_UNAVAILABLE:  # on 503 input is read on, so the client reads this
             self._transport.pause_reading()
         self._transport.write_eof()
-        self._table.move(self, ConnectionState.CLOSING)
+        self._table.set_state(self, ConnectionState.CLOSING)
 
     def input_is_empty(self) -> bool:
-        """Whether nothing waits to be read; to close the connection then loses no request."""
+        """Whether there are no unread bytes, so that closing the connection loses no request."""
         return self._transport.is_closing() or input_is_empty(self._transport)
 
     def client_has_left(self) -> bool:
-        """Whether the client has closed its side, also where that lies behind what is not read yet."""
+        """Whether the client has closed its side, even if unread bytes precede the close."""
         return peer_has_closed(self._transport)
 
     @property
     def has_unsent_data(self) -> bool:
-        """Whether the system has not taken all that is written: an abort now would cut a response short."""
+        """Whether written bytes remain in this process's buffer: an abort would truncate the response."""
         return self._transport.get_write_buffer_size() > 0
 
     def close(self) -> None:
-        """Read nothing more, end what is sent, and close once the client has closed its side too.
+        """Ignores further input, ends the output, and closes once the client has closed its side too.
 
-        A close over bytes that are not read resets the connection, and the last response may be lost with it
-        (RFC 9112, 9.6).
+        Closing a connection with unread bytes resets it, and the last response may be lost (RFC 9112, 9.6).
         """
         self._drops_input = True
         if self._is_closing or self._transport.is_closing():
@@ -219,18 +232,21 @@
         self._is_closing, self.closing_since_s = True, asyncio.get_running_loop().time()
         if self._reading_is_paused:
             self._reading_is_paused = False
-            self._transport.resume_reading()  # to be dropped
-        self._table.move(self, ConnectionState.CLOSING)
+            self._transport.resume_reading()  # the input is dropped
+        self._table.set_state(self, ConnectionState.CLOSING)
         self._transport.write_eof()
 
     def abort(self) -> None:
-        """End at once; the table forgets it now, though the loop reports the end a turn later only."""
+        """Resets the connection and removes it from the table immediately.
+
+        The event loop calls `connection_lost` only in its next iteration.
+        """
         self._drops_input = True
-        self._table.move(self, None)
+        self._table.set_state(self, None)
         self._transport.abort()
 
     def _next_request(self) -> None:
-        """Hand over the next request, once it is complete."""
+        """Passes on the next request once it is complete."""
         if self._drops_input or self.state is ConnectionState.SERVING:
             return
         try:
@@ -243,20 +259,20 @@
         self.head, self.body, self.arrived_us = self._head, bytes(self._body), self._arrival_us()
         self._table.buffered_bytes -= len(self._body)
         self._body, self._head, self._chunks, self._searched_bytes = bytearray(), None, None, 0
-        self._table.move(self, ConnectionState.SERVING)
+        self._table.set_state(self, ConnectionState.SERVING)
         self._on_request(self)
 
     def _arrival_us(self) -> int:
-        """When the last byte of the request that is complete now arrived."""
-        consumed = self._received_bytes - len(self._data)
-        while self._arrivals and self._arrivals[0][0] < consumed:
+        """Returns when the last byte of the request just completed arrived."""
+        consumed_bytes = self._received_bytes - len(self._data)
+        while self._arrivals and self._arrivals[0][0] < consumed_bytes:
             self._arrivals.popleft()
         return self._arrivals[0][1]
 
     def _read_head(self) -> bool:
-        """Parse the head of the next request; False where it is not complete yet."""
-        while self._data.startswith(b"\r\n") and len(self._data) > 2:  # an empty line: RFC 9112, 2.2
-            self._drop(2)
+        """Parses the head of the next request; returns False if it is not complete yet."""
+        while self._data.startswith(b"\r\n") and len(self._data) > 2:  # RFC 9112, 2.2: skip empty lines
+            self._discard_input(2)
         end = self._data.find(http_headers.HEAD_END, max(0, self._searched_bytes - 3))
         if end < 0 or end > HEAD_MAX_BYTES:
             self._searched_bytes = len(self._data)
@@ -267,8 +283,8 @@
         length = head.body_length or 0
         if length > BODY_MAX_BYTES:
             raise MessageRejectedError(413, "a body holds 32 MiB at most")
-        self._announce(length)
-        self._drop(end + 4)
+        self._reserve_body_bytes(length)
+        self._discard_input(end + 4)
         self._head, self._chunks = head, ChunkedBodyDecoder() if head.body_length is None else None
         body_max_s = BODY_MARGIN_S + length / BODY_MIN_BYTES_PER_S
         self.receive_by_s = max(self.receive_by_s, asyncio.get_running_loop().time() + body_max_s)
@@ -279,30 +295,31 @@
         return True
 
     def _read_body(self) -> bool:
-        """Read what has arrived of the body; whether it is complete."""
+        """Consumes the received bytes of the body; returns whether the body is complete."""
         assert self._head is not None
-        before = len(self._data) + len(self._body)
+        buffered_before = len(self._data) + len(self._body)
         if self._chunks is not None:
-            had = len(self._body)
+            decoded_before = len(self._body)
             self._chunks.feed(self._data, self._body)
-            self._announce(len(self._body) - had)
-            self.receive_by_s += (len(self._body) - had) / BODY_MIN_BYTES_PER_S
+            self._reserve_body_bytes(len(self._body) - decoded_before)
+            self.receive_by_s += (len(self._body) - decoded_before) / BODY_MIN_BYTES_PER_S
             is_complete = self._chunks.is_complete
         else:
-            missing = (self._head.body_length or 0) - len(self._body)
-            if missing > 0:
-                self._body += self._data[:missing]
-                del self._data[:missing]
+            missing_bytes = (self._head.body_length or 0) - len(self._body)
+            if missing_bytes > 0:
+                self._body += self._data[:missing_bytes]
+                del self._data[:missing_bytes]
             is_complete = len(self._body) == self._head.body_length
-        self._table.buffered_bytes += len(self._data) + len(self._body) - before
+        self._table.buffered_bytes += len(self._data) + len(self._body) - buffered_before
         if not is_complete and len(self._body) > BODY_MAX_BYTES:
             raise MessageRejectedError(413, "a body holds 32 MiB at most")
         return is_complete
 
-    def _announce(self, count: int) -> None:
-        """Count the bytes of a body that are to come, or reject the request if they cannot be buffered.
+    def _reserve_body_bytes(self, count: int) -> None:
+        """Adds expected body bytes to the total, or rejects the request if they exceed the limit.
 
-        Short bodies have room beside the long ones, for as many as there can be connections.
+        Short bodies are not subject to the limit: there is memory for one on each possible connection beside
+        the long ones.
         """
         is_long = self._announced_bytes + count > SHORT_BODY_BYTES
         if is_long and self._table.announced_bytes + count > self._table.body_bytes_max:
@@ -311,6 +328,7 @@
         self._announced_bytes += count
         self._table.announced_bytes += count
 
-    def _drop(self, count: int) -> None:
+    def _discard_input(self, count: int) -> None:
+        """Removes bytes from the start of the unparsed input."""
         del self._data[:count]
         self._table.buffered_bytes -= count
--- a/lemonridge/net/http_endpoints.py
+++ b/lemonridge/net/http_endpoints.py
@@ -1,4 +1,4 @@
-"""The platform's endpoints: one attempt over HTTP/1.1, one outcome."""
+"""Sends attempts to the platform's endpoints over HTTP/1.1; each attempt has one outcome."""
 
 from __future__ import annotations
 
@@ -24,13 +24,13 @@
 from lemonridge.scheduling.context import MAX_PROCESS_STALL_US
 from lemonridge.scheduling.events import AttemptResult
 
-READ_BUFFER_BYTES = 16 * 1024  # half of what is held of a response before its connection is read no more
-DECISION_EXPIRES_S = 0.25  # past the longest connect: an older decision is not carried out after a stop
-NUMBER_MAX = 1e12  # of a response's header
+READ_BUFFER_BYTES = 16 * 1024  # reading from a response's connection pauses once twice this is buffered
+DECISION_EXPIRES_S = 0.25  # a decision expires this long after the connect timeout; see HttpEndpoints
+REPORTED_NUMBER_MAX = 1e12  # upper bound for numbers in response headers
 
 
 class _EndpointReport(TypedDict):
-    """What a response's headers tell beside its body; None: they do not."""
+    """The information in a response's headers; a value is None if its header is missing or unusable."""
 
     volume_units: int | None
     peer_units: float | None
@@ -39,14 +39,33 @@
 
 @dataclass(frozen=True, slots=True)
 class _SendContext:
-    """What aiohttp's traces of a request need: its attempt, and the endpoint's address as it was decided."""
+    """The context of a request for aiohttp's trace callbacks.
+
+    Attributes:
+        attempt: The attempt that the request belongs to.
+        address: The endpoint's address when the attempt started, as HOST:PORT.
+    """
 
     attempt: Attempt
     address: str
 
 
 class HttpEndpoints:
-    """Makes attempts at the platform's nodes."""
+    """Makes attempts at the platform's nodes.
+
+    Args:
+        registry: The endpoint list.
+        clock: The broker's clock.
+        platform: The platform's configuration.
+        counters: The process's counters.
+
+    Attributes:
+        policy_epoch_at: Returns the policy's epoch at the time of a decision, given in seconds of the event
+            loop's clock, or None if that epoch has ended; None if there is no policy with epochs.
+        expires_decisions: Whether a decision expires `DECISION_EXPIRES_S` after the connect timeout. A
+            decision made before the process was suspended must not be carried out after it resumes, because
+            its quota has expired.
+    """
 
     def __init__(
         self, registry: EndpointRegistry, clock: Clock, platform: PlatformConfig, counters: Counters
@@ -54,9 +73,7 @@
         self._registry, self._clock, self._in_flight_field = registry, clock, platform.in_flight_field
         self._counters = counters
         self._loop = asyncio.get_running_loop()
-        # The policy's epoch at the time of a decision, in seconds on the loop's clock; None: it has ended.
         self.policy_epoch_at: Callable[[float], str | None] | None = None
-        # A decision from before a stop of the process is not carried out after it: its quota has expired.
         self.expires_decisions = False
         trace = aiohttp.TraceConfig()
         trace.on_request_headers_sent.append(self._before_head)
@@ -65,17 +82,24 @@
         self._session = plain_session(self._connector, trace_configs=[trace], read_bufsize=READ_BUFFER_BYTES)
 
     def configure(self, platform: PlatformConfig) -> None:
-        """Apply new settings to the connects, the reuses and the responses to come."""
+        """Applies new settings to later connects, reuses and responses."""
         self._connector.configure(platform.connect_us, platform.keepalive_us)
         self._in_flight_field = platform.in_flight_field
 
     async def attempt(self, attempt: Attempt) -> Outcome:
-        """Send the request once and read the response.
+        """Sends the request once and reads the response.
+
+        Args:
+            attempt: The attempt.
+
+        Returns:
+            The outcome of the attempt.
 
         Raises:
-            AttemptSuppressedError: nothing was sent, as the decision or the connection no longer holds.
-            ConnectFailedError: nothing was sent, as the endpoint accepts no connection.
-            LocalFailureError: nothing was sent, as this machine had no socket, port or route.
+            AttemptSuppressedError: Nothing was sent, because the decision or the connection is no longer
+                valid.
+            ConnectFailedError: Nothing was sent, because the endpoint did not accept a connection.
+            LocalFailureError: Nothing was sent, because this machine had no socket, port or route available.
         """
         payload = attempt.request.payload
         assert isinstance(payload, Payload)
@@ -98,7 +122,7 @@
                 LocalFailureError if error.os_error.errno in LOCAL_ERRORS else ConnectFailedError
             ) from None
         except (aiohttp.ClientError, OSError) as error:
-            # Raised before a body is sent, it comes back as the cause of an error of aiohttp's own.
+            # aiohttp wraps an error that is raised before a body is sent, and keeps it as the cause.
             if isinstance(error.__cause__, AttemptSuppressedError):
                 raise AttemptSuppressedError from None
             if not attempt.begun:
@@ -106,7 +130,11 @@
             return Outcome(AttemptResult.RESET)
 
     def _headers(self, payload: Payload, decided_at_s: float) -> dict[str, str]:
-        """The client's headers, with the epoch of the policy by which the attempt was decided."""
+        """Returns the client's headers and the epoch of the policy by which the attempt was decided.
+
+        Raises:
+            AttemptSuppressedError: The epoch has ended.
+        """
         headers = dict(payload.headers)
         if self.policy_epoch_at is not None:
             epoch = self.policy_epoch_at(decided_at_s)
@@ -116,10 +144,13 @@
         return headers
 
     async def _read_response(self, response: aiohttp.ClientResponse) -> Outcome:
-        """The outcome; the connection is given back, or closed where the response was not read to its end."""
+        """Returns the outcome of an attempt.
+
+        The connection is returned to the pool, or closed if the response was not read to its end.
+        """
         outcome: Outcome | None = None
         try:
-            outcome = await self._outcome(response)
+            outcome = await self._parse_outcome(response)
         finally:
             if outcome is None:
                 response.close()
@@ -128,59 +159,70 @@
         return outcome
 
     async def close(self) -> None:
-        """Close all connections."""
+        """Closes all connections."""
         await self._session.close()
 
     async def _before_head(
-        self, _: aiohttp.ClientSession, context: SimpleNamespace, sent: aiohttp.TraceRequestHeadersSentParams
+        self,
+        _: aiohttp.ClientSession,
+        context: SimpleNamespace,
+        params: aiohttp.TraceRequestHeadersSentParams,
     ) -> None:
-        """Set the deadline's header as of now.
+        """Sets the deadline header to the time that remains now.
 
-        Aiohttp calls this once it has a connection, before it forms the head. A head alone is written in this
-        step; before a body it waits for a turn of the loop, to leave together with it.
+        aiohttp calls this once it has a connection, before it serializes the head. A head without a body is
+        written in the same step; a head with a body is written together with it, one iteration of the event
+        loop later.
         """
-        sending: _SendContext = context.trace_request_ctx
-        payload = sending.attempt.request.payload
+        send_context: _SendContext = context.trace_request_ctx
+        payload = send_context.attempt.request.payload
         assert isinstance(payload, Payload)
         if payload.body:
-            self._check(sending)
+            self._check_decision(send_context)
         else:
-            self._begin(sending)
-        left_us = sending.attempt.request.deadline_us - self._clock.now_us()
-        sent.headers["X-Deadline-Ms"] = str(forwarded_deadline_ms(left_us))
+            self._begin_attempt(send_context)
+        remaining_us = send_context.attempt.request.deadline_us - self._clock.now_us()
+        params.headers["X-Deadline-Ms"] = str(forwarded_deadline_ms(remaining_us))
 
     async def _before_body(
         self, _: aiohttp.ClientSession, context: SimpleNamespace, __: aiohttp.TraceRequestChunkSentParams
     ) -> None:
-        """Mark the attempt as begun; aiohttp calls this in the step in which it writes head and body."""
-        self._begin(context.trace_request_ctx)
+        """Marks the attempt as begun; aiohttp calls this in the step that writes head and body."""
+        self._begin_attempt(context.trace_request_ctx)
 
-    def _check(self, sending: _SendContext) -> None:
-        """Raise `AttemptSuppressedError` where the decision no longer holds.
+    def _check_decision(self, send_context: _SendContext) -> None:
+        """Checks that the decision to send the attempt is still valid.
 
-        The endpoint list may have changed during the connect, or the process may have been stopped.
+        The endpoint list may have changed during the connect, or the process may have been suspended.
+
+        Raises:
+            AttemptSuppressedError: The decision is no longer valid.
         """
         if (
-            self._registry.address(sending.attempt.endpoint_id) != sending.address
+            self._registry.address(send_context.attempt.endpoint_id) != send_context.address
         ):  # draining, removed, or moved
             raise AttemptSuppressedError
-        expires_s = sending.attempt.decided_at_s + self._connector.connect_s + DECISION_EXPIRES_S
-        if self.expires_decisions and self._loop.time() > expires_s:
+        expires_at_s = send_context.attempt.decided_at_s + self._connector.connect_s + DECISION_EXPIRES_S
+        if self.expires_decisions and self._loop.time() > expires_at_s:
             raise AttemptSuppressedError
 
-    def _begin(self, sending: _SendContext) -> None:
-        """Begin in the step that writes the first byte, or raise `AttemptSuppressedError`.
+    def _begin_attempt(self, send_context: _SendContext) -> None:
+        """Begins the attempt, in the step that writes its first byte.
 
-        A body is written a turn of the loop after its connection was taken, and what came in that turn would
-        be read as the response to it.
+        A body is written one iteration of the event loop after the connection was taken from the pool, and
+        data that arrived in between would be parsed as the response to the request.
+
+        Raises:
+            AttemptSuppressedError: The decision or the connection is no longer valid.
         """
-        self._check(sending)
+        self._check_decision(send_context)
         if request_connection.get().has_surplus():
             self._counters["connections.spoilt"] += 1
             raise AttemptSuppressedError
-        sending.attempt.begin()
+        send_context.attempt.begin()
 
-    async def _outcome(self, response: aiohttp.ClientResponse) -> Outcome:
+    async def _parse_outcome(self, response: aiohttp.ClientResponse) -> Outcome:
+        """Reads the body and the report headers of a response."""
         reply = await read_body(response)
         if isinstance(reply, StreamedResponse) and response.status != 200:
             reply.close()
@@ -199,39 +241,39 @@
 
 
 def forwarded_deadline_ms(left_us: int) -> int:
-    """The time that an attempt gives its endpoint, in milliseconds, at least 1.
+    """Returns the deadline that is sent to the endpoint, in milliseconds, at least 1.
 
-    STANDING: at most what is left to the client, with 0.15 s of slack. The process may have been held up for
-    0.15 s before it read the request, and may be again between this and the write. Of less than 0.15 s, all
-    is given: it is inside the slack, whatever has passed.
+    STANDING: at most the client's remaining time, with 0.15 s of slack. The process may have been delayed by
+    0.15 s before it read the request, and may be delayed again before the write, so 0.15 s are subtracted. A
+    remaining time of less than 0.15 s is sent unchanged, because any delay is within the slack.
 
     Args:
-        left_us: what is left to the client.
+        left_us: The remaining time until the client's deadline, in microseconds.
     """
     return max(1, min(left_us, max(MAX_PROCESS_STALL_US, left_us - MAX_PROCESS_STALL_US)) // 1000)
 
 
 def _parse_number(text: str | None) -> float | None:
-    """A header's number; None where there is none that can be used."""
+    """Returns the number in a header; None if the header is missing or its number is unusable."""
     try:
         value = float(text) if text is not None else None
     except ValueError:
         return None
-    return value if value is not None and 0 <= value < NUMBER_MAX else None
+    return value if value is not None and 0 <= value < REPORTED_NUMBER_MAX else None
 
 
-def _parse_count(text: str | None, more: int) -> int | None:
-    """A header's whole number plus `more`; None where there is none."""
+def _parse_count(text: str | None, increment: int) -> int | None:
+    """Returns the whole number in a header plus `increment`; None if there is none."""
     value = _parse_number(text)
-    return None if value is None else int(value) + more
+    return None if value is None else int(value) + increment
 
 
 def _parse_load_report(text: str | None) -> dict[str, float]:
-    """A load report, `inflight=7,queue=2`: the fields with a number."""
+    """Returns the numeric fields of a load report such as `inflight=7,queue=2`."""
     report: dict[str, float] = {}
     for part in (text or "").split(","):
-        name, _, figure = part.partition("=")
-        value = _parse_number(figure)
+        name, _, number = part.partition("=")
+        value = _parse_number(number)
         if value is not None:
             report[name.strip()] = value
     return report
--- a/lemonridge/net/http_front.py
+++ b/lemonridge/net/http_front.py
@@ -1,7 +1,8 @@
-"""The platform's front: takes HTTP/1.1 requests and gives one response to each.
+"""The platform's HTTP front: accepts HTTP/1.1 requests and sends exactly one response to each.
 
-A request is parsed and submitted as its last byte is read, and its answer is written as it is decided on: no
-task and no turn of the loop lies between, which a busy loop would add to the time of each answer.
+A request is parsed and submitted in the same event loop iteration that reads its last byte, and its response
+is written in the iteration that decides on the answer. No task is created in between, because on a busy loop
+each additional iteration adds to the response time.
 """
 
 from __future__ import annotations
@@ -41,18 +42,19 @@
 
 log = logging.getLogger(__name__)
 
-CLOSE_CHECK_INTERVAL_S = 0.005  # between two looks at connections that are to end
+CLOSE_CHECK_INTERVAL_S = 0.005  # interval between checks for connections that can be closed during a stop
 
 
 @dataclass(slots=True)
 class OpenRequest:
-    """A request that has no answer yet.
+    """A request that has not been answered yet.
 
     Attributes:
-        request: the request.
-        mailbox: by which the broker knows it.
-        arrived_us: when its last byte arrived.
-        answer_timer: answers it for the end of the process, where that needs all answers.
+        request: The request.
+        mailbox: The broker's handle for the request.
+        arrived_us: When the request's last byte arrived, in microseconds of the broker's clock.
+        answer_timer: Fires when the request must be answered because the process ends; None if there is no
+            such time.
     """
 
     request: Request
@@ -61,7 +63,7 @@
     answer_timer: asyncio.TimerHandle | None = None
 
     def cancel_timer(self) -> None:
-        """Its answer is not due any more."""
+        """Cancels the timer, if there is one."""
         if self.answer_timer is not None:
             self.answer_timer.cancel()
             self.answer_timer = None
@@ -70,9 +72,21 @@
 class HttpFront:
     """Serves the platform's clients.
 
-    Counters: `requests.bad` (malformed), `requests.stopping` (taken while the process stops), `answers.cut`
-    (streamed responses that their endpoint did not complete), `answers.undelivered` (decided on, but the
-    client had disconnected before they were written).
+    Counters: `requests.bad` (malformed requests), `requests.stopping` (requests received while the process
+    stops), `answers.cut` (streamed responses that the endpoint did not complete), `answers.undelivered`
+    (answers that could not be written because the client had disconnected).
+
+    Args:
+        platform: The platform's configuration.
+        broker: Receives the requests.
+        registry: The endpoint list; the front is ready only once a list is known.
+        clock: The broker's clock.
+        counters: The process's counters.
+        lifecycle: The drain, handover and stop of this process.
+
+    Attributes:
+        has_lease: Returns whether the policy in force is known; replaced if the fleet agrees on the policy.
+        listener: Accepts the connections; set by `bind`.
     """
 
     def __init__(
@@ -88,28 +102,28 @@
         self._clock, self._counters, self._lifecycle = clock, counters, lifecycle
         self._loop = asyncio.get_running_loop()
         self._table = ConnectionTable(clock, counters, lifecycle)
-        # Whether the policy in force is known; replaced where the fleet decides on one.
         self.has_lease: Callable[[], bool] = lambda: True
         self.configure(platform)
-        self.listener: Listener  # from `bind` on
+        self.listener: Listener
         self._open: dict[Connection, OpenRequest] = {}
-        self._streams: dict[Connection, asyncio.Task[None]] = {}  # responses that are still written
+        self._streams: dict[Connection, asyncio.Task[None]] = {}  # tasks that write streamed responses
 
     def configure(self, platform: PlatformConfig) -> None:
-        """Apply this configuration from here on."""
+        """Applies a configuration to all later requests."""
         self._parser = RequestParser(platform)
         self._lifecycle.configure(max(cls.deadline_us for cls in platform.settings.classes))
         self._table.configure(platform.sockets, platform.memory_bytes // 8)
 
     def bind(self, address: Address, inherited_fd: int | None = None) -> None:
-        """Get the listening socket; nothing is accepted from it yet.
+        """Opens the listening socket without accepting connections from it yet.
 
         Args:
-            address: where a new one listens.
-            inherited_fd: the descriptor of one that this process inherited, in place of a new one.
+            address: The address to listen on, if a new socket is opened.
+            inherited_fd: The descriptor of a listening socket inherited by this process; None opens a new
+                socket.
 
         Raises:
-            OSError: it cannot be had.
+            OSError: The address cannot be bound, or the descriptor is not a listening socket.
         """
         self.listener = Listener(
             listening_socket(address, inherited_fd),
@@ -118,46 +132,49 @@
         )
 
     async def listen(self) -> None:
-        """Accept connections from here on."""
+        """Starts to accept connections."""
         if not self.listener.is_listening:
             self.listener.listen()
             log.info("listening", extra={"address": self.listener.address})
 
     async def stop(self) -> None:
-        """Serve on for as long as a new request can be answered before SIGKILL, then close.
+        """Serves as long as a new request can be answered before SIGKILL, then closes all connections.
 
-        Clients keep using open connections and have no other broker to go to. So the broker keeps serving;
-        near the end each response has `Connection: close`, then it accepts nothing more and closes idle
-        connections. A connection that is accepted meanwhile is closed after its first response.
+        Clients keep using their open connections and have no other broker to connect to, so the broker keeps
+        serving. Near the end each response carries `Connection: close`; after that the listener is closed,
+        and with it all idle connections. A connection accepted during the stop is closed after its first
+        response.
         """
         self._lifecycle.stop(self._clock.now_us())
         self.on_lifecycle_changed()
         loop = asyncio.get_running_loop()
         await asyncio.sleep((self._lifecycle.accept_until_us - self._clock.now_us()) / 1e6)
-        until_s = self._clock.loop_time(self._lifecycle.request_complete_by_us)
-        await self.listener.accept_pending(until_s)
+        give_up_at_s = self._clock.loop_time(self._lifecycle.request_complete_by_us)
+        await self.listener.accept_pending(give_up_at_s)
         self.listener.close()
-        while self.listener.accepting or self._table.close_waiting(patient=loop.time() < until_s):
+        while self.listener.has_starting_connections or self._table.close_inactive(
+            allow_incomplete=loop.time() < give_up_at_s
+        ):
             await asyncio.sleep(CLOSE_CHECK_INTERVAL_S)
 
     def on_lifecycle_changed(self) -> None:
-        """Apply a change of the lifecycle's state at once."""
+        """Applies a change of the lifecycle's state immediately."""
         for connection, open_request in self._open.items():
             self._schedule_answer(connection, open_request)
         self._table.on_lifecycle_changed()
 
     @property
     def busy(self) -> bool:
-        """Whether a response is still on its way."""
+        """Whether responses are still being written."""
         return self._table.busy
 
     # Requests
 
     def _on_request(self, connection: Connection) -> None:
-        """A request is complete."""
+        """Handles a complete request."""
         try:
             if connection.head.path.startswith("/-/"):
-                self._respond(connection, self._ready(connection.head))
+                self._respond(connection, self._readiness_response(connection.head))
             else:
                 self._submit(connection)
         except MessageRejectedError as error:
@@ -167,15 +184,15 @@
             self._counters["requests.bad"] += 1
             self._respond(connection, text_response(409, "a request with this X-Request-Id is open"))
         except Exception:
-            log.exception("request failed")
+            log.exception("request failed: internal error")
             self._respond(connection, ClientResponse(500))
 
     def _submit(self, connection: Connection) -> None:
-        """Give a request to the broker.
+        """Submits a request to the broker.
 
         Raises:
-            MessageRejectedError: it is malformed.
-            DuplicateRequestError: a request with its id is open.
+            MessageRejectedError: The request is malformed.
+            DuplicateRequestError: Another request with the same id is open.
         """
         arrived_us = connection.arrived_us
         request = self._parser.parse(connection.head, connection.body, arrived_us, connection.client_has_left)
@@ -186,25 +203,28 @@
         self._schedule_answer(connection, open_request)
 
     def _schedule_answer(self, connection: Connection, open_request: OpenRequest) -> None:
-        """Answer a request at the moment by which the end of the process needs all answers, if there is one.
+        """Schedules the time at which a request must be answered because the process ends, if there is one.
 
-        That moment is not the request's deadline: the scheduler would take a nearer deadline for a client
-        that has waited for long already.
+        This time is not set as the request's deadline: the scheduler would interpret the shorter deadline as
+        a client that has already waited for a long time.
         """
         open_request.cancel_timer()
         answer_by_us = self._lifecycle.answer_by_us(open_request.arrived_us)
         if answer_by_us != NEVER_US:
-            at_s = self._clock.loop_time(answer_by_us)
-            open_request.answer_timer = self._loop.call_at(at_s, self._answer_for_stop, connection)
+            answer_at_s = self._clock.loop_time(answer_by_us)
+            open_request.answer_timer = self._loop.call_at(answer_at_s, self._answer_for_stop, connection)
 
     def _answer_for_stop(self, connection: Connection) -> None:
+        """Answers an open request without waiting for the broker, because the process ends."""
         open_request = self._open.pop(connection)
         self._broker.disconnect(open_request.mailbox)
         forwarded = open_request.request.forwarded
-        self._respond(connection, _response(Answer(AnswerKind.FAILED if forwarded else AnswerKind.REJECTED)))
+        self._respond(
+            connection, _response_to(Answer(AnswerKind.FAILED if forwarded else AnswerKind.REJECTED))
+        )
 
     def _on_disconnect(self, connection: Connection) -> None:
-        """A connection has ended: nobody waits for what is still to be answered on it."""
+        """Cancels the open request and the streamed response of a connection that has ended."""
         open_request = self._open.pop(connection, None)
         if open_request is not None:
             open_request.cancel_timer()
@@ -216,33 +236,35 @@
     # Responses
 
     def _on_answer(self, connection: Connection, answer: Answer) -> None:
-        """The broker has the final answer to a request."""
+        """Sends the broker's final answer to the client."""
         self._open.pop(connection).cancel_timer()
         if isinstance(answer.reply, StreamedResponse):
             stream = self._loop.create_task(self._stream(connection, answer.reply))
             self._streams[connection] = stream
             stream.add_done_callback(functools.partial(self._stream_ended, connection, answer.reply))
         else:
-            self._respond(connection, _response(answer))
+            self._respond(connection, _response_to(answer))
 
     def _respond(self, connection: Connection, response: ClientResponse) -> None:
-        """Write a response whose body is known."""
-        is_rejected = 400 <= response.status < 500  # noqa: PLR2004
-        keeps_alive = not is_rejected and self._keeps_alive(connection)
-        if not connection.write(encode_response(response, _option(connection, keeps_alive))):
+        """Writes a response whose complete body is known."""
+        is_client_error = 400 <= response.status < 500  # noqa: PLR2004
+        keeps_alive = not is_client_error and self._keeps_alive(connection)
+        if not connection.write(encode_response(response, _connection_option(connection, keeps_alive))):
             self._counters["answers.undelivered"] += 1
         connection.end_response(keeps_alive)
 
     async def _stream(self, connection: Connection, reply: StreamedResponse) -> None:
-        """Write a response as it arrives from its endpoint, as fast as its client reads it.
+        """Forwards a response as it arrives from the endpoint, at the rate at which the client reads it.
 
         Raises:
-            ConnectionBrokenError: the endpoint did not complete it.
+            ConnectionBrokenError: The endpoint did not complete the response.
         """
         is_chunked = reply.length is None and not connection.head.is_http_1_0
-        ends_with_connection = reply.length is None and not is_chunked
-        keeps_alive = not ends_with_connection and self._keeps_alive(connection)
-        connection.write(encode_stream_head(reply.length, is_chunked, _option(connection, keeps_alive)))
+        ends_at_close = reply.length is None and not is_chunked
+        keeps_alive = not ends_at_close and self._keeps_alive(connection)
+        connection.write(
+            encode_stream_head(reply.length, is_chunked, _connection_option(connection, keeps_alive))
+        )
         async for part in reply.parts():
             connection.write(encode_chunk(part) if is_chunked else part)
             await connection.drain()
@@ -253,33 +275,34 @@
     def _stream_ended(
         self, connection: Connection, reply: StreamedResponse, stream: asyncio.Task[None]
     ) -> None:
-        """A streamed response is written, or its client has left, or its endpoint did not complete it."""
+        """Cleans up after a streamed response that is complete, cancelled or incomplete."""
         del self._streams[connection]
-        reply.close()  # also where the task was cancelled before it began
+        reply.close()  # the task may have been cancelled before it started
         if stream.cancelled():
             self._counters["answers.undelivered"] += 1
         elif (error := stream.exception()) is not None:
-            log.info("response cut short, connection aborted", extra={"reason": str(error)})
+            log.info("response incomplete, client connection aborted", extra={"reason": str(error)})
             self._counters["answers.cut"] += 1
-            connection.abort()  # the client sees that its length or its last chunk is missing
+            connection.abort()  # the missing length or last chunk shows the client that it is incomplete
 
     def _keeps_alive(self, connection: Connection) -> bool:
-        """Whether a connection goes on behind the response to its open request."""
+        """Whether the connection stays open after the response to its open request."""
         return (
             connection.head.keeps_alive
             and not connection.accepted_late
             and self._lifecycle.allows_keep_alive(self._clock.now_us())
         )
 
-    def _ready(self, head: RequestHead) -> ClientResponse:
+    def _readiness_response(self, head: RequestHead) -> ClientResponse:
+        """Returns the response to a readiness probe."""
         if head.method != "GET" or head.path != "/-/ready":
             return ClientResponse(404)
-        up = self._registry.has_list and self._lifecycle.ready and self.has_lease()
-        return ClientResponse(200 if up else 503)
+        is_ready = self._registry.has_list and self._lifecycle.ready and self.has_lease()
+        return ClientResponse(200 if is_ready else 503)
 
 
-def _option(connection: Connection, keeps_alive: bool) -> ConnectionOption:
-    """What the response to a connection's open request says of the connection."""
+def _connection_option(connection: Connection, keeps_alive: bool) -> ConnectionOption:
+    """Returns the connection option of the response to a connection's open request."""
     if not keeps_alive:
         return ConnectionOption.CLOSES
     if connection.head.is_http_1_0:
@@ -287,8 +310,8 @@
     return ConnectionOption.PERSISTS
 
 
-def _response(answer: Answer) -> ClientResponse:
-    """The response to an answer that is whole."""
+def _response_to(answer: Answer) -> ClientResponse:
+    """Returns the response for an answer whose reply is complete."""
     if answer.kind is AnswerKind.SERVED:
         assert isinstance(answer.reply, bytes)
         return ClientResponse(200, answer.reply)
--- a/lemonridge/net/http_headers.py
+++ b/lemonridge/net/http_headers.py
@@ -1,7 +1,8 @@
-"""Heads of HTTP/1.1 messages, parsed strictly: a head that two programs could read in two ways is rejected.
+"""Strict parser of HTTP/1.1 message heads; an ambiguous head is rejected.
 
-No request can be smuggled (RFC 9112, 11.2): what is forwarded is made of what was parsed here, and aiohttp's
-parser, which is lenient where RFC 9112 allows it, gets responses alone that have passed here first.
+This prevents request smuggling (RFC 9112, 11.2): forwarded requests are built from what was parsed here, and
+aiohttp's parser, which is lenient where RFC 9112 allows it, receives only responses whose head has been
+parsed here first.
 """
 
 from __future__ import annotations
@@ -19,23 +20,32 @@
 )
 # RFC 9112, 4.
 _STATUS_LINE = re.compile(rb"HTTP/1\.([01]) ([1-9][0-9]{2})(?: [\t\x20-\x7e\x80-\xff]*)?\r\n")
-# RFC 9110, 5.1 and 5.5; without the line folding that RFC 9112, 5.2 withdraws.
+# RFC 9110, 5.1 and 5.5; without line folding, which RFC 9112, 5.2 deprecates.
 FIELD_LINE = re.compile(rb"([!#$%&'*+\-.^_`|~0-9A-Za-z]+):[ \t]*([\t\x20-\x7e\x80-\xff]*)\r\n")
 _CONTENT_LENGTH = re.compile(rb"[0-9]{1,15}")
 
-Fields = dict[bytes, list[bytes]]  # the values of each field, by its name in lower case
+Fields = dict[bytes, list[bytes]]  # the values of each field by its lower-case name
 
 
 @dataclass(frozen=True, slots=True)
 class RequestHead:
-    """The head of a request."""
+    """The head of a request.
+
+    Attributes:
+        method: The method.
+        target: The request target in origin form, with its query.
+        fields: The header fields.
+        body_length: The length of the body in bytes; None if the body is chunked.
+        is_http_1_0: Whether the request is HTTP/1.0.
+        keeps_alive: Whether the client keeps the connection open after the response.
+    """
 
     method: str
-    target: str  # in origin form, with its query
+    target: str
     fields: Fields
-    body_length: int | None  # bytes; None: the body is chunked
+    body_length: int | None
     is_http_1_0: bool
-    keeps_alive: bool  # its client goes on with the connection behind the response
+    keeps_alive: bool
 
     @property
     def path(self) -> str:
@@ -45,73 +55,91 @@
 
 @dataclass(frozen=True, slots=True)
 class ResponseHead:
-    """The head of a response."""
+    """The head of a response.
+
+    Attributes:
+        status: The status code.
+        body_length: The length of the body in bytes; None if the body is chunked or ends with the connection.
+        is_chunked: Whether the body is chunked.
+        closes_connection: Whether the connection ends after this response.
+    """
 
     status: int
-    body_length: int | None  # bytes; None: the body is chunked, or ends with its connection
+    body_length: int | None
     is_chunked: bool
-    closes_connection: bool  # the connection ends behind this response
+    closes_connection: bool
 
 
 def parse_request_head(head: bytes) -> RequestHead:
-    """Parse a request's head up to and with its empty line.
+    """Parses the head of a request.
+
+    Args:
+        head: The bytes of the head, up to and including its empty line.
 
     Raises:
-        MessageRejectedError: it is malformed, could be read in two ways, or asks for what is not served.
+        MessageRejectedError: The head is malformed, ambiguous, or requests something that is not supported.
     """
-    line = _REQUEST_LINE.match(head)
-    if line is None:
+    start_line = _REQUEST_LINE.match(head)
+    if start_line is None:
         raise MessageRejectedError(400, "the request line cannot be read")
-    fields = _parse_fields(head, line.end())
+    fields = _parse_fields(head, start_line.end())
     length = _content_length(fields)
-    coding = fields.get(b"transfer-encoding")
-    if coding is not None and (length is not None or line[3] == b"0"):
-        # RFC 9112, 6.1: with both, two programs could see two different requests in the same bytes.
+    transfer_coding = fields.get(b"transfer-encoding")
+    if transfer_coding is not None and (length is not None or start_line[3] == b"0"):
+        # RFC 9112, 6.1: with both, two programs could parse the same bytes as different requests.
         raise MessageRejectedError(400, "a body has Content-Length or, since HTTP/1.1, Transfer-Encoding")
-    if coding is not None and not _is_chunked(coding):
+    if transfer_coding is not None and not _is_chunked(transfer_coding):
         raise MessageRejectedError(501, "the one transfer coding is chunked")
-    if line[3] == b"1" and len(fields.get(b"host", ())) != 1:  # RFC 9112, 3.2
+    if start_line[3] == b"1" and len(fields.get(b"host", ())) != 1:  # RFC 9112, 3.2
         raise MessageRejectedError(400, "one Host is needed")
-    if line[1] not in (b"GET", b"PUT"):
+    if start_line[1] not in (b"GET", b"PUT"):
         raise MessageRejectedError(405, "a read is GET and a write is PUT")
     return RequestHead(
-        method=line[1].decode(),
-        target=line[2].decode(),
+        method=start_line[1].decode(),
+        target=start_line[2].decode(),
         fields=fields,
-        body_length=(length or 0) if coding is None else None,
-        is_http_1_0=line[3] == b"0",
-        keeps_alive=not _closes_connection(line[3], fields),
+        body_length=(length or 0) if transfer_coding is None else None,
+        is_http_1_0=start_line[3] == b"0",
+        keeps_alive=not _closes_connection(start_line[3], fields),
     )
 
 
 def parse_response_head(head: bytes) -> ResponseHead:
-    """Parse a response's head up to and with its empty line.
+    """Parses the head of a response.
+
+    Args:
+        head: The bytes of the head, up to and including its empty line.
 
     Raises:
-        MessageRejectedError: it is malformed, or its framing could be read in two ways.
+        MessageRejectedError: The head is malformed, or its framing is ambiguous.
     """
-    line = _STATUS_LINE.match(head)
-    if line is None:
-        raise MessageRejectedError(502, "the status line cannot be read")
-    fields = _parse_fields(head, line.end())
-    length, coding = _content_length(fields), fields.get(b"transfer-encoding")
-    if coding is not None and (length is not None or not _is_chunked(coding)):
-        raise MessageRejectedError(502, "the framing cannot be read")
-    return ResponseHead(int(line[2]), length, coding is not None, _closes_connection(line[1], fields))
+    start_line = _STATUS_LINE.match(head)
+    if start_line is None:
+        raise MessageRejectedError(502, "malformed status line")
+    fields = _parse_fields(head, start_line.end())
+    length, transfer_coding = _content_length(fields), fields.get(b"transfer-encoding")
+    if transfer_coding is not None and (length is not None or not _is_chunked(transfer_coding)):
+        raise MessageRejectedError(
+            502,
+            "ambiguous response framing: Content-Length beside Transfer-Encoding, or unknown transfer coding",
+        )
+    return ResponseHead(
+        int(start_line[2]), length, transfer_coding is not None, _closes_connection(start_line[1], fields)
+    )
 
 
 def _closes_connection(minor_version: bytes, fields: Fields) -> bool:
-    """Whether the connection ends behind a message (RFC 9112, 9.3)."""
+    """Whether the connection ends after a message (RFC 9112, 9.3)."""
     options = b",".join(fields.get(b"connection", ())).lower()
     return b"close" in options or (minor_version == b"0" and b"keep-alive" not in options)
 
 
-def _is_chunked(coding: list[bytes]) -> bool:
-    return [value.lower() for value in coding] == [b"chunked"]
+def _is_chunked(transfer_coding: list[bytes]) -> bool:
+    return [value.lower() for value in transfer_coding] == [b"chunked"]
 
 
 def _parse_fields(head: bytes, offset: int) -> Fields:
-    """The header fields from `offset` to the empty line that ends the head."""
+    """Parses the header fields from `offset` to the empty line that ends the head."""
     fields: Fields = {}
     while offset < len(head) - 2:
         match = FIELD_LINE.match(head, offset)
@@ -123,7 +151,10 @@
 
 
 def _content_length(fields: Fields) -> int | None:
-    """RFC 9110, 8.6; a list of equal values is rejected too."""
+    """Returns the body length given by Content-Length; None without that field.
+
+    A list of equal values, which RFC 9110, 8.6 allows, is rejected too.
+    """
     values = fields.get(b"content-length")
     if values is None:
         return None
--- a/lemonridge/net/http_request.py
+++ b/lemonridge/net/http_request.py
@@ -1,4 +1,4 @@
-"""Parses the platform's requests; the only place that knows the names of their headers."""
+"""Parses the platform's requests; the only module that knows the names of their headers."""
 
 from __future__ import annotations
 
@@ -13,17 +13,23 @@
 from lemonridge.net.http_headers import Fields, RequestHead
 from lemonridge.scheduling.settings import IdempotencyKind
 
-DEADLINE_MARGIN_US = 10_000  # before the client gives up: the way of request and response
+DEADLINE_MARGIN_US = 10_000  # time for the transfer of the request and the response
 _REQUEST_ID = re.compile(r"[0-9a-f]{16}", re.I)
 _PATH = re.compile(r"/([^/]+)/([0-9a-f]{16})/([0-9a-f]{16})", re.I)
 _PLACEMENT = re.compile(r"units=([0-9]{1,9}(?:\.[0-9]{1,9})?),shard=(-1|[0-9]{1,9}),hosts=([0-9]{1,9})")
 _DEADLINE_MS = re.compile(r"0*[1-9][0-9]{0,8}")
-_VALUE = re.compile(r"[\x20-\x7e]{1,256}")
+_FIELD_VALUE = re.compile(r"[\x20-\x7e]{1,256}")
 
 
 @dataclass(frozen=True, slots=True)
 class Placement:
-    """`X-Placement`: how large the request is, and which endpoints its volume is on."""
+    """The content of `X-Placement`: the size of the request and the endpoints that store its volume.
+
+    Attributes:
+        units: The size of the request, in units.
+        shard: The shard of the volume; -1 for a new object.
+        hosts: The number of endpoints that the request occupies.
+    """
 
     units: float
     shard: int
@@ -31,7 +37,11 @@
 
 
 class RequestParser:
-    """Parses requests by one configuration."""
+    """Parses requests according to one configuration.
+
+    Args:
+        platform: The platform's configuration.
+    """
 
     def __init__(self, platform: PlatformConfig) -> None:
         self._platform = platform
@@ -41,16 +51,18 @@
     def parse(
         self, head: RequestHead, body: bytes, arrived_us: int, client_has_left: Callable[[], bool]
     ) -> Request:
-        """A request of the core.
+        """Returns the request in the form of the core.
 
         Args:
-            head: the request's head.
-            body: its body.
-            arrived_us: when its last byte arrived; its deadline counts from there.
-            client_has_left: whether its client has closed the connection.
+            head: The head of the request.
+            body: The body of the request.
+            arrived_us: When the last byte arrived, in microseconds of the broker's clock; the deadline counts
+                from there.
+            client_has_left: Returns whether the client has closed the connection.
 
         Raises:
-            MessageRejectedError: it is malformed, or names what the settings do not know.
+            MessageRejectedError: The request is malformed, or its class, policy, units, hosts or shard are
+                not in the settings.
         """
         fields = head.fields
         path = _PATH.fullmatch(head.path)
@@ -59,12 +71,12 @@
                 404, "the path must be /class/volume/key, the last two as 16 hex digits"
             )
         class_number = self._parse_class(path[1], fields)
-        plan = self._plans.get(_field(fields, "X-Qos-Policy"))
+        plan = self._plans.get(_single_value(fields, "X-Qos-Policy"))
         if plan is None:
             raise MessageRejectedError(400, "unknown X-Qos-Policy")
         if head.method != ("PUT" if self._platform.class_writes[class_number] else "GET"):
             raise MessageRejectedError(405, "a read is GET and a write is PUT")
-        forwarded = self._forwarded_headers(class_number, fields)
+        forwarded = self._extract_forwarded_headers(class_number, fields)
         wait_us = self._parse_wait_us(class_number, fields)
         placement = self._parse_placement(fields)
         if body and head.method == "GET":
@@ -85,34 +97,38 @@
         )
 
     def _parse_class(self, name: str, fields: Fields) -> int:
+        """Returns the number of the class in the path, which `X-Class` must repeat."""
         number = self._classes.get(name)
-        if number is None or _field(fields, "X-Class") != name:
+        if number is None or _single_value(fields, "X-Class") != name:
             raise MessageRejectedError(400, "the class of the path must be known and stand in X-Class")
         return number
 
-    def _forwarded_headers(self, class_number: int, fields: Fields) -> dict[str, str]:
-        """The headers that go on to the endpoint unchanged."""
-        forwarded = {"X-Request-Id": _field(fields, "X-Request-Id")}
+    def _extract_forwarded_headers(self, class_number: int, fields: Fields) -> dict[str, str]:
+        """Returns the headers that are forwarded to the endpoint unchanged."""
+        forwarded = {"X-Request-Id": _single_value(fields, "X-Request-Id")}
         if not _REQUEST_ID.fullmatch(forwarded["X-Request-Id"]):
             raise MessageRejectedError(400, "X-Request-Id must be 16 hex digits")
         idempotency = self._platform.settings.classes[class_number].idempotency
         if idempotency is IdempotencyKind.WITH_IDEMPOTENCY_KEY:
-            forwarded["Idempotency-Key"] = _field(fields, "Idempotency-Key")
+            forwarded["Idempotency-Key"] = _single_value(fields, "Idempotency-Key")
         return forwarded
 
     def _parse_wait_us(self, class_number: int, fields: Fields) -> int:
-        """How long the client waits, in microseconds: no longer than its class allows, whatever it says.
+        """Returns how long the client waits, in microseconds, limited to the deadline of its class.
 
-        The scheduler plans by the class's deadline.
+        The limit applies because the scheduler plans with the deadline of the class.
         """
-        deadline_ms = _DEADLINE_MS.fullmatch(_field(fields, "X-Deadline-Ms"))
+        deadline_ms = _DEADLINE_MS.fullmatch(_single_value(fields, "X-Deadline-Ms"))
         if deadline_ms is None:
             raise MessageRejectedError(400, "X-Deadline-Ms must be whole milliseconds")
         return min(int(deadline_ms[0]) * 1000, self._platform.settings.classes[class_number].deadline_us)
 
     def _parse_placement(self, fields: Fields) -> Placement:
-        """`X-Placement`; more than the settings know of would spoil the volume's and its plan's accounts."""
-        match = _PLACEMENT.fullmatch(_field(fields, "X-Placement").replace(" ", ""))
+        """Parses `X-Placement`; units or hosts above the settings are rejected.
+
+        They would corrupt the accounting of the volume and of its plan.
+        """
+        match = _PLACEMENT.fullmatch(_single_value(fields, "X-Placement").replace(" ", ""))
         if match is None:
             raise MessageRejectedError(400, "X-Placement must be units=…,shard=…,hosts=…")
         placement = Placement(float(match[1]), int(match[2]), int(match[3]))
@@ -127,10 +143,13 @@
         return placement
 
 
-def _field(fields: Fields, name: str) -> str:
-    """The one value of a header field; of two, each side could use another."""
+def _single_value(fields: Fields, name: str) -> str:
+    """Returns the value of a header field that must occur exactly once.
+
+    If a field occurred twice, the broker and the endpoint could each use a different value.
+    """
     values = fields.get(name.lower().encode(), ())
     text = values[0].decode("latin-1") if len(values) == 1 else ""
-    if not _VALUE.fullmatch(text):
+    if not _FIELD_VALUE.fullmatch(text):
         raise MessageRejectedError(400, f"{name} must stand there once")
     return text
--- a/lemonridge/net/http_response.py
+++ b/lemonridge/net/http_response.py
@@ -1,4 +1,4 @@
-"""An endpoint's responses: one strictly parsed response to each request, and not a byte more."""
+"""Reads responses of endpoints: one strictly parsed response to each request, and no byte beyond it."""
 
 from __future__ import annotations
 
@@ -17,54 +17,63 @@
 
 log = logging.getLogger(__name__)
 
-INFORMATIONAL_MAX = 16  # 1xx responses in front of a final one (RFC 9110, 15.2)
-BODILESS_STATUSES = (204, 304)  # RFC 9112, 6.3
-STALL_S = 10.0  # an endpoint that sends nothing more of a streamed response for so long has failed
+INFORMATIONAL_MAX = 16  # 1xx responses before a final response (RFC 9110, 15.2)
+BODILESS_STATUSES = (204, 304)  # statuses without a body: RFC 9112, 6.3
+STALL_S = 10.0  # a streamed response has failed if the endpoint sends nothing for this long
 
 
 class ResponseReader(ResponseHandler):
-    """The reading end of a connection to an endpoint, in front of aiohttp's parser.
+    """Reads from a connection to an endpoint and filters the input of aiohttp's parser.
 
-    It guards clients against bytes that were not asked for: behind a response or on an idle connection they
-    would be read as the response to the next request, and the lenient parser accepts much that is malformed.
-    A response without a length is complete at the end of its connection, if it announces that end and the end
-    is an orderly one: one that was cut short would look the same (RFC 9112, 8).
+    It protects clients from unsolicited bytes: bytes after a response or on an idle connection would be
+    parsed as the response to the next request, and aiohttp's lenient parser accepts many malformed responses.
+    A response without a length is complete when its connection ends, provided that the head announces the
+    close and the connection is closed without an error; otherwise it could not be distinguished from a
+    truncated response (RFC 9112, 8).
+
+    Args:
+        loop: The event loop.
+
+    Attributes:
+        is_reused: Whether the connection has carried an earlier request.
+        reusable: False from the release of the connection until the end of its reuse delay.
+        reusable_at_s: When the reuse delay ends, in seconds of the event loop's clock.
     """
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         super().__init__(loop)
-        self._head: bytearray | None = None  # so far, of the response that is awaited; None: it is parsed
-        self._body_bytes_left: int | None = 0  # None: as the body's chunks or its connection's end say
-        self._informational = 0
+        self._head: bytearray | None = None  # received part of the expected head; None once it is parsed
+        self._body_bytes_left: int | None = 0  # None: the body ends with its last chunk or the connection
+        self._informational_count = 0
         self._ends_with_connection = False
-        self.is_reused = False  # has carried a request before
-        self.reusable = True  # False from the release of the connection to the end of its reuse delay
-        self.reusable_at_s = 0.0  # when that delay ends, on the loop's clock
+        self.is_reused = False
+        self.reusable = True
+        self.reusable_at_s = 0.0
 
     def allow_reuse(self) -> None:
-        """The reuse delay is over."""
+        """Ends the reuse delay."""
         self.reusable = True
 
     def set_response_params(self, **params: Any) -> None:
-        """Expect a response; aiohttp calls this for each request, before it is sent."""
+        """Prepares for a response; aiohttp calls this for each request, before sending it."""
         super().set_response_params(**params)
-        self._head, self._body_bytes_left, self._informational = bytearray(), 0, 0
+        self._head, self._body_bytes_left, self._informational_count = bytearray(), 0, 0
 
     def has_surplus(self) -> bool:
-        """Whether something came on a reused connection before the request that awaits its response.
+        """Whether a reused connection has received data, or has ended, before the current request is sent.
 
-        Nothing of that request is written yet, so whatever came is no response to it; an end is no less
-        reason not to write it.
+        No byte of the request has been written yet, so received data cannot be the response to it. If the
+        connection has ended, the request must not be written either.
         """
         if not self.is_reused:
             return False
         transport = self.transport
-        read_already = self._head is None or len(self._head) > 0
-        return transport is None or read_already or not input_is_empty(transport)
+        has_read_input = self._head is None or len(self._head) > 0
+        return transport is None or has_read_input or not input_is_empty(transport)
 
     def data_received(self, data: bytes) -> None:
-        """Forward what belongs to the awaited response; anything else ends the connection."""
-        if not data:  # aiohttp's parser, which had paused, goes on with what it has buffered
+        """Forwards the expected response to aiohttp's parser; any other data ends the connection."""
+        if not data:  # aiohttp's parser resumes after a pause with its own buffer
             super().data_received(data)
             return
         if self.transport is None:
@@ -83,60 +92,79 @@
             self._body_bytes_left -= len(part)
             super().data_received(part)
         if len(part) < len(data):
-            self._on_surplus()
+            self._handle_surplus()
 
     def _forward_head(self, buffer: bytearray) -> bytes:
-        """Forward the head of the response, without 1xx in front; the bytes behind it."""
+        """Forwards the final head, without preceding 1xx responses.
+
+        Returns:
+            The received bytes after the head; empty while the head is not complete.
+
+        Raises:
+            MessageRejectedError: The head is malformed, too long, or not an acceptable response.
+        """
         while (end := buffer.find(http_headers.HEAD_END)) >= 0:
-            text = bytes(buffer[: end + 4])
+            head_bytes = bytes(buffer[: end + 4])
             del buffer[: end + 4]
-            head = http_headers.parse_response_head(text)
+            head = http_headers.parse_response_head(head_bytes)
             status, length = head.status, head.body_length
-            if 100 <= status < 200 and status != 101 and self._informational < INFORMATIONAL_MAX:
-                self._informational += 1
+            if 100 <= status < 200 and status != 101 and self._informational_count < INFORMATIONAL_MAX:
+                self._informational_count += 1
                 continue
             if status < 200:
-                raise MessageRejectedError(502, "a protocol that was not asked for")
+                raise MessageRejectedError(
+                    502,
+                    "endpoint switched protocols without an Upgrade request, or sent more than "
+                    f"{INFORMATIONAL_MAX} 1xx responses",
+                )
             if status in BODILESS_STATUSES:
                 length = 0
             self._ends_with_connection = length is None and not head.is_chunked
             if (self._ends_with_connection and not head.closes_connection) or (length or 0) > BODY_MAX_BYTES:
-                raise MessageRejectedError(502, "a body without a length, or too long")
+                raise MessageRejectedError(
+                    502,
+                    f"response body length is {length}, but must be given unless the connection closes, "
+                    f"and be at most {BODY_MAX_BYTES}",
+                )
             self._head, self._body_bytes_left = None, None if head.is_chunked else length
-            super().data_received(text)
+            super().data_received(head_bytes)
             return bytes(buffer)
         if len(buffer) > HEAD_MAX_BYTES:
-            raise MessageRejectedError(502, "the head is too long")
+            raise MessageRejectedError(502, f"response head exceeds {HEAD_MAX_BYTES} bytes")
         return b""
 
     def close(self) -> None:
-        """End the connection; bytes of a request that the system has not taken yet are dropped.
+        """Closes the connection and discards bytes of a request that are still in the write buffer.
 
-        Otherwise an endpoint that reads on would get all of an attempt that was cancelled, beside the next
-        one or after the answer.
+        Otherwise an endpoint that continues to read would receive the complete request of a cancelled
+        attempt, at the same time as the next attempt or after the final answer.
         """
         if self.transport is not None and self.transport.get_write_buffer_size():
             self.abort()
         super().close()
 
     def connection_lost(self, exc: BaseException | None) -> None:
-        """The connection has ended: with an error, a body that ends with it is not complete."""
+        """Handles the end of the connection.
+
+        If it ended with an error, a body that is delimited by the end of the connection is incomplete.
+        """
         if exc is not None and self._ends_with_connection:
-            error = ConnectionBrokenError("cut short")
+            error = ConnectionBrokenError("connection failed before the end of the response body")
             self.set_exception(error)
-            if self._payload is not None:  # the parser has the head, and would take this end for a proper one
+            if self._payload is not None:  # the parser has the head and would accept this as a regular end
                 self._payload.set_exception(error)
         super().connection_lost(exc)
 
     def _fail(self, reason: str) -> None:
-        log.debug("response malformed, connection aborted", extra={"reason": reason})
+        """Aborts the connection because of a malformed response."""
+        log.debug("malformed response, endpoint connection aborted", extra={"reason": reason})
         transport = self.transport
         self.set_exception(ConnectionBrokenError(reason))
         if transport is not None:
             transport.abort()
 
-    def _on_surplus(self) -> None:
-        """More arrived than belongs to the response, which is good: the connection is not reused."""
+    def _handle_surplus(self) -> None:
+        """Prevents the reuse of the connection: data followed the response, which is itself valid."""
         self.force_close()
         transport = self.transport
         if transport is not None:
@@ -144,10 +172,17 @@
 
 
 class StreamedResponse:
-    """A response over 64 KiB that is still arriving; `length` is None where its head gives none.
+    """A response larger than 64 KiB that is still being received.
+
+    Only the connection's read buffer is held in memory, and it is filled only while `parts` is consumed, so
+    that a slow client slows down only the endpoint connection of its own response.
+
+    Args:
+        response: The response, whose head has been read.
+        first_part: The bytes of the body that have been read already.
 
-    No more of it is held than the connection's buffer, and it is read only while someone reads `parts`: a
-    slow client slows down its endpoint's connection and nothing else.
+    Attributes:
+        length: The length of the body in bytes; None if the head does not give it.
     """
 
     def __init__(self, response: aiohttp.ClientResponse, first_part: bytes) -> None:
@@ -156,10 +191,10 @@
         self._forwarded_bytes = 0
 
     async def parts(self) -> AsyncIterator[bytes]:
-        """Every byte in order.
+        """Yields the bytes of the body in order.
 
         Raises:
-            ConnectionBrokenError: the response does not become complete, or is too long.
+            ConnectionBrokenError: The response does not become complete, or exceeds the maximum body size.
         """
         loop = asyncio.get_running_loop()
         try:
@@ -168,7 +203,7 @@
             while True:
                 self._forwarded_bytes += len(part)
                 if self._forwarded_bytes > BODY_MAX_BYTES:
-                    raise ConnectionBrokenError("too long")
+                    raise ConnectionBrokenError(f"response body exceeds {BODY_MAX_BYTES} bytes")
                 if part:
                     yield part
                 async with asyncio.timeout_at(loop.time() + STALL_S):
@@ -176,14 +211,16 @@
                 if not part and self._response.content.at_eof():
                     break
             if self.length is not None and self._forwarded_bytes != self.length:
-                raise ConnectionBrokenError("cut short")
+                raise ConnectionBrokenError(
+                    f"response body ended after {self._forwarded_bytes} of {self.length} bytes"
+                )
         except (aiohttp.ClientError, OSError, TimeoutError) as error:
             raise ConnectionBrokenError(str(error)) from error
         finally:
             self.close()
 
     def close(self) -> None:
-        """Drop what has not been read; a connection with nothing left to read can be reused."""
+        """Discards the unread rest; the connection can be reused if the body was read to its end."""
         if self._response.content.at_eof():
             self._response.release()
         else:
@@ -191,7 +228,14 @@
 
 
 async def read_body(response: aiohttp.ClientResponse) -> bytes | StreamedResponse:
-    """The complete body, or a stream once it is known to be longer than `BUFFERED_BODY_MAX_BYTES`."""
+    """Returns the complete body, or a stream if it exceeds `BUFFERED_BODY_MAX_BYTES`.
+
+    Args:
+        response: The response, whose head has been read.
+
+    Raises:
+        aiohttp.ClientError: The connection broke before the end of the body.
+    """
     if (response.content_length or 0) > BUFFERED_BODY_MAX_BYTES:
         return StreamedResponse(response, b"")
     body = bytearray()
--- a/lemonridge/net/listener.py
+++ b/lemonridge/net/listener.py
@@ -1,4 +1,4 @@
-"""Accepting connections, though accept(2) and setsockopt(2) may fail for a moment."""
+"""Accepts connections; retries temporary failures of accept(2) and tolerates those of setsockopt(2)."""
 
 from __future__ import annotations
 
@@ -13,34 +13,34 @@
 
 log = logging.getLogger(__name__)
 
-BACKLOG = 1024  # connections that wait to be accepted
-ACCEPT_BATCH = 16  # in one turn of the loop: more would exceed the limit on sockets before any is evicted
-ACCEPT_RETRY_S = 0.05  # after the system could not accept
+BACKLOG = 1024  # connections waiting to be accepted
+ACCEPT_BATCH = 16  # per loop iteration: more would exceed the socket limit before any is evicted
+ACCEPT_RETRY_S = 0.05  # pause after a failed accept
 
 
 class AcceptResult(Enum):
-    """How a batch of accepts ended."""
+    """The result of accepting a batch of connections."""
 
     QUEUE_EMPTY = "queue empty"
-    MORE_WAITING = "more waiting"  # possibly
-    FAILED = "failed"  # the system could not accept; connections may wait
+    MORE_WAITING = "more waiting"  # further connections may be waiting
+    FAILED = "failed"  # the operating system could not accept; connections may be waiting
 
 
 def listening_socket(address: Address, inherited_fd: int | None = None) -> socket.socket:
-    """A listening socket, from which nothing is accepted yet.
+    """Returns a listening socket without accepting connections from it.
 
     Args:
-        address: where a new one listens.
-        inherited_fd: the descriptor of one that this process inherited, in place of a new one.
+        address: The address to listen on, if a new socket is opened.
+        inherited_fd: The descriptor of a listening socket inherited by this process; None opens a new socket.
 
     Raises:
-        OSError: the address cannot be listened at, or the descriptor is no listening socket.
+        OSError: The address cannot be bound, or the descriptor is not a listening socket.
     """
     if inherited_fd is None:
         family = socket.AF_INET6 if ":" in address.host else socket.AF_INET
         return socket.create_server((address.host, address.port), family=family)
-    # With protocol 0, as `create_server` makes it: for sockets that say they are TCP's asyncio sets an
-    # option, and where that fails it would lose the accepted connection.
+    # The protocol number is 0, as in `create_server`: on sockets whose protocol is TCP asyncio sets an
+    # option, and if that fails, it drops the accepted connection.
     inherited = socket.socket(fileno=inherited_fd)
     listening = socket.socket(inherited.family, inherited.type, 0, fileno=inherited.detach())
     listening.set_inheritable(True)
@@ -50,21 +50,29 @@
 
 
 class Listener:
-    """Accepts at one listening socket and gives each connection a protocol.
+    """Accepts connections on one listening socket and gives each a protocol.
 
-    asyncio's own server stops for a second after ENFILE, EMFILE, ENOBUFS and ENOMEM; this one retries after
-    `ACCEPT_RETRY_S`. A connection that the system has accepted is served, whatever option cannot be set.
+    asyncio's own server pauses for a second after ENFILE, EMFILE, ENOBUFS and ENOMEM; this one retries after
+    `ACCEPT_RETRY_S`. An accepted connection is served even if a socket option cannot be set.
 
     Counter: `clients.accept_failed`.
+
+    Args:
+        sock: The listening socket.
+        protocol_factory: Returns a protocol for a new connection.
+        counters: The process's counters.
+
+    Attributes:
+        socket: The listening socket.
     """
 
     def __init__(
-        self, sock: socket.socket, protocol: Callable[[], asyncio.BaseProtocol], counters: Counters
+        self, sock: socket.socket, protocol_factory: Callable[[], asyncio.BaseProtocol], counters: Counters
     ) -> None:
-        self.socket, self._protocol, self._counters = sock, protocol, counters
+        self.socket, self._protocol_factory, self._counters = sock, protocol_factory, counters
         self._loop = asyncio.get_running_loop()
         self._listening: socket.socket | None = None
-        self._accepting: set[asyncio.Task[object]] = set()  # connections that the loop does not have yet
+        self._starting_tasks: set[asyncio.Task[object]] = set()  # accepted connections without a protocol
 
     @property
     def is_listening(self) -> bool:
@@ -72,20 +80,20 @@
         return self._listening is not None
 
     @property
-    def accepting(self) -> bool:
+    def has_starting_connections(self) -> bool:
         """Whether an accepted connection has no protocol yet."""
-        return bool(self._accepting)
+        return bool(self._starting_tasks)
 
     @property
     def address(self) -> str:
-        """Where it listens, as `host:port`."""
+        """The address of the socket, as `host:port`."""
         return "{}:{}".format(*self.socket.getsockname())
 
     def listen(self) -> None:
-        """Accept from here on.
+        """Starts to accept connections.
 
-        It listens at a copy of the descriptor, so that closing it ends nothing for another process at the
-        same socket.
+        It uses a duplicate of the descriptor, so that closing it does not affect another process that uses
+        the same socket.
         """
         if self._listening is not None:
             return
@@ -95,34 +103,34 @@
         self._loop.add_reader(self._listening, self._on_connections_waiting)
 
     def stop_accepting(self) -> None:
-        """Accept no new connection; the accepted ones stay."""
+        """Stops accepting connections; accepted ones stay open."""
         if self._listening is not None:
             self._loop.remove_reader(self._listening)
             self._listening.close()
             self._listening = None
 
     def close(self) -> None:
-        """Accept no new connection, and close the socket."""
+        """Stops accepting connections and closes the socket."""
         self.stop_accepting()
         self.socket.close()
 
-    async def accept_pending(self, until_s: float) -> None:
-        """Accept all connections that wait before the listener closes, since the system would reset them.
+    async def accept_pending(self, give_up_at_s: float) -> None:
+        """Accepts all pending connections; the operating system would reset them when the listener closes.
 
         Args:
-            until_s: how long an accept that fails is retried, on the loop's clock.
+            give_up_at_s: Until when a failed accept is retried, in seconds of the event loop's clock.
         """
         while self._listening is not None:
             result = self.accept_batch()
             if result is AcceptResult.QUEUE_EMPTY or (
-                result is AcceptResult.FAILED and self._loop.time() >= until_s
+                result is AcceptResult.FAILED and self._loop.time() >= give_up_at_s
             ):
                 return
             if result is AcceptResult.FAILED:
                 await asyncio.sleep(ACCEPT_RETRY_S)
 
     def accept_batch(self) -> AcceptResult:
-        """Accept some of the waiting connections; they are served also if the listener closes now."""
+        """Accepts up to `ACCEPT_BATCH` connections; they are served even if the listener closes now."""
         listening = self._listening
         assert listening is not None
         for _ in range(ACCEPT_BATCH):
@@ -132,17 +140,17 @@
                 return AcceptResult.QUEUE_EMPTY
             except ConnectionAbortedError:
                 continue
-            except OSError as error:  # no descriptor, no memory, or an error of the network: it may pass
-                log.warning("accept failed, retried", extra={"error": str(error)})
+            except OSError as error:  # no descriptor or memory, or a network error: may be temporary
+                log.warning("accept failed, will be retried", extra={"error": str(error)})
                 self._counters["clients.accept_failed"] += 1
                 return AcceptResult.FAILED
-            self._serve(accepted)
+            self._start_serving(accepted)
         return AcceptResult.MORE_WAITING
 
     def _on_connections_waiting(self) -> None:
-        """Accept a batch; where the system cannot, pause before the next.
+        """Accepts a batch, and pauses after a failure.
 
-        A listener that stays readable would keep the loop busy until then.
+        Without the pause, the socket would stay readable and keep the event loop busy.
         """
         listening = self._listening
         if listening is not None and self.accept_batch() is AcceptResult.FAILED:
@@ -150,25 +158,28 @@
             self._loop.call_later(ACCEPT_RETRY_S, self._resume_accepting, listening)
 
     def _resume_accepting(self, listening: socket.socket) -> None:
+        """Continues after the pause, unless the listener has been closed meanwhile."""
         if listening is self._listening:
             self._loop.add_reader(listening, self._on_connections_waiting)
 
-    def _serve(self, accepted: socket.socket) -> None:
-        """Give an accepted connection its protocol, also where an option cannot be set."""
+    def _start_serving(self, accepted: socket.socket) -> None:
+        """Gives an accepted connection its protocol, even if a socket option cannot be set."""
         accepted.setblocking(False)
-        # asyncio sets it for sockets that say they are TCP's, and an accepted one says what its listener was
-        # made with. Bytes of an answer that the system still holds back would be lost with a reset.
+        # asyncio sets TCP_NODELAY only on sockets whose protocol is TCP, and an accepted socket has the
+        # protocol number of its listener. Without it, bytes of a response that the operating system delays
+        # would be lost on a reset.
         try:
             accepted.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         except OSError as error:
-            log.info("TCP_NODELAY not set", extra={"error": str(error)})
-        starting = self._loop.create_task(self._loop.connect_accepted_socket(self._protocol, accepted))
-        self._accepting.add(starting)
-        starting.add_done_callback(self._started)
-
-    def _started(self, starting: asyncio.Task[object]) -> None:
-        self._accepting.discard(starting)
-        if not starting.cancelled() and (error := starting.exception()) is not None:
+            log.info("cannot set TCP_NODELAY", extra={"error": str(error)})
+        task = self._loop.create_task(self._loop.connect_accepted_socket(self._protocol_factory, accepted))
+        self._starting_tasks.add(task)
+        task.add_done_callback(self._on_serving_started)
+
+    def _on_serving_started(self, task: asyncio.Task[object]) -> None:
+        """Logs a connection that was lost before it got its protocol."""
+        self._starting_tasks.discard(task)
+        if not task.cancelled() and (error := task.exception()) is not None:
             log.info(
                 "accepted connection lost before it was served",
                 extra={"error": f"{type(error).__name__}: {error}"},
--- a/lemonridge/net/peer_transport.py
+++ b/lemonridge/net/peer_transport.py
@@ -1,7 +1,7 @@
-"""The other brokers of the fleet: hosts a fleet member on a UDP socket.
+"""Hosts a fleet member on a UDP socket, which connects this broker to the other brokers of the fleet.
 
-The member sees what the scheduler sees, as an observer of the decision host. What it has for the scheduler is
-delivered as events of the same turn of the event loop, before its datagrams are sent.
+The member observes the decision host and so sees the same events as the scheduler. Its own events for the
+scheduler are delivered in the same iteration of the event loop, before its datagrams are sent.
 """
 
 from __future__ import annotations
@@ -29,21 +29,25 @@
 
 log = logging.getLogger(__name__)
 
-BIND_RETRY_S = 0.5  # the previous process of this broker may still hold the address
+BIND_RETRY_S = 0.5  # the previous process of this broker may still be bound to the address
 
 
 class KeyedDatagramSigner:
-    """Tags datagrams by a secret: keyed BLAKE2s (RFC 7693)."""
+    """Authenticates datagrams with a shared secret: keyed BLAKE2s (RFC 7693).
+
+    Args:
+        secret: The shared secret.
+    """
 
     def __init__(self, secret: bytes) -> None:
-        import hashlib  # both load OpenSSL, which only an operator's file may
+        import hashlib  # both load OpenSSL, which only an operator's file may cause
         import hmac
 
         self._blake2s, self._equal = hashlib.blake2s, hmac.compare_digest
         self._key = hashlib.blake2s(secret).digest()
 
     def sign(self, data: bytes) -> bytes:
-        """The tag of some bytes."""
+        """Returns the tag of a datagram."""
         return self._blake2s(data, digest_size=TAG_BYTES, key=self._key).digest()
 
     def verify(self, data: bytes, tag: bytes) -> bool:
@@ -52,22 +56,32 @@
 
 
 class RolloutItemHandler(Protocol):
-    """The policy rollout's host, to which its items are delivered."""
+    """Receives the items of the policy rollout."""
 
     def on_rollout_item(self, member: int, incarnation: int, item: Item) -> None:
-        """An item arrived from `member`'s incarnation."""
+        """Handles an item from an incarnation of a member.
+
+        Args:
+            member: The number of the member.
+            incarnation: The incarnation of the member.
+            item: The item.
+        """
 
 
 class PeerTransport(asyncio.DatagramProtocol):
-    """This broker among its peers.
+    """Exchanges datagrams between this broker's fleet member and its peers.
 
     Args:
-        config: the members' names and addresses, and which one this is.
-        decision_host: observed; it is given the member's events.
-        clock: of the process.
-        counters: of the process; the member's are added under `fleet.`.
-        seed: of the member's random draws.
-        settings: the scheduler's.
+        config: The names and addresses of the members, and which of them this broker is.
+        decision_host: Is observed by the member, and receives its events.
+        clock: The process's clock.
+        counters: The process's counters; the member's counters are added under `fleet.`.
+        seed: The seed of the member's random generator.
+        settings: The scheduler's settings.
+
+    Attributes:
+        config: The names and addresses of the members, and which of them this broker is.
+        coordinator: Receives items of the policy rollout; None if there is no rollout.
     """
 
     def __init__(
@@ -83,9 +97,10 @@
         self._clock, self._counters = clock, counters
         self._loop = asyncio.get_running_loop()
         self._transport: asyncio.DatagramTransport | None = None
-        self._members = {(one.host, one.port): number for number, one in enumerate(config.addresses)}
+        self._members = {(peer.host, peer.port): number for number, peer in enumerate(config.addresses)}
         self._timer: asyncio.TimerHandle | None = None
-        # Wall time goes on over restarts: a later start of a name has a higher incarnation.
+        # The incarnation is the wall time, which continues across restarts: a later start of a member has a
+        # higher incarnation.
         self._bridge = SchedulerBridge(
             MemberList(config.names, config.own_index),
             time.time_ns() // 1_000_000,
@@ -103,10 +118,10 @@
     # Datagrams
 
     async def start(self) -> None:
-        """Bind the address; while another process holds it, try again every BIND_RETRY_S.
+        """Binds the address; retries every BIND_RETRY_S while another process uses it.
 
         Raises:
-            OSError: the address cannot be bound for another reason.
+            OSError: The address cannot be bound for another reason.
         """
         listen = self.config.listen
         while self._transport is None:
@@ -129,20 +144,20 @@
         )
 
     def connection_made(self, transport: Any) -> None:
-        """The socket is bound."""
+        """Stores the transport of the bound socket; called by asyncio."""
         self._transport = transport
 
     def datagram_received(self, data: bytes, addr: tuple[str | Any, int]) -> None:
-        """A datagram arrived."""
+        """Passes a received datagram to the member."""
         self._bridge.on_datagram(self._members.get((addr[0], addr[1])), data, self._clock.now_us())
         self._flush()
 
     def error_received(self, exc: Exception) -> None:
-        """The system reports an earlier datagram as not delivered: a peer is gone."""
+        """Counts an earlier datagram that could not be delivered because its peer is not running."""
         self._counters["fleet.send_errors"] += 1
 
     def stop(self) -> None:
-        """Return what is borrowed and close the socket."""
+        """Returns borrowed quotas and closes the socket."""
         if self._transport is not None:
             self._bridge.shut_down(self._clock.now_us())
             self._flush()
@@ -153,7 +168,7 @@
         self.update_counters()
 
     def _flush(self) -> None:
-        """Take what the bridge holds: first the scheduler's events, then the datagrams."""
+        """Delivers the bridge's pending events to the scheduler, and then sends its pending datagrams."""
         bridge = self._bridge
         events, bridge.events = bridge.events, []
         for event in events:
@@ -168,68 +183,77 @@
         self._timer = self._loop.call_at(self._clock.loop_time(bridge.next_timer_us), self._on_timer)
         rollout_items, bridge.rollout_items = bridge.rollout_items, []
         if self.coordinator is not None:
-            for one in rollout_items:
-                self.coordinator.on_rollout_item(one.source, one.incarnation, one.item)
+            for received in rollout_items:
+                self.coordinator.on_rollout_item(received.source, received.incarnation, received.item)
 
     def send_rollout_items(self, items: Iterable[tuple[int, Item]]) -> None:
-        """Send items of the policy rollout, by receiver."""
+        """Sends items of the policy rollout.
+
+        Args:
+            items: The items, each with the number of the receiving member.
+        """
         self._bridge.send_rollout_items(items, self._clock.now_us())
         self._flush()
 
     @property
     def incarnation(self) -> int:
-        """This start's number: a later start has a higher one."""
+        """The incarnation of this member; higher after each start."""
         return self._bridge.fleet.membership.incarnation
 
     def _on_timer(self) -> None:
         self._bridge.on_timer(self._clock.now_us())
         self._flush()
 
-    # What the decision host shows
+    # Observer of the decision host
 
     def on_request_arrived(self, event: RequestArrived) -> None:
-        """A request is about to be given to the scheduler."""
+        """Handles a request that is about to be passed to the scheduler."""
         self._bridge.on_request_arrived(event, self._clock.now_us())
         if self._bridge.events:
             self._flush()
 
     def on_endpoints_changed(self, endpoints: Iterable[Endpoint]) -> None:
-        """Endpoints are about to be given to the scheduler."""
+        """Handles endpoints that are about to be passed to the scheduler."""
         self._bridge.on_endpoints_changed(endpoints)
 
     def on_attempt_ended(self, event: AttemptEnded, request: Request | None) -> None:
-        """An attempt has ended; `request` is None where the request was closed before."""
+        """Handles the end of an attempt.
+
+        Args:
+            event: The end of the attempt.
+            request: The request of the attempt; None if the request was closed before.
+        """
         volume, units = (request.volume, request.units) if request is not None else (0, 0.0)
         self._bridge.on_attempt_ended(event, self._clock.now_us(), volume, units)
         if self._bridge.events or self._bridge.datagrams:
             self._flush()
 
     def on_attempt_sent(self, endpoint_id: str, request: Request) -> None:
-        """The scheduler sends an attempt to an endpoint."""
+        """Handles an attempt that the scheduler sends to an endpoint."""
         self._bridge.on_attempt_sent(endpoint_id, request.units)
 
     def on_slow_start_began(self, action: SlowStartBegan) -> None:
-        """The scheduler takes an endpoint for one that warms up."""
+        """Handles the start of an endpoint's slow start."""
         self._bridge.on_slow_start_began(action, self._clock.now_us())
         self._flush()
 
     def on_scheduler_restarted(self) -> None:
-        """A new scheduler is in place of one that failed; it begins with even quotas."""
+        """Handles a new scheduler that replaces a failed one; it starts with equal quotas."""
         self._bridge.on_scheduler_restarted(self._clock.now_us())
         self._flush()
 
     def configure(self, settings: Settings) -> None:
-        """Use new settings for what happens from now on."""
+        """Applies new settings to all later events."""
         self._bridge.settings = settings
 
-    # For operators
+    # Reports to operators
 
     def report(self) -> dict[str, Any]:
-        """What operators are shown: see `fleet/status_report.py`."""
+        """Returns this broker's view of the fleet for operators; see `fleet/status_report.py`."""
         return report(self._bridge.fleet, self._clock.now_us(), self._bridge.endpoints)
 
     def update_counters(self) -> None:
-        """Bring the process's counters up to date."""
+        """Copies the member's counters to the process's counters."""
         for name, value in self._bridge.fleet.counts.items():
             self._counters[f"fleet.{name}"] = value
         for fault, value in self._bridge.fleet.receiver.faults.items():
--- a/lemonridge/net/process_handover.py
+++ b/lemonridge/net/process_handover.py
@@ -1,4 +1,7 @@
-"""The handover between two processes of one broker over a Unix socket."""
+"""The handover between two processes of one broker, over a Unix socket.
+
+The messages and the handed-over state are defined in `operate.handover`.
+"""
 
 from __future__ import annotations
 
@@ -33,37 +36,44 @@
 
 log = logging.getLogger(__name__)
 
-RETRY_S = 0.05  # before a process that is itself in a handover is asked again
-CALLS_MAX = 64  # calls that wait for the other process
+REQUEST_RETRY_S = 0.05  # before the request is repeated to a process that is itself in a handover
+PENDING_CALLS_MAX = 64  # forwarded calls that the other process has not acknowledged
 BACKLOG = 4
-UNIX_PATH_MAX = 100  # bytes; an address has room for 108
+UNIX_PATH_MAX_BYTES = 100  # a Unix socket address holds 108 bytes
 
 
 class HandoverHost(Protocol):
-    """The broker of this process, as a handover needs it."""
+    """The broker of this process as the handover uses it."""
 
     def export_state(self) -> HandoverState:
-        """Stops accepting anything new, and returns what the successor goes on from."""
+        """Stops accepting connections and returns the state for the successor."""
         ...
 
     def undo_handover(self) -> None:
-        """Serves again, as the successor is gone."""
+        """Accepts connections again, because the successor is gone."""
         ...
 
     def apply(self, request: AdminRequest) -> AdminReply:
-        """Does what an operator asked of the other process."""
+        """Carries out an operator's call that the other process received."""
         ...
 
     def set_processes(self, processes: int) -> None:
-        """Notes how many processes the broker has now, this one included."""
+        """Sets the number of processes that the broker consists of now, including this one."""
         ...
 
 
 class HandoverConnection:
-    """The connection to the other process, while both run.
+    """The connection to the other process while both run.
+
+    Args:
+        reader: The reading side of the connection.
+        writer: The writing side of the connection.
+        host: The broker of this process.
+        clock: The broker's clock.
+        open_ids: The request ids that are open in both processes.
 
     Attributes:
-        sends_ids: Whether both sides know `OpenIdsChanged`.
+        exchanges_open_ids: Whether both sides support `OpenIdsChanged`.
     """
 
     def __init__(
@@ -76,16 +86,16 @@
     ) -> None:
         self._reader, self._writer, self._host, self._clock = reader, writer, host, clock
         self._open_ids = open_ids
-        self._waiting: dict[int, asyncio.Future[None]] = {}  # forwarded calls by number
+        self._pending_calls: dict[int, asyncio.Future[None]] = {}  # unacknowledged forwarded calls by number
         self._calls_forwarded = 0
-        self.sends_ids = False
+        self.exchanges_open_ids = False
 
     async def read(self) -> Message:
-        """The next message.
+        """Returns the next message.
 
         Raises:
-            EOFError: The other side has closed the connection.
-            BadMessageError: The message cannot be read.
+            EOFError: The other process has closed the connection.
+            BadMessageError: The message is malformed.
         """
         line = await self._reader.readline()
         if not line.endswith(b"\n"):
@@ -93,7 +103,7 @@
         return decode(line)
 
     def write(self, message: Message) -> None:
-        """Sends a message without waiting."""
+        """Sends a message without waiting for the transfer."""
         self._writer.write(encode(message))
 
     async def serve(self) -> None:
@@ -102,30 +112,41 @@
             while True:
                 self._handle(await self.read())
         except (EOFError, OSError, BadMessageError, ValueError) as error:
-            log.info("other process gone", extra={"error": f"{type(error).__name__}: {error}"})
+            log.info(
+                "connection to the other process ended", extra={"error": f"{type(error).__name__}: {error}"}
+            )
         finally:
             self._open_ids.forget_remote(self)
             self.close()
 
     def _handle(self, message: Message) -> None:
+        """Handles one message; messages that belong to the setup of a handover are ignored."""
         match message:
             case CallForwarded():
                 self._host.apply(message.request)
                 self.write(CallAcknowledged(message.number))
             case CallAcknowledged():
-                waiter = self._waiting.pop(message.number, None)
+                waiter = self._pending_calls.pop(message.number, None)
                 if waiter is not None and not waiter.done():
                     waiter.set_result(None)
             case OpenIdsChanged():
                 self._open_ids.update_remote(self, message.opened, message.closed)
 
     async def forward(self, request: AdminRequest) -> bool:
-        """Forwards a call; True once it is in force there, or the other process is gone."""
-        if len(self._waiting) >= CALLS_MAX:
+        """Forwards an operator's call to the other process.
+
+        Args:
+            request: The call.
+
+        Returns:
+            Whether the call is in force in the other process, or that process is gone. False if it did not
+            acknowledge the call in time, or `PENDING_CALLS_MAX` calls are pending.
+        """
+        if len(self._pending_calls) >= PENDING_CALLS_MAX:
             return False
         self._calls_forwarded += 1
         number = self._calls_forwarded
-        waiter = self._waiting[number] = asyncio.get_running_loop().create_future()
+        waiter = self._pending_calls[number] = asyncio.get_running_loop().create_future()
         self.write(CallForwarded(number, request))
         try:
             async with asyncio.timeout_at(self._clock.loop_time(self._clock.now_us() + CALL_TIMEOUT_US)):
@@ -135,19 +156,19 @@
         return True
 
     def close(self) -> None:
-        """Closes the connection; calls that wait for the other process count as in force."""
-        for waiter in self._waiting.values():
+        """Closes the connection; pending calls count as in force, because the other process is gone."""
+        for waiter in self._pending_calls.values():
             if not waiter.done():
                 waiter.set_result(None)
-        self._waiting.clear()
+        self._pending_calls.clear()
         self._writer.close()
 
 
 class ProcessHandover:
-    """This process between its predecessor and its successor.
+    """The handovers of this process, from its predecessor and to its successor.
 
     Args:
-        folder: Where the socket is; both processes must be given the same one.
+        folder: The folder of the socket, which must be the same for both processes.
         name: The broker's name.
         host: The broker of this process.
         clock: The broker's clock.
@@ -161,17 +182,19 @@
         self._path = Path(folder) / f"{name.replace('/', '_')}.handover"
         self._host, self._clock, self._counters = host, clock, counters
         self._open_ids = open_ids
-        self._id_changes: dict[str, bool] = {}  # ids that opened (True) or closed in this turn of the loop
+        self._id_changes: dict[str, bool] = {}  # ids opened (True) or closed (False) in this loop iteration
         self._connections: set[HandoverConnection] = set()
         self._tasks: set[asyncio.Task[None]] = set()
         self._server: asyncio.Server | None = None
-        self._handed_over = False
+        self._has_handed_over = False
 
     async def take_over(self) -> HandoverState | None:
-        """The state of the process that serves now, which accepts nothing new from here on.
+        """Requests the handover from the running process.
 
-        None where there is no such process, or it does not answer as it should within `STATE_TIMEOUT_US`:
-        this process then goes on alone.
+        Returns:
+            The state of that process, which accepts no new connections from then on. None if there is no such
+            process, or if it does not send a valid state within `STATE_TIMEOUT_US`; this process then starts
+            without a state.
         """
         if not self._path.exists():
             return None
@@ -184,33 +207,37 @@
             return None
 
     async def _request_state(self) -> HandoverState:
+        """Connects and requests the state, and repeats both while the request is refused."""
         while True:
             connection = await self._connect()
             connection.write(HandoverRequested(supports_open_ids=True))
             message = await connection.read()
             if isinstance(message, HandoverGranted):
-                connection.sends_ids = message.state.open_ids is not None
+                connection.exchanges_open_ids = message.state.open_ids is not None
                 self._open_ids.update_remote(connection, message.state.open_ids or (), ())
                 self._serve_in_background(connection)
                 return message.state
             connection.close()
             if not isinstance(message, HandoverRefused):
-                raise BadMessageError("not what was asked for")
-            await asyncio.sleep(RETRY_S)  # until the process that took over from it listens
+                raise BadMessageError(
+                    f"expected a reply to the handover request, received {type(message).__name__}"
+                )
+            await asyncio.sleep(REQUEST_RETRY_S)  # until that process's own successor listens
 
     async def listen(self) -> None:
-        """Becomes the process that the next one asks.
+        """Starts to listen for a successor.
 
-        The socket's name changes hands in one step, so that whoever connects meets a running process.
+        The socket is renamed to its final path atomically, so a process that connects always reaches a
+        running process.
         """
-        self._handed_over = False
+        self._has_handed_over = False
         if self._server is not None:
             self._server.close()
         listener = socket.socket(socket.AF_UNIX)
         own_path = self._path.with_suffix(f".{os.getpid()}")
         try:
             own_path.unlink(missing_ok=True)
-            with _short(own_path) as name:
+            with _short_path(own_path) as name:
                 mask = os.umask(0o177)
                 try:
                     listener.bind(name)
@@ -222,14 +249,14 @@
             own_path.rename(self._path)
         except OSError as error:
             listener.close()
-            log.error("handover socket not available", extra={"error": str(error)})
+            log.error("cannot listen on the handover socket", extra={"error": str(error)})
 
     async def forward(self, request: AdminRequest) -> bool:
-        """Forwards an operators' call; whether it is in force in every other process that runs."""
-        return all(await asyncio.gather(*(one.forward(request) for one in self._connections)))
+        """Forwards an operator's call; returns whether it is in force in all other running processes."""
+        return all(await asyncio.gather(*(connection.forward(request) for connection in self._connections)))
 
     def stop(self) -> None:
-        """Closes the socket and the connections."""
+        """Closes the socket and all connections."""
         if self._server is not None:
             self._server.close()
         for connection in list(self._connections):
@@ -238,7 +265,10 @@
     # Ids of open requests
 
     def _on_id_change(self, request_id: str, opened: bool) -> None:
-        """Notes an id for the end of this turn of the loop; one that opens and closes in it is not sent."""
+        """Records a change that is sent at the end of this iteration of the event loop.
+
+        An id that is opened and closed within one iteration is not sent.
+        """
         if not self._id_changes:
             asyncio.get_running_loop().call_soon(self._send_id_changes)
         if not opened and self._id_changes.get(request_id):
@@ -247,32 +277,34 @@
             self._id_changes[request_id] = opened
 
     def _send_id_changes(self) -> None:
+        """Sends the recorded changes to all processes that support `OpenIdsChanged`."""
         changes, self._id_changes = self._id_changes, {}
         message = OpenIdsChanged(
             tuple(request_id for request_id, opened in changes.items() if opened),
             tuple(request_id for request_id, opened in changes.items() if not opened),
         )
         for connection in self._connections:
-            if changes and connection.sends_ids:
+            if changes and connection.exchanges_open_ids:
                 connection.write(message)
 
     def _on_connections_changed(self) -> None:
-        """Notes how many processes there are; follows ids only while one is there that wants them."""
+        """Updates the number of processes, and tracks ids only while another process supports them."""
         self._host.set_processes(1 + len(self._connections))
-        wanted = any(connection.sends_ids for connection in self._connections)
-        self._open_ids.on_change = self._on_id_change if wanted else None
+        is_exchanged = any(connection.exchanges_open_ids for connection in self._connections)
+        self._open_ids.on_change = self._on_id_change if is_exchanged else None
 
     # Connections
 
     async def _connect(self) -> HandoverConnection:
-        connecting = socket.socket(socket.AF_UNIX)
-        connecting.setblocking(False)
+        """Returns a connection to the process that listens on the socket."""
+        client_socket = socket.socket(socket.AF_UNIX)
+        client_socket.setblocking(False)
         try:
-            with _short(self._path) as name:
-                await asyncio.get_running_loop().sock_connect(connecting, name)
-            reader, writer = await asyncio.open_unix_connection(sock=connecting, limit=LINE_MAX)
+            with _short_path(self._path) as name:
+                await asyncio.get_running_loop().sock_connect(client_socket, name)
+            reader, writer = await asyncio.open_unix_connection(sock=client_socket, limit=LINE_MAX)
         except BaseException:
-            connecting.close()
+            client_socket.close()
             raise
         return HandoverConnection(reader, writer, self._host, self._clock, self._open_ids)
 
@@ -291,14 +323,14 @@
         task.add_done_callback(on_end)
 
     async def _on_connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """A process has connected, to become the successor."""
+        """Hands over to a process that has connected, and serves its messages until it ends."""
         connection = HandoverConnection(reader, writer, self._host, self._clock, self._open_ids)
         request = await self._read_request(connection)
         if request is None:
             return
-        self._handed_over = True
+        self._has_handed_over = True
         self._counters["handover.given"] += 1
-        connection.sends_ids = request.supports_open_ids
+        connection.exchanges_open_ids = request.supports_open_ids
         open_ids = self._open_ids.own() if request.supports_open_ids else None
         connection.write(HandoverGranted(replace(self._host.export_state(), open_ids=open_ids)))
         self._connections.add(connection)
@@ -306,21 +338,21 @@
         await connection.serve()
         self._connections.discard(connection)
         self._on_connections_changed()
-        self._handed_over = False
+        self._has_handed_over = False
         self._host.undo_handover()
 
     async def _read_request(self, connection: HandoverConnection) -> HandoverRequested | None:
-        """The successor's request; None where it was refused."""
+        """Returns the successor's request; None if it was refused."""
         try:
             async with asyncio.timeout_at(self._clock.loop_time(self._clock.now_us() + STATE_TIMEOUT_US)):
                 message = await connection.read()
-            if isinstance(message, HandoverRequested) and not self._handed_over:
+            if isinstance(message, HandoverRequested) and not self._has_handed_over:
                 return message
             connection.write(
-                HandoverRefused("handed over already" if self._handed_over else "nothing was asked for")
+                HandoverRefused("handed over already" if self._has_handed_over else "nothing was asked for")
             )
         except (EOFError, OSError, ValueError, BadMessageError, TimeoutError) as error:
-            log.warning("handover request not readable", extra={"error": str(error)})
+            log.warning("no valid handover request received", extra={"error": str(error)})
             with contextlib.suppress(OSError):
                 connection.write(HandoverRefused(str(error)))
         connection.close()
@@ -328,9 +360,9 @@
 
 
 @contextlib.contextmanager
-def _short(path: Path) -> Iterator[str]:
-    """A name of a path that fits into a Unix address, by its folder's descriptor if need be."""
-    if len(os.fsencode(path)) < UNIX_PATH_MAX:
+def _short_path(path: Path) -> Iterator[str]:
+    """Yields a path that fits into a Unix socket address, through the folder's descriptor if necessary."""
+    if len(os.fsencode(path)) < UNIX_PATH_MAX_BYTES:
         yield str(path)
         return
     folder = os.open(path.parent, os.O_RDONLY | os.O_DIRECTORY)
--- a/lemonridge/net/sockets.py
+++ b/lemonridge/net/sockets.py
@@ -1,4 +1,4 @@
-"""Questions to the operating system about a connection, and whose fault a socket's error is."""
+"""Queries the operating system about a connection, and classifies socket errors by their cause."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 import errno
 import select
 
-# Errors of socket(2) and connect(2) that this machine causes, whatever endpoint was meant.
+# Errors of socket(2) and connect(2) that are caused by this machine, whichever endpoint is connected to.
 LOCAL_ERRORS = frozenset(
     (
         errno.EMFILE,
@@ -24,15 +24,15 @@
 
 
 def input_is_empty(transport: asyncio.BaseTransport) -> bool:
-    """Whether nothing waits to be read on a connection, not even its end.
+    """Whether a connection has no unread bytes and has not ended.
 
-    The system is asked, since a busy event loop has not read yet what arrived.
+    The operating system is asked, because a busy event loop may not have read received bytes yet.
     """
     return not _poll(transport, select.POLLIN)
 
 
 def peer_has_closed(transport: asyncio.BaseTransport) -> bool:
-    """Whether the other side has closed a connection, also where that lies behind bytes that are not read."""
+    """Whether the other side has closed a connection, even if unread bytes precede the close."""
     return transport.is_closing() or _poll(transport, select.POLLRDHUP)
 
 
--- a/lemonridge/net/watch_stream.py
+++ b/lemonridge/net/watch_stream.py
@@ -1,4 +1,4 @@
-"""What the watches of an endpoint list share: an HTTP session and the backoff after a failure."""
+"""Shared parts of the watches of an endpoint list: an HTTP session and the backoff after a failure."""
 
 from __future__ import annotations
 
@@ -11,19 +11,27 @@
 from lemonridge.core.counters import Counters
 from lemonridge.net.http_client import plain_session
 
-DOUBLINGS_MAX = 16  # keeps the exponent small; the longest pause is reached long before
+DOUBLINGS_MAX = 16  # limits the exponent; the longest pause is reached long before
 
 
 def open_session() -> aiohttp.ClientSession:
-    """A session for one source of the list."""
+    """Opens an HTTP session to one source of the list."""
     return plain_session(aiohttp.TCPConnector(limit=0, happy_eyeballs_delay=None))
 
 
 class Backoff:
-    """Counts and logs the failures of one source, and pauses after each.
-
-    The pause is doubled up to a limit and jittered, so that brokers which lost a source together do not
-    return to it together. The counter is `NAME.failed`.
+    """Counts and logs the failures of one source, and pauses after each of them.
+
+    The pause doubles up to a maximum, with jitter, so that brokers that lost a source at the same time do not
+    reconnect at the same time. The counter is `NAME.failed`.
+
+    Args:
+        name: The name of the source, in the log and in the counter.
+        log: Receives the failures.
+        first_s: The first pause, in seconds.
+        longest_s: The longest pause, in seconds.
+        random: The random generator of the jitter.
+        counters: The process's counters.
     """
 
     def __init__(
@@ -39,11 +47,11 @@
         self._random, self._counters, self._failures = random, counters, 0
 
     def reset(self) -> None:
-        """A call succeeded: the next failure pauses for the shortest time."""
+        """Resets the pause to the shortest after a successful call."""
         self._failures = 0
 
     async def wait_after(self, error: Exception) -> None:
-        """Count and log a failure, and pause."""
+        """Counts and logs a failure, and pauses."""
         self._counters[f"{self._name}.failed"] += 1
         self._log.warning(f"{self._name} failed", extra={"error": f"{type(error).__name__}: {error}"})
         pause_s = min(self._longest_s, self._first_s * 2**self._failures)
@@ -51,5 +59,5 @@
         await asyncio.sleep(pause_s * self._random.uniform(0.5, 1.5))
 
     async def wait_before_first(self) -> None:
-        """Pause before the first call, by the first pause at most."""
+        """Pauses before the first call, for a random time up to the first pause."""
         await asyncio.sleep(self._first_s * self._random.random())
--- a/tests/net/test_connection_closing.py
+++ b/tests/net/test_connection_closing.py
@@ -102,9 +102,9 @@
     async def test_a_request_that_comes_as_its_resting_connection_is_closed_is_served(self) -> None:
         client = await self.idle_client()
         client.send(self.text())
-        self.assertTrue(self.front._table.close_waiting(patient=False))  # it is left for now
+        self.assertTrue(self.front._table.close_inactive(allow_incomplete=False))  # it is left for now
         self.assertIn(b"200 OK", await self.read(client))
-        while self.front._table.close_waiting(patient=False):
+        while self.front._table.close_inactive(allow_incomplete=False):
             await asyncio.sleep(0)
         self.assertEqual(await self.read(client), b"")
 
