--- a/lemonridge/net/admin_server.py
+++ b/lemonridge/net/admin_server.py
@@ -16,7 +16,7 @@
 
 CONNECTIONS_MAX = 32  # a further connection evicts the oldest
 CONNECTION_LIFETIME_S = 6.0  # after this time a connection is closed in any case
-DELAY_PERIOD_S = 0.05  # interval of measurements of the event loop's delay; callers wait 1 s at most
+LOOP_DELAY_PERIOD_S = 0.05  # interval of measurements of the event loop's delay; callers wait 1 s at most
 
 CallHandler = Callable[[AdminRequest], Awaitable[AdminReply]]
 
@@ -74,7 +74,7 @@
         self._handler, self._counters = handler, counters
         self._connections: dict[_AdminConnection, asyncio.TimerHandle] = {}  # lifetime timers, oldest first
         self._loop = asyncio.get_running_loop()
-        self._next_measurement_s = self._loop.time() + DELAY_PERIOD_S
+        self._next_measurement_s = self._loop.time() + LOOP_DELAY_PERIOD_S
         self._timer = self._loop.call_at(self._next_measurement_s, self._measure_loop_delay)
         self._listener: Listener | None = None
 
@@ -137,5 +137,5 @@
         """Records the delay of this timer, which is the time for which the event loop was blocked."""
         delay_ms = int((self._loop.time() - self._next_measurement_s) * 1000)
         self._counters["loop.late_ms_most"] = max(self._counters["loop.late_ms_most"], delay_ms)
-        self._next_measurement_s = self._loop.time() + DELAY_PERIOD_S
+        self._next_measurement_s = self._loop.time() + LOOP_DELAY_PERIOD_S
         self._timer = self._loop.call_at(self._next_measurement_s, self._measure_loop_delay)
--- a/lemonridge/net/http_connection.py
+++ b/lemonridge/net/http_connection.py
@@ -72,7 +72,7 @@
         self.accepted_late = table.lifecycle.phase is Phase.STOPPING
         self.arrived_us = 0
         self._received_bytes = 0
-        # Number of bytes received up to each time: a pipelined request is dated by the arrival of its last
+        # Numbers of received bytes with their times: a pipelined request is dated by the arrival of its last
         # byte.
         self._arrivals: deque[tuple[int, int]] = deque()
         self._paused_since_us = 0  # later bytes may have waited since this time; 0: not paused
--- a/lemonridge/net/peer_transport.py
+++ b/lemonridge/net/peer_transport.py
@@ -233,7 +233,7 @@
         self._bridge.on_attempt_sent(endpoint_id, request.units)
 
     def on_slow_start_began(self, action: SlowStartBegan) -> None:
-        """Handles the start of an endpoint's slow start."""
+        """Handles an endpoint that enters slow start."""
         self._bridge.on_slow_start_began(action, self._clock.now_us())
         self._flush()
 
--- a/tests/net/test_http_endpoints.py
+++ b/tests/net/test_http_endpoints.py
@@ -57,7 +57,7 @@
         self.assertEqual(self.node.seen, [])
 
     async def test_address_and_decision_are_checked_in_step_that_writes_first_byte(self) -> None:
-        """STANDING: a client may leave, a drain begin and a window end in any loop iteration before the write."""
+        """STANDING: a client may leave, a drain begin or a window end in any iteration before the write."""
         loop, recent_checks, checks_at_writes = asyncio.get_running_loop(), set[str](), list[set[str]]()
 
         def record_check(check: str) -> bool:
