--- a/lemonridge/service/service.py
+++ b/lemonridge/service/service.py
@@ -105,7 +105,7 @@
     def print_counters(self, reason: str) -> None:
         """Logs all counters; `reason` names the trigger, for example a signal."""
         if self.peers is not None:
-            self.peers.count()
+            self.peers.update_counters()
         self.counters.log_all(reason, self.name)
 
     async def stop(self) -> None:
