--- a/lemonridge/iscsi/connection.py
+++ b/lemonridge/iscsi/connection.py
@@ -1,4 +1,4 @@
-"""One TCP connection of an initiator: its login, its PDUs in and out, its status numbers, its pings."""
+"""One TCP connection of an initiator: login, PDUs in both directions, StatSN and pings."""
 
 from __future__ import annotations
 
@@ -26,12 +26,31 @@
 
 log = logging.getLogger(__name__)
 
-LOGIN_S = 5.0  # from the connection to the end of its login
-LINGER_S = 1.0  # for the last words to a peer; one that takes nothing must not hold what was written
+LOGIN_TIMEOUT_S = 5.0  # from the accepted connection to the end of its login phase
+CLOSE_TIMEOUT_S = 1.0  # so that pending output to a peer which reads nothing does not stay in memory
 
 
 class Connection:
-    """A connection; with its login it becomes part of a session."""
+    """A connection, which belongs to a session once its login has succeeded.
+
+    Args:
+        front: The iSCSI front that accepted the connection.
+        reader: Its input.
+        writer: Its output.
+
+    Attributes:
+        front: The iSCSI front.
+        reader: The input.
+        writer: The output.
+        peer: The initiator's IP address.
+        cid: The connection's CID; 0 before the first login request.
+        agreed: The negotiated parameters; the defaults until the login has succeeded.
+        session: The session; None until the login has succeeded.
+        statuses: Assigns StatSN, and keeps the PDUs that a Status SNACK may request.
+        unanswered_pings: Target transfer tags of the pings that the initiator has not answered.
+        last_received_s: When the last valid PDU was received, in seconds of the event loop's clock.
+        closed: Whether this side has closed the connection.
+    """
 
     def __init__(self, front: IscsiFront, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.front, self.reader, self.writer = front, reader, writer
@@ -41,78 +60,104 @@
         self.agreed = Agreed()
         self.session: Session | None = None
         self.statuses: StatusLog[Pdu] = StatusLog(1, 0)
-        self.unseen: set[int] = set()  # tags of pings that the initiator has not answered
-        self.heard = front.loop.time()
-        self.over = False
-        self._pinger: asyncio.TimerHandle | None = None
+        self.unanswered_pings: set[int] = set()
+        self.last_received_s = front.loop.time()
+        self.closed = False
+        self._ping_timer: asyncio.TimerHandle | None = None
 
     async def run(self) -> None:
-        """Login, then PDU after PDU until logout, the end of the connection or a breach of the protocol."""
+        """Runs the login, then processes PDUs until a logout, the end of the connection or a protocol error.
+
+        After the login, a PDU that breaks the protocol is answered with a Reject before the connection ends.
+
+        Raises:
+            OSError: The connection is lost.
+            asyncio.IncompleteReadError: The initiator has closed the connection.
+        """
         try:
-            async with asyncio.timeout_at(self.front.loop.time() + LOGIN_S):
+            async with asyncio.timeout_at(self.front.loop.time() + LOGIN_TIMEOUT_S):
                 login = await self._login()
         except TimeoutError:
             return
         except PduError as error:
-            log.warning("login broken", extra={"peer": self.peer, "error": str(error)})
+            log.warning(
+                "protocol error in login, closing connection", extra={"peer": self.peer, "error": str(error)}
+            )
             return
         if login is None:
             return
         self.agreed = login.agreed
         self.session = session = self.front.admit(self, login)
         self.statuses.keep = self.front.config.statuses if self.agreed.recovery else 0
-        self._watch()
+        self._check_liveness()
         try:
-            while not self.over and session.take(self, await self._read(session)):
+            while not self.closed and session.receive(self, await self._next_pdu(session)):
                 await self.writer.drain()
         except HeaderDigestError:
             self.front.counters["digests.header"] += 1
-            log.warning("header spoilt", extra={"peer": self.peer, "cid": self.cid})
+            log.warning(
+                "PDU header digest mismatch, closing connection", extra={"peer": self.peer, "cid": self.cid}
+            )
         except PduError as error:
-            # A breach of the protocol: a word about its cause, and the end of the connection.
             self.front.counters["pdus.rejected"] += 1
-            log.warning("rejected", extra={"peer": self.peer, "error": str(error)})
+            log.warning("PDU rejected, closing connection", extra={"peer": self.peer, "error": str(error)})
             self.reject(error.pdu, error.reason)
         await self.writer.drain()
 
-    async def _read(self, session: Session) -> Pdu:
-        """The next PDU whose data are sound. One that came spoilt is told of, and recovered or not by its
-        level (7.8): at level 0 the connection ends.
+    async def _next_pdu(self, session: Session) -> Pdu:
+        """Returns the next PDU whose digests are correct.
+
+        A PDU with a data digest error is rejected; at recovery level 0 the connection then ends, and at
+        higher levels its data is requested again (RFC 7143, section 7.8).
+
+        Raises:
+            HeaderDigestError: The header digest is wrong.
+            PduError: The PDU breaks the protocol, or its data digest is wrong at recovery level 0.
         """
         while True:
             try:
                 pdu = await read_pdu(
                     self.reader, self.agreed.recv_segment, self.agreed.header_digest, self.agreed.data_digest
                 )
-                self.heard = self.front.loop.time()
+                self.last_received_s = self.front.loop.time()
                 return pdu
             except DataDigestError as error:
                 self.front.counters["digests.data"] += 1
                 if not self.agreed.recovery:
-                    raise PduError(PduError.DIGEST, "a data digest at recovery level 0", error.pdu) from None
+                    raise PduError(
+                        PduError.DIGEST, "data digest mismatch at recovery level 0", error.pdu
+                    ) from None
                 self.reject(error.pdu, PduError.DIGEST)
-                session.spoilt(self, error.pdu)
+                session.data_digest_failed(self, error.pdu)
 
     async def _login(self) -> TargetLogin | None:
+        """Runs the login phase.
+
+        Returns:
+            The successful login; None if it was refused, or if too many logins from this address have failed.
+
+        Raises:
+            PduError: A PDU is not a Login Request.
+        """
         front = self.front
-        if not front.attempts.allows(self.peer, front.clock.now_us()):
+        if not front.login_attempts.allows(self.peer, front.clock.now_us()):
             front.counters["logins.barred"] += 1
             return None
-        login = TargetLogin(front.rules)
-        first = True
+        login = TargetLogin(front.login_rules)
+        is_first_request = True
         while True:
             pdu = await read_pdu(self.reader)
             if pdu.opcode != Op.LOGIN:
-                raise PduError(PduError.PROTOCOL, "not a login request", pdu)
-            if first:
-                front.expected[self] = pdu.words[1]
-                self.cid, first = pdu.words[0] >> 16, False
+                raise PduError(PduError.PROTOCOL, "expected a Login Request", pdu)
+            if is_first_request:
+                front.login_exp_cmd_sns[self] = pdu.words[1]
+                self.cid, is_first_request = pdu.words[0] >> 16, False
             reply = login.take(pdu)
             if reply.status:
                 front.counters["logins.refused"] += 1
                 if reply.status == AUTHENTICATION:
                     front.counters["logins.unauthenticated"] += 1
-                    front.attempts.failed(self.peer, front.clock.now_us())
+                    front.login_attempts.failed(self.peer, front.clock.now_us())
                 log.warning(
                     "login refused",
                     extra={"peer": self.peer, "status": f"{reply.status:#06x}", "why": login.why},
@@ -120,71 +165,93 @@
             lun = pdu.lun
             if reply.over and not reply.status:
                 lun = lun[:6] + front.tsih_for(login).to_bytes(2, "big")
-            answer = Pdu(
+            response = Pdu(
                 Op.LOGIN_RESPONSE,
                 reply.flags,
                 lun=lun,
                 tag=pdu.tag,
                 data=reply.data,
-                words=[0, 0, front.expected[self], 0, reply.status << 16, 0, 0],
+                words=[0, 0, front.login_exp_cmd_sns[self], 0, reply.status << 16, 0, 0],
             )
-            self._number(answer)
-            answer.words[3] = (front.expected[self] + front.config.queue_depth - 1) & NONE
-            self.writer.write(answer.encode())
+            self._assign_stat_sn(response)
+            response.words[3] = (front.login_exp_cmd_sns[self] + front.config.queue_depth - 1) & NONE
+            self.writer.write(response.encode())
             await self.writer.drain()
             if reply.over:
                 return None if reply.status else login
 
-    # What goes out
+    # Sending PDUs
 
     def send(self, pdu: Pdu, status: bool = False) -> None:
-        """Write with this connection's and its session's numbers; what carries status takes a StatSN."""
+        """Sends a PDU with the current StatSN, ExpCmdSN and MaxCmdSN.
+
+        Args:
+            pdu: The PDU.
+            status: Whether the PDU carries status and therefore takes a StatSN of its own.
+        """
         if status:
-            self._number(pdu)
+            self._assign_stat_sn(pdu)
         else:
             pdu.words[1] = self.statuses.next
-        self.again(pdu)
+        self.write(pdu)
 
-    def again(self, pdu: Pdu) -> None:
-        """Write a PDU under the StatSN that it has, with the command numbers of this moment."""
+    def write(self, pdu: Pdu) -> None:
+        """Writes a PDU with the StatSN that it already has and the current ExpCmdSN and MaxCmdSN.
+
+        Args:
+            pdu: The PDU.
+        """
         if self.session is not None:
-            pdu.words[2], pdu.words[3] = self.session.numbers()
+            pdu.words[2], pdu.words[3] = self.session.command_numbers()
         if not self.writer.is_closing():
             self.writer.write(pdu.encode(self.agreed.header_digest, self.agreed.data_digest))
 
-    def _number(self, pdu: Pdu) -> None:
+    def _assign_stat_sn(self, pdu: Pdu) -> None:
+        """Gives a PDU the next StatSN."""
         pdu.words[1] = self.statuses.next
         self.statuses.number(pdu)
 
     def reject(self, pdu: Pdu | None, reason: int) -> None:
+        """Sends a Reject (RFC 7143, section 11.17).
+
+        Args:
+            pdu: The rejected PDU, whose header is returned to the initiator; None if there is none.
+            reason: The reason code.
+        """
         self.front.counters[f"rejects.{reason:#04x}"] += 1
         self.send(Pdu(Op.REJECT, byte2=reason, data=pdu.encode()[:48] if pdu else b""), status=True)
 
-    # Its life
+    # Liveness and closing
+
+    def _check_liveness(self) -> None:
+        """Pings an initiator that has been silent for `ping_s`; aborts the connection after twice that time.
 
-    def _watch(self) -> None:
-        """Ping a peer that says nothing; one that then still says nothing is gone (11.19)."""
-        every = self.front.config.ping_s
-        if not every or self.over:
+        The ping is a NOP-In (RFC 7143, section 11.19).
+        """
+        interval_s = self.front.config.ping_s
+        if not interval_s or self.closed:
             return
-        silent = self.front.loop.time() - self.heard
-        if silent >= 2 * every:
+        silence_s = self.front.loop.time() - self.last_received_s
+        if silence_s >= 2 * interval_s:
             log.info("initiator silent", extra={"peer": self.peer, "cid": self.cid})
             self.front.counters["connections.silent"] += 1
             self.writer.transport.abort()
             return
-        if silent >= every and not self.unseen:
+        if silence_s >= interval_s and not self.unanswered_pings:
             tag = secrets.randbelow(NONE)
-            self.unseen.add(tag)
+            self.unanswered_pings.add(tag)
             self.send(Pdu(Op.NOP_IN, words=[tag, 0, 0, 0, 0, 0, 0]))
-        self._pinger = self.front.loop.call_later(every / 4, self._watch)
+        self._ping_timer = self.front.loop.call_later(interval_s / 4, self._check_liveness)
 
     def close(self) -> None:
-        """End it; what is written still goes out, for a while."""
-        if self.over:
+        """Closes the connection; pending output is still sent for up to `CLOSE_TIMEOUT_S`.
+
+        A second call has no effect.
+        """
+        if self.closed:
             return
-        self.over = True
-        if self._pinger is not None:
-            self._pinger.cancel()
+        self.closed = True
+        if self._ping_timer is not None:
+            self._ping_timer.cancel()
         self.writer.close()
-        self.front.loop.call_later(LINGER_S, self.writer.transport.abort)
+        self.front.loop.call_later(CLOSE_TIMEOUT_S, self.writer.transport.abort)
--- a/lemonridge/iscsi/initiator.py
+++ b/lemonridge/iscsi/initiator.py
@@ -1,4 +1,4 @@
-"""The nodes' side of the iSCSI front: one attempt at a node's target, one outcome."""
+"""The iSCSI initiator towards the nodes: makes attempts at their targets, over one session to each."""
 
 from __future__ import annotations
 
@@ -40,7 +40,7 @@
 
 log = logging.getLogger(__name__)
 
-OFFERED = (
+OFFERED_KEYS = (
     "HeaderDigest",
     "DataDigest",
     "MaxConnections",
@@ -51,129 +51,166 @@
     "MaxOutstandingR2T",
     "ErrorRecoveryLevel",
 )
-RETIRE = 0.9  # of the time after which a node may end an idle session
-NEVER_RAN = frozenset((scsi.Status.BUSY, scsi.Status.TASK_SET_FULL))
+IDLE_LIMIT_FRACTION = 0.9  # of the idle time after which a node may end a session
+NOT_EXECUTED_STATUSES = frozenset((scsi.Status.BUSY, scsi.Status.TASK_SET_FULL))
 
 
-class LostError(Exception):
-    """The session ended under a command."""
+class SessionLostError(Exception):
+    """The session ended while a command was in flight; the command may have run."""
 
 
 @dataclass(slots=True)
-class Flight:
-    """A command that a node has been sent."""
+class PendingCommand:
+    """A command that was sent to a node and has no status yet.
+
+    Attributes:
+        command: The command.
+        reply: The node's reply; `SessionLostError` if the session ends first.
+        data: The data received so far.
+    """
 
     command: scsi.Command
-    done: asyncio.Future[scsi.Reply]
+    reply: asyncio.Future[scsi.Reply]
     data: bytearray = field(default_factory=bytearray)
 
 
 class IscsiEndpoints:
-    """Makes attempts at the nodes' targets, over one session to each."""
+    """Makes attempts at the nodes' targets.
+
+    Counters: `connections.opened`, `digests.node`.
+
+    Args:
+        config: The configuration of the iSCSI front.
+        registry: The endpoints, with their addresses and shards.
+        counters: The counters.
+    """
 
-    def __init__(self, config: IscsiConfig, directory: EndpointRegistry, counters: Counters) -> None:
-        self._config, self._directory, self._counters = config, directory, counters
+    def __init__(self, config: IscsiConfig, registry: EndpointRegistry, counters: Counters) -> None:
+        self._config, self._registry, self._counters = config, registry, counters
         self._loop = asyncio.get_running_loop()
         self._sessions: dict[str, asyncio.Task[EndpointSession]] = {}
-        # How many commands wait for each login. It counts them until they resume, turns after it has ended.
+        # Commands that wait for each login. They count until they resume, some loop turns after its end.
         self._login_waiters: Counter[asyncio.Task[EndpointSession]] = Counter()
 
     async def attempt(self, attempt: Attempt) -> Outcome:
-        """Send the command once and wait for its status."""
+        """Sends a command to a node once and waits for its status.
+
+        Args:
+            attempt: The attempt, whose request's payload is a SCSI command.
+
+        Returns:
+            The outcome, with a SCSI reply if the node has executed the command.
+
+        Raises:
+            AttemptSuppressedError: The endpoint has no address any more or another one, or the data has moved
+                to another shard.
+            ConnectFailedError: There is no session with the node, or the node does not check extent versions.
+            LocalFailureError: This host could not open a connection.
+        """
         command = attempt.request.payload
         assert isinstance(command, scsi.Command)
-        address, route = self._directory.address(attempt.endpoint_id), attempt.request.route
+        address, route = self._registry.address(attempt.endpoint_id), attempt.request.route
         if address is None or (
-            route is not None and self._directory.shard(attempt.endpoint_id) != route.shard
+            route is not None and self._registry.shard(attempt.endpoint_id) != route.shard
         ):
-            raise AttemptSuppressedError  # or the data has moved since the module chose
+            raise AttemptSuppressedError  # the endpoint is gone, or the data has moved since the decision
         session = await self._session(address)
-        if self._directory.address(attempt.endpoint_id) != address:  # the list changed during the login
+        if self._registry.address(attempt.endpoint_id) != address:  # the list changed during the login
             raise AttemptSuppressedError
-        if session.ended:  # what is written to it now would go nowhere, and count as what may have run
+        if session.is_unavailable:  # a command written now would be lost, yet count as possibly executed
             raise ConnectFailedError
         if not session.has_room:
             return Outcome(AttemptResult.QUEUE_FULL)
         ahs = b""
         if isinstance(route, Route):
-            if not session.versioned:
-                log.error("node does not check versions", extra={"node": attempt.endpoint_id})
+            if not session.checks_versions:
+                log.error("node does not support extent versions", extra={"node": attempt.endpoint_id})
                 raise ConnectFailedError
             ahs = versions.pack_ahs(route.piece.extent, route.piece.version)
-        attempt.begin()  # from here on it may have run: no await stands between this and the write
+        attempt.begin()  # the command may run from here on: there is no await between this and the write
         try:
             reply = await session.execute(command, ahs)
-        except (LostError, ConnectionError):
+        except (SessionLostError, ConnectionError):
             return Outcome(AttemptResult.RESET)
-        if reply.status in NEVER_RAN:
+        if reply.status in NOT_EXECUTED_STATUSES:
             return Outcome(AttemptResult.QUEUE_FULL)
         if reply.status == scsi.Status.TASK_ABORTED:
             return Outcome(AttemptResult.ERROR)
-        if ahs and (told := versions.unpack_moved(reply.sense)) is not None:
-            return Outcome(AttemptResult.DATA_MIGRATED, told)
+        if ahs and (redirect := versions.unpack_moved(reply.sense)) is not None:
+            return Outcome(AttemptResult.DATA_MIGRATED, redirect)
         return Outcome(AttemptResult.OK, reply)
 
     async def close(self) -> None:
-        """Log out of every session."""
-        for opening in self._sessions.values():
-            if opening.done() and not opening.cancelled() and opening.exception() is None:
-                opening.result().end()
-            opening.cancel()
+        """Logs out of every session."""
+        for login_task in self._sessions.values():
+            if login_task.done() and not login_task.cancelled() and login_task.exception() is None:
+                login_task.result().end()
+            login_task.cancel()
         self._sessions.clear()
 
     async def _session(self, address: str) -> EndpointSession:
-        """The session with a node; commands that come while it is being made wait for the same one.
+        """Returns the session with a node, and opens one if there is none.
+
+        Commands that arrive during the login wait for it. They resume in the order of their arrival, because
+        commands are delivered to the device in the order of CmdSN (RFC 7143, section 4.2.2.1).
 
-        They go on in the order in which they came (RFC 7143, 4.2.2.1: commands reach the device in the order
-        of their numbers).
+        Raises:
+            ConnectFailedError: The connection or the login failed.
+            LocalFailureError: This host could not open a connection.
         """
-        opening = self._sessions.get(address)
-        if opening is not None and opening.done() and not _usable(opening, self._config.keepalive_us):
-            opening = None
-        if opening is None:
+        login_task = self._sessions.get(address)
+        if (
+            login_task is not None
+            and login_task.done()
+            and not _is_usable(login_task, self._config.keepalive_us)
+        ):
+            login_task = None
+        if login_task is None:
             self._counters["connections.opened"] += 1
-            for other in [name for name, task in self._sessions.items() if task.done()]:
-                if not _usable(self._sessions[other], self._config.keepalive_us):
-                    del self._sessions[other]
-            opening = self._sessions[address] = asyncio.create_task(self._open(address))
+            for known_address in [address for address, task in self._sessions.items() if task.done()]:
+                if not _is_usable(self._sessions[known_address], self._config.keepalive_us):
+                    del self._sessions[known_address]
+            login_task = self._sessions[address] = asyncio.create_task(self._open(address))
         try:
-            if not opening.done() or self._login_waiters[opening]:
-                await self._wait_in_line(opening)
-            return opening.result()
-        except OSError as error:  # a connect that took too long is a TimeoutError, an OSError
+            if not login_task.done() or self._login_waiters[login_task]:
+                await self._wait_for_login(login_task)
+            return login_task.result()
+        except OSError as error:  # includes TimeoutError of a connect that took too long
             raise (LocalFailureError if error.errno in LOCAL_ERRORS else ConnectFailedError) from None
         except (EOFError, PduError):
             raise ConnectFailedError from None
 
-    async def _wait_in_line(self, opening: asyncio.Task[EndpointSession]) -> None:
-        """Wait for the end of a login, behind each command that waits for it already.
+    async def _wait_for_login(self, login_task: asyncio.Task[EndpointSession]) -> None:
+        """Waits for the end of a login, behind every command that already waits for it.
 
-        A callback takes its turn behind those that were added before, even once the login has ended. A shield
-        of a login that has ended would not suspend, and pass them all.
+        A callback runs after those that were added before it, also once the login has ended. Awaiting a
+        shield of a login that has ended would not suspend, so that a later command would overtake the waiting
+        ones.
         """
         login_ended: asyncio.Future[None] = self._loop.create_future()
 
         def on_login_ended(ended: asyncio.Task[EndpointSession]) -> None:
             if not ended.cancelled():
-                ended.exception()  # asyncio logs one that nobody has asked for
+                ended.exception()  # asyncio logs exceptions that are never retrieved
             if not login_ended.done():
                 login_ended.set_result(None)
 
-        opening.add_done_callback(on_login_ended)
-        self._login_waiters[opening] += 1
+        login_task.add_done_callback(on_login_ended)
+        self._login_waiters[login_task] += 1
         try:
             await login_ended
         finally:
-            self._login_waiters[opening] -= 1
-            if not self._login_waiters[opening]:
-                del self._login_waiters[opening]
+            self._login_waiters[login_task] -= 1
+            if not self._login_waiters[login_task]:
+                del self._login_waiters[login_task]
 
     async def _open(self, address: str) -> EndpointSession:
+        """Connects to a node's target and logs in."""
         portal, _, target = address.partition("/")
-        at = Address.parse(portal, "a node's address")
+        portal_address = Address.parse(portal, "a node's address")
         loop = asyncio.get_running_loop()
         async with asyncio.timeout_at(loop.time() + self._config.connect_us / 1e6):
-            reader, writer = await asyncio.open_connection(at.host, at.port)
+            reader, writer = await asyncio.open_connection(portal_address.host, portal_address.port)
             keep_alive(writer)
             session = EndpointSession(reader, writer, self._counters)
             try:
@@ -184,119 +221,187 @@
         return session
 
 
-def _usable(opening: asyncio.Task[EndpointSession], keepalive_us: int) -> bool:
-    if opening.cancelled() or opening.exception() is not None:
+def _is_usable(login_task: asyncio.Task[EndpointSession], keepalive_us: int) -> bool:
+    """Returns whether an ended login has left a session that accepts commands.
+
+    A session that has been idle for too long is ended, before the node may end it.
+    """
+    if login_task.cancelled() or login_task.exception() is not None:
         return False
-    session = opening.result()
-    if session.idle_s > keepalive_us * RETIRE / 1e6:
+    session = login_task.result()
+    if session.idle_s > keepalive_us * IDLE_LIMIT_FRACTION / 1e6:
         session.end()
-    return not session.over
+    return not session.closing
 
 
 class EndpointSession:
-    """One session with a node's target."""
+    """One session, of one connection, with a node's target.
+
+    Args:
+        reader: The connection's input.
+        writer: The connection's output.
+        counters: The counters.
+
+    Attributes:
+        closing: Whether the session accepts no new commands.
+        checks_versions: Whether the node executes a command only under the extent version that it names.
+    """
 
     def __init__(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, counters: Counters
     ) -> None:
         self._reader, self._writer, self._counters = reader, writer, counters
         self._loop = asyncio.get_running_loop()
-        self._tags = itertools.count(1)
+        self._task_tags = itertools.count(1)
         self._cmd_sn, self._max_cmd_sn, self._exp_stat_sn = 1, 1, 0
-        self._flights: dict[int, Flight] = {}
+        self._pending_commands: dict[int, PendingCommand] = {}
         self._agreed = Agreed()
-        self._heard, self._used = self._loop.time(), self._loop.time()
+        self._last_received_s, self._last_used_s = self._loop.time(), self._loop.time()
         self._receiver: asyncio.Task[None] | None = None
-        self.over = False  # takes no new commands
-        self.versioned = False  # runs a command only under the extent's version that it names
+        self.closing = False
+        self.checks_versions = False
 
     @property
     def has_room(self) -> bool:
-        """Whether the target's window takes another command."""
+        """Whether the target's command window has room for another command."""
         return later(self._max_cmd_sn, self._cmd_sn) >= 0
 
     @property
-    def ended(self) -> bool:
-        """Whether it is over, or the target has closed it and the event loop has not read that yet."""
-        return self.over or peer_has_closed(self._writer.transport)
+    def is_unavailable(self) -> bool:
+        """Whether the session is closing or the target has closed the connection.
+
+        The operating system is asked, since the event loop may not have read the end of the connection yet.
+        """
+        return self.closing or peer_has_closed(self._writer.transport)
 
     @property
     def idle_s(self) -> float:
-        return 0.0 if self._flights else self._loop.time() - self._used
+        """How long no command has been in flight, in seconds."""
+        return 0.0 if self._pending_commands else self._loop.time() - self._last_used_s
 
     async def login(self, config: IscsiConfig, target: str) -> None:
-        """Authentication where there is an account, then operational negotiation (RFC 7143, chapter 6)."""
+        """Authenticates if there is an account, then negotiates the parameters (RFC 7143, chapter 6).
+
+        Args:
+            config: The configuration of the iSCSI front.
+            target: The target's iSCSI name.
+
+        Raises:
+            PduError: The target refuses the login or breaks the protocol.
+            OSError: The connection is lost.
+            EOFError: The target has closed the connection.
+        """
         names = [("InitiatorName", config.initiator), ("TargetName", target), ("SessionType", "Normal")]
-        isid = b"\x80" + next(_isid).to_bytes(5, "big")
+        isid = b"\x80" + next(_isid_counter).to_bytes(5, "big")
         if config.endpoint_account is not None:
             await self._authenticate(isid, names, config.endpoint_account)
             names = []
         wishes = config.endpoint_wishes
-        offers = proposal(wishes, OFFERED)
+        offers = proposal(wishes, OFFERED_KEYS)
         offers.append(("MaxRecvDataSegmentLength", str(PORTAL_MAX)))
         if config.mapped:
             offers.append((versions.KEY, versions.AGREED))
-        told, final = await self._exchange(isid, 1, 3, names + offers)
-        if not final:
-            raise PduError(PduError.PROTOCOL, "the login goes on after all was said")
+        answers, transit = await self._exchange(isid, 1, 3, names + offers)
+        if not transit:
+            raise PduError(PduError.PROTOCOL, "the target does not end the login")
         try:
-            self._agreed, private = conclude(offers, told, PORTAL_MAX)
+            self._agreed, private = conclude(offers, answers, PORTAL_MAX)
         except NegotiationError as error:
-            raise PduError(PduError.PROTOCOL, f"login answered with {error}") from None
-        self.versioned = private.get(versions.KEY) == versions.AGREED
-        self._receiver = asyncio.create_task(self._receive())
+            raise PduError(PduError.PROTOCOL, f"negotiation failed: {error}") from None
+        self.checks_versions = private.get(versions.KEY) == versions.AGREED
+        self._receiver = asyncio.create_task(self._receive_pdus())
 
     async def _authenticate(self, isid: bytes, names: Pairs, account: chap.Account) -> None:
-        """CHAP, mutual where the account has a secret for the node (RFC 7143, section 12.1.3)."""
-        ours = chap.Initiator(account, secrets.token_bytes)
+        """Authenticates with CHAP, and the node too if the account has a secret for it.
+
+        RFC 7143, section 12.1.3.
+
+        Raises:
+            PduError: The authentication failed.
+        """
+        chap_initiator = chap.Initiator(account, secrets.token_bytes)
         try:
-            told, _ = await self._exchange(isid, 0, 0, [*names, ("AuthMethod", "CHAP"), *ours.begin()])
-            if "CHAP_C" not in dict(told):  # the method is agreed on first
-                told, _ = await self._exchange(isid, 0, 0, ours.begin())
-            told, final = await self._exchange(isid, 0, 1, ours.respond(dict(told)))
-            ours.check(dict(told))
+            answers, _ = await self._exchange(
+                isid, 0, 0, [*names, ("AuthMethod", "CHAP"), *chap_initiator.begin()]
+            )
+            if "CHAP_C" not in dict(answers):  # the target has answered AuthMethod alone
+                answers, _ = await self._exchange(isid, 0, 0, chap_initiator.begin())
+            answers, transit = await self._exchange(isid, 0, 1, chap_initiator.respond(dict(answers)))
+            chap_initiator.check(dict(answers))
         except chap.ChapError as error:
-            raise PduError(PduError.PROTOCOL, f"authentication: {error}") from None
-        if not final:
-            raise PduError(PduError.PROTOCOL, "the node does not leave the security stage")
-
-    async def _exchange(self, isid: bytes, now: int, following: int, pairs: Pairs) -> tuple[Pairs, bool]:
-        """One step of the login: what the node says, in as many PDUs as it takes, and whether the stage is
-        left.
+            raise PduError(PduError.PROTOCOL, f"authentication failed: {error}") from None
+        if not transit:
+            raise PduError(PduError.PROTOCOL, "the target does not leave the security stage")
+
+    async def _exchange(
+        self, isid: bytes, current_stage: int, next_stage: int, pairs: Pairs
+    ) -> tuple[Pairs, bool]:
+        """Sends one login request and receives the response, in as many PDUs as it takes.
+
+        Args:
+            isid: The ISID of the new session.
+            current_stage: The stage of the login.
+            next_stage: The stage to move to; `current_stage` to stay.
+            pairs: The text keys to send.
+
+        Returns:
+            The target's text keys, and whether it moves to the next stage.
+
+        Raises:
+            PduError: The target refuses the login or breaks the protocol.
         """
-        flags = now << 2 | (FINAL | following if following != now else 0)
+        flags = current_stage << 2 | (FINAL | next_stage if next_stage != current_stage else 0)
         data, text = pack_text(pairs), b""
         while True:
             self._write(
-                Pdu(Op.LOGIN, flags, lun=isid + b"\0\0", tag=0, data=data, immediate=True), number=True
+                Pdu(Op.LOGIN, flags, lun=isid + b"\0\0", tag=0, data=data, immediate=True), numbered=True
             )
-            answer = await read_pdu(self._reader)
-            if answer.opcode != Op.LOGIN_RESPONSE or answer.words[4] >> 16:
-                raise PduError(PduError.PROTOCOL, f"login refused with {answer.words[4] >> 16:#06x}", answer)
-            self._numbers(answer, status=True)
-            text += answer.data
-            if len(text) > TEXT_MAX or answer.flags >> 2 & 3 != now:
-                raise PduError(PduError.PROTOCOL, "a login response out of place", answer)
-            if not answer.flags & CONTINUE:
+            response = await read_pdu(self._reader)
+            if response.opcode != Op.LOGIN_RESPONSE or response.words[4] >> 16:
+                raise PduError(
+                    PduError.PROTOCOL, f"login refused with {response.words[4] >> 16:#06x}", response
+                )
+            self._update_numbers(response, carries_status=True)
+            text += response.data
+            if len(text) > TEXT_MAX or response.flags >> 2 & 3 != current_stage:
+                raise PduError(
+                    PduError.PROTOCOL, "login response of an unexpected stage or too long", response
+                )
+            if not response.flags & CONTINUE:
                 break
             data = b""
-        final = bool(answer.flags & FINAL)
-        if final and answer.flags & 3 != following:
-            raise PduError(PduError.PROTOCOL, "a login response out of place", answer)
+        transit = bool(response.flags & FINAL)
+        if transit and response.flags & 3 != next_stage:
+            raise PduError(PduError.PROTOCOL, "login response of an unexpected stage or too long", response)
         try:
-            return parse(text), final
+            return parse(text), transit
         except NegotiationError as error:
-            raise PduError(PduError.PROTOCOL, str(error), answer) from None
+            raise PduError(PduError.PROTOCOL, str(error), response) from None
 
     async def execute(self, command: scsi.Command, ahs: bytes = b"") -> scsi.Reply:
-        """Send a command, with as much of its data as goes along; the target asks for the rest."""
-        tag, sent = next(self._tags) % NONE, self._loop.time()
-        flight = self._flights[tag] = Flight(command, self._loop.create_future())
+        """Sends a command with its immediate data, and the rest of its data as the target requests it.
+
+        If the caller cancels it, the command is aborted with ABORT TASK. If nothing at all has been received
+        since the command was sent, the session is aborted instead, since the target may be unreachable and
+        later commands would be lost too.
+
+        Args:
+            command: The command.
+            ahs: Additional header segments.
+
+        Returns:
+            The target's reply.
+
+        Raises:
+            SessionLostError: The session ended before the reply.
+        """
+        tag, sent_s = next(self._task_tags) % NONE, self._loop.time()
+        pending = self._pending_commands[tag] = PendingCommand(command, self._loop.create_future())
         agreed = self._agreed
-        first = min(agreed.send_segment, agreed.first_burst)
-        data = command.data[:first] if agreed.immediate_data else b""
+        immediate_bytes = min(agreed.send_segment, agreed.first_burst)
+        data = command.data[:immediate_bytes] if agreed.immediate_data else b""
         flags = FINAL | (0x40 if command.reads else 0) | (0x20 if command.writes else 0) | 1  # simple task
-        cdb = [int.from_bytes(command.cdb[n : n + 4], "big") for n in range(0, 16, 4)]
+        cdb_words = [int.from_bytes(command.cdb[offset : offset + 4], "big") for offset in range(0, 16, 4)]
         self._write(
             Pdu(
                 Op.SCSI_COMMAND,
@@ -305,55 +410,56 @@
                 tag=tag,
                 data=data,
                 ahs=ahs,
-                words=[command.length, 0, 0, *cdb],
+                words=[command.length, 0, 0, *cdb_words],
             ),
-            number=True,
+            numbered=True,
         )
         try:
-            return await flight.done
+            return await pending.reply
         except asyncio.CancelledError:
-            # Called off. Where nothing at all was heard since it was sent the session is lost too: it
-            # would swallow what comes after it.
-            if self._heard < sent:
-                self._fail("silent")
+            if self._last_received_s < sent_s:
+                self._abort_session("the target sends nothing")
             else:
                 self._write(
                     Pdu(
                         Op.TASK_MANAGEMENT,
                         FINAL | 1,
                         lun=pack_lun(command.lun),
-                        tag=next(self._tags) % NONE,
+                        tag=next(self._task_tags) % NONE,
                         immediate=True,
                         words=[tag, 0, 0, self._cmd_sn, 0, 0, 0],
                     ),
-                    number=True,
+                    numbered=True,
                 )
             raise
         finally:
-            self._flights.pop(tag, None)
-            self._used = self._loop.time()
-            if self.over and not self._flights:
+            self._pending_commands.pop(tag, None)
+            self._last_used_s = self._loop.time()
+            if self.closing and not self._pending_commands:
                 self.end()
 
     def end(self) -> None:
-        """No new commands; log out once the last one has ended."""
-        self.over = True
-        if not self._flights and not self._writer.is_closing():
-            self._write(Pdu(Op.LOGOUT, FINAL, tag=next(self._tags) % NONE, immediate=True), number=True)
-            self._writer.close()  # what is written still goes out
-
-    def _fail(self, why: str) -> None:
-        """The session is over, now: every command in flight may have run."""
-        self.over = True
-        for flight in self._flights.values():
-            if not flight.done.done():
-                flight.done.set_exception(LostError(why))
-        self._writer.transport.abort()  # a peer that takes nothing must not hold what was written to it
+        """Accepts no new commands, and logs out once no command is in flight."""
+        self.closing = True
+        if not self._pending_commands and not self._writer.is_closing():
+            self._write(
+                Pdu(Op.LOGOUT, FINAL, tag=next(self._task_tags) % NONE, immediate=True), numbered=True
+            )
+            self._writer.close()  # pending output is still sent
+
+    def _abort_session(self, reason: str) -> None:
+        """Ends the session at once; every command in flight may have run."""
+        self.closing = True
+        for pending in self._pending_commands.values():
+            if not pending.reply.done():
+                pending.reply.set_exception(SessionLostError(reason))
+        self._writer.transport.abort()  # drops pending output, which an unresponsive target would not read
         if self._receiver is not None and self._receiver is not asyncio.current_task():
             self._receiver.cancel()
 
-    def _write(self, pdu: Pdu, number: bool = False) -> None:
-        if number:
+    def _write(self, pdu: Pdu, numbered: bool = False) -> None:
+        """Writes a PDU with the current ExpStatSN, and with CmdSN if it is `numbered`."""
+        if numbered:
             pdu.words[1], pdu.words[2] = self._cmd_sn, self._exp_stat_sn
             if not pdu.immediate:
                 self._cmd_sn = (self._cmd_sn + 1) & NONE
@@ -362,107 +468,123 @@
         if not self._writer.is_closing():
             self._writer.write(pdu.encode(self._agreed.header_digest, self._agreed.data_digest))
 
-    def _numbers(self, pdu: Pdu, status: bool) -> None:
-        if status:
+    def _update_numbers(self, pdu: Pdu, carries_status: bool) -> None:
+        """Updates ExpStatSN and MaxCmdSN from a received PDU."""
+        if carries_status:
             self._exp_stat_sn = (pdu.words[1] + 1) & NONE
-        if later(pdu.words[3], self._max_cmd_sn) > 0 or not self._flights:
+        if later(pdu.words[3], self._max_cmd_sn) > 0 or not self._pending_commands:
             self._max_cmd_sn = pdu.words[3]
 
-    async def _receive(self) -> None:
-        """Take what the target says until the session ends."""
-        why = "the target closed the connection"
+    async def _receive_pdus(self) -> None:
+        """Processes received PDUs until the session ends."""
+        reason = "the target closed the connection"
         try:
             while True:
                 pdu = await read_pdu(
                     self._reader, PORTAL_MAX, self._agreed.header_digest, self._agreed.data_digest
                 )
-                self._heard = self._loop.time()
-                self._take(pdu)
+                self._last_received_s = self._loop.time()
+                self._process_pdu(pdu)
         except (OSError, EOFError):
             pass
         except (HeaderDigestError, DataDigestError):
-            why = "spoilt on the way"  # at recovery level 0 a session ends with it (7.8)
+            reason = "digest mismatch"  # ends a session at recovery level 0 (RFC 7143, section 7.8)
             self._counters["digests.node"] += 1
-            log.warning("node's PDU spoilt")
+            log.warning("digest mismatch in a node's PDU, closing session")
         except PduError as error:
-            why = str(error)
-            log.warning("node broke the protocol", extra={"error": why})
+            reason = str(error)
+            log.warning("protocol error of a node, closing session", extra={"error": reason})
         except asyncio.CancelledError:
             return
-        self._fail(why)
+        self._abort_session(reason)
 
-    def _take(self, pdu: Pdu) -> None:
-        flight = self._flights.get(pdu.tag)
+    def _process_pdu(self, pdu: Pdu) -> None:
+        """Processes one received PDU.
+
+        Raises:
+            PduError: The PDU breaks the protocol.
+        """
+        pending = self._pending_commands.get(pdu.tag)
         if pdu.opcode == Op.SCSI_RESPONSE:
-            self._numbers(pdu, status=True)
-            if flight is not None:
-                self._respond(flight, pdu)
+            self._update_numbers(pdu, carries_status=True)
+            if pending is not None:
+                self._receive_response(pending, pdu)
         elif pdu.opcode == Op.DATA_IN:
-            self._numbers(pdu, status=bool(pdu.flags & 1))
-            if flight is not None:
-                self._data_in(flight, pdu)
+            self._update_numbers(pdu, carries_status=bool(pdu.flags & 1))
+            if pending is not None:
+                self._receive_data_in(pending, pdu)
         elif pdu.opcode == Op.R2T:
-            self._numbers(pdu, status=False)
-            if flight is not None:
-                self._data_out(flight, pdu)
+            self._update_numbers(pdu, carries_status=False)
+            if pending is not None:
+                self._send_data_out(pending, pdu)
         elif pdu.opcode == Op.NOP_IN:
-            self._numbers(pdu, status=pdu.tag != NONE)
+            self._update_numbers(pdu, carries_status=pdu.tag != NONE)
             if pdu.words[0] != NONE:  # a ping
                 self._write(
                     Pdu(
                         Op.NOP_OUT, lun=pdu.lun, immediate=True, words=[pdu.words[0]] + [0] * 6, data=pdu.data
                     ),
-                    number=True,
+                    numbered=True,
                 )
         elif pdu.opcode in (Op.TASK_MANAGEMENT_RESPONSE, Op.LOGOUT_RESPONSE):
-            self._numbers(pdu, status=True)
+            self._update_numbers(pdu, carries_status=True)
         elif pdu.opcode == Op.ASYNC:
-            self._numbers(pdu, status=True)
-            if pdu.words[4] >> 24 in (1, 2, 3):  # asks for a logout, or drops the connection or all
-                self.over = True
-                if not self._flights:
+            self._update_numbers(pdu, carries_status=True)
+            if pdu.words[4] >> 24 in (1, 2, 3):  # requests a logout, or drops this connection or all of them
+                self.closing = True
+                if not self._pending_commands:
                     self.end()
         else:
             raise PduError(PduError.PROTOCOL, f"opcode {pdu.opcode:#04x}", pdu)
 
-    def _respond(self, flight: Flight, pdu: Pdu) -> None:
-        if flight.done.done():
+    def _receive_response(self, pending: PendingCommand, pdu: Pdu) -> None:
+        """Completes a command with the status of its SCSI Response."""
+        if pending.reply.done():
             return
-        if pdu.byte2 != 0:  # the target failed to carry it out, or not
-            flight.done.set_result(scsi.Reply(scsi.Status.TASK_ABORTED))
+        if pdu.byte2 != 0:  # a target failure: the command may have run
+            pending.reply.set_result(scsi.Reply(scsi.Status.TASK_ABORTED))
             return
         sense = pdu.data[2 : 2 + int.from_bytes(pdu.data[:2], "big")]
-        flight.done.set_result(scsi.Reply(pdu.byte3, bytes(flight.data), sense, _residual(pdu)))
+        pending.reply.set_result(scsi.Reply(pdu.byte3, bytes(pending.data), sense, _residual(pdu)))
 
-    def _data_in(self, flight: Flight, pdu: Pdu) -> None:
-        if pdu.words[5] != len(flight.data) or len(flight.data) + len(pdu.data) > flight.command.length:
-            raise PduError(PduError.PROTOCOL, "data out of place", pdu)
-        flight.data += pdu.data
-        if pdu.flags & 1 and not flight.done.done():
-            flight.done.set_result(scsi.Reply(pdu.byte3, bytes(flight.data), b"", _residual(pdu)))
+    def _receive_data_in(self, pending: PendingCommand, pdu: Pdu) -> None:
+        """Adds the data of a Data-In PDU to its command; completes the command if the PDU carries its status.
 
-    def _data_out(self, flight: Flight, pdu: Pdu) -> None:
-        """What the target asks for, in PDUs that it takes."""
+        Raises:
+            PduError: The data is out of order or longer than expected.
+        """
+        if pdu.words[5] != len(pending.data) or len(pending.data) + len(pdu.data) > pending.command.length:
+            raise PduError(PduError.PROTOCOL, "Data-In out of order or too long", pdu)
+        pending.data += pdu.data
+        if pdu.flags & 1 and not pending.reply.done():
+            pending.reply.set_result(scsi.Reply(pdu.byte3, bytes(pending.data), b"", _residual(pdu)))
+
+    def _send_data_out(self, pending: PendingCommand, pdu: Pdu) -> None:
+        """Sends the data that an R2T requests, split by the length of data segments that the target accepts.
+
+        Raises:
+            PduError: The R2T requests data that the command does not have, or more than the negotiated burst.
+        """
         start, end = pdu.words[5], pdu.words[5] + pdu.words[6]
-        if not start < end <= len(flight.command.data) or end - start > self._agreed.max_burst:
-            raise PduError(PduError.PROTOCOL, "asks for data that there is not", pdu)
-        for count, offset in enumerate(range(start, end, self._agreed.send_segment)):
-            until = min(offset + self._agreed.send_segment, end)
+        if not start < end <= len(pending.command.data) or end - start > self._agreed.max_burst:
+            raise PduError(PduError.PROTOCOL, "R2T outside the command's data or longer than the burst", pdu)
+        for data_sn, offset in enumerate(range(start, end, self._agreed.send_segment)):
+            segment_end = min(offset + self._agreed.send_segment, end)
             self._write(
                 Pdu(
                     Op.DATA_OUT,
-                    FINAL if until == end else 0,
+                    FINAL if segment_end == end else 0,
                     lun=pdu.lun,
                     tag=pdu.tag,
-                    data=flight.command.data[offset:until],
-                    words=[pdu.words[0], 0, 0, 0, count, offset, 0],
+                    data=pending.command.data[offset:segment_end],
+                    words=[pdu.words[0], 0, 0, 0, data_sn, offset, 0],
                 )
             )
 
 
 def _residual(pdu: Pdu) -> int:
-    """What a status says was not moved, negative for what there was more."""
+    """Returns the residual count of a status in bytes, negative for an overflow."""
     return pdu.words[6] if pdu.flags & 0x02 else -pdu.words[6] if pdu.flags & 0x04 else 0
 
 
-_isid = itertools.count(1)
+_isid_counter = itertools.count(1)
--- a/lemonridge/iscsi/mapped.py
+++ b/lemonridge/iscsi/mapped.py
@@ -1,5 +1,7 @@
-"""Commands to a LUN whose data lies in extents: what is answered from the map, and what becomes which
-pieces.
+"""Commands to LUNs whose data lies in extents.
+
+Some are answered from the extent map. The others become one request for each extent, or shard, that they
+concern, and the answers to those requests are joined into one reply.
 """
 
 from __future__ import annotations
@@ -17,88 +19,148 @@
 from lemonridge.iscsi.config import READ, WRITE, IscsiConfig, Lun
 
 
-def _good(reply: object) -> bool:
+def _succeeded(reply: object) -> bool:
+    """Returns whether a node's reply reports success."""
     assert isinstance(reply, scsi.Reply)
     return reply.status == scsi.Status.GOOD
 
 
-def reply_of(answer: Answer) -> scsi.Reply:
-    """Served: the node's own status. Refused: BUSY. Failed: CHECK CONDITION, its effect unknown."""
+def reply_from_answer(answer: Answer) -> scsi.Reply:
+    """Returns the SCSI reply for the core's final answer.
+
+    Args:
+        answer: The final answer.
+
+    Returns:
+        The node's reply if the request was served, BUSY if it was rejected and has not run, otherwise CHECK
+        CONDITION, since it is unknown whether the command had an effect.
+    """
     if answer.kind is AnswerKind.SERVED:
         assert isinstance(answer.reply, scsi.Reply)
         return answer.reply
     return scsi.Reply(scsi.Status.BUSY) if answer.kind is AnswerKind.REJECTED else scsi.unreachable()
 
 
-def request_of(
+def make_request(
     config: IscsiConfig,
     command: scsi.Command,
     lun: Lun,
     shard: int,
     deadline_us: int,
-    abandoned: Callable[[], bool],
+    has_initiator_disconnected: Callable[[], bool],
 ) -> Request:
-    """What the core is asked for a command, or for a piece of one; `abandoned`: its initiator has gone."""
+    """Returns the core's request for a command or for one piece of a command.
+
+    Args:
+        config: The configuration of the iSCSI front.
+        command: The command, or the piece.
+        lun: The LUN that it is addressed to.
+        shard: The shard that serves it.
+        deadline_us: When the initiator gives up, in microseconds of the broker's clock.
+        has_initiator_disconnected: Returns whether the initiator has disconnected.
+    """
     return Request(
         shard=shard,
         volume=lun.lun,
         deadline_us=deadline_us,
         key=scsi.block(command.cdb),
-        cls=class_of(command),
+        cls=request_class_of(command),
         plan=lun.plan,
         units=config.units(command.length),
         hosts=config.settings.hosts,
         payload=command,
-        has_client_disconnected=abandoned,
+        has_client_disconnected=has_initiator_disconnected,
     )
 
 
-def class_of(command: scsi.Command) -> int:
+def request_class_of(command: scsi.Command) -> int:
+    """Returns the index of a command's class in the settings: `WRITE` for a command that writes, else `READ`.
+
+    Args:
+        command: The command.
+    """
     return WRITE if command.cdb[0] in scsi.WRITES else READ
 
 
-def _length(request: Request) -> int:
+def _transfer_length(request: Request) -> int:
+    """Returns the expected transfer length of a request's command, in bytes."""
     assert isinstance(request.payload, scsi.Command)
     return request.payload.length
 
 
 class MappedLuns:
-    """Routes commands by the map."""
+    """Routes commands by the extent map.
+
+    Counters: `pieces`, `joined.*`, `routes.*`.
+
+    Args:
+        config: The configuration of the iSCSI front.
+        broker: The core.
+        router: The router, which holds the extent map.
+        counters: The counters.
+    """
 
     def __init__(self, config: IscsiConfig, broker: Broker, router: Router, counters: Counters) -> None:
         self._config, self._router, self._broker, self._counters = config, router, broker, counters
-        self._carrier = Carrier(broker, _good)
-        self._block = config.extents.block_bytes
+        self._carrier = Carrier(broker, _succeeded)
+        self._block_bytes = config.extents.block_bytes
+
+    def answer_locally(self, command: scsi.Command) -> scsi.Reply | None:
+        """Returns the reply that the extent map alone determines, before the command's data is received.
+
+        These are the capacity of the LUN, and the rejection of transfers that are out of range or too long.
 
-    def local(self, command: scsi.Command) -> scsi.Reply | None:
-        """The answer that the map alone gives, before any data is asked for."""
+        Args:
+            command: The command.
+
+        Returns:
+            The reply; None if a node has to execute the command.
+        """
         cdb = command.cdb
         if cdb[0] == scsi.CAPACITY_10 or (cdb[0] == scsi.SERVICE_IN and cdb[1] & 0x1F == scsi.CAPACITY_16):
             blocks = self._router.map.blocks(command.lun)
             if not blocks:
                 return scsi.Reply(scsi.Status.BUSY)
-            return scsi.Reply(scsi.Status.GOOD, scsi.capacity(cdb, blocks, self._block)[: command.length])
+            return scsi.Reply(
+                scsi.Status.GOOD, scsi.capacity(cdb, blocks, self._block_bytes)[: command.length]
+            )
         if cdb[0] not in scsi.BLOCKS:
             return None
         first, blocks = scsi.span(cdb)
         if not blocks:
             return scsi.Reply(scsi.Status.GOOD)
-        held = self._router.map.blocks(command.lun)
-        if held and first + blocks > held:
+        capacity_blocks = self._router.map.blocks(command.lun)
+        if capacity_blocks and first + blocks > capacity_blocks:
             return scsi.out_of_range()
-        if blocks * self._block > self._config.max_transfer or (
-            command.writes and blocks * self._block > command.length
+        if blocks * self._block_bytes > self._config.max_transfer or (
+            command.writes and blocks * self._block_bytes > command.length
         ):
             return scsi.invalid_field()
         return None
 
     async def serve(
-        self, command: scsi.Command, lun: Lun, deadline_us: int, abandoned: Callable[[], bool]
+        self,
+        command: scsi.Command,
+        lun: Lun,
+        deadline_us: int,
+        has_initiator_disconnected: Callable[[], bool],
     ) -> scsi.Reply:
-        """Carry a command by the map; what cannot be routed ends at once, and nothing of it ran."""
+        """Serves a command.
+
+        A command that cannot be routed is rejected at once and has not run.
+
+        Args:
+            command: The command, with its data.
+            lun: The LUN that it is addressed to.
+            deadline_us: When the initiator gives up, in microseconds of the broker's clock.
+            has_initiator_disconnected: Returns whether the initiator has disconnected.
+
+        Returns:
+            The reply for the initiator.
+        """
         try:
             if command.cdb[0] in scsi.BLOCKS:
-                return await self._blocks(command, lun, deadline_us, abandoned)
+                return await self._serve_blocks(command, lun, deadline_us, has_initiator_disconnected)
             writes = command.cdb[0] in scsi.WRITES
             shards = self._router.shards_of_volume(command.lun, writes)
         except RouteError as error:
@@ -108,21 +170,33 @@
                 if error.reason is RouteRejectReason.TOO_MANY_PIECES
                 else scsi.Reply(scsi.Status.BUSY)
             )
-        # SYNCHRONIZE CACHE concerns every shard that may hold written blocks: a hand-over makes durable what
-        # it hands over, so that a shard which has just lost an extent owes nothing for it. The other commands
-        # without blocks are answered alike by every node.
-        requests = [request_of(self._config, command, lun, shard, deadline_us, abandoned) for shard in shards]
-        return await self._joined(requests if writes else requests[:1], command, writes)
-
-    async def _blocks(
-        self, command: scsi.Command, lun: Lun, deadline_us: int, abandoned: Callable[[], bool]
+        # SYNCHRONIZE CACHE goes to every shard that may hold written blocks. A shard that has handed over an
+        # extent is not needed for it, since a handover makes the extent's blocks durable. All other commands
+        # without blocks get the same reply from every node.
+        requests = [
+            make_request(self._config, command, lun, shard, deadline_us, has_initiator_disconnected)
+            for shard in shards
+        ]
+        return await self._serve_joined(requests if writes else requests[:1], command, writes)
+
+    async def _serve_blocks(
+        self,
+        command: scsi.Command,
+        lun: Lun,
+        deadline_us: int,
+        has_initiator_disconnected: Callable[[], bool],
     ) -> scsi.Reply:
+        """Serves a READ or WRITE, with one request for each extent that it touches.
+
+        Raises:
+            RouteError: The command cannot be routed.
+        """
         first, blocks = scsi.span(command.cdb)
-        writes, size = command.cdb[0] in scsi.WRITES, self._block
+        writes, block_bytes = command.cdb[0] in scsi.WRITES, self._block_bytes
         requests = []
         for route in self._router.plan_routes(command.lun, first, blocks, writes):
-            piece, start = route.piece, (route.piece.first - first) * size
-            length = piece.length * size
+            piece, start = route.piece, (route.piece.first - first) * block_bytes
+            length = piece.length * block_bytes
             data = command.data[start : start + length] if writes else b""
             part = scsi.Command(
                 command.lun,
@@ -132,30 +206,35 @@
                 length,
                 data,
             )
-            request = request_of(self._config, part, lun, route.shard, deadline_us, abandoned)
+            request = make_request(
+                self._config, part, lun, route.shard, deadline_us, has_initiator_disconnected
+            )
             request.route = route
             requests.append(request)
         self._counters["pieces"] += len(requests)
-        reply = await self._joined(requests, command, writes)
+        reply = await self._serve_joined(requests, command, writes)
         if reply.status == scsi.Status.GOOD:
-            reply.residual = command.length - blocks * size
+            reply.residual = command.length - blocks * block_bytes
         return reply
 
-    async def _joined(self, requests: list[Request], command: scsi.Command, writes: bool) -> scsi.Reply:
+    async def _serve_joined(self, requests: list[Request], command: scsi.Command, writes: bool) -> scsi.Reply:
+        """Serves the requests of a command and joins their answers into one reply."""
         if len(requests) == 1:
-            return reply_of(await self._broker.serve(requests[0]))
-        joined, answers = await self._carrier.serve(requests, writes)
-        self._counters[f"joined.{joined.result.value}"] += 1
-        if joined.result is JoinResult.SERVED:
-            parts = [reply_of(answer).data for answer in answers if answer is not None]
-            wanted = [_length(piece) if command.reads else 0 for piece in requests]
-            if [len(part) for part in parts] != wanted:  # joined, they would shift what follows
+            return reply_from_answer(await self._broker.serve(requests[0]))
+        outcome, answers = await self._carrier.serve(requests, writes)
+        self._counters[f"joined.{outcome.result.value}"] += 1
+        if outcome.result is JoinResult.SERVED:
+            parts = [reply_from_answer(answer).data for answer in answers if answer is not None]
+            expected_lengths = [_transfer_length(piece) if command.reads else 0 for piece in requests]
+            if [
+                len(part) for part in parts
+            ] != expected_lengths:  # a short part would shift the data of the later ones
                 return scsi.unreachable()
             return scsi.Reply(scsi.Status.GOOD, b"".join(parts))
-        if joined.result is JoinResult.REPORTED:
-            answer = answers[joined.piece_index]
+        if outcome.result is JoinResult.REPORTED:
+            answer = answers[outcome.piece_index]
             assert answer is not None
-            return reply_of(answer)
-        return reply_of(
-            Answer(AnswerKind.REJECTED if joined.result is JoinResult.REJECTED else AnswerKind.FAILED)
+            return reply_from_answer(answer)
+        return reply_from_answer(
+            Answer(AnswerKind.REJECTED if outcome.result is JoinResult.REJECTED else AnswerKind.FAILED)
         )
--- a/lemonridge/iscsi/portal.py
+++ b/lemonridge/iscsi/portal.py
@@ -1,4 +1,4 @@
-"""The iSCSI front: where initiators connect, and the sessions that there are."""
+"""The iSCSI front: accepts connections from initiators and holds their sessions."""
 
 from __future__ import annotations
 
@@ -26,56 +26,100 @@
 
 log = logging.getLogger(__name__)
 
-TAIL_S = 0.5  # after SIGTERM: commands are still taken so long
-AHEAD = 64 * 1024  # of a connection's input held before it is parsed
+LOGOUT_GRACE_S = 0.5  # after SIGTERM, during which new commands are still accepted
+READ_BUFFER_BYTES = 64 * 1024  # of a connection's unparsed input
 
 
 class IscsiFront:
-    """Serves initiators."""
+    """Serves initiators over iSCSI.
+
+    Args:
+        config: The configuration of the iSCSI front.
+        broker: The core, which carries commands to the nodes.
+        clock: The broker's clock.
+        registry: The endpoints, whose states determine the access state of a LUN.
+        counters: Counters of the front and its sessions.
+        mapped_luns: Serves the LUNs whose data lies in extents; None if there are none.
+        reservation_file: Stores persistent reservations; its file has been read. None keeps none on disk.
+
+    Attributes:
+        device: The device server of all LUNs.
+        config: The configuration.
+        broker: The core.
+        clock: The broker's clock.
+        counters: The counters.
+        mapped_luns: Serves the LUNs whose data lies in extents.
+        loop: The event loop.
+        connections: All connections, also those whose login is in progress.
+        sessions: The sessions, by TSIH.
+        login_exp_cmd_sns: ExpCmdSN of the logins in progress.
+        buffered_bytes: Transfer lengths of the open commands of all sessions; `buffer_bytes` bounds it.
+        stopping: Whether the front no longer accepts logins.
+        login_attempts: Bounds the failed logins of each IP address.
+        login_rules: What logins are checked against.
+    """
 
     def __init__(
         self,
         config: IscsiConfig,
         broker: Broker,
         clock: Clock,
-        directory: EndpointRegistry,
+        registry: EndpointRegistry,
         counters: Counters,
-        mapped: MappedLuns | None = None,
-        keeper: ReservationFile | None = None,
+        mapped_luns: MappedLuns | None = None,
+        reservation_file: ReservationFile | None = None,
     ) -> None:
-        """`keeper` has been read."""
-        self._directory = directory
-        self.device = Device(config, self._state, self._abort_all, keeper)
+        self._registry = registry
+        self.device = Device(config, self._access_state, self._abort_nexus_tasks, reservation_file)
         self.config, self.broker, self.clock, self.counters = config, broker, clock, counters
-        self.mapped, self.loop = mapped, asyncio.get_running_loop()
+        self.mapped_luns, self.loop = mapped_luns, asyncio.get_running_loop()
         self.connections: set[Connection] = set()
-        self.sessions: dict[int, Session] = {}  # by TSIH
-        self.expected: dict[Connection, int] = {}  # ExpCmdSN of logins
-        self.buffered = 0  # bytes of data that commands of all sessions may hold at this moment
+        self.sessions: dict[int, Session] = {}
+        self.login_exp_cmd_sns: dict[Connection, int] = {}
+        self.buffered_bytes = 0
         self.stopping = False
-        self.attempts = Attempts(config.login_failures)
-        self.rules = Rules(
-            config.targets, config.wishes, self._known, self._room, lambda: self.stopping, secrets.token_bytes
+        self.login_attempts = Attempts(config.login_failures)
+        self.login_rules = Rules(
+            config.targets,
+            config.wishes,
+            self._find_session,
+            self._has_room,
+            lambda: self.stopping,
+            secrets.token_bytes,
         )
-        self._tsih = 0
+        self._last_tsih = 0
         self._listener: Listener | None = None
 
     async def start(self, address: Address) -> None:
-        self._listener = Listener(listening_socket(address), self._protocol, self.counters)
+        """Listens for connections.
+
+        Args:
+            address: The address of the portal.
+
+        Raises:
+            OSError: The address cannot be used.
+        """
+        self._listener = Listener(listening_socket(address), self._make_protocol, self.counters)
         self._listener.listen()
         log.info("listening", extra={"front": "iscsi", "address": self._listener.address})
 
-    def _protocol(self) -> asyncio.StreamReaderProtocol:
-        """Of a connection that was accepted: `_connected` serves it."""
-        return asyncio.StreamReaderProtocol(asyncio.StreamReader(limit=AHEAD), self._connected)
+    def _make_protocol(self) -> asyncio.StreamReaderProtocol:
+        """Returns the protocol of an accepted connection, which `_serve_connection` then serves."""
+        return asyncio.StreamReaderProtocol(
+            asyncio.StreamReader(limit=READ_BUFFER_BYTES), self._serve_connection
+        )
 
     async def stop(self) -> None:
-        """Ask every initiator to log out, take commands through the tail, then only finish what is held."""
+        """Asks every initiator to log out, accepts commands for `LOGOUT_GRACE_S`, then ends idle sessions.
+
+        The remaining sessions end as soon as their open commands have been answered. Logins in progress are
+        aborted.
+        """
         assert self._listener is not None
         self.stopping = True
         for session in self.sessions.values():
-            session.ask_logout()
-        await asyncio.sleep(TAIL_S)
+            session.request_logout()
+        await asyncio.sleep(LOGOUT_GRACE_S)
         self._listener.close()
         for session in list(self.sessions.values()):
             session.end_when_idle()
@@ -90,13 +134,15 @@
 
     @property
     def busy(self) -> bool:
+        """Whether there are connections, or tasks without one."""
         return bool(self.connections) or any(session.tasks for session in self.sessions.values())
 
     # Sessions
 
-    def _known(self, tsih: int) -> Known | None:
+    def _find_session(self, tsih: int) -> Known | None:
+        """Returns the session with a TSIH in the form that a login needs; None if there is none."""
         session = self.sessions.get(tsih)
-        if session is None or session.over:
+        if session is None or session.ended:
             return None
         return Known(
             tsih,
@@ -108,49 +154,78 @@
             session.discovery,
         )
 
-    def _room(self) -> bool:
+    def _has_room(self) -> bool:
+        """Returns whether another session may be opened."""
         return len(self.sessions) < self.config.max_sessions
 
     def tsih_for(self, login: TargetLogin) -> int:
-        """The session's handle: its own where a connection joins, a free one where it leads."""
+        """Returns the TSIH for the last login response.
+
+        It is that of the session to join, or a free one for a new session.
+
+        Args:
+            login: A login that has succeeded; its TSIH is set if it opens a session.
+        """
         if login.joins is None:
-            self._tsih = self._tsih % 0xFFFF + 1
-            while self._tsih in self.sessions:
-                self._tsih = self._tsih % 0xFFFF + 1
-            login.tsih = self._tsih
+            self._last_tsih = self._last_tsih % 0xFFFF + 1
+            while self._last_tsih in self.sessions:
+                self._last_tsih = self._last_tsih % 0xFFFF + 1
+            login.tsih = self._last_tsih
         return login.tsih
 
     def admit(self, connection: Connection, login: TargetLogin) -> Session:
-        """A login is over: the connection leads a session, or joins one. Nothing is awaited since its last
-        answer was made, so that its session is still there.
+        """Adds a connection whose login has succeeded to a new session or to the one that it joins.
+
+        A new session replaces one of the same initiator, ISID and target (RFC 7143, section 6.3.5).
+
+        Args:
+            connection: The connection.
+            login: Its login.
+
+        Raises:
+            ConnectionError: The session to join has ended.
         """
-        expected = self.expected.pop(connection, 0)
+        exp_cmd_sn = self.login_exp_cmd_sns.pop(connection, 0)
         if login.joins is not None:
             joined = self.sessions.get(login.tsih)
             if joined is None:
-                raise ConnectionError("the session ended under the login")
-            joined.join(connection)
+                raise ConnectionError("the session ended during the login")
+            joined.add_connection(connection)
             return joined
-        for other in list(self.sessions.values()):  # the same initiator anew: session reinstatement (6.3.5)
-            if (other.initiator, other.isid, other.target) == (login.initiator, login.isid, login.target):
+        for previous in list(self.sessions.values()):
+            if (previous.initiator, previous.isid, previous.target) == (
+                login.initiator,
+                login.isid,
+                login.target,
+            ):
                 self.counters["sessions.reinstated"] += 1
-                other.end()
-        session = Session(self, login, expected)
+                previous.end()
+        session = Session(self, login, exp_cmd_sn)
         self.sessions[login.tsih] = session
         self.counters["sessions.opened"] += 1
-        session.join(connection)
+        session.add_connection(connection)
         return session
 
     # Commands
 
-    def local(self, session: Session, command: scsi.Command) -> scsi.Reply | None:
-        """The answer to a command that no node is asked for."""
+    def answer_locally(self, session: Session, command: scsi.Command) -> scsi.Reply | None:
+        """Returns the reply to a command that the broker answers itself; None if a node has to execute it.
+
+        Args:
+            session: The session that received the command.
+            command: The command, whose data has not been received.
+        """
         reply = self.device.local(session.nexus, command)
-        if reply is None and self.mapped is not None and self.config.luns[command.lun].mapped:
-            return self.mapped.local(command)
+        if reply is None and self.mapped_luns is not None and self.config.luns[command.lun].mapped:
+            return self.mapped_luns.answer_locally(command)
         return reply
 
-    def tasks_of(self, lun: int | None) -> list[Task]:
+    def tasks_of_lun(self, lun: int | None) -> list[Task]:
+        """Returns the tasks of all sessions at a LUN.
+
+        Args:
+            lun: The LUN; None for an invalid one, which has no tasks.
+        """
         return [
             task
             for session in self.sessions.values()
@@ -158,35 +233,50 @@
             if task.command.lun == lun
         ]
 
-    def abort(self, task: Task) -> None:
-        """End a command of any session without a response."""
+    def abort_task(self, task: Task) -> None:
+        """Ends a task of any session without a response.
+
+        Args:
+            task: The task.
+        """
         for session in self.sessions.values():
             if session.tasks.get(task.tag) is task:
                 session.abort(task)
                 return
 
-    def _abort_all(self, nexus: str, lun: int) -> None:
+    def _abort_nexus_tasks(self, nexus: str, lun: int) -> None:
+        """Aborts the tasks of a nexus at a LUN, for PREEMPT AND ABORT."""
         for session in self.sessions.values():
             if session.nexus.name == nexus:
-                for task in [one for one in session.tasks.values() if one.command.lun == lun]:
+                for task in [task for task in session.tasks.values() if task.command.lun == lun]:
                     session.abort(task)
 
-    def _state(self, lun: int) -> int:
-        """The asymmetric access state (SPC-4, table 166): transitioning while every node drains."""
-        row = self.config.luns[lun]
-        if row.mapped:
+    def _access_state(self, lun: int) -> int:
+        """Returns the asymmetric access state of a LUN (SPC-4, table 166).
+
+        Active, transitioning while every node of its shard drains, otherwise unavailable. A LUN whose data
+        lies in extents is always active.
+        """
+        lun_config = self.config.luns[lun]
+        if lun_config.mapped:
             return 0
         return {EndpointState.ACTIVE: 0, EndpointState.DRAINING: 15}.get(
-            self._directory.shard_state(row.shard), 3
+            self._registry.shard_state(lun_config.shard), 3
         )
 
-    def forget(self, session: Session) -> None:
+    def remove_session(self, session: Session) -> None:
+        """Removes a session that has ended, unless another one has its TSIH.
+
+        Args:
+            session: The session.
+        """
         if self.sessions.get(session.tsih) is session:
             del self.sessions[session.tsih]
 
-    async def _connected(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def _serve_connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        """Serves an accepted connection until it ends."""
         keep_alive(writer)
-        if len(self.connections) >= self.config.max_connections:  # up to here a login gets a word
+        if len(self.connections) >= self.config.max_connections:  # closed without a login response
             self.counters["connections.refused"] += 1
             writer.transport.abort()
             return
@@ -196,14 +286,14 @@
         try:
             await connection.run()
         except (OSError, asyncio.IncompleteReadError):
-            pass  # the initiator has gone
+            pass  # the initiator has disconnected
         except asyncio.CancelledError:
-            pass  # the program ends
+            pass  # the process is exiting
         except Exception:
             log.exception("connection failed")
         finally:
-            self.expected.pop(connection, None)
+            self.login_exp_cmd_sns.pop(connection, None)
             self.connections.discard(connection)
             if connection.session is not None:
-                connection.session.lost(connection)
+                connection.session.connection_lost(connection)
             connection.close()
--- a/lemonridge/iscsi/runner.py
+++ b/lemonridge/iscsi/runner.py
@@ -1,5 +1,7 @@
-"""The commands of a session in work: their data in, their life in the core, their data and status out, and
-their recovery within a command, within a connection and across connections (RFC 7143, chapter 7).
+"""Runs the SCSI commands of a session (RFC 7143, chapter 7).
+
+For each command: receives its data, passes it to the core, sends its data and status, and recovers PDUs that
+were lost, within a command, within a connection and across connections.
 """
 
 from __future__ import annotations
@@ -12,7 +14,7 @@
 from lemonridge.iscsi import scsi
 from lemonridge.iscsi.device import WITH_DATA
 from lemonridge.iscsi.keys import Agreed
-from lemonridge.iscsi.mapped import class_of, reply_of, request_of
+from lemonridge.iscsi.mapped import make_request, reply_from_answer, request_class_of
 from lemonridge.iscsi.pdu import FINAL, NONE, Op, Pdu, PduError, unpack_lun
 from lemonridge.iscsi.task import Task
 from lemonridge.iscsi.task_order import TaskOrder
@@ -23,149 +25,198 @@
     from lemonridge.iscsi.connection import Connection
     from lemonridge.iscsi.session import Session
 
-ATTRIBUTE = 0x07  # of a SCSI Command's flags: its task attribute (11.3.1)
-STALL_S = 0.2  # without data that were asked for, at a level that may ask again
-DATA_SNACK, STATUS_SNACK, DATA_ACK, RDATA_SNACK = range(4)  # 11.16.1
+TASK_ATTRIBUTE_MASK = 0x07  # in the flags of a SCSI Command PDU (RFC 7143, section 11.3.1)
+R2T_RETRY_INTERVAL_S = 0.2  # without Data-Out before missing data is requested again
+DATA_SNACK, STATUS_SNACK, DATA_ACK, RDATA_SNACK = range(4)  # SNACK types (RFC 7143, section 11.16.1)
+
 
+class TaskRunner:
+    """Runs the commands of one session.
 
-class Runner:
-    """Runs the commands of one session."""
+    Args:
+        session: The session.
+    """
 
     def __init__(self, session: Session) -> None:
         self._session, self._front = session, session.front
-        self._transfers = 0
-        self._orders: dict[int, TaskOrder] = {}  # by LUN
-        self._turns: dict[Task, asyncio.Event] = {}  # of the commands that wait for earlier ones
+        self._last_transfer_tag = 0  # the highest target transfer tag issued
+        self._task_orders: dict[int, TaskOrder] = {}  # by LUN
+        self._run_events: dict[Task, asyncio.Event] = {}  # of commands that wait for earlier ones
+
+    # Receiving commands
+
+    def receive_command(self, connection: Connection, pdu: Pdu) -> None:
+        """Responds to commands that the broker handles itself; starts a task for every other command.
+
+        A command that arrives while the session is ending is answered with BUSY, and one whose transfer
+        length exceeds the free part of `buffer_bytes` with TASK SET FULL.
 
-    # A command comes
+        Args:
+            connection: The connection that received the command, and that its response is sent on.
+            pdu: The SCSI Command PDU.
 
-    def begin(self, connection: Connection, pdu: Pdu) -> None:
-        """Answer here what cannot be carried, else begin its life."""
+        Raises:
+            PduError: The task tag is in use, or the command comes with immediate or unsolicited data that was
+                not negotiated.
+        """
         session, front, config = self._session, self._front, self._front.config
         agreed = session.agreed
-        old = session.tasks.get(pdu.tag)
-        if pdu.tag == NONE or (old is not None and (old.status is None or session.agreed.recovery)):
-            raise PduError(PduError.FIELD, "a task tag that is in use", pdu)
+        previous = session.tasks.get(pdu.tag)
+        if pdu.tag == NONE or (previous is not None and (previous.status is None or session.agreed.recovery)):
+            raise PduError(PduError.FIELD, "task tag is reserved or in use", pdu)
         reads, writes = bool(pdu.flags & 0x40), bool(pdu.flags & 0x20)
         lun, length = unpack_lun(pdu.lun), pdu.words[0]
-        more = not pdu.flags & FINAL
-        if more and (agreed.initial_r2t or not writes):
-            raise PduError(PduError.PROTOCOL, "unsolicited data was not agreed on", pdu)
+        more_data_follows = not pdu.flags & FINAL
+        if more_data_follows and (agreed.initial_r2t or not writes):
+            raise PduError(PduError.PROTOCOL, "unsolicited data was not negotiated", pdu)
         if pdu.data and (
             not writes or not agreed.immediate_data or len(pdu.data) > min(length, agreed.first_burst)
         ):
-            raise PduError(PduError.PROTOCOL, "immediate data that was not agreed on", pdu)
+            raise PduError(PduError.PROTOCOL, "immediate data was not negotiated or is too long", pdu)
         command = scsi.Command(-1 if lun is None else lun, pdu.cdb, reads, writes, length)
         task = Task(pdu, command, front.clock.now_us(), connection)
         front.counters["commands.taken"] += 1
-        reply = front.local(session, command)
-        if reply is None and session.ending:
+        reply = front.answer_locally(session, command)
+        if reply is None and session.ends_when_idle:
             reply = scsi.Reply(scsi.Status.BUSY)
-        if reply is None and front.buffered + length > config.buffer_bytes:
+        if reply is None and front.buffered_bytes + length > config.buffer_bytes:
             front.counters["commands.no_room"] += 1
             reply = scsi.Reply(scsi.Status.TASK_SET_FULL)
         session.tasks[pdu.tag] = task
         if reply is not None:
-            if more:  # data that are on their way have nowhere to go: they are dropped as they come
+            if more_data_follows:  # the data that follows is dropped as it arrives
                 task.inbound = Inbound(0, b"", agreed, False, 0)
             self.respond(task, reply)
             return
         task.held = length
-        front.buffered += length
+        front.buffered_bytes += length
         if writes:
-            task.inbound = Inbound(length, pdu.data, agreed, more, self._transfers)
+            task.inbound = Inbound(length, pdu.data, agreed, more_data_follows, self._last_transfer_tag)
             task.moved_s = front.loop.time()
-        order = self._orders.setdefault(command.lun, TaskOrder())
-        order.add(task, pdu.flags & ATTRIBUTE, command.cdb)
-        task.runner = asyncio.create_task(self._life(task))
-        task.runner.add_done_callback(lambda _: self._leave(task, order))
+        order = self._task_orders.setdefault(command.lun, TaskOrder())
+        order.add(task, pdu.flags & TASK_ATTRIBUTE_MASK, command.cdb)
+        task.runner = asyncio.create_task(self._run(task))
+        task.runner.add_done_callback(lambda _: self._remove_from_order(task, order))
 
-    def _leave(self, task: Task, order: TaskOrder) -> None:
-        """A command has ended: those that waited for it alone go on."""
+    def _remove_from_order(self, task: Task, order: TaskOrder) -> None:
+        """Removes a finished command from the order and wakes the commands that were waiting only for it."""
         order.remove(task)
-        for waiting, turn in self._turns.items():
+        for waiting, run_event in self._run_events.items():
             if waiting.command.lun == task.command.lun and order.may_run(waiting):
-                turn.set()
+                run_event.set()
+
+    async def _wait_for_earlier_tasks(self, task: Task, deadline_us: int) -> bool:
+        """Waits until the task order lets a command run.
 
-    async def _wait_for_turn(self, task: Task, deadline_us: int) -> bool:
-        """Wait for the earlier commands that this one must not pass; False where they take too long."""
-        if self._orders[task.command.lun].may_run(task):
+        Returns:
+            False if earlier commands still hold it back at the deadline.
+        """
+        if self._task_orders[task.command.lun].may_run(task):
             return True
-        turn = self._turns[task] = asyncio.Event()
+        run_event = self._run_events[task] = asyncio.Event()
         try:
             async with asyncio.timeout_at(self._front.clock.loop_time(deadline_us)):
-                await turn.wait()
+                await run_event.wait()
         except TimeoutError:
             return False
         finally:
-            del self._turns[task]
+            del self._run_events[task]
         return True
 
-    async def _life(self, task: Task) -> None:
-        """One command: gather its data, have it carried, respond."""
+    async def _run(self, task: Task) -> None:
+        """Runs one command: receives its data, waits for earlier commands, executes it and responds.
+
+        A command whose data does not arrive by the deadline is not executed.
+        """
         front, command = self._front, task.command
         try:
             lun = front.config.luns[command.lun]
-            deadline_us = task.arrived_us + front.config.settings.classes[class_of(command)].deadline_us
+            deadline_us = (
+                task.arrived_us + front.config.settings.classes[request_class_of(command)].deadline_us
+            )
             if task.inbound is not None:
-                if not await self._gather(task, task.inbound, deadline_us):
+                if not await self._receive_data(task, task.inbound, deadline_us):
                     self.respond(task, scsi.data_incomplete())
                     return
                 command.data = bytes(task.inbound.data)
                 task.inbound = None
-            if not await self._wait_for_turn(task, deadline_us):
+            if not await self._wait_for_earlier_tasks(task, deadline_us):
                 self.respond(task, scsi.Reply(scsi.Status.BUSY))
                 return
             if command.cdb[0] in WITH_DATA:
                 self.respond(task, front.device.finish(self._session.nexus, command))
-            elif lun.mapped and front.mapped is not None:
+            elif lun.mapped and front.mapped_luns is not None:
                 self.respond(
-                    task, await front.mapped.serve(command, lun, deadline_us, partial(self._abandoned, task))
+                    task,
+                    await front.mapped_luns.serve(
+                        command, lun, deadline_us, partial(self._has_initiator_disconnected, task)
+                    ),
                 )
             else:
-                request = request_of(
-                    front.config, command, lun, lun.shard, deadline_us, partial(self._abandoned, task)
+                request = make_request(
+                    front.config,
+                    command,
+                    lun,
+                    lun.shard,
+                    deadline_us,
+                    partial(self._has_initiator_disconnected, task),
                 )
-                self.respond(task, reply_of(await front.broker.serve(request)))
-            self._leave(task, self._orders[command.lun])
+                self.respond(task, reply_from_answer(await front.broker.serve(request)))
+            self._remove_from_order(task, self._task_orders[command.lun])
             if task.connection is not None:
                 await task.connection.writer.drain()
         except ConnectionError:
-            pass  # the initiator has gone
+            pass  # the initiator has disconnected
         finally:
             if task.status is None and not task.aborted and task.reply is None:
                 self._session.abort(task)
 
-    def _abandoned(self, task: Task) -> bool:
-        """Whether its initiator has ended the connection; at level 2 the command may go on on another."""
+    def _has_initiator_disconnected(self, task: Task) -> bool:
+        """Returns whether the initiator has closed the task's connection.
+
+        At recovery level 2 this is always False, since the task may be reassigned to another connection.
+        """
         connection = task.connection
         if connection is None or self._session.agreed.recovery >= 2:
             return False
         return peer_has_closed(connection.writer.transport)
 
-    # Its data in
+    # Receiving data
+
+    async def _receive_data(self, task: Task, inbound: Inbound, deadline_us: int) -> bool:
+        """Requests a write's data with R2Ts, burst by burst, and waits for it.
+
+        Where the recovery level allows it, missing data is requested again after `R2T_RETRY_INTERVAL_S`
+        without Data-Out PDUs.
 
-    async def _gather(self, task: Task, inbound: Inbound, deadline_us: int) -> bool:
-        """Ask for a write's data, burst by burst; False if they do not come in time."""
-        loop, recovers = self._front.loop, self._session.agreed.recovery > 0
-        end = self._front.clock.loop_time(deadline_us)
+        Returns:
+            False if data is still missing at the deadline.
+        """
+        loop, may_retry = self._front.loop, self._session.agreed.recovery > 0
+        deadline_s = self._front.clock.loop_time(deadline_us)
         while not inbound.done:
-            self.ask(task, inbound.asks())
+            self.send_r2ts(task, inbound.asks())
             task.news.clear()
-            stall = task.moved_s + STALL_S if recovers and inbound.waits else end
+            retry_at_s = task.moved_s + R2T_RETRY_INTERVAL_S if may_retry and inbound.waits else deadline_s
             try:
-                async with asyncio.timeout_at(min(end, stall)):
+                async with asyncio.timeout_at(min(deadline_s, retry_at_s)):
                     await task.news.wait()
             except TimeoutError:
-                if loop.time() >= end:
+                if loop.time() >= deadline_s:
                     return False
                 task.moved_s = loop.time()
-                self.ask(task, inbound.stalled())
+                self.send_r2ts(task, inbound.stalled())
         return True
 
-    def ask(self, task: Task, asks: list[Ask]) -> None:
-        for one in asks:
-            self._transfers = max(self._transfers, one.tag)
+    def send_r2ts(self, task: Task, r2ts: list[Ask]) -> None:
+        """Sends R2Ts for a task on its connection; sends nothing while the task has no connection.
+
+        Args:
+            task: The task.
+            r2ts: The R2Ts, whose transfer tags are recorded as used also when they are not sent.
+        """
+        for r2t in r2ts:
+            self._last_transfer_tag = max(self._last_transfer_tag, r2t.tag)
             if task.connection is not None:
                 self._front.counters["r2ts"] += 1
                 task.connection.send(
@@ -173,42 +224,68 @@
                         Op.R2T,
                         lun=task.pdu.lun,
                         tag=task.tag,
-                        words=[one.tag, 0, 0, 0, one.r2t_sn, one.offset, one.length],
+                        words=[r2t.tag, 0, 0, 0, r2t.r2t_sn, r2t.offset, r2t.length],
                     )
                 )
 
-    def data_out(self, connection: Connection, pdu: Pdu) -> None:
+    def receive_data_out(self, connection: Connection, pdu: Pdu) -> None:
+        """Adds the data of a Data-Out PDU to its task.
+
+        Data for a task that was aborted, that has already been answered or that belongs to another connection
+        is dropped. Data that does not fit an outstanding R2T is counted as `data.ignored` where the recovery
+        level allows R2Ts to be sent again.
+
+        Args:
+            connection: The connection that received the PDU.
+            pdu: The Data-Out PDU.
+
+        Raises:
+            PduError: The data breaks the protocol and the recovery level does not allow it to be ignored.
+        """
         task = self._session.tasks.get(pdu.tag)
         if task is None or task.inbound is None or task.connection is not connection:
-            return  # of a command that was aborted, or whose data came too late
+            return  # the task was aborted, or its data arrived after the deadline
         if not task.inbound.length:
             return
         try:
             task.inbound.take(pdu.words[0], pdu.words[4], pdu.words[5], pdu.data, bool(pdu.flags & FINAL))
         except TransferError as error:
             if self._session.agreed.recovery and pdu.words[0] != NONE:
-                self._front.counters["data.ignored"] += 1  # of a burst that was asked for anew
+                self._front.counters["data.ignored"] += 1  # its burst was requested again under another R2T
                 return
             raise PduError(PduError.PROTOCOL, str(error), pdu) from None
         task.moved_s = self._front.loop.time()
         if pdu.flags & FINAL and self._session.agreed.recovery:
-            self._recover(task, task.inbound.again())
+            self._send_recovery_r2ts(task, task.inbound.again())
         task.news.set()
 
-    def stalled(self, tag: int) -> None:
-        """Data of a command were discarded: what is missing is asked for again."""
+    def request_missing_data(self, tag: int) -> None:
+        """Sends recovery R2Ts for the missing data of a task, after a Data-Out PDU of it was discarded.
+
+        Args:
+            tag: The task tag.
+        """
         task = self._session.tasks.get(tag)
         if task is not None and task.inbound is not None and task.inbound.length:
-            self._recover(task, task.inbound.stalled())
+            self._send_recovery_r2ts(task, task.inbound.stalled())
 
-    def _recover(self, task: Task, asks: list[Ask]) -> None:
-        self._front.counters["r2ts.recovery"] += len(asks)
-        self.ask(task, asks)
+    def _send_recovery_r2ts(self, task: Task, r2ts: list[Ask]) -> None:
+        """Sends R2Ts for data that was requested before, and counts them as `r2ts.recovery`."""
+        self._front.counters["r2ts.recovery"] += len(r2ts)
+        self.send_r2ts(task, r2ts)
 
-    # Its data and status out
+    # Sending data and status
 
     def respond(self, task: Task, reply: scsi.Reply) -> None:
-        """The command's end is known. Without a connection it is kept until the command is reassigned."""
+        """Records a task's reply and sends its data and status.
+
+        If the task has no connection, the reply is kept until the task is reassigned. Does nothing for an
+        aborted task.
+
+        Args:
+            task: The task.
+            reply: Its status, with data and sense data if there are any.
+        """
         if task.aborted:
             return
         task.reply = reply
@@ -218,38 +295,39 @@
             agreed = task.connection.agreed if task.connection is not None else self._session.agreed
             task.outbound = Outbound(data, agreed.send_segment, self._session.agreed.max_burst)
         if task.connection is not None:
-            self._send(task, 0)
+            self._send_data_and_status(task, 0)
 
-    def _send(self, task: Task, first: int) -> None:
-        """Data from DataSN `first` on, and the status, on the command's own connection."""
+    def _send_data_and_status(self, task: Task, first_data_sn: int) -> None:
+        """Sends the Data-In PDUs from DataSN `first_data_sn` on, and then the SCSI Response."""
         connection, reply = task.connection, task.reply
         assert connection is not None
         assert reply is not None
         outbound = task.outbound
         if outbound is not None:
             for part in outbound.parts():
-                if part.data_sn >= first:
-                    self._data_in(connection, task, outbound, part)
-        length, moved = task.command.length, len(outbound.data) if outbound is not None else 0
+                if part.data_sn >= first_data_sn:
+                    self._send_data_in(connection, task, outbound, part)
+        length, transferred = task.command.length, len(outbound.data) if outbound is not None else 0
         residual = reply.residual
         if task.command.reads:
-            residual = length - moved or min(0, reply.residual)
+            residual = length - transferred or min(0, reply.residual)
         flags = FINAL | (0x02 if residual > 0 else 0x04 if residual < 0 else 0)
         sense = len(reply.sense).to_bytes(2, "big") + reply.sense if reply.sense else b""
-        count = outbound.count if outbound is not None else 0
+        data_in_count = outbound.count if outbound is not None else 0
         task.status = Pdu(
             Op.SCSI_RESPONSE,
             flags,
             byte3=reply.status,
             tag=task.tag,
             data=sense,
-            words=[0, 0, 0, 0, count, 0, abs(residual)],
+            words=[0, 0, 0, 0, data_in_count, 0, abs(residual)],
         )
         connection.send(task.status, status=True)
         if not self._session.agreed.recovery:
-            self._session.forget(task)
+            self._session.remove_task(task)
 
-    def _data_in(self, connection: Connection, task: Task, outbound: Outbound, part: Part) -> None:
+    def _send_data_in(self, connection: Connection, task: Task, outbound: Outbound, part: Part) -> None:
+        """Sends one Data-In PDU of a task."""
         data = outbound.data[part.offset : part.offset + part.length]
         connection.send(
             Pdu(
@@ -262,49 +340,80 @@
             )
         )
 
-    def release(self, task: Task) -> None:
-        """Its status is known to the initiator: nothing of it can be asked for again."""
-        self._session.forget(task)
+    def release_acknowledged(self, task: Task) -> None:
+        """Removes a task whose status the initiator has acknowledged, so that no SNACK can request it again.
+
+        Args:
+            task: The task.
+        """
+        self._session.remove_task(task)
 
     # Recovery
 
-    def snack(self, connection: Connection, pdu: Pdu) -> None:
-        """What the initiator missed is sent again (7.3, 11.16); what is not kept gets a Reject."""
-        kind, first, run = pdu.flags & 0x0F, pdu.words[5], pdu.words[6]
+    def handle_snack(self, connection: Connection, pdu: Pdu) -> None:
+        """Sends the requested PDUs again (RFC 7143, sections 7.3 and 11.16).
+
+        A request for PDUs that are no longer kept is answered with a Reject.
+
+        Args:
+            connection: The connection that received the SNACK.
+            pdu: The SNACK PDU.
+
+        Raises:
+            PduError: The session runs at recovery level 0.
+        """
+        kind, begin_run, run_length = pdu.flags & 0x0F, pdu.words[5], pdu.words[6]
         self._front.counters["snacks"] += 1
         if not self._session.agreed.recovery:
-            raise PduError(PduError.PROTOCOL, "a SNACK at recovery level 0", pdu)
+            raise PduError(PduError.PROTOCOL, "SNACK at recovery level 0", pdu)
         if kind == STATUS_SNACK:
-            statuses = connection.statuses.again(first, run)
+            statuses = connection.statuses.again(begin_run, run_length)
             if statuses is not None:
                 for _, status in statuses:
-                    connection.again(status)
+                    connection.write(status)
                 return
         task = self._session.tasks.get(pdu.tag)
         if task is not None and task.connection is connection and kind != STATUS_SNACK:
             if kind == DATA_ACK and task.outbound is not None:
-                task.outbound.acknowledged = max(task.outbound.acknowledged, first)
+                task.outbound.acknowledged = max(task.outbound.acknowledged, begin_run)
                 return
-            if kind == RDATA_SNACK and task.outbound is not None and not first and not run:
+            if kind == RDATA_SNACK and task.outbound is not None and not begin_run and not run_length:
                 task.outbound = Outbound(
                     task.outbound.data, connection.agreed.send_segment, self._session.agreed.max_burst
                 )
-            if task.outbound is not None and (parts := task.outbound.again(first, run)) is not None:
+            if (
+                task.outbound is not None
+                and (parts := task.outbound.again(begin_run, run_length)) is not None
+            ):
                 for part in parts:
-                    self._data_in(connection, task, task.outbound, part)
+                    self._send_data_in(connection, task, task.outbound, part)
                 return
-            if task.inbound is not None and kind == DATA_SNACK:  # R2Ts were missed
-                self._recover(task, task.inbound.stalled())
+            if task.inbound is not None and kind == DATA_SNACK:  # the initiator did not receive some R2Ts
+                self._send_recovery_r2ts(task, task.inbound.stalled())
                 return
         connection.reject(pdu, PduError.SNACK)
 
-    def resize(self, connection: Connection, segment: int) -> Agreed:
-        """The initiator takes another length of data segments from now on."""
-        return replace(connection.agreed, send_segment=segment)
+    def agreed_with_send_segment(self, connection: Connection, segment_bytes: int) -> Agreed:
+        """Returns a connection's parameters with a new maximum length of the data segments that it sends.
+
+        Args:
+            connection: The connection whose initiator has declared a new MaxRecvDataSegmentLength.
+            segment_bytes: The declared length, in bytes.
+        """
+        return replace(connection.agreed, send_segment=segment_bytes)
 
     def reassign(self, connection: Connection, pdu: Pdu) -> int:
-        """TASK REASSIGN (7.4, 11.5): a command whose connection was lost goes on on this one. It was not run
-        again: its life went on, and its end was kept.
+        """Reassigns a task whose connection was lost to another connection (RFC 7143, sections 7.4 and 11.5).
+
+        The command is not executed again: it kept running without a connection, and its reply was kept.
+
+        Args:
+            connection: The connection that received the request, which becomes the task's connection.
+            pdu: The TASK REASSIGN request.
+
+        Returns:
+            The response code (section 11.6.1): 0 function complete, 1 task does not exist, 3 task still
+            allegiant, 4 task allegiance reassignment not supported.
         """
         if self._session.agreed.recovery < 2:
             return 4
@@ -315,26 +424,32 @@
             return 3
         self._front.counters["tasks.reassigned"] += 1
         task.connection = connection
-        # The response goes first; what follows belongs to the new connection.
-        kept = task.reply is not None
-        self._front.loop.call_soon(self._resume, task, connection, pdu.words[4], kept)
+        # The task management response is sent before anything else of the task on the new connection.
+        has_reply = task.reply is not None
+        self._front.loop.call_soon(self._resume, task, connection, pdu.words[4], has_reply)
         return 0
 
-    def _resume(self, task: Task, connection: Connection, expected: int, kept: bool) -> None:
-        """Go on with a reassigned command. One whose end was `kept` is answered now; one that has ended since
-        it was reassigned has been answered by `respond`.
+    def _resume(self, task: Task, connection: Connection, exp_data_sn: int, has_reply: bool) -> None:
+        """Continues a reassigned task on its new connection.
+
+        Args:
+            task: The task.
+            connection: The connection that it was reassigned to.
+            exp_data_sn: The first DataSN that the initiator has not received.
+            has_reply: Whether the task had its reply when it was reassigned. That reply is sent here;
+                `respond` has sent a reply that came after the reassignment.
         """
-        if task.connection is not connection or connection.over:
+        if task.connection is not connection or connection.closed:
             return
-        if kept:
-            first = 0
+        if has_reply:
+            first_data_sn = 0
             if task.outbound is not None:
                 if connection.agreed.send_segment == task.outbound.segment:
-                    first = expected
+                    first_data_sn = exp_data_sn
                 else:
                     task.outbound = Outbound(
                         task.outbound.data, connection.agreed.send_segment, self._session.agreed.max_burst
                     )
-            self._send(task, first)
+            self._send_data_and_status(task, first_data_sn)
         elif task.inbound is not None:
-            self._recover(task, task.inbound.stalled())
+            self._send_recovery_r2ts(task, task.inbound.stalled())
--- a/lemonridge/iscsi/session.py
+++ b/lemonridge/iscsi/session.py
@@ -1,5 +1,7 @@
-"""A session: its command window over all its connections, its commands, and what happens to them when a
-connection is lost (RFC 7143, chapters 4 and 7).
+"""A session of an initiator with a target, across all its connections (RFC 7143, chapters 4 and 7).
+
+It holds the command window and the tasks, dispatches the received PDUs in the order of CmdSN, answers text
+requests, logouts and task management, and decides what happens to tasks whose connection is lost.
 """
 
 from __future__ import annotations
@@ -14,7 +16,7 @@
 from lemonridge.iscsi.login import TargetLogin
 from lemonridge.iscsi.numbers import CommandWindow, Place, later
 from lemonridge.iscsi.pdu import CONTINUE, FINAL, NONE, Op, Pdu, PduError, pack_text, unpack_lun
-from lemonridge.iscsi.runner import Runner
+from lemonridge.iscsi.runner import TaskRunner
 from lemonridge.iscsi.task import Task
 
 if TYPE_CHECKING:
@@ -22,193 +24,292 @@
 
 log = logging.getLogger(__name__)
 
-TEXT_MAX = 16 * 1024  # of one text exchange, either way
-ORDERED = frozenset((Op.NOP_OUT, Op.SCSI_COMMAND, Op.TASK_MANAGEMENT, Op.TEXT, Op.LOGOUT))
-# Task management: functions, and responses (11.5, 11.6)
-ABORT_TASK, ABORT_SET, CLEAR_ACA, CLEAR_SET, LUN_RESET, WARM_RESET, COLD_RESET, REASSIGN = range(1, 9)
-COMPLETE, NO_TASK, NO_LUN, ALLEGIANT, NO_REASSIGN, UNSUPPORTED = range(6)
-
-Item = tuple[Connection, Pdu]
+TEXT_MAX_BYTES = 16 * 1024  # of the request of one text exchange
+ACCEPTED_OPCODES = frozenset((Op.NOP_OUT, Op.SCSI_COMMAND, Op.TASK_MANAGEMENT, Op.TEXT, Op.LOGOUT))
+# Task management function and response codes (RFC 7143, sections 11.5.1 and 11.6.1)
+(
+    ABORT_TASK,
+    ABORT_TASK_SET,
+    CLEAR_ACA,
+    CLEAR_TASK_SET,
+    LOGICAL_UNIT_RESET,
+    TARGET_WARM_RESET,
+    TARGET_COLD_RESET,
+    TASK_REASSIGN,
+) = range(1, 9)
+(
+    FUNCTION_COMPLETE,
+    TASK_DOES_NOT_EXIST,
+    LUN_DOES_NOT_EXIST,
+    TASK_STILL_ALLEGIANT,
+    REASSIGNMENT_NOT_SUPPORTED,
+    FUNCTION_NOT_SUPPORTED,
+) = range(6)
+
+ReceivedPdu = tuple[Connection, Pdu]
 
 
 class Session:
-    """What an initiator has with this target under one TSIH."""
-
-    def __init__(self, front: IscsiFront, login: TargetLogin, expected: int) -> None:
+    """One session, identified by its TSIH.
+
+    Args:
+        front: The iSCSI front that the session belongs to.
+        login: The completed login of the session's first connection.
+        exp_cmd_sn: The first CmdSN that the session expects.
+
+    Attributes:
+        front: The iSCSI front.
+        loop: The event loop.
+        initiator: The initiator's iSCSI name.
+        target: The target's iSCSI name; empty in a discovery session.
+        isid: The initiator's part of the session identifier.
+        tsih: The target's session identifying handle.
+        discovery: Whether this is a discovery session.
+        agreed: The parameters negotiated for the session.
+        window: The command window, which puts the received PDUs in the order of CmdSN.
+        connections: The connections, by CID.
+        tasks: The tasks, by task tag, until their status is sent or, where the recovery level allows a SNACK,
+            acknowledged.
+        nexus: The I_T nexus, with its pending unit attentions.
+        runner: Runs the SCSI commands.
+        ended: Whether the session has ended.
+        ends_when_idle: Whether the session ends once no task is left without a status.
+    """
+
+    def __init__(self, front: IscsiFront, login: TargetLogin, exp_cmd_sn: int) -> None:
         self.front, self.loop = front, front.loop
         self.initiator, self.target, self.isid = login.initiator, login.target, login.isid
         self.tsih, self.discovery, self.agreed = login.tsih, login.discovery, login.agreed
-        self.window: CommandWindow[Item] = CommandWindow(expected, front.config.queue_depth)
+        self.window: CommandWindow[ReceivedPdu] = CommandWindow(exp_cmd_sn, front.config.queue_depth)
         self.connections: dict[int, Connection] = {}
         self.tasks: dict[int, Task] = {}
         self.nexus = Nexus(self.initiator + "," + self.isid.hex(), front.device)
-        self.runner = Runner(self)
-        self.over = self.ending = False
-        self._text: dict[int, bytes] = {}  # long answers, by transfer tag
-        self._asked: dict[Connection, bytes] = {}  # text requests that are not complete
-        self._tags = 0
-        self._expiry: asyncio.TimerHandle | None = None
+        self.runner = TaskRunner(self)
+        self.ended = self.ends_when_idle = False
+        self._unsent_text: dict[int, bytes] = {}  # the rest of a long answer, by transfer tag
+        self._partial_text_requests: dict[Connection, bytes] = {}  # the text received so far
+        self._last_transfer_tag = 0
+        self._expiry_timer: asyncio.TimerHandle | None = None
 
     # Connections
 
-    def join(self, connection: Connection) -> None:
-        """A connection's login is over. One under a CID that is in use takes its place (6.3.4)."""
-        before = self.connections.get(connection.cid)
-        if before is not None:
+    def add_connection(self, connection: Connection) -> None:
+        """Adds a connection whose login has succeeded.
+
+        It replaces an existing connection with the same CID (RFC 7143, section 6.3.4).
+
+        Args:
+            connection: The connection; it is closed at once if the session is about to end.
+        """
+        previous = self.connections.get(connection.cid)
+        if previous is not None:
             self.front.counters["connections.reinstated"] += 1
-            self.lost(before)
-            before.close()
-        if self._expiry is not None:
-            self._expiry.cancel()
-            self._expiry = None
+            self.connection_lost(previous)
+            previous.close()
+        if self._expiry_timer is not None:
+            self._expiry_timer.cancel()
+            self._expiry_timer = None
         self.connections[connection.cid] = connection
-        if self.ending:
+        if self.ends_when_idle:
             connection.close()
 
-    def lost(self, connection: Connection) -> None:
-        """A connection is gone. At level 2 its commands wait to be reassigned; below, the session is over."""
-        self._asked.pop(connection, None)
+    def connection_lost(self, connection: Connection) -> None:
+        """Removes a connection that has been closed or lost.
+
+        At recovery level 2 its tasks wait to be reassigned, for DefaultTime2Wait plus DefaultTime2Retain
+        seconds, and a session without connections ends after that time. At lower levels the tasks are
+        aborted; the session ends unless this side closed the connection and another one is left. A discovery
+        session ends at once.
+
+        Args:
+            connection: The connection; nothing changes if another one has taken its CID.
+        """
+        self._partial_text_requests.pop(connection, None)
         if self.connections.get(connection.cid) is not connection:
             return
         del self.connections[connection.cid]
-        if self.over:
+        if self.ended:
             return
-        if self.discovery or (self.agreed.recovery < 2 and not connection.over):
+        if self.discovery or (self.agreed.recovery < 2 and not connection.closed):
             self.end()
             return
         orphans = [task for task in self.tasks.values() if task.connection is connection]
-        if self.agreed.recovery < 2:  # it logged out: what it had is over
+        if self.agreed.recovery < 2:  # after a logout
             for task in orphans:
                 self.abort(task)
         else:
             self.front.counters["tasks.orphaned"] += len(orphans)
             for task in orphans:
                 task.connection = None
-            wait = self.agreed.time2wait + self.agreed.time2retain
-            self.loop.call_later(wait, self._expire, orphans)
+            expiry_delay_s = self.agreed.time2wait + self.agreed.time2retain
+            self.loop.call_later(expiry_delay_s, self._abort_unreassigned, orphans)
         if not self.connections:
             if self.agreed.recovery < 2 or not self.agreed.time2retain:
                 self.end()
             else:
-                wait = self.agreed.time2wait + self.agreed.time2retain
-                self._expiry = self.loop.call_later(wait, self.end)
+                expiry_delay_s = self.agreed.time2wait + self.agreed.time2retain
+                self._expiry_timer = self.loop.call_later(expiry_delay_s, self.end)
 
-    def _expire(self, orphans: list[Task]) -> None:
-        """Commands that nobody reassigned in time are over (DefaultTime2Retain, 13.16)."""
+    def _abort_unreassigned(self, orphans: list[Task]) -> None:
+        """Aborts the tasks that were not reassigned in time (DefaultTime2Retain; RFC 7143, section 13.16)."""
         for task in orphans:
             if task.connection is None and self.tasks.get(task.tag) is task:
                 self.front.counters["tasks.expired"] += 1
                 self.abort(task)
 
     def end(self) -> None:
-        """The session is over: its commands have no one left to answer."""
-        if self.over:
+        """Ends the session: aborts its tasks and closes its connections. A second call has no effect."""
+        if self.ended:
             return
-        self.over = True
-        if self._expiry is not None:
-            self._expiry.cancel()
+        self.ended = True
+        if self._expiry_timer is not None:
+            self._expiry_timer.cancel()
         for task in list(self.tasks.values()):
             self.abort(task)
         for connection in list(self.connections.values()):
             connection.close()
         self.connections.clear()
         self.nexus.close()
-        self.front.forget(self)
+        self.front.remove_session(self)
 
-    def ask_logout(self) -> None:
-        """Async Message 1: log out within the tail (11.9.1)."""
+    def request_logout(self) -> None:
+        """Asks the initiator to log out within one second, by an Asynchronous Message on each connection.
+
+        AsyncEvent 1 (RFC 7143, section 11.9.1).
+        """
         for connection in self.connections.values():
             connection.send(Pdu(Op.ASYNC, words=[0, 0, 0, 0, 1 << 24, 1, 0]), status=True)
 
     def end_when_idle(self) -> None:
-        self.ending = True
-        self._look()
+        """Ends the session as soon as every task has its status.
 
-    def _look(self) -> None:
-        if self.ending and not any(task.status is None for task in self.tasks.values()):
+        Until then new commands are answered with BUSY.
+        """
+        self.ends_when_idle = True
+        self._end_if_idle()
+
+    def _end_if_idle(self) -> None:
+        """Ends the session if it is to end when idle and every task has its status."""
+        if self.ends_when_idle and not any(task.status is None for task in self.tasks.values()):
             self.end()
 
-    # Numbers
+    # Command numbers
+
+    def command_numbers(self) -> tuple[int, int]:
+        """Returns the current ExpCmdSN and MaxCmdSN.
 
-    def numbers(self) -> tuple[int, int]:
-        """ExpCmdSN and MaxCmdSN of this moment. A command in work takes a place, and so does a status that is
-        kept for the initiator beyond half of the room for such.
+        Each task without a status occupies a slot of the command window. Where the kept statuses fill more
+        than half of their limit (`statuses`), the free slots are also bounded by the statuses that can still
+        be kept.
         """
-        busy = sum(task.status is None for task in self.tasks.values())
-        kept = sum(one.statuses.unacknowledged for one in self.connections.values())
-        spare = max(0, self.front.config.statuses - kept)
-        busy = max(busy, self.window.size - spare) if kept * 2 > self.front.config.statuses else busy
-        return self.window.expected, self.window.told(busy)
+        occupied = sum(task.status is None for task in self.tasks.values())
+        kept_statuses = sum(connection.statuses.unacknowledged for connection in self.connections.values())
+        spare_statuses = max(0, self.front.config.statuses - kept_statuses)
+        occupied = (
+            max(occupied, self.window.size - spare_statuses)
+            if kept_statuses * 2 > self.front.config.statuses
+            else occupied
+        )
+        return self.window.expected, self.window.told(occupied)
+
+    # Receiving PDUs
+
+    def receive(self, connection: Connection, pdu: Pdu) -> bool:
+        """Processes a received PDU.
 
-    # What comes in
+        PDUs with a CmdSN are processed in the order of their numbers. One that arrives early is held until
+        the earlier ones have arrived, on whichever connection.
 
-    def take(self, connection: Connection, pdu: Pdu) -> bool:
-        """Take one PDU; False ends the connection."""
+        Args:
+            connection: The connection that received the PDU.
+            pdu: The PDU.
+
+        Returns:
+            Whether the connection stays open.
+
+        Raises:
+            PduError: The PDU, or a held one that is now in order, breaks the protocol.
+        """
         if pdu.opcode != Op.DATA_OUT or connection.agreed.recovery:
             self._acknowledge(connection, pdu)
         if pdu.opcode == Op.DATA_OUT:
-            self.runner.data_out(connection, pdu)
+            self.runner.receive_data_out(connection, pdu)
             return True
         if pdu.opcode == Op.SNACK:
-            self.runner.snack(connection, pdu)
+            self.runner.handle_snack(connection, pdu)
             return True
-        if pdu.opcode not in ORDERED:
+        if pdu.opcode not in ACCEPTED_OPCODES:
             raise PduError(PduError.UNSUPPORTED, f"opcode {pdu.opcode:#04x}", pdu)
         if pdu.immediate:
-            busy = sum(task.status is None for task in self.tasks.values())
-            if pdu.opcode == Op.SCSI_COMMAND and busy >= self.window.size * 2:
+            open_tasks = sum(task.status is None for task in self.tasks.values())
+            if pdu.opcode == Op.SCSI_COMMAND and open_tasks >= self.window.size * 2:
                 connection.reject(pdu, PduError.TOO_MANY)
                 return True
-            return self._one(connection, pdu)
-        self.numbers()
+            return self._dispatch(connection, pdu)
+        self.command_numbers()  # updates MaxCmdSN in the window, which bounds the accepted CmdSN
         place, ready = self.window.arrive(pdu.words[1], (connection, pdu))
         if place is Place.REPEATED and connection.agreed.recovery:
-            self._again(connection, pdu)
+            self._resend_status(connection, pdu)
         if place is Place.NEXT and not ready and len(self.connections) == 1 and not self.agreed.recovery:
-            # One connection at level 0 delivers in order: what is missing will never come.
-            raise PduError(PduError.PROTOCOL, "a command number was left out", pdu)
-        goes_on = True
-        for origin, one in ready:
-            goes_on = self._one(origin, one) and goes_on
-        return goes_on
+            # A single connection at level 0 delivers in order, so the missing command will never arrive.
+            raise PduError(PduError.PROTOCOL, "gap in CmdSN on a single connection", pdu)
+        stays_open = True
+        for origin, ready_pdu in ready:
+            stays_open = self._dispatch(origin, ready_pdu) and stays_open
+        return stays_open
 
     def _acknowledge(self, connection: Connection, pdu: Pdu) -> None:
+        """Releases the tasks whose status is acknowledged by the ExpStatSN of a PDU."""
         for status in connection.statuses.acknowledge(pdu.words[2]):
             task = self.tasks.get(status.tag)
             if task is not None and task.status is status:
-                self.runner.release(task)
+                self.runner.release_acknowledged(task)
 
-    def _again(self, connection: Connection, pdu: Pdu) -> None:
-        """A command that came before (7.2.1): it joins the one in work, or gets the status that it got."""
+    def _resend_status(self, connection: Connection, pdu: Pdu) -> None:
+        """Handles a command that was received before (RFC 7143, section 7.2.1).
+
+        If the first command has its status, the status is sent again. Otherwise the repeated command is
+        dropped, since the first one is still being processed.
+        """
         task = self.tasks.get(pdu.tag)
         self.front.counters["commands.repeated"] += 1
         if task is not None and task.status is not None and task.connection is connection:
-            connection.again(task.status)
+            connection.write(task.status)
 
-    def spoilt(self, connection: Connection, pdu: Pdu) -> None:
-        """A PDU was discarded for its data: data that were asked for are asked for again (7.2)."""
+    def data_digest_failed(self, connection: Connection, pdu: Pdu) -> None:
+        """Requests data again after a PDU was discarded because of its data digest (RFC 7143, section 7.2).
+
+        Args:
+            connection: The connection that received the PDU.
+            pdu: The PDU. Only the data of a Data-Out PDU is requested again.
+        """
         if pdu.opcode == Op.DATA_OUT:
-            self.runner.stalled(pdu.tag)
+            self.runner.request_missing_data(pdu.tag)
+
+    def _dispatch(self, connection: Connection, pdu: Pdu) -> bool:
+        """Processes a PDU that is immediate or next in the order of CmdSN.
 
-    def _one(self, connection: Connection, pdu: Pdu) -> bool:
-        """A PDU whose turn has come."""
+        Returns:
+            Whether its connection stays open.
+        """
         if pdu.opcode == Op.NOP_OUT:
-            self._ping(connection, pdu)
+            self._receive_nop_out(connection, pdu)
         elif pdu.opcode == Op.TEXT:
-            self._text_request(connection, pdu)
+            self._receive_text(connection, pdu)
         elif pdu.opcode == Op.LOGOUT:
-            return self._logout(connection, pdu)
+            return self._receive_logout(connection, pdu)
         elif self.discovery:
-            raise PduError(PduError.PROTOCOL, "a discovery session carries no commands", pdu)
+            raise PduError(PduError.PROTOCOL, "SCSI command or task management in a discovery session", pdu)
         elif pdu.opcode == Op.TASK_MANAGEMENT:
-            self._manage(connection, pdu)
+            self._manage_tasks(connection, pdu)
         else:
-            self.runner.begin(connection, pdu)
+            self.runner.receive_command(connection, pdu)
         return True
 
-    def _ping(self, connection: Connection, pdu: Pdu) -> None:
-        if pdu.words[0] != NONE:  # the answer to a ping of this side's
-            connection.unseen.discard(pdu.words[0])
+    def _receive_nop_out(self, connection: Connection, pdu: Pdu) -> None:
+        """Records the answer to a ping of the target, or answers a ping of the initiator."""
+        if pdu.words[0] != NONE:  # the answer to a ping of the target
+            connection.unanswered_pings.discard(pdu.words[0])
         if pdu.tag != NONE:
             words = [NONE, 0, 0, 0, 0, 0, 0]
             data = pdu.data[: connection.agreed.send_segment]
@@ -216,21 +317,30 @@
 
     # Text and logout
 
-    def _text_request(self, connection: Connection, pdu: Pdu) -> None:
-        """Text in the full feature phase, in as many PDUs as it takes either way (11.10, 11.11)."""
-        if pdu.words[0] != NONE:  # the initiator wants the rest of a long answer
-            rest = self._text.pop(pdu.words[0], None)
+    def _receive_text(self, connection: Connection, pdu: Pdu) -> None:
+        """Answers a text request (RFC 7143, sections 11.10 and 11.11).
+
+        A request, and its answer, may be split over several PDUs.
+        """
+        if pdu.words[0] != NONE:  # the initiator requests the rest of a long answer
+            rest = self._unsent_text.pop(pdu.words[0], None)
             if rest is None or pdu.data:
-                raise PduError(PduError.PROTOCOL, "no such text exchange", pdu)
-            self._tell(connection, pdu, rest)
+                raise PduError(PduError.PROTOCOL, "unknown target transfer tag in a text request", pdu)
+            self._send_text(connection, pdu, rest)
             return
-        text = self._asked.pop(connection, b"") + pdu.data
-        if len(text) > TEXT_MAX:
-            raise PduError(PduError.PROTOCOL, "too much text", pdu)
+        text = self._partial_text_requests.pop(connection, b"") + pdu.data
+        if len(text) > TEXT_MAX_BYTES:
+            raise PduError(PduError.PROTOCOL, "text request is too long", pdu)
         if pdu.flags & CONTINUE:
-            self._asked[connection] = text
+            self._partial_text_requests[connection] = text
             connection.send(
-                Pdu(Op.TEXT_RESPONSE, 0, lun=pdu.lun, tag=pdu.tag, words=[self._tag(), 0, 0, 0, 0, 0, 0]),
+                Pdu(
+                    Op.TEXT_RESPONSE,
+                    0,
+                    lun=pdu.lun,
+                    tag=pdu.tag,
+                    words=[self._next_transfer_tag(), 0, 0, 0, 0, 0, 0],
+                ),
                 status=True,
             )
             return
@@ -238,64 +348,84 @@
             pairs = parse(text)
         except NegotiationError as error:
             raise PduError(PduError.PROTOCOL, str(error), pdu) from None
-        told: list[tuple[str, str]] = []
-        rest_of = [(key, value) for key, value in pairs if key != "SendTargets"]
+        answers: list[tuple[str, str]] = []
+        negotiable = [(key, value) for key, value in pairs if key != "SendTargets"]
         for key, value in pairs:
             if key == "SendTargets":
-                told += self._targets(connection, value)
+                answers += self._visible_targets(connection, value)
         responder = Responder(self.front.config.wishes, leading=False)
-        told += [
+        answers += [
             (key, value)
-            for key, value in responder.answer(rest_of)
+            for key, value in responder.answer(negotiable)
             if key != "MaxRecvDataSegmentLength" or value == "Reject"
         ]
-        if "MaxRecvDataSegmentLength" in dict(rest_of) and ("MaxRecvDataSegmentLength", "Reject") not in told:
-            connection.agreed = self.runner.resize(connection, responder.agreed.send_segment)
-        self._tell(connection, pdu, pack_text(told))
+        if (
+            "MaxRecvDataSegmentLength" in dict(negotiable)
+            and ("MaxRecvDataSegmentLength", "Reject") not in answers
+        ):
+            connection.agreed = self.runner.agreed_with_send_segment(
+                connection, responder.agreed.send_segment
+            )
+        self._send_text(connection, pdu, pack_text(answers))
 
-    def _tag(self) -> int:
-        self._tags = (self._tags + 1) % NONE
-        return self._tags
+    def _next_transfer_tag(self) -> int:
+        """Returns a new target transfer tag for a text exchange."""
+        self._last_transfer_tag = (self._last_transfer_tag + 1) % NONE
+        return self._last_transfer_tag
 
-    def _tell(self, connection: Connection, pdu: Pdu, text: bytes) -> None:
-        part, rest = text[: connection.agreed.send_segment], text[connection.agreed.send_segment :]
+    def _send_text(self, connection: Connection, pdu: Pdu, text: bytes) -> None:
+        """Sends as much of a text as fits one PDU, and keeps the rest for the initiator to request."""
+        segment, rest = text[: connection.agreed.send_segment], text[connection.agreed.send_segment :]
         tag = NONE
         if rest:
-            tag = self._tag()
-            self._text = {tag: rest}  # one exchange at a time (11.10.2)
+            tag = self._next_transfer_tag()
+            self._unsent_text = {tag: rest}  # one exchange at a time (11.10.2)
         flags = CONTINUE if rest else FINAL
         connection.send(
-            Pdu(Op.TEXT_RESPONSE, flags, lun=pdu.lun, tag=pdu.tag, data=part, words=[tag, 0, 0, 0, 0, 0, 0]),
+            Pdu(
+                Op.TEXT_RESPONSE, flags, lun=pdu.lun, tag=pdu.tag, data=segment, words=[tag, 0, 0, 0, 0, 0, 0]
+            ),
             status=True,
         )
 
-    def _targets(self, connection: Connection, value: str) -> list[tuple[str, str]]:
-        """SendTargets (Appendix C): the targets that this initiator may see."""
+    def _visible_targets(self, connection: Connection, value: str) -> list[tuple[str, str]]:
+        """Returns the answer to SendTargets: the requested targets that this initiator may log in to.
+
+        RFC 7143, Appendix C.
+        """
         host, port = connection.writer.get_extra_info("sockname")[:2]
         host = f"[{host}]" if ":" in host else host
         pairs: list[tuple[str, str]] = []
         for rule in self.front.config.targets.values():
-            asked = value == "All" and self.discovery or value in ("", rule.name)
+            requested = value == "All" and self.discovery or value in ("", rule.name)
             if (
-                asked
+                requested
                 and rule.admits(self.initiator)
                 and (value != "" or rule.name == self.target or self.discovery)
             ):
                 pairs += [("TargetName", rule.name), ("TargetAddress", f"{host}:{port},1")]
         return pairs
 
-    def _logout(self, connection: Connection, pdu: Pdu) -> bool:
-        """Close the session, or a connection, or give one up for recovery (11.14, 11.15)."""
+    def _receive_logout(self, connection: Connection, pdu: Pdu) -> bool:
+        """Closes the session or a connection, or removes a connection for recovery, by the reason code.
+
+        RFC 7143, sections 11.14 and 11.15.
+
+        Returns:
+            Whether the connection that received the logout stays open.
+        """
         reason, cid = pdu.flags & 0x7F, pdu.words[0] >> 16
         times = self.agreed.time2wait << 16 | self.agreed.time2retain
-        victim = connection if reason == 0 else self.connections.get(cid)
+        logged_out = connection if reason == 0 else self.connections.get(cid)
         response = 0
         if reason > 2:
             connection.reject(pdu, PduError.FIELD)
             return True
         if reason == 2 and self.agreed.recovery < 2:
             response = 2
-        elif victim is None and not (reason == 2 and any(t.connection is None for t in self.tasks.values())):
+        elif logged_out is None and not (
+            reason == 2 and any(task.connection is None for task in self.tasks.values())
+        ):
             response = 1
         connection.send(
             Pdu(Op.LOGOUT_RESPONSE, byte2=response, tag=pdu.tag, words=[0, 0, 0, 0, 0, times, 0]), status=True
@@ -305,77 +435,104 @@
         if reason == 0:
             self.end()
             return False
-        if victim is None:
+        if logged_out is None:
             return True
         if reason == 1:
-            for task in [task for task in self.tasks.values() if task.connection is victim]:
+            for task in [task for task in self.tasks.values() if task.connection is logged_out]:
                 self.abort(task)
-        victim.close()
-        self.lost(victim)
-        return victim is not connection
+        logged_out.close()
+        self.connection_lost(logged_out)
+        return logged_out is not connection
 
     # Task management
 
-    def _manage(self, connection: Connection, pdu: Pdu) -> None:
-        """An aborted command gets no response of its own; what it did stays open."""
+    def _manage_tasks(self, connection: Connection, pdu: Pdu) -> None:
+        """Executes a task management request and sends its response (RFC 7143, sections 11.5 and 11.6).
+
+        An aborted task gets no SCSI Response, and whether its command had an effect is unknown.
+        """
         function, lun = pdu.flags & 0x7F, unpack_lun(pdu.lun)
-        response, victims = COMPLETE, list[Task]()
+        response, tasks_to_abort = FUNCTION_COMPLETE, list[Task]()
         if function == ABORT_TASK:
-            response, victims = self._abort_one(pdu)
-        elif function in (ABORT_SET, CLEAR_SET, LUN_RESET):
+            response, tasks_to_abort = self._abort_referenced_task(pdu)
+        elif function in (ABORT_TASK_SET, CLEAR_TASK_SET, LOGICAL_UNIT_RESET):
             if lun not in self.front.config.luns:
-                response = NO_LUN
-            elif function == ABORT_SET:
-                victims = [task for task in self.tasks.values() if task.command.lun == lun]
+                response = LUN_DOES_NOT_EXIST
+            elif function == ABORT_TASK_SET:
+                tasks_to_abort = [task for task in self.tasks.values() if task.command.lun == lun]
             else:
-                victims = self.front.tasks_of(lun)
-        elif function in (WARM_RESET, COLD_RESET):
-            victims = [task for one in list(self.front.sessions.values()) for task in one.tasks.values()]
-        elif function == REASSIGN:
+                tasks_to_abort = self.front.tasks_of_lun(lun)
+        elif function in (TARGET_WARM_RESET, TARGET_COLD_RESET):
+            tasks_to_abort = [
+                task for session in list(self.front.sessions.values()) for task in session.tasks.values()
+            ]
+        elif function == TASK_REASSIGN:
             response = self.runner.reassign(connection, pdu)
         else:
-            response = UNSUPPORTED
-        for task in [task for task in victims if task.status is None]:
+            response = FUNCTION_NOT_SUPPORTED
+        for task in [task for task in tasks_to_abort if task.status is None]:
             self.front.counters["commands.aborted"] += 1
-            self.front.abort(task)
-        if response == COMPLETE and function in (CLEAR_SET, LUN_RESET, WARM_RESET, COLD_RESET):
-            luns = list(self.front.config.luns) if function in (WARM_RESET, COLD_RESET) else [lun or 0]
-            self.front.device.reset(self.nexus, luns, cleared=function == CLEAR_SET)
+            self.front.abort_task(task)
+        if response == FUNCTION_COMPLETE and function in (
+            CLEAR_TASK_SET,
+            LOGICAL_UNIT_RESET,
+            TARGET_WARM_RESET,
+            TARGET_COLD_RESET,
+        ):
+            luns = (
+                list(self.front.config.luns)
+                if function in (TARGET_WARM_RESET, TARGET_COLD_RESET)
+                else [lun or 0]
+            )
+            self.front.device.reset(self.nexus, luns, cleared=function == CLEAR_TASK_SET)
         connection.send(Pdu(Op.TASK_MANAGEMENT_RESPONSE, byte2=response, tag=pdu.tag), status=True)
-        if function == COLD_RESET:
+        if function == TARGET_COLD_RESET:
             for session in list(self.front.sessions.values()):
                 session.end()
 
-    def _abort_one(self, pdu: Pdu) -> tuple[int, list[Task]]:
-        """ABORT TASK. A command that has not come yet, but whose number is in the window, is taken for come
-        and aborted (11.5.1, 11.6.1).
+    def _abort_referenced_task(self, pdu: Pdu) -> tuple[int, list[Task]]:
+        """Executes ABORT TASK (RFC 7143, sections 11.5.1 and 11.6.1).
+
+        A command that has not been received, but whose CmdSN lies in the command window, counts as received
+        and aborted: a placeholder takes its number.
+
+        Returns:
+            The response code, and the tasks to abort.
         """
         task = self.tasks.get(pdu.words[0])
         if task is not None and task.status is None:
-            return COMPLETE, [task]
-        number = pdu.words[3]
-        ahead = later(number, self.window.expected)
-        if task is None and 0 <= ahead < self.window.size and number not in self.window.held:
-            nothing = Pdu(Op.NOP_OUT, tag=NONE, words=[NONE, number, 0, 0, 0, 0, 0])
+            return FUNCTION_COMPLETE, [task]
+        cmd_sn = pdu.words[3]
+        distance = later(cmd_sn, self.window.expected)
+        if task is None and 0 <= distance < self.window.size and cmd_sn not in self.window.held:
+            placeholder = Pdu(Op.NOP_OUT, tag=NONE, words=[NONE, cmd_sn, 0, 0, 0, 0, 0])
             if not self.connections:
-                return NO_TASK, []
+                return TASK_DOES_NOT_EXIST, []
             origin = next(iter(self.connections.values()))
-            for connection, one in self.window.arrive(number, (origin, nothing))[1]:
-                self._one(connection, one)
-            return COMPLETE, []
-        return NO_TASK, []
+            for connection, ready_pdu in self.window.arrive(cmd_sn, (origin, placeholder))[1]:
+                self._dispatch(connection, ready_pdu)
+            return FUNCTION_COMPLETE, []
+        return TASK_DOES_NOT_EXIST, []
 
     def abort(self, task: Task) -> None:
-        """End a command without a response."""
+        """Ends a task without a response.
+
+        Args:
+            task: A task of this session.
+        """
         task.aborted = True
         if task.runner is not None:
             task.runner.cancel()
-        self.forget(task)
+        self.remove_task(task)
 
-    def forget(self, task: Task) -> None:
-        """A command is over; its tag and its bytes are free again."""
+    def remove_task(self, task: Task) -> None:
+        """Removes a task, which frees its task tag and its share of the front's buffer limit.
+
+        Args:
+            task: The task; a task that has been removed already is left as it is.
+        """
         if self.tasks.get(task.tag) is task:
             del self.tasks[task.tag]
-        self.front.buffered -= task.held
+        self.front.buffered_bytes -= task.held
         task.held = 0
-        self._look()
+        self._end_if_idle()
--- a/tests/iscsi/test_reassignment.py
+++ b/tests/iscsi/test_reassignment.py
@@ -1,4 +1,4 @@
-"""A command that ends as it is reassigned to another connection."""
+"""A task that ends while it is reassigned to another connection."""
 
 from __future__ import annotations
 
@@ -11,36 +11,36 @@
 from lemonridge.iscsi import scsi
 from lemonridge.iscsi.keys import Agreed
 from lemonridge.iscsi.pdu import FINAL, Op, Pdu
-from lemonridge.iscsi.runner import Runner
+from lemonridge.iscsi.runner import TaskRunner
 from lemonridge.iscsi.task import Task
 
 
-class Reassigned(unittest.IsolatedAsyncioTestCase):
-    """TASK REASSIGN at recovery level 2 beside the end of the command's life, in one turn of the loop."""
+class TaskReassignment(unittest.IsolatedAsyncioTestCase):
+    """TASK REASSIGN at recovery level 2 in the same loop turn as the end of the command."""
 
-    async def responses(self, *, ended_first: bool) -> int:
-        """How many SCSI responses the new connection carries."""
+    async def count_responses(self, *, ended_first: bool) -> int:
+        """Returns how many SCSI Responses are sent on the new connection."""
         agreed = Agreed(recovery=2)
         sent: list[Pdu] = []
-        connection = SimpleNamespace(agreed=agreed, over=False, send=lambda pdu, **_: sent.append(pdu))
+        connection = SimpleNamespace(agreed=agreed, closed=False, send=lambda pdu, **_: sent.append(pdu))
         front = SimpleNamespace(loop=asyncio.get_running_loop(), counters=Counters())
         pdu = Pdu(Op.SCSI_COMMAND, FINAL, tag=7)
         task = Task(pdu, scsi.Command(0, b"", True, False, 512), 0, None)
         session: Any = SimpleNamespace(front=front, agreed=agreed, tasks={7: task})
-        runner = Runner(session)
+        runner = TaskRunner(session)
         good = scsi.Reply(scsi.Status.GOOD, b"x" * 512)
         if ended_first:
             runner.respond(task, good)
-        manage = Pdu(Op.TASK_MANAGEMENT, words=[7, 0, 0, 0, 0, 0, 0])
-        self.assertEqual(runner.reassign(connection, manage), 0)  # type: ignore[arg-type]
+        request = Pdu(Op.TASK_MANAGEMENT, words=[7, 0, 0, 0, 0, 0, 0])
+        self.assertEqual(runner.reassign(connection, request), 0)  # type: ignore[arg-type]
         if not ended_first:
             runner.respond(task, good)
         await asyncio.sleep(0)
         await asyncio.sleep(0)
         return sum(pdu.opcode == Op.SCSI_RESPONSE for pdu in sent)
 
-    async def test_a_command_that_ends_before_its_reassignment_is_answered_once(self) -> None:
-        self.assertEqual(await self.responses(ended_first=True), 1)
+    async def test_task_that_ends_before_its_reassignment_is_answered_once(self) -> None:
+        self.assertEqual(await self.count_responses(ended_first=True), 1)
 
-    async def test_a_command_that_ends_in_the_turn_of_its_reassignment_is_answered_once(self) -> None:
-        self.assertEqual(await self.responses(ended_first=False), 1)
+    async def test_task_that_ends_in_the_loop_turn_of_its_reassignment_is_answered_once(self) -> None:
+        self.assertEqual(await self.count_responses(ended_first=False), 1)
--- a/tests/iscsi/test_task_order.py
+++ b/tests/iscsi/test_task_order.py
@@ -1,4 +1,4 @@
-"""Which commands of a session wait for earlier ones at the same LUN."""
+"""The commands of a session that wait for earlier ones at the same LUN."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
 SIMPLE, ORDERED, HEAD = TaskAttribute.SIMPLE, TaskAttribute.ORDERED, TaskAttribute.HEAD_OF_QUEUE
 
 
-def order_of(*commands: tuple[int, bytes]) -> TaskOrder:
-    """Commands 0, 1, ... as they came."""
+def make_order(*commands: tuple[int, bytes]) -> TaskOrder:
+    """Returns an order that holds the commands, numbered from 0 in the order of their arrival."""
     order = TaskOrder()
     for number, (attribute, cdb) in enumerate(commands):
         order.add(number, attribute, cdb)
@@ -23,7 +23,7 @@
     ("first", "second", "may_run"),
     [
         ((SIMPLE, WRITE_5), (SIMPLE, WRITE_5), False),
-        ((SIMPLE, WRITE_5), (SIMPLE, READ_6), False),  # it reads the second of the two blocks
+        ((SIMPLE, WRITE_5), (SIMPLE, READ_6), False),  # reads the second of the two written blocks
         ((SIMPLE, READ_6), (SIMPLE, WRITE_5), False),
         ((SIMPLE, READ_5), (SIMPLE, READ_5), True),
         ((SIMPLE, WRITE_5), (SIMPLE, WRITE_7), True),
@@ -34,10 +34,10 @@
         ((ORDERED, WRITE_5), (HEAD, READ_5), True),
     ],
 )
-def test_a_command_waits_where_its_order_can_be_seen_or_was_asked_for(
+def test_command_waits_if_its_order_is_observable_or_requested(
     first: tuple[int, bytes], second: tuple[int, bytes], may_run: bool
 ) -> None:
-    order = order_of(first, second)
+    order = make_order(first, second)
 
     assert order.may_run(0)
     assert order.may_run(1) is may_run
@@ -47,8 +47,8 @@
     assert order.may_run(1)
 
 
-def test_a_command_that_waits_holds_back_those_that_would_pass_it() -> None:
-    order = order_of((SIMPLE, READ_5), (ORDERED, WRITE_7), (SIMPLE, READ_6))
+def test_waiting_command_holds_back_later_commands() -> None:
+    order = make_order((SIMPLE, READ_5), (ORDERED, WRITE_7), (SIMPLE, READ_6))
 
     assert [order.may_run(number) for number in range(3)] == [True, False, False]
 
@@ -60,7 +60,10 @@
 @pytest.mark.parametrize(
     ("cdb", "blocks"),
     [
-        (bytes([0x0A, 0, 0, 9, 0, 0]), BlockRange(9, 265)),  # WRITE (6): 0 stands for 256
+        (
+            bytes([0x0A, 0, 0, 9, 0, 0]),
+            BlockRange(9, 265),
+        ),  # WRITE (6): a transfer length of 0 means 256 blocks
         (bytes([0x8A, 0]) + (9).to_bytes(8, "big") + (3).to_bytes(4, "big") + bytes(2), BlockRange(9, 12)),
         (bytes([0x41, 0, 0, 0, 0, 9, 0, 0, 3, 0]), BlockRange(9, 12)),
         (bytes([0x41, 0, 0, 0, 0, 9, 0, 0, 0, 0]), BlockRange(9, ALL_BLOCKS.end)),
@@ -70,5 +73,5 @@
         (bytes(6), NO_BLOCKS),
     ],
 )
-def test_the_blocks_of_each_kind_of_command(cdb: bytes, blocks: BlockRange) -> None:
+def test_blocks_of_each_kind_of_command(cdb: bytes, blocks: BlockRange) -> None:
     assert blocks_of(cdb) == blocks
