--- a/lemonridge/cli/configuration.py
+++ b/lemonridge/cli/configuration.py
@@ -97,7 +97,7 @@
 
 def _print_extents(iscsi: IscsiConfig) -> None:
     extents, etcd = iscsi.extents, iscsi.etcd
-    source = f"{len(extents.fixed)} of this file" if extents.fixed else extents.file
+    source = f"{len(extents.inline_extents)} of this file" if extents.inline_extents else extents.file
     if source is None and etcd is not None:
         source = f"etcd {etcd.endpoint}{etcd.prefix}"
     print(
--- a/lemonridge/extents/carrier.py
+++ b/lemonridge/extents/carrier.py
@@ -14,7 +14,7 @@
 from lemonridge.extents.joining import JoinedOutcome, PieceOutcome, join, may_continue
 
 
-class Carrier:
+class PieceExecutor:
     """Serves the pieces of one command through the core.
 
     Args:
--- a/lemonridge/extents/config.py
+++ b/lemonridge/extents/config.py
@@ -15,9 +15,9 @@
     Attributes:
         block_bytes: Size of a block.
         extents_max: A map with more extents is rejected.
-        page: Keys of one answer of etcd.
+        page_size: Number of keys that one range request to etcd returns at most.
         limits: Bounds of a command, and how old the map may be.
-        fixed: The extents of the operator's file itself, if it has any.
+        inline_extents: The extents that the operator's file itself lists; empty if it lists none.
         file: Path of a file of its own that has the map.
         cache_path: Directory of the cache on disk; None turns it off.
         cache_bytes: Size limit of that cache.
@@ -26,9 +26,9 @@
 
     block_bytes: int
     extents_max: int
-    page: int
+    page_size: int
     limits: Limits
-    fixed: tuple[Extent, ...]
+    inline_extents: tuple[Extent, ...]
     file: str | None
     cache_path: str | None
     cache_bytes: int
--- a/lemonridge/extents/extent_map.py
+++ b/lemonridge/extents/extent_map.py
@@ -80,7 +80,7 @@
         volume: The LUN.
         first: The piece's first block.
         length: Number of blocks of the piece.
-        extent: The first block of its extent.
+        extent_first: The first block of the extent that contains the piece.
         shard: The extent's shard when it was looked up.
         version: The extent's version when it was looked up.
     """
@@ -88,7 +88,7 @@
     volume: int
     first: int
     length: int
-    extent: int
+    extent_first: int
     shard: int
     version: int
 
--- a/lemonridge/extents/router.py
+++ b/lemonridge/extents/router.py
@@ -337,4 +337,4 @@
 
 
 def _key(route: Route) -> ExtentKey:
-    return (route.piece.volume, route.piece.extent)
+    return (route.piece.volume, route.piece.extent_first)
--- a/lemonridge/extents/routing.py
+++ b/lemonridge/extents/routing.py
@@ -240,14 +240,14 @@
 def _current_extent(extent_map: ExtentMap, route: Route) -> Extent | None:
     """The route's extent as the map has it; None if it was split or joined so that the piece lies across."""
     current = extent_map.find(route.piece.volume, route.piece.first)
-    if current is None or current.first != route.piece.extent:
+    if current is None or current.first != route.piece.extent_first:
         return None
     return current if route.piece.first + route.piece.length <= current.end else None
 
 
 def _follow(route: Route, shard: int, version: int, ahead_of_map: bool) -> RouteDecision:
     piece = route.piece
-    route.piece = Piece(piece.volume, piece.first, piece.length, piece.extent, shard, version)
+    route.piece = Piece(piece.volume, piece.first, piece.length, piece.extent_first, shard, version)
     route.ahead_of_map = ahead_of_map
     return FOLLOW
 
--- a/lemonridge/iscsi/initiator.py
+++ b/lemonridge/iscsi/initiator.py
@@ -99,7 +99,7 @@
             if not session.versioned:
                 log.error("node does not check versions", extra={"node": attempt.endpoint_id})
                 raise ConnectFailedError
-            ahs = versions.pack_ahs(route.piece.extent, route.piece.version)
+            ahs = versions.pack_ahs(route.piece.extent_first, route.piece.version)
         attempt.begin()  # from here on it may have run: no await stands between this and the write
         try:
             reply = await session.execute(command, ahs)
--- a/lemonridge/iscsi/mapped.py
+++ b/lemonridge/iscsi/mapped.py
@@ -9,7 +9,7 @@
 from lemonridge.core.broker import Broker
 from lemonridge.core.counters import Counters
 from lemonridge.core.model import Answer, AnswerKind, Request
-from lemonridge.extents.carrier import Carrier
+from lemonridge.extents.carrier import PieceExecutor
 from lemonridge.extents.errors import RouteError, RouteRejectReason
 from lemonridge.extents.joining import JoinResult
 from lemonridge.extents.router import Router
@@ -67,7 +67,7 @@
 
     def __init__(self, config: IscsiConfig, broker: Broker, router: Router, counters: Counters) -> None:
         self._config, self._router, self._broker, self._counters = config, router, broker, counters
-        self._carrier = Carrier(broker, _good)
+        self._carrier = PieceExecutor(broker, _good)
         self._block = config.extents.block_bytes
 
     def local(self, command: scsi.Command) -> scsi.Reply | None:
--- a/lemonridge/service/iscsi.py
+++ b/lemonridge/service/iscsi.py
@@ -47,7 +47,7 @@
     """
     counters, etcd = Counters(), None
     if config.etcd is not None:
-        etcd = EtcdSource(config.etcd, Random(), counters, config.extents.page)
+        etcd = EtcdSource(config.etcd, Random(), counters, config.extents.page_size)
         settings = await etcd.apply_contracts(config.plans, config.settings)
         if fleet is None or fleet.rollout is None:  # else contracts are in force once they are agreed on
             config = replace(config, settings=settings)
@@ -76,7 +76,7 @@
         return None
     refresher: Refresher | None = None
     feeds: dict[str, Feed] = {EndpointsFeed.KIND: EndpointsFeed(service.registry, service.counters)}
-    if router is not None and not config.extents.fixed and config.extents.file is None:
+    if router is not None and not config.extents.inline_extents and config.extents.file is None:
         feeds[MapFeed.KIND] = MapFeed(router, config.mapped)
         refresher = Refresher(etcd.client)
         router.read_extents = refresher.read
@@ -113,8 +113,8 @@
     """The extent map from the operator's file, a file of its own, or etcd; begun with the cached map."""
     extents = config.extents
     router = Router(extents.limits, extents.extents_max, service.clock, service.registry, service.counters)
-    if extents.fixed:
-        router.replace_map(0, extents.fixed)
+    if extents.inline_extents:
+        router.replace_map(0, extents.inline_extents)
         router.confirm(permanently=True)
         return router
     if extents.cache_path is not None:
--- a/tests/extents/test_extent_map.py
+++ b/tests/extents/test_extent_map.py
@@ -110,7 +110,7 @@
         want = [old for old in model if old.first < block + 25 and old.end > block]
         end = min(block + 25, model[-1].end)
         pieces = extent_map.lookup(0, block, end - block)
-        assert [(piece.extent, piece.shard, piece.version) for piece in pieces] == [
+        assert [(piece.extent_first, piece.shard, piece.version) for piece in pieces] == [
             (old.first, old.shard, old.version) for old in want
         ]
         assert sum(piece.length for piece in pieces) == end - block and pieces[0].first == block
