--- a/lemonridge/extents/extent_map.py
+++ b/lemonridge/extents/extent_map.py
@@ -1,9 +1,15 @@
-"""The extent map: volume -> ordered extents, each with a shard and a version, and one version for the map.
+"""The extent map: which shard stores each block of each volume.
 
-A volume's extents are in leaves of parallel arrays under one sorted index of first blocks (a B+-tree of two
-levels: Comer, "The Ubiquitous B-Tree", 1979), so that a lookup is two bisections and a change touches one
-leaf. An extent takes 28 bytes. Blocks are counted in the volume's own block size; versions and blocks are
-below 2^63, shards below 2^31, and each volume covers its blocks from 0 on without a hole.
+The map has one version, and each volume is an ordered sequence of extents, each of them with a shard and a
+version of its own.
+
+Storage: a volume's extents are stored in leaves of parallel arrays, below one sorted index of the leaves'
+first blocks (a two-level B+-tree: Comer, "The Ubiquitous B-Tree", 1979). A lookup takes two bisections and a
+change modifies one leaf. An extent takes 28 bytes.
+
+Blocks are counted in the volume's own block size. Versions and block numbers are below 2^63, and shard
+numbers are below 2^31. A volume's first extent begins at block 0, and each further extent begins where the
+previous one ends.
 """
 
 from __future__ import annotations
@@ -16,29 +22,30 @@
 
 from lemonridge.extents.errors import MapError
 
-LEAF_EXTENTS_MAX = 512  # a larger leaf is split: 14 KiB to move at an insertion against a longer index
-BLOCK_LIMIT, SHARD_LIMIT = 1 << 63, 1 << 31
+# A larger leaf is split. An insertion moves up to 14 KiB in a full leaf; smaller leaves lengthen the index.
+LEAF_EXTENTS_MAX = 512
+BLOCK_LIMIT, SHARD_LIMIT = 1 << 63, 1 << 31  # exclusive; the arrays have signed 64-bit and 32-bit items
 
 
 class ChangeResult(Enum):
-    """What became of a change. The values are parts of counters' names."""
+    """The result of applying a change. The values are parts of counter names."""
 
     APPLIED = "applied"
-    STALE = "stale"  # not newer than the map: a repetition
-    GAP = "gap"  # it does not follow on the map's version: a change before it was lost
-    BROKEN = "broken"  # it would leave an overlap or a hole, or lower a version
+    STALE = "stale"  # the change is not newer than the map: it was delivered before
+    GAP = "gap"  # the change does not follow the map's version directly: an earlier change was missed
+    BROKEN = "broken"  # the change would leave overlapping extents or uncovered blocks, or decrease a version
 
 
 @dataclass(frozen=True, slots=True)
 class Extent:
-    """A run of blocks on one shard.
+    """A contiguous range of a volume's blocks that one shard stores.
 
     Attributes:
         volume: The LUN.
-        first: Its first block.
-        length: Number of blocks.
-        shard: The shard that has all of it.
-        version: Rises with each hand-over to another shard.
+        first: The first block.
+        length: The number of blocks.
+        shard: The shard that stores all of the blocks.
+        version: Increases with each handover to another shard.
     """
 
     volume: int
@@ -49,21 +56,21 @@
 
     @property
     def end(self) -> int:
-        """The block behind the last one."""
+        """The first block after the extent."""
         return self.first + self.length
 
 
 @dataclass(frozen=True, slots=True)
 class Change:
-    """A change of the map.
+    """A change that takes the map from one version to the next.
 
-    A split or a join of extents removes those that it replaces and sets the others in the same change.
+    A change that splits or joins extents removes the extents that are replaced and sets the new ones.
 
     Attributes:
-        base: The map's version before.
-        version: The map's version after.
-        extents: Extents that are set.
-        removed: Volume and first block of each extent that is removed.
+        base: The map's version before the change.
+        version: The map's version after the change.
+        extents: The extents that the change sets.
+        removed: The volume and the first block of each extent that the change removes.
     """
 
     base: int
@@ -79,10 +86,10 @@
     Attributes:
         volume: The LUN.
         first: The piece's first block.
-        length: Number of blocks of the piece.
+        length: The number of blocks in the piece.
         extent_first: The first block of the extent that contains the piece.
-        shard: The extent's shard when it was looked up.
-        version: The extent's version when it was looked up.
+        shard: The extent's shard at the time of the lookup.
+        version: The extent's version at the time of the lookup.
     """
 
     volume: int
@@ -94,7 +101,7 @@
 
 
 class _Leaf:
-    """Adjacent extents as parallel arrays, one row an extent."""
+    """Adjacent extents of one volume as parallel arrays; each row is an extent."""
 
     __slots__ = ("first", "length", "shard", "version")
 
@@ -105,47 +112,47 @@
     def __len__(self) -> int:
         return len(self.first)
 
-    def set_row(self, at: int, extent: Extent, replaces: bool) -> None:
-        """Writes an extent over row `at`, or inserts it there."""
+    def set_row(self, row_index: int, extent: Extent, replace: bool) -> None:
+        """Overwrites a row with an extent if `replace` is true, else inserts the extent before the row."""
         values = (extent.first, extent.length, extent.shard, extent.version)
         for column, value in zip((self.first, self.length, self.shard, self.version), values, strict=True):
-            if replaces:
-                column[at] = value
+            if replace:
+                column[row_index] = value
             else:
-                column.insert(at, value)
+                column.insert(row_index, value)
 
-    def remove_row(self, at: int) -> None:
-        """Removes row `at`."""
+    def remove_row(self, row_index: int) -> None:
+        """Removes a row."""
         for column in (self.first, self.length, self.shard, self.version):
-            del column[at]
+            del column[row_index]
 
-    def part(self, rows: slice) -> _Leaf:
-        """A copy of some rows."""
-        other = _Leaf()
+    def copy_rows(self, rows: slice) -> _Leaf:
+        """Returns a new leaf with a copy of the given rows."""
+        new_leaf = _Leaf()
         for name in self.__slots__:
-            setattr(other, name, getattr(self, name)[rows])
-        return other
+            setattr(new_leaf, name, getattr(self, name)[rows])
+        return new_leaf
 
     def split(self) -> _Leaf:
-        """Removes and returns the second half."""
+        """Removes the second half of the rows and returns it as a new leaf."""
         half = len(self) // 2
-        other = self.part(slice(half, None))
+        second_half = self.copy_rows(slice(half, None))
         for name in self.__slots__:
             del getattr(self, name)[half:]
-        return other
+        return second_half
 
-    def ordered(self) -> _Leaf:
-        """A copy with the rows sorted by first block."""
+    def sorted_copy(self) -> _Leaf:
+        """Returns a copy with the rows sorted by first block."""
         order = sorted(range(len(self)), key=self.first.__getitem__)
-        other = _Leaf()
+        new_leaf = _Leaf()
         for name in self.__slots__:
             column = getattr(self, name)
-            setattr(other, name, array(column.typecode, (column[row] for row in order)))
-        return other
+            setattr(new_leaf, name, array(column.typecode, (column[row_index] for row_index in order)))
+        return new_leaf
 
 
 class _Volume:
-    """One volume's leaves, and the first block of each."""
+    """The extents of one volume: its leaves, the index of their first blocks, and the number of extents."""
 
     __slots__ = ("count", "index", "leaves")
 
@@ -153,228 +160,262 @@
         self.index, self.leaves, self.count = array("q"), list[_Leaf](), 0
 
     def copy(self) -> _Volume:
-        """An independent volume with the same extents."""
-        other = _Volume()
-        other.index, other.count = self.index[:], self.count
-        other.leaves = [leaf.part(slice(None)) for leaf in self.leaves]
-        return other
-
-    def find(self, block: int) -> tuple[int, int]:
-        """Leaf and row of the last extent that begins at or before `block`; (-1, -1) if none."""
-        leaf = bisect_right(self.index, block) - 1
-        return (leaf, bisect_right(self.leaves[leaf].first, block) - 1) if leaf >= 0 else (-1, -1)
-
-    def at(self, volume: int, leaf: int, row_index: int) -> Extent:
-        """The extent in a row of a leaf; `volume` is this volume's number."""
-        rows = self.leaves[leaf]
+        """Returns an independent copy."""
+        duplicate = _Volume()
+        duplicate.index, duplicate.count = self.index[:], self.count
+        duplicate.leaves = [leaf.copy_rows(slice(None)) for leaf in self.leaves]
+        return duplicate
+
+    def find_position(self, block: int) -> tuple[int, int]:
+        """Returns the position of the last extent that begins at or before a block.
+
+        Returns:
+            The leaf's index and the row's index; (-1, -1) if no extent begins at or before the block.
+        """
+        leaf_index = bisect_right(self.index, block) - 1
+        return (
+            (leaf_index, bisect_right(self.leaves[leaf_index].first, block) - 1)
+            if leaf_index >= 0
+            else (-1, -1)
+        )
+
+    def extent_at(self, volume: int, leaf_index: int, row_index: int) -> Extent:
+        """Returns the extent at a position; `volume` is this volume's number."""
+        leaf = self.leaves[leaf_index]
         return Extent(
             volume,
-            rows.first[row_index],
-            rows.length[row_index],
-            rows.shard[row_index],
-            rows.version[row_index],
+            leaf.first[row_index],
+            leaf.length[row_index],
+            leaf.shard[row_index],
+            leaf.version[row_index],
         )
 
-    def after(self, leaf: int, row_index: int) -> tuple[int, int] | None:
-        """Leaf and row of the next extent; None after the last."""
-        if row_index + 1 < len(self.leaves[leaf]):
-            return leaf, row_index + 1
-        return (leaf + 1, 0) if leaf + 1 < len(self.leaves) else None
+    def next_position(self, leaf_index: int, row_index: int) -> tuple[int, int] | None:
+        """Returns the leaf and row index of the next extent; None if the position is the last one."""
+        if row_index + 1 < len(self.leaves[leaf_index]):
+            return leaf_index, row_index + 1
+        return (leaf_index + 1, 0) if leaf_index + 1 < len(self.leaves) else None
 
     def set_extent(self, extent: Extent) -> None:
-        """Sets an extent; replaces one with the same first block, and splits a leaf that is full."""
-        leaf, row_index = self.find(extent.first)
-        if leaf < 0:
+        """Inserts an extent, or replaces the extent with the same first block.
+
+        A leaf with more than `LEAF_EXTENTS_MAX` extents is split.
+        """
+        leaf_index, row_index = self.find_position(extent.first)
+        if leaf_index < 0:
             if not self.leaves:
                 self.leaves.append(_Leaf())
                 self.index.append(extent.first)
-            leaf, row_index, self.index[0] = 0, -1, extent.first
-        leaf_rows = self.leaves[leaf]
-        replaces = row_index >= 0 and leaf_rows.first[row_index] == extent.first
-        leaf_rows.set_row(row_index if replaces else row_index + 1, extent, replaces)
-        self.count += not replaces
-        if len(leaf_rows) > LEAF_EXTENTS_MAX:
-            other = leaf_rows.split()
-            self.leaves.insert(leaf + 1, other)
-            self.index.insert(leaf + 1, other.first[0])
+            leaf_index, row_index, self.index[0] = 0, -1, extent.first
+        leaf = self.leaves[leaf_index]
+        replace = row_index >= 0 and leaf.first[row_index] == extent.first
+        leaf.set_row(row_index if replace else row_index + 1, extent, replace)
+        self.count += not replace
+        if len(leaf) > LEAF_EXTENTS_MAX:
+            second_half = leaf.split()
+            self.leaves.insert(leaf_index + 1, second_half)
+            self.index.insert(leaf_index + 1, second_half.first[0])
 
     def remove_extent(self, first: int) -> bool:
-        """Removes the extent that begins at block `first`; whether there was one."""
-        leaf, row_index = self.find(first)
-        if leaf < 0 or self.leaves[leaf].first[row_index] != first:
+        """Removes the extent that begins at block `first`; returns False if there is none."""
+        leaf_index, row_index = self.find_position(first)
+        if leaf_index < 0 or self.leaves[leaf_index].first[row_index] != first:
             return False
-        self.leaves[leaf].remove_row(row_index)
+        self.leaves[leaf_index].remove_row(row_index)
         self.count -= 1
-        if not len(self.leaves[leaf]):
-            del self.leaves[leaf], self.index[leaf]
+        if not len(self.leaves[leaf_index]):
+            del self.leaves[leaf_index], self.index[leaf_index]
         else:
-            self.index[leaf] = self.leaves[leaf].first[0]
+            self.index[leaf_index] = self.leaves[leaf_index].first[0]
         return True
 
-    def fill(self, columns: _Leaf) -> None:
-        """Fills an empty volume from sorted rows, leaves to three quarters so that few splits follow."""
+    def fill(self, sorted_rows: _Leaf) -> None:
+        """Fills an empty volume from rows sorted by first block.
+
+        Leaves are filled to three quarters, so that few of them are split by later insertions.
+        """
         step = LEAF_EXTENTS_MAX * 3 // 4
-        for start in range(0, len(columns), step):
-            leaf = columns.part(slice(start, start + step))
+        for start in range(0, len(sorted_rows), step):
+            leaf = sorted_rows.copy_rows(slice(start, start + step))
             self.leaves.append(leaf)
             self.index.append(leaf.first[0])
-        self.count = len(columns)
+        self.count = len(sorted_rows)
 
 
 def check_extent(extent: Extent) -> None:
-    """Checks an extent's numbers.
+    """Checks that an extent's numbers are in range.
 
     Raises:
         MapError: A number is out of range.
     """
-    where = f"volume {extent.volume}, block {extent.first}"
+    location = f"volume {extent.volume}, block {extent.first}"
     if extent.first < 0 or extent.length < 1 or extent.end >= BLOCK_LIMIT:
-        raise MapError(f"{where}: {extent.length} blocks is no length")
+        raise MapError(f"{location}: a length of {extent.length} blocks is out of range")
     if not 0 <= extent.shard < SHARD_LIMIT or not 0 <= extent.version < BLOCK_LIMIT:
-        raise MapError(f"{where}: shard {extent.shard} or version {extent.version} is out of range")
+        raise MapError(f"{location}: shard {extent.shard} or version {extent.version} is out of range")
 
 
 class MapBuilder:
-    """Collects a complete map, extent by extent, in as much memory as the map itself takes.
+    """Collects the extents of a complete map; it uses about as much memory as the finished map.
 
     Args:
-        extents_max: More extents are an error.
+        extents_max: The maximum number of extents; `add` rejects any further one.
+
+    Attributes:
+        count: The number of extents added so far.
     """
 
     def __init__(self, extents_max: int) -> None:
-        self._max, self.count = extents_max, 0
-        self._columns: dict[int, _Leaf] = {}
-        self._unordered: set[int] = set()  # volumes to be sorted at the end
+        self._extents_max, self.count = extents_max, 0
+        self._volume_rows: dict[int, _Leaf] = {}
+        self._unsorted_volumes: set[int] = set()  # volumes whose extents were not added in order
 
     def add(self, extent: Extent) -> None:
-        """Adds an extent, in any order.
+        """Adds an extent. The extents may be added in any order.
 
         Raises:
             MapError: A number is out of range, or there are too many extents.
         """
         check_extent(extent)
         self.count += 1
-        if self.count > self._max:
-            raise MapError(f"more than {self._max} extents")
-        columns = self._columns.setdefault(extent.volume, _Leaf())
-        end = columns.first[-1] + columns.length[-1] if len(columns) else 0
+        if self.count > self._extents_max:
+            raise MapError(f"more than {self._extents_max} extents")
+        rows = self._volume_rows.setdefault(extent.volume, _Leaf())
+        end = rows.first[-1] + rows.length[-1] if len(rows) else 0
         if extent.first != end:
-            self._unordered.add(extent.volume)
-        columns.set_row(len(columns), extent, False)
+            self._unsorted_volumes.add(extent.volume)
+        rows.set_row(len(rows), extent, False)
 
     def volumes(self) -> dict[int, _Volume]:
-        """The volumes, once all extents were added.
+        """Returns the finished volumes by their numbers, after all extents have been added.
 
         Raises:
-            MapError: Two extents overlap, or blocks between them are missing.
+            MapError: Two extents overlap, or blocks below the end of a volume are not covered.
         """
-        made: dict[int, _Volume] = {}
-        for number, rows in self._columns.items():
-            columns = rows
-            if number in self._unordered:
-                columns, end = rows.ordered(), 0
-                for first, length in zip(columns.first, columns.length, strict=True):
+        volumes: dict[int, _Volume] = {}
+        for number, added_rows in self._volume_rows.items():
+            rows = added_rows
+            if number in self._unsorted_volumes:
+                rows, end = added_rows.sorted_copy(), 0
+                for first, length in zip(rows.first, rows.length, strict=True):
                     _check_adjacent(number, end, first)
                     end = first + length
-            made[number] = _Volume()
-            made[number].fill(columns)
-        return made
+            volumes[number] = _Volume()
+            volumes[number].fill(rows)
+        return volumes
 
 
 class ExtentMap:
-    """This broker's copy of the map. A method that raises or rejects leaves the map as it was.
+    """This broker's copy of the extent map.
+
+    A method that raises an error or rejects a change leaves the map unmodified.
 
     Args:
-        extents_max: A map with more extents is rejected.
+        extents_max: The maximum number of extents; a map with more extents is rejected.
 
     Attributes:
-        version: The map's version; -1 before the first map.
+        version: The map's version; -1 until the first map is set.
     """
 
     def __init__(self, extents_max: int = 1_000_000) -> None:
         self.version = -1
-        self._max = extents_max
+        self._extents_max = extents_max
         self._volumes: dict[int, _Volume] = {}
-        self._refreshed_versions: dict[tuple[int, int], int] = {}  # newer than the map's own version
+        # By volume and first block: versions of extents that a refresh set ahead of the map's own version.
+        self._refreshed_versions: dict[tuple[int, int], int] = {}
 
     def __len__(self) -> int:
         return sum(volume.count for volume in self._volumes.values())
 
     def __iter__(self) -> Iterator[Extent]:
         for number, volume in self._volumes.items():
-            for leaf in range(len(volume.leaves)):
-                for row_index in range(len(volume.leaves[leaf])):
-                    yield volume.at(number, leaf, row_index)
+            for leaf_index in range(len(volume.leaves)):
+                for row_index in range(len(volume.leaves[leaf_index])):
+                    yield volume.extent_at(number, leaf_index, row_index)
 
     def copy(self) -> ExtentMap:
-        """An independent map with the same extents; copies the arrays, not each extent."""
-        other = ExtentMap(self._max)
-        other.version, other._refreshed_versions = self.version, dict(self._refreshed_versions)
-        other._volumes = {number: volume.copy() for number, volume in self._volumes.items()}
-        return other
+        """Returns an independent copy. It copies whole arrays and builds no `Extent` objects."""
+        duplicate = ExtentMap(self._extents_max)
+        duplicate.version, duplicate._refreshed_versions = self.version, dict(self._refreshed_versions)
+        duplicate._volumes = {number: volume.copy() for number, volume in self._volumes.items()}
+        return duplicate
 
     def volumes(self) -> list[int]:
-        """The volumes that have extents."""
+        """Returns the numbers of the volumes that have extents."""
         return list(self._volumes)
 
     def blocks(self, volume: int) -> int:
-        """The size of a volume in blocks; 0 if the map does not have it."""
-        found = self._volumes.get(volume)
-        return found.at(volume, len(found.leaves) - 1, len(found.leaves[-1]) - 1).end if found else 0
+        """Returns the size of a volume in blocks; 0 if the volume is not in the map."""
+        stored = self._volumes.get(volume)
+        return (
+            stored.extent_at(volume, len(stored.leaves) - 1, len(stored.leaves[-1]) - 1).end if stored else 0
+        )
 
     def find(self, volume: int, block: int) -> Extent | None:
-        """The extent that contains a block; None if the map does not have the block."""
-        found = self._volumes.get(volume)
-        leaf, row_index = found.find(block) if found else (-1, -1)
-        if found is None or row_index < 0:
+        """Returns the extent that contains a block; None if the block is not in the map."""
+        stored = self._volumes.get(volume)
+        leaf_index, row_index = stored.find_position(block) if stored else (-1, -1)
+        if stored is None or row_index < 0:
             return None
-        extent = found.at(volume, leaf, row_index)
+        extent = stored.extent_at(volume, leaf_index, row_index)
         return extent if block < extent.end else None
 
     def lookup(self, volume: int, first: int, length: int) -> list[Piece]:
-        """The pieces of a block range, in order.
+        """Returns the pieces of a block range, in the order of their blocks.
+
+        Args:
+            volume: The LUN.
+            first: The first block of the range.
+            length: The number of blocks in the range.
 
         Raises:
-            MapError: The map does not have all of the blocks.
+            MapError: Some of the blocks are not in the map.
         """
-        found, pieces, block, end = self._volumes.get(volume), list[Piece](), first, first + length
-        position: tuple[int, int] | None = found.find(first) if found else None
+        stored, pieces, block, end = self._volumes.get(volume), list[Piece](), first, first + length
+        position: tuple[int, int] | None = stored.find_position(first) if stored else None
         while block < end:
-            if found is None or position is None or position[1] < 0:
+            if stored is None or position is None or position[1] < 0:
                 raise MapError(f"volume {volume}, block {block}: not in the map")
-            extent = found.at(volume, *position)
-            until = min(end, extent.end)
-            if until <= block:
+            extent = stored.extent_at(volume, *position)
+            piece_end = min(end, extent.end)
+            if piece_end <= block:
                 raise MapError(f"volume {volume}, block {block}: not in the map")
-            pieces.append(Piece(volume, block, until - block, extent.first, extent.shard, extent.version))
-            block, position = until, found.after(*position)
+            pieces.append(Piece(volume, block, piece_end - block, extent.first, extent.shard, extent.version))
+            block, position = piece_end, stored.next_position(*position)
         return pieces
 
     def shards(self, volume: int) -> set[int]:
-        """Every shard that has an extent of the volume."""
-        found = self._volumes.get(volume)
-        return {shard for leaf in found.leaves for shard in leaf.shard} if found else set()
+        """Returns all shards that store an extent of a volume."""
+        stored = self._volumes.get(volume)
+        return {shard for leaf in stored.leaves for shard in leaf.shard} if stored else set()
 
     def replace_all(self, version: int, extents: Iterable[Extent]) -> None:
-        """Replaces the map, also by one of a lower version: the source alone decides.
+        """Replaces the whole map.
+
+        The new map's version may be lower than the present one, because the source is authoritative.
+
+        Args:
+            version: The new map's version.
+            extents: All extents of the new map, in any order.
 
         Raises:
-            MapError: Extents overlap, blocks are missing, a number is out of range or there are too many.
+            MapError: Extents overlap, blocks are not covered, a number is out of range, or there are too many
+                extents.
         """
-        builder = MapBuilder(self._max)
+        builder = MapBuilder(self._extents_max)
         for extent in extents:
             builder.add(extent)
         self.replace_from(version, builder)
 
     def builder(self) -> MapBuilder:
-        """A builder for `replace_from`, with this map's bound."""
-        return MapBuilder(self._max)
+        """Returns an empty builder for `replace_from`, with this map's maximum number of extents."""
+        return MapBuilder(self._extents_max)
 
     def replace_from(self, version: int, builder: MapBuilder) -> None:
-        """Replaces the map by a builder's extents; the builder must not be used again.
+        """Replaces the whole map by the extents of a builder, which must not be used afterwards.
 
         Raises:
-            MapError: Extents overlap or blocks are missing.
+            MapError: Extents overlap, or blocks are not covered.
         """
         self._volumes, self.version, self._refreshed_versions = builder.volumes(), version, {}
 
@@ -382,58 +423,63 @@
         """Applies a change.
 
         Returns:
-            What became of it, and why it was not applied ("" where it was).
+            The result, and the reason why the change was not applied; the reason is empty if it was.
         """
         if change.version <= self.version:
-            return ChangeResult.STALE, f"version {change.version} at {self.version}"
+            return ChangeResult.STALE, f"change to version {change.version}, the map is at {self.version}"
         if change.base != self.version:
-            return ChangeResult.GAP, f"a change of version {change.base}, the map is at {self.version}"
-        extents = tuple(extent for extent in change.extents if not self._is_overtaken(extent))
+            return ChangeResult.GAP, f"change of version {change.base}, the map is at {self.version}"
+        extents = tuple(extent for extent in change.extents if not self._is_superseded(extent))
         try:
             removed = self._extents_to_remove(change)
             for extent in extents:
-                self._check_settable(extent)
+                self._check_new_extent(extent)
             self._replace_extents(removed, extents)
         except MapError as error:
             return ChangeResult.BROKEN, str(error)
         self.version = change.version
-        self._forget_refreshed_versions(change)
+        self._discard_refreshed_versions(change)
         return ChangeResult.APPLIED, ""
 
     def _extents_to_remove(self, change: Change) -> list[Extent]:
+        """Returns the extents that a change removes; raises MapError if one of them is not in the map."""
         keys = dict.fromkeys(change.removed)
-        removed = [extent for key in keys if (extent := self._extent_at(*key)) is not None]
+        removed = [extent for key in keys if (extent := self._extent_starting_at(*key)) is not None]
         if len(removed) != len(keys):
-            raise MapError("an extent that is not in the map is removed")
+            raise MapError("the change removes an extent that is not in the map")
         return removed
 
-    def _check_settable(self, extent: Extent) -> None:
+    def _check_new_extent(self, extent: Extent) -> None:
+        """Raises MapError if a number is out of range or the version is below that of the present extent."""
         check_extent(extent)
-        current = self._extent_at(extent.volume, extent.first)
+        current = self._extent_starting_at(extent.volume, extent.first)
         if current and current.version > extent.version:
             raise MapError(
                 f"volume {extent.volume}, block {extent.first}: version {extent.version} "
-                f"after {current.version}"
+                f"is lower than {current.version}"
             )
 
     def _replace_extents(self, removed: list[Extent], extents: tuple[Extent, ...]) -> None:
-        """Removes and sets extents; undoes it and raises MapError where the map would not be valid."""
-        before = {(row.volume, row.first): self._extent_at(row.volume, row.first) for row in extents}
+        """Removes and sets extents; if the result is invalid, restores the map and raises MapError."""
+        previous = {
+            (extent.volume, extent.first): self._extent_starting_at(extent.volume, extent.first)
+            for extent in extents
+        }
         for extent in removed:
-            before[extent.volume, extent.first] = extent
-            self._remove(extent.volume, extent.first)
+            previous[extent.volume, extent.first] = extent
+            self._remove_extent(extent.volume, extent.first)
         for extent in extents:
             self._volumes.setdefault(extent.volume, _Volume()).set_extent(extent)
         try:
-            if len(self) > self._max:
-                raise MapError(f"more than {self._max} extents")
-            self._check(before, extents)
+            if len(self) > self._extents_max:
+                raise MapError(f"more than {self._extents_max} extents")
+            self._check_boundaries(previous, extents)
         except MapError:
-            self._restore(before)
+            self._restore(previous)
             raise
 
-    def _forget_refreshed_versions(self, change: Change) -> None:
-        """Drops what a refresh had brought early and the change has now reached."""
+    def _discard_refreshed_versions(self, change: Change) -> None:
+        """Discards the versions that refreshes set early and that an applied change has now reached."""
         if not self._refreshed_versions:
             return
         for extent in change.extents:
@@ -442,14 +488,15 @@
                 del self._refreshed_versions[key]
 
     def merge(self, extent: Extent) -> bool:
-        """Sets one extent as a refresh has read it; the map's own version stays.
+        """Sets one extent that a refresh has read, without changing the map's own version.
 
-        The change that set it comes from the source later and leaves a newer extent as it is.
+        The source delivers the change to this extent later. `apply` keeps the extent if it is newer than the
+        one in that change.
 
         Returns:
-            Whether it was newer than the map's extent of the same blocks, and is set.
+            Whether the extent was set: it is newer than the map's extent of the same blocks.
         """
-        current = self._extent_at(extent.volume, extent.first)
+        current = self._extent_starting_at(extent.volume, extent.first)
         if current is None or current.length != extent.length or current.version >= extent.version:
             return False
         check_extent(extent)
@@ -457,58 +504,77 @@
         self._refreshed_versions[extent.volume, extent.first] = extent.version
         return True
 
-    def _is_overtaken(self, extent: Extent) -> bool:
-        """Whether a refresh has already brought a later version of the same blocks."""
+    def _is_superseded(self, extent: Extent) -> bool:
+        """Returns whether a refresh has already set a later version of the same blocks."""
         if self._refreshed_versions.get((extent.volume, extent.first), -1) <= extent.version:
             return False
-        current = self._extent_at(extent.volume, extent.first)
+        current = self._extent_starting_at(extent.volume, extent.first)
         return current is not None and current.length == extent.length
 
-    def _extent_at(self, volume: int, first: int) -> Extent | None:
+    def _extent_starting_at(self, volume: int, first: int) -> Extent | None:
         current = self.find(volume, first)
         return current if current and current.first == first else None
 
-    def _remove(self, volume: int, first: int) -> None:
+    def _remove_extent(self, volume: int, first: int) -> None:
+        """Removes an extent, and its volume if no other extent is left."""
         if self._volumes[volume].remove_extent(first) and not self._volumes[volume].count:
             del self._volumes[volume]
 
-    def _restore(self, before: dict[tuple[int, int], Extent | None]) -> None:
-        """Undoes a change."""
-        for (number, first), _ in before.items():
+    def _restore(self, previous: dict[tuple[int, int], Extent | None]) -> None:
+        """Undoes a change.
+
+        Args:
+            previous: For each volume and first block that the change touched, the extent before the change;
+                None if there was none.
+        """
+        for (number, first), _ in previous.items():
             if number in self._volumes:
-                self._remove(number, first)
-        for extent in before.values():
+                self._remove_extent(number, first)
+        for extent in previous.values():
             if extent is not None:
                 self._volumes.setdefault(extent.volume, _Volume()).set_extent(extent)
 
-    def _check(self, before: dict[tuple[int, int], Extent | None], extents_set: Iterable[Extent]) -> None:
-        """Checks that changed extents are adjacent to their neighbours: no overlap and no hole."""
-        boundaries = {(number, first) for number, first in before} | {
-            (row.volume, row.end) for row in extents_set
+    def _check_boundaries(
+        self, previous: dict[tuple[int, int], Extent | None], new_extents: Iterable[Extent]
+    ) -> None:
+        """Checks that changed extents neither overlap their neighbours nor leave uncovered blocks.
+
+        It checks only the boundaries that the change touches: the old and new start and end of each extent.
+
+        Args:
+            previous: For each volume and first block that the change touched, the extent before the change.
+            new_extents: The extents that the change has set.
+
+        Raises:
+            MapError: Extents overlap, or blocks are not covered.
+        """
+        boundaries = {(number, first) for number, first in previous} | {
+            (extent.volume, extent.end) for extent in new_extents
         }
-        boundaries |= {(row.volume, row.end) for row in before.values() if row is not None}
+        boundaries |= {(extent.volume, extent.end) for extent in previous.values() if extent is not None}
         for number, block in boundaries:
             volume = self._volumes.get(number)
             if volume is None:
                 continue
-            leaf, row_index = volume.find(block)
+            leaf_index, row_index = volume.find_position(block)
             if row_index < 0:
-                raise MapError(f"volume {number}, block 0: a hole")
-            extent = volume.at(number, leaf, row_index)
-            position = volume.after(leaf, row_index)
+                raise MapError(f"volume {number}, block 0: not covered by an extent")
+            extent = volume.extent_at(number, leaf_index, row_index)
+            position = volume.next_position(leaf_index, row_index)
             if position is not None:
-                _check_adjacent(number, extent.end, volume.at(number, *position).first)
-            if leaf == 0 and row_index == 0:
+                _check_adjacent(number, extent.end, volume.extent_at(number, *position).first)
+            if leaf_index == 0 and row_index == 0:
                 _check_adjacent(number, 0, extent.first)
             elif block == extent.first:
-                previous = volume.find(block - 1)
-                if previous[1] < 0:
-                    raise MapError(f"volume {number}, block 0: a hole")
-                _check_adjacent(number, volume.at(number, *previous).end, extent.first)
+                previous_position = volume.find_position(block - 1)
+                if previous_position[1] < 0:
+                    raise MapError(f"volume {number}, block 0: not covered by an extent")
+                _check_adjacent(number, volume.extent_at(number, *previous_position).end, extent.first)
 
 
 def _check_adjacent(volume: int, end: int, first: int) -> None:
+    """Raises MapError unless an extent that begins at `first` follows directly on one that ends at `end`."""
     if first > end:
-        raise MapError(f"volume {volume}, block {end}: a hole")
+        raise MapError(f"volume {volume}, block {end}: not covered by an extent")
     if first < end:
-        raise MapError(f"volume {volume}, block {first}: an overlap")
+        raise MapError(f"volume {volume}, block {first}: extents overlap")
--- a/tests/extents/test_map_sources.py
+++ b/tests/extents/test_map_sources.py
@@ -221,8 +221,8 @@
             ("max_pieces", "max_piece", "extents.max_piece"),
             ("block_bytes = 512", "block_bytes = 700", "multiple of 512"),
             ("write_age_s = 15", "write_age_s = 0", "extents.write_age_s"),
-            ('extents = "map" ', tables.format(5) + "# ", "block 0: a hole"),
-            ('extents = "map" ', tables.format(0) + tables.format(4) + "# ", "block 4: an overlap"),
+            ('extents = "map" ', tables.format(5) + "# ", "block 0: not covered by an extent"),
+            ('extents = "map" ', tables.format(0) + tables.format(4) + "# ", "block 4: extents overlap"),
             ('[etcd]\nendpoint = "127.0.0.1:2379"\nprefix = "/lemonridge/" ', "# ", "neither"),
             ('prefix = "/lemonridge/" ', 'prefix = "x" ', "etcd.prefix"),
         ):
