--- a/lemonridge/extents/__init__.py
+++ b/lemonridge/extents/__init__.py
@@ -1,6 +1,6 @@
-"""Where the data of a volume lies: a versioned map of extents, and the routing by it.
+"""Locates the data of volumes: a versioned map of extents to shards, and the routing of commands by it.
 
-`extent_map`, `routing`, `refresh` and `joining` decide and are pure: no clock, no I/O, no asyncio. `router`,
-`carrier`, `etcd_source`, `file_source` and `map_cache` connect them to the core, to the map's sources and to
-the disk (docs/extents.md).
+`extent_map`, `routing`, `refresh` and `joining` make the decisions and are pure: they use no clock, no I/O
+and no asyncio. `router`, `carrier`, `etcd_source`, `file_source` and `map_cache` connect them to the core, to
+the sources of the map and to the disk. docs/extents.md describes the design.
 """
--- a/lemonridge/extents/config.py
+++ b/lemonridge/extents/config.py
@@ -1,4 +1,4 @@
-"""The settings of the extent map, as parsed from the operator's file."""
+"""The configuration of the extent map, as parsed from the operator's file."""
 
 from __future__ import annotations
 
@@ -10,18 +10,18 @@
 
 @dataclass(frozen=True, slots=True)
 class ExtentsConfig:
-    """How the extent map is followed, cached on disk and relied on.
+    """The configuration of the extent map: its source, its cache on disk and the limits of its use.
 
     Attributes:
-        block_bytes: Size of a block.
-        extents_max: A map with more extents is rejected.
-        page_size: Number of keys that one range request to etcd returns at most.
-        limits: Bounds of a command, and how old the map may be.
+        block_bytes: The size of a block.
+        extents_max: The maximum number of extents; a map with more extents is rejected.
+        page_size: The maximum number of keys in one response of etcd to a range request.
+        limits: The limits for one command, and the maximum age of the map.
         inline_extents: The extents that the operator's file itself lists; empty if it lists none.
-        file: Path of a file of its own that has the map.
-        cache_path: Directory of the cache on disk; None turns it off.
-        cache_bytes: Size limit of that cache.
-        cache_age_max_us: An older cache is not used.
+        file: The path of a separate file that contains the map; None if there is none.
+        cache_path: The directory of the cache on disk; None disables the cache.
+        cache_bytes: The maximum size of the cache.
+        cache_age_max_us: The maximum age of a cached map; an older one is not used.
     """
 
     block_bytes: int
--- a/lemonridge/extents/errors.py
+++ b/lemonridge/extents/errors.py
@@ -6,39 +6,42 @@
 
 
 class ExtentsError(Exception):
-    """Base of the package's errors."""
+    """Base class of the errors in this package."""
 
 
 class MapError(ExtentsError, ValueError):
-    """Extents that do not make a map, or blocks outside it; the text names the volume and the block."""
+    """Extents do not form a valid map, or blocks are not in the map.
+
+    The message names the volume and the block where one is at fault.
+    """
 
 
 class MapRecordError(ExtentsError, ValueError):
-    """A key or value of the map in etcd that cannot be read; the text names the key."""
+    """A key or value of the map in etcd is malformed, or the map in etcd is missing or invalid."""
 
 
 class MapCacheError(ExtentsError):
-    """The map on disk cannot be used; the text gives the cause."""
+    """The cached map on disk cannot be used; the message states the cause."""
 
 
 class RouteRejectReason(Enum):
-    """Why a route or a command is rejected. The values are parts of counters' names."""
+    """The reason why a route or a command is rejected. The values are parts of counter names."""
 
-    TOO_MANY_REDIRECTS = "redirects"  # more than `Limits.redirects`
-    LOCATION_UNCONFIRMED = "unconfirmed"  # refreshes brought no newer version
-    EXTENT_RESHAPED = "reshaped"  # the extent was split or joined under the command
-    NOT_MAPPED = "absent"  # the map does not have the blocks
-    MAP_TOO_OLD = "old"  # the source's last confirmation is older than allowed
-    MAP_MISSING = "mapless"  # no map was loaded yet
-    MAP_UNCONFIRMED = "untrusted"  # a write by a cached map that the source has not confirmed
-    TOO_MANY_PIECES = "pieces"  # more than `Limits.pieces`
+    TOO_MANY_REDIRECTS = "redirects"  # more redirects than `Limits.redirects`
+    LOCATION_UNCONFIRMED = "unconfirmed"  # none of `Limits.refreshes` refreshes brought a newer version
+    EXTENT_RESHAPED = "reshaped"  # the extent was split or joined while the command was in progress
+    NOT_MAPPED = "absent"  # the blocks or the volume are not in the map
+    MAP_TOO_OLD = "old"  # the source last confirmed the map longer ago than is allowed
+    MAP_MISSING = "mapless"  # no map has been loaded yet
+    MAP_UNCONFIRMED = "untrusted"  # a write, while the source has not confirmed the cached map
+    TOO_MANY_PIECES = "pieces"  # more pieces than `Limits.pieces`
 
 
 class RouteError(ExtentsError):
-    """A command that cannot be routed now; nothing of it ran.
+    """A command cannot be routed at present; no part of it has been executed.
 
     Attributes:
-        reason: Why it is rejected.
+        reason: Why the command is rejected.
     """
 
     def __init__(self, reason: RouteRejectReason) -> None:
--- a/lemonridge/extents/etcd_source.py
+++ b/lemonridge/extents/etcd_source.py
@@ -1,10 +1,14 @@
-"""The map in etcd: its keys and values, and the updates by a range or a watch of them.
+"""The extent map in etcd: the format of its keys and values, and the updates from ranges and watches.
 
-Below the operator's prefix are `map/extents/LUN/FIRST` (decimal, FIRST with 20 digits so that keys sort by
-block), each `{"blocks":N,"shard":S,"version":V}`, and `map/version` with `{"version":N}`. Whoever moves an
-extent writes its key and `map/version`, one higher, in one transaction (etcd v3 API, KV.Txn). So a range read
-at one revision has one version, the events of one revision are one change, and a version that jumps shows
-that a change was lost.
+Keys below the operator's prefix:
+
+- `map/extents/LUN/FIRST` has the value `{"blocks":N,"shard":S,"version":V}`. LUN and FIRST are decimal; FIRST
+  has 20 digits, so that keys sort by block.
+- `map/version` has the value `{"version":N}`.
+
+A program that moves an extent writes the extent's key and increments `map/version` by one in the same
+transaction (etcd v3 API, KV.Txn). Therefore a range read at one revision has one map version, the events of
+one revision are one change, and a version that increases by more than one shows that a change was missed.
 """
 
 from __future__ import annotations
@@ -28,14 +32,14 @@
 
 log = logging.getLogger(__name__)
 
-CONFIRM_INTERVAL_S = 1.0  # between two reads of the map's version
+CONFIRM_INTERVAL_S = 1.0  # time between two reads of the map's version
 VERSION_KEY = "map/version"
 EXTENTS_PREFIX = "map/extents/"
 _EXTENT_KEY = re.compile(r"map/extents/[0-9]{1,5}/[0-9]{20}")
 
 
 class ExtentRecord(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """The value of an extent's key. The names of the fields are its JSON keys."""
+    """The value of an extent's key. The field names are the JSON keys."""
 
     blocks: int
     shard: int
@@ -43,18 +47,18 @@
 
 
 class VersionRecord(msgspec.Struct, frozen=True):
-    """The value of `map/version`. The name of the field is its JSON key."""
+    """The value of `map/version`. The field name is the JSON key."""
 
     version: int
 
 
 def extent_key(volume: int, first: int) -> str:
-    """The key of the extent of a volume that begins at block `first`."""
+    """Returns the key of the extent of a volume that begins at block `first`."""
     return f"{EXTENTS_PREFIX}{volume}/{first:020d}"
 
 
 def parse_extent_key(key: str) -> tuple[int, int]:
-    """Volume and first block of an extent's key.
+    """Returns the volume and the first block that an extent's key contains.
 
     Raises:
         MapRecordError: The key is malformed.
@@ -66,21 +70,21 @@
 
 
 def parse_extent(key: str, value: bytes) -> Extent:
-    """The extent of a key and its value.
+    """Returns the extent that a key and its value describe.
 
     Raises:
         MapRecordError: The key or the value is malformed.
     """
     volume, first = parse_extent_key(key)
     try:
-        row = msgspec.json.decode(value, type=ExtentRecord)
+        record = msgspec.json.decode(value, type=ExtentRecord)
     except msgspec.DecodeError as error:
         raise MapRecordError(f"{key}: {error}") from None
-    return Extent(volume, first, row.blocks, row.shard, row.version)
+    return Extent(volume, first, record.blocks, record.shard, record.version)
 
 
 def parse_version(value: bytes) -> int:
-    """The map's version in the value of `map/version`.
+    """Returns the map's version from the value of `map/version`.
 
     Raises:
         MapRecordError: The value is malformed.
@@ -95,34 +99,37 @@
     """Updates the router's map from etcd; implements `etcd_follower.Feed`.
 
     Args:
-        router: Owner of the map.
-        luns: Extents of other LUNs are left out.
+        router: The owner of the map.
+        luns: The LUNs to include; extents of other LUNs are ignored.
     """
 
     KIND = "map/"
 
     def __init__(self, router: Router, luns: frozenset[int]) -> None:
         self._router, self._luns = router, luns
-        self._freshness = FreshnessCheck()
+        self._freshness_check = FreshnessCheck()
         self.begin_snapshot()
 
     def begin_snapshot(self) -> None:
-        """Begins a read of the complete map."""
+        """Begins to collect the pages of a complete map."""
         self._builder, self._version = self._router.map.builder(), -1
 
     def add_page(self, rows: Sequence[Event]) -> None:
         """Adds one page of the complete map.
 
+        Args:
+            rows: The keys and values of the page.
+
         Raises:
             MapRecordError: A key or value is malformed.
             MapError: An extent's numbers are out of range, or there are too many extents.
         """
         try:
-            for row in rows:
-                if row.key == VERSION_KEY and row.value is not None:
-                    self._version = parse_version(row.value)
-                elif row.key.startswith(EXTENTS_PREFIX) and row.value is not None:
-                    extent = parse_extent(row.key, row.value)
+            for event in rows:
+                if event.key == VERSION_KEY and event.value is not None:
+                    self._version = parse_version(event.value)
+                elif event.key.startswith(EXTENTS_PREFIX) and event.value is not None:
+                    extent = parse_extent(event.key, event.value)
                     if extent.volume in self._luns:
                         self._builder.add(extent)
         except MapError as error:
@@ -130,29 +137,29 @@
             raise
 
     def finish_snapshot(self) -> None:
-        """Replaces the router's map by the pages, which are of one revision.
+        """Replaces the router's map by the content of the pages, which all have the same revision.
 
         Raises:
-            MapRecordError: The map's version is missing, or the extents do not make a map.
+            MapRecordError: The map's version is missing, or the extents overlap or leave uncovered blocks.
         """
         if self._version < 0:
-            raise MapRecordError("there is no map")
+            raise MapRecordError("the key map/version is missing")
         if not self._router.replace_map_from(self._version, self._builder):
-            raise MapRecordError("there is no map that can be used")
+            raise MapRecordError("the map in etcd is malformed")
         self.begin_snapshot()  # frees the builder's copy
 
     def apply_changes(self, events: Sequence[Event]) -> None:
-        """Applies the events of a watch; those of one revision are one change.
+        """Applies the events of a watch; the events of one revision form one change.
 
         Raises:
-            MissedChangeError: The complete map must be read again.
+            MissedChangeError: A change was missed or is invalid: the complete map must be read again.
         """
-        groups: dict[int, list[Event]] = {}
+        events_by_revision: dict[int, list[Event]] = {}
         for event in events:
-            groups.setdefault(event.revision, []).append(event)
-        for group in groups.values():
+            events_by_revision.setdefault(event.revision, []).append(event)
+        for revision_events in events_by_revision.values():
             try:
-                result = self._router.apply_change(self._change(group))
+                result = self._router.apply_change(self._parse_change(revision_events))
             except MapRecordError as error:
                 log.error("map change rejected", extra={"error": str(error)})
                 self._router.counters["map.malformed"] += 1
@@ -161,18 +168,20 @@
                 raise MissedChangeError
 
     async def run_during_watch(self, etcd: EtcdClient, http: aiohttp.ClientSession) -> None:
-        """Polls the map's version, which etcd answers with the newest that its members agreed on.
+        """Polls the map's version in etcd, to confirm the map and to detect that the watch missed a change.
 
-        This confirms the map and detects a watch that has lost a change.
+        The read is linearizable: it returns the newest version that the members of etcd have agreed on.
 
         Raises:
-            MissedChangeError: The complete map must be read again.
+            MissedChangeError: The watch missed a change: the complete map must be read again.
         """
         while True:
             try:
-                rows = await etcd.get(http, [VERSION_KEY])
-                newest = parse_version(rows[0].value) if rows and rows[0].value is not None else -1
-                freshness = self._freshness.check(newest, self._router.map.version)
+                events = await etcd.get(http, [VERSION_KEY])
+                newest_version = (
+                    parse_version(events[0].value) if events and events[0].value is not None else -1
+                )
+                freshness = self._freshness_check.check(newest_version, self._router.map.version)
                 if freshness is Freshness.CONFIRMED:
                     self._router.confirm()
                 if freshness is Freshness.CHANGE_MISSED:
@@ -182,11 +191,15 @@
                 log.info("map not confirmed", extra={"error": f"{type(error).__name__}: {error}"})
             await asyncio.sleep(CONFIRM_INTERVAL_S)
 
-    def _change(self, group: list[Event]) -> Change:
-        """The change that the events of one revision make; MapRecordError where they make none."""
+    def _parse_change(self, revision_events: list[Event]) -> Change:
+        """Returns the change that the events of one revision form.
+
+        Raises:
+            MapRecordError: A key or value is malformed, or the map's version is missing or deleted.
+        """
         version = -1
         extents, removed = list[Extent](), list[tuple[int, int]]()
-        for event in group:
+        for event in revision_events:
             if event.key == VERSION_KEY:
                 if event.value is None:
                     raise MapRecordError(f"{VERSION_KEY}: deleted")
@@ -196,7 +209,9 @@
             else:
                 removed.append(parse_extent_key(event.key))
         if version < 0:
-            raise MapRecordError(f"revision {group[0].revision} changes extents without the map's version")
+            raise MapRecordError(
+                f"revision {revision_events[0].revision} changes extents but not the map's version"
+            )
         return Change(
             version - 1,
             version,
@@ -206,10 +221,10 @@
 
 
 class Refresher:
-    """Reads single extents from etcd by a connection of its own.
+    """Reads single extents from etcd, over an HTTP session of its own.
 
     Args:
-        etcd: The client.
+        etcd: The client of etcd.
     """
 
     def __init__(self, etcd: EtcdClient) -> None:
@@ -217,47 +232,53 @@
         self._http: aiohttp.ClientSession | None = None
 
     async def read(self, keys: tuple[ExtentKey, ...]) -> list[Extent]:
-        """The extents of these keys, all of one revision; those that do not exist are left out.
+        """Reads extents, all at the same revision.
+
+        Args:
+            keys: The volume and first block of each extent.
+
+        Returns:
+            The extents; those that do not exist are omitted.
 
         Raises:
             MapRecordError: A key or value is malformed.
         """
         if self._http is None:
             self._http = open_session()
-        rows = await self._etcd.get(self._http, [extent_key(*key) for key in keys])
-        return [parse_extent(row.key, row.value) for row in rows if row.value is not None]
+        events = await self._etcd.get(self._http, [extent_key(*key) for key in keys])
+        return [parse_extent(event.key, event.value) for event in events if event.value is not None]
 
     async def close(self) -> None:
-        """Closes the connection."""
+        """Closes the HTTP session, if one was opened."""
         if self._http is not None:
             await self._http.close()
 
 
 class Freshness(Enum):
-    """How the map compares with the source's newest version."""
+    """The result of comparing the map's version with the source's newest version."""
 
-    CONFIRMED = "confirmed"  # it is the newest
-    BEHIND = "behind"  # a change is missing, which the watch may still deliver
-    CHANGE_MISSED = "change-missed"  # the watch did not deliver it: the complete map must be read again
+    CONFIRMED = "confirmed"  # the map has the newest version
+    BEHIND = "behind"  # the map lacks a change that the watch may still deliver
+    CHANGE_MISSED = "change-missed"  # the watch missed a change: the complete map must be read again
 
 
 class FreshnessCheck:
-    """Compares the map's version with the one that the source reports, poll by poll. Pure.
+    """Compares the map's version with the source's newest version at each poll. It performs no I/O.
 
-    A map that is behind may have its change in delivery; if it has not reached that version by the next poll,
-    the watch has lost the change.
+    If the map is behind, the watch may still be delivering the change. If the map has not reached that
+    version by the next poll, the watch has missed the change.
     """
 
     def __init__(self) -> None:
-        self._version_awaited = -1  # the newest version at the last poll, where the map was behind
+        self._awaited_version = -1  # the newest version at the last poll if the map was behind it, else -1
 
-    def check(self, newest: int, map_version: int) -> Freshness:
-        """Compares the source's newest version with the map's."""
-        if map_version >= newest:
-            self._version_awaited = -1
+    def check(self, newest_version: int, map_version: int) -> Freshness:
+        """Compares the source's newest version with the map's version at a poll."""
+        if map_version >= newest_version:
+            self._awaited_version = -1
             return Freshness.CONFIRMED
-        if self._version_awaited >= 0 and map_version < self._version_awaited:
-            self._version_awaited = -1
+        if self._awaited_version >= 0 and map_version < self._awaited_version:
+            self._awaited_version = -1
             return Freshness.CHANGE_MISSED
-        self._version_awaited = newest
+        self._awaited_version = newest_version
         return Freshness.BEHIND
--- a/lemonridge/extents/file_source.py
+++ b/lemonridge/extents/file_source.py
@@ -1,6 +1,7 @@
-"""The map in a file of the operator's: `{"version":N,"extents":[[lun,first,blocks,shard,version],...]}`.
+"""Reads the extent map from a file of the operator.
 
-The operator replaces it in one step (write a new file, then rename it); it is polled twice a second.
+The file contains `{"version":N,"extents":[[lun,first,blocks,shard,version],...]}`. The operator replaces it
+atomically: write a new file, then rename it. The file is polled twice a second.
 """
 
 from __future__ import annotations
@@ -21,43 +22,55 @@
 
 
 class MapFile(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """The file's content. The names of the fields are the file's keys."""
+    """The content of the file. The field names are the JSON keys."""
 
     version: int
     extents: list[tuple[int, int, int, int, int]]
 
 
 class FileSource:
-    """Keeps the router's map equal to the file.
+    """Updates the router's map from the file.
 
     Args:
-        path: The file.
-        router: Owner of the map.
-        luns: Extents of other LUNs are left out.
+        path: The path of the file.
+        router: The owner of the map.
+        luns: The LUNs to include; extents of other LUNs are ignored.
     """
 
     def __init__(self, path: str, router: Router, luns: frozenset[int]) -> None:
         self._path, self._router, self._luns = Path(path), router, luns
-        self._loaded: tuple[int, int, int] | None = None  # inode, modification time in ns, bytes
+        # Inode, modification time (ns) and size (bytes) of the file that was loaded last.
+        self._loaded_identity: tuple[int, int, int] | None = None
 
     async def run(self) -> None:
-        """Polls the file; never returns."""
+        """Polls the file. Never returns."""
         while True:
             self.poll()
             await asyncio.sleep(POLL_INTERVAL_S)
 
     async def read(self, keys: tuple[ExtentKey, ...]) -> list[Extent]:
-        """Refreshes single extents: polls the file now; extents that are not in the map are left out."""
+        """Polls the file at once and returns single extents of the map.
+
+        Args:
+            keys: The volume and first block of each extent.
+
+        Returns:
+            The extents; those that are not in the map are omitted.
+        """
         self.poll()
-        found = (self._router.map.find(*key) for key in keys)
-        return [extent for extent in found if extent is not None]
+        extents = (self._router.map.find(*key) for key in keys)
+        return [extent for extent in extents if extent is not None]
 
     def poll(self) -> None:
-        """Loads the file if it has changed; a file that cannot be read leaves the map as it is."""
+        """Loads the file if it has changed; otherwise confirms the map.
+
+        The present map stays in use if the file cannot be read or is malformed, or if a file has been loaded
+        before and the new version is lower than the map's.
+        """
         try:
             stat = self._path.stat()
             identity = (stat.st_ino, stat.st_mtime_ns, stat.st_size)
-            if identity == self._loaded:
+            if identity == self._loaded_identity:
                 self._router.confirm()
                 return
             content = msgspec.json.decode(self._path.read_bytes(), type=MapFile)
@@ -65,7 +78,7 @@
             self._router.counters["map.malformed"] += 1
             log.error("map file not read", extra={"path": str(self._path), "error": str(error)})
             return
-        if content.version < self._router.map.version and self._loaded is not None:
+        if content.version < self._router.map.version and self._loaded_identity is not None:
             log.warning(
                 "map file is older",
                 extra={"version": content.version, "map_version": self._router.map.version},
@@ -73,4 +86,4 @@
             return
         extents = (Extent(*row) for row in content.extents if row[0] in self._luns)
         if self._router.replace_map(content.version, extents):
-            self._loaded = identity
+            self._loaded_identity = identity
--- a/lemonridge/extents/map_cache.py
+++ b/lemonridge/extents/map_cache.py
@@ -1,11 +1,14 @@
-"""The extent map cached on disk, in an LMDB environment (py-lmdb: one writer, atomic transactions).
-
-One record an extent: key (volume, first block) big-endian, value (length, shard, version). The record `meta`
-has the map's version, the time of the last write and the exclusive-or of the XXH64 of every record, which a
-change updates from the records that it changes: a missing, duplicate or altered record is detected at the
-next start. A cached map serves no writes before the source has confirmed it, and nothing past its maximum
-age. The age is the greater of two: by the wall clock and, within one boot of the machine, by the time since
-the boot, so that a wall clock that is stepped back does not make an old map newer.
+"""Caches the extent map on disk in an LMDB environment (py-lmdb: one writer, atomic transactions).
+
+Each extent is one record with the key (volume, first block) and the value (length, shard, version); all
+numbers are big-endian. The record `meta` stores the map's version, the time of the last write, the number of
+records and a checksum: the exclusive or of the XXH64 hashes of all records. A change updates the checksum
+from the records that it changes. A missing, duplicate or altered record is detected at the next start.
+
+A cached map serves no writes before the source has confirmed it, and is not used at all beyond its maximum
+age. The age is the greater of two values: the age by the wall clock and, if the machine has not been rebooted
+since, the age by the time since boot. A wall clock that is set back therefore does not make an old map look
+newer.
 """
 
 from __future__ import annotations
@@ -28,17 +31,20 @@
 Argument = TypeVar("Argument")
 log = logging.getLogger(__name__)
 
-PENDING_CHANGES_MAX = 1024  # that wait for the disk; past it nothing is cached until the next complete map
+# Limit of changes waiting to be written. Beyond it, nothing is cached until the next complete map.
+PENDING_CHANGES_MAX = 1024
 RECORD_KEY = struct.Struct(">IQ")  # volume, first block
 RECORD_VALUE = struct.Struct(">QIQ")  # length in blocks, shard, version
-META_VALUE = struct.Struct(">qQQQQ16s")  # version, written us, records, checksum, us since boot, boot id
-BOOT_FILE = "/proc/sys/kernel/random/boot_id"  # another value after each boot (proc(5))
+META_VALUE = struct.Struct(
+    ">qQQQQ16s"
+)  # version, time of writing (us), record count, checksum, time since boot (us), boot id
+BOOT_FILE = "/proc/sys/kernel/random/boot_id"  # changes with each boot (proc(5))
 UNKNOWN_BOOT_ID = bytes(16)
 META_KEY = b"\xffmeta"  # sorts after every extent's key, as volumes are below 2^14
 
 
 def _boot_id() -> bytes:
-    """The id of the machine's present boot; `UNKNOWN_BOOT_ID` where it cannot be read."""
+    """Returns the id of the machine's current boot; `UNKNOWN_BOOT_ID` if it cannot be read."""
     try:
         with open(BOOT_FILE) as file:
             return uuid.UUID(file.read().strip()).bytes
@@ -47,22 +53,23 @@
 
 
 def _since_boot_us() -> int:
-    """Microseconds since the boot, including suspend."""
+    """Returns the time since boot in microseconds, including time in suspend."""
     return time.clock_gettime_ns(time.CLOCK_BOOTTIME) // 1000
 
 
 def _hash(key: bytes, value: bytes) -> int:
+    """Returns the XXH64 hash of a record."""
     return int(xxhash.xxh64_intdigest(key + value))
 
 
 class MapCache:
-    """Writes the map to disk and reads it at the start.
+    """Writes the extent map to disk, and reads it when the broker starts.
 
-    A corrupt environment is moved aside, to `data.mdb.spoilt`, and a new one begun.
+    A corrupt environment is renamed to `data.mdb.spoilt`, and a new one is created.
 
     Args:
-        path: Directory of the environment.
-        size_bytes: Size limit of the environment.
+        path: The directory of the environment.
+        size_bytes: The maximum size of the environment.
 
     Raises:
         MapCacheError: The environment cannot be opened.
@@ -84,13 +91,16 @@
         return lmdb.open(path, map_size=size_bytes, subdir=True, max_dbs=0, mode=0o600, metasync=False)
 
     def load(self, age_max_us: int) -> tuple[int, list[Extent]]:
-        """The cached map's version and extents.
+        """Reads the cached map.
 
         Args:
-            age_max_us: An older map is an error.
+            age_max_us: The maximum age of the map.
+
+        Returns:
+            The map's version and its extents.
 
         Raises:
-            MapCacheError: There is no map, it is damaged or too old.
+            MapCacheError: No map is cached, or the cached map is damaged or too old.
         """
         with self._environment.begin() as transaction:
             meta = transaction.get(META_KEY)
@@ -102,7 +112,7 @@
                 if key == META_KEY:
                     continue
                 if len(key) != RECORD_KEY.size or len(value) != RECORD_VALUE.size:
-                    raise MapCacheError("a record is damaged")
+                    raise MapCacheError("a record has the wrong length")
                 checksum ^= _hash(key, value)
                 volume, first = RECORD_KEY.unpack(key)
                 length, shard, extent_version = RECORD_VALUE.unpack(value)
@@ -113,12 +123,12 @@
         if boot_id == _boot_id() != UNKNOWN_BOOT_ID:
             ages_us.append(_since_boot_us() - since_boot_us)
         if min(ages_us) < 0 or max(ages_us) > age_max_us:
-            raise MapCacheError("it is too old")
+            raise MapCacheError("the cached map is too old")
         self._checksum, self._count = checksum, count
         return version, extents
 
     def save_map(self, extent_map: ExtentMap) -> None:
-        """Replaces the cached map."""
+        """Replaces the cached map; an error is logged."""
         self._stopped = False
         try:
             with self._environment.begin(write=True) as transaction:
@@ -131,19 +141,19 @@
             self._stop_saving(error)
 
     def save_change(self, change: Change) -> None:
-        """Writes the records that a change sets or removes."""
+        """Updates the cached map by a change; an error is logged."""
         if self._stopped:
             return
-        before = self._checksum, self._count
+        previous = self._checksum, self._count
         try:
             with self._environment.begin(write=True) as transaction:
                 for volume, first in change.removed:
-                    self._drop_record(transaction, RECORD_KEY.pack(volume, first))
+                    self._delete_record(transaction, RECORD_KEY.pack(volume, first))
                 for extent in change.extents:
                     self._put_record(transaction, extent)
                 self._put_meta(transaction, change.version)
         except lmdb.Error as error:
-            self._checksum, self._count = before
+            self._checksum, self._count = previous
             self._stop_saving(error)
 
     def close(self) -> None:
@@ -151,25 +161,27 @@
         self._environment.close()
 
     def _stop_saving(self, error: Exception) -> None:
-        """Stops writing until the next complete map, as a full disk must not stop the broker.
+        """Logs an error and stops writing changes until the next complete map.
 
-        The cached map stays as it was, with its time of writing.
+        A full disk must not stop the broker. The cached map stays unchanged, with its time of writing.
         """
         self._stopped = True
         log.error("map not cached", extra={"error": str(error)})
 
     def _put_record(self, transaction: lmdb.Transaction, extent: Extent) -> None:
+        """Writes the record of an extent, and updates the checksum and the count."""
         key = RECORD_KEY.pack(extent.volume, extent.first)
-        self._drop_record(transaction, key)
+        self._delete_record(transaction, key)
         value = RECORD_VALUE.pack(extent.length, extent.shard, extent.version)
         transaction.put(key, value)
         self._checksum ^= _hash(key, value)
         self._count += 1
 
-    def _drop_record(self, transaction: lmdb.Transaction, key: bytes) -> None:
-        old = transaction.pop(key)
-        if old is not None:
-            self._checksum ^= _hash(key, bytes(old))
+    def _delete_record(self, transaction: lmdb.Transaction, key: bytes) -> None:
+        """Deletes a record if it exists, and updates the checksum and the count."""
+        old_value = transaction.pop(key)
+        if old_value is not None:
+            self._checksum ^= _hash(key, bytes(old_value))
             self._count -= 1
 
     def _put_meta(self, transaction: lmdb.Transaction, version: int) -> None:
@@ -181,10 +193,10 @@
 
 
 class BackgroundMapWriter:
-    """Writes a map cache in a thread of its own, so that the event loop never waits for the disk.
+    """Writes to a map cache in a separate thread, so that the event loop never waits for the disk.
 
     Args:
-        cache: The cache; used by the thread alone from here on.
+        cache: The cache. From now on, only the writer's thread may use it.
     """
 
     def __init__(self, cache: MapCache) -> None:
@@ -192,26 +204,32 @@
         self._thread = ThreadPoolExecutor(1, thread_name_prefix="map-cache")
 
     def save_map(self, extent_map: ExtentMap) -> None:
-        """Writes a copy of the map as it is now."""
+        """Queues a copy of the current map to replace the cached one."""
         self._overflowed = False
         self._submit(self._cache.save_map, extent_map.copy())
 
     def save_change(self, change: Change) -> None:
-        """Writes a change; with `PENDING_CHANGES_MAX` waiting, nothing until the next complete map."""
+        """Queues a change.
+
+        If `PENDING_CHANGES_MAX` changes are waiting already, this change and all later ones are dropped until
+        the next complete map.
+        """
         if self._pending >= PENDING_CHANGES_MAX and not self._overflowed:
             self._overflowed = True
-            log.error("map not cached", extra={"error": f"{PENDING_CHANGES_MAX} changes wait for the disk"})
+            log.error(
+                "map not cached", extra={"error": f"{PENDING_CHANGES_MAX} changes are waiting to be written"}
+            )
         if not self._overflowed:
             self._submit(self._cache.save_change, change)
 
     def close(self) -> None:
-        """Writes what waits, and closes the cache."""
+        """Writes the queued changes and closes the cache. Blocks until this is done."""
         self._submit(lambda _: self._cache.close(), None)
         self._thread.shutdown(wait=True)
 
-    def _submit(self, work: Callable[[Argument], None], argument: Argument) -> None:
+    def _submit(self, task: Callable[[Argument], None], argument: Argument) -> None:
         self._pending += 1
-        self._thread.submit(work, argument).add_done_callback(self._on_done)
+        self._thread.submit(task, argument).add_done_callback(self._on_done)
 
     def _on_done(self, future: Future[None]) -> None:
         self._pending -= 1
