--- a/tests/extents/test_extent_map.py
+++ b/tests/extents/test_extent_map.py
@@ -1,4 +1,7 @@
-"""The map of extents and its decisions, pure: against a plain model, and each hard case by itself."""
+"""Unit tests of the extent map and of the decisions on routes, refreshes and joined outcomes.
+
+The extent map is compared with a simple model; difficult cases have tests of their own.
+"""
 
 from __future__ import annotations
 
@@ -25,100 +28,116 @@
 LIMITS = Limits()
 
 
-def row(count: int, volume: int = 0, length: int = 10) -> list[Extent]:
-    return [Extent(volume, n * length, length, n % 4, 1) for n in range(count)]
+def consecutive_extents(count: int, volume: int = 0, length: int = 10) -> list[Extent]:
+    return [Extent(volume, index * length, length, index % 4, 1) for index in range(count)]
 
 
 def map_of_extents(count: int = 8) -> ExtentMap:
-    made = ExtentMap()
-    made.replace_all(1, row(count))
-    return made
+    extent_map = ExtentMap()
+    extent_map.replace_all(1, consecutive_extents(count))
+    return extent_map
 
 
-# The map
+# The extent map
 
-KINDS = ("move", "split", "join", "gap", "stale", "overlap", "hole", "back")
-Step = tuple[str, int, int, int, int]
-steps = st.lists(
+OPERATION_KINDS = ("move", "split", "join", "gap", "stale", "overlap", "uncovered", "lower-version")
+# Kind, selector of the changed extent and of the block to look up, shard, first length of a split, difference
+# in versions or blocks.
+Operation = tuple[str, int, int, int, int]
+operation_lists = st.lists(
     st.tuples(
-        st.sampled_from(KINDS), st.integers(0, 10**6), st.integers(0, 5), st.integers(1, 9), st.integers(1, 3)
+        st.sampled_from(OPERATION_KINDS),
+        st.integers(0, 10**6),
+        st.integers(0, 5),
+        st.integers(1, 9),
+        st.integers(1, 3),
     ),
     max_size=40,
 )
 
 
 @settings(max_examples=200, derandomize=True, deadline=None)
-@given(count=st.integers(1, 3 * LEAF_EXTENTS_MAX), todo=steps)
-def test_any_sequence_of_changes_equals_a_plain_model(count: int, todo: list[Step]) -> None:
-    """The model is a list that is rebuilt for each change; what it refuses must change nothing."""
+@given(count=st.integers(1, 3 * LEAF_EXTENTS_MAX), operations=operation_lists)
+def test_random_changes_give_the_same_map_as_a_list_model(count: int, operations: list[Operation]) -> None:
+    """The model is a list that is rebuilt for each change. A rejected change must not modify the map."""
     extent_map = ExtentMap()
-    model = row(count)
+    model = consecutive_extents(count)
     extent_map.replace_all(5, reversed(model))
     version = 5
-    for kind, pick, shard, cut, jump in todo:
-        place = pick % len(model)
-        one, removed = model[place], ()
-        put = [replace(one, shard=shard, version=one.version + 1)]
-        base, to = version, version + 1
+    for kind, selector, shard, split_length, difference in operations:
+        index = selector % len(model)
+        selected, removed = model[index], ()
+        new_extents = [replace(selected, shard=shard, version=selected.version + 1)]
+        base_version, new_version = version, version + 1
         if kind == "split":
-            cut = min(cut, one.length - 1)
-            if cut < 1:
+            split_length = min(split_length, selected.length - 1)
+            if split_length < 1:
                 continue
-            put = [
-                replace(one, length=cut),
-                replace(one, first=one.first + cut, length=one.length - cut, shard=shard),
+            new_extents = [
+                replace(selected, length=split_length),
+                replace(
+                    selected,
+                    first=selected.first + split_length,
+                    length=selected.length - split_length,
+                    shard=shard,
+                ),
             ]
         elif kind == "join":
-            if place + 1 == len(model):
+            if index + 1 == len(model):
                 continue
-            removed = ((0, model[place + 1].first),)
-            put = [replace(one, length=one.length + model[place + 1].length)]
+            removed = ((0, model[index + 1].first),)
+            new_extents = [replace(selected, length=selected.length + model[index + 1].length)]
         elif kind == "gap":
-            base, to = version + jump, version + jump + 1
+            base_version, new_version = version + difference, version + difference + 1
         elif kind == "stale":
-            base, to = version - jump, version - jump + 1
+            base_version, new_version = version - difference, version - difference + 1
         elif kind == "overlap":
-            put = [replace(one, length=one.length + jump)]
-            if place + 1 == len(model):
-                put = [Extent(0, one.first + one.length - 1, jump + 1, shard, 1)]
-                if one.length == 1:
+            new_extents = [replace(selected, length=selected.length + difference)]
+            if index + 1 == len(model):
+                new_extents = [Extent(0, selected.first + selected.length - 1, difference + 1, shard, 1)]
+                if selected.length == 1:
                     continue
-        elif kind == "hole":
-            if place + 1 == len(model):
-                put = [Extent(0, one.end + jump, 5, shard, 1)]
+        elif kind == "uncovered":
+            if index + 1 == len(model):
+                new_extents = [Extent(0, selected.end + difference, 5, shard, 1)]
             else:
-                put, removed = [], ((0, one.first),)
-        elif kind == "back":
-            put = [replace(one, version=one.version - 1)]
-            if one.version == 0:
+                new_extents, removed = [], ((0, selected.first),)
+        elif kind == "lower-version":
+            new_extents = [replace(selected, version=selected.version - 1)]
+            if selected.version == 0:
                 continue
-        fit, _ = extent_map.apply(Change(base, to, tuple(put), removed))
-        wanted = {
+        result, _ = extent_map.apply(Change(base_version, new_version, tuple(new_extents), removed))
+        expected_result = {
             "gap": ChangeResult.GAP,
             "stale": ChangeResult.STALE,
             "overlap": ChangeResult.BROKEN,
-            "hole": ChangeResult.BROKEN,
-            "back": ChangeResult.BROKEN,
+            "uncovered": ChangeResult.BROKEN,
+            "lower-version": ChangeResult.BROKEN,
         }.get(kind, ChangeResult.APPLIED)
-        assert fit is wanted, (kind, fit)
-        if fit is ChangeResult.APPLIED:
-            version = to
-            gone = {first for _, first in removed} | {extent.first for extent in put}
-            model = sorted([old for old in model if old.first not in gone] + put, key=lambda old: old.first)
+        assert result is expected_result, (kind, result)
+        if result is ChangeResult.APPLIED:
+            version = new_version
+            replaced_first_blocks = {first for _, first in removed} | {extent.first for extent in new_extents}
+            model = sorted(
+                [existing for existing in model if existing.first not in replaced_first_blocks] + new_extents,
+                key=lambda existing: existing.first,
+            )
         assert extent_map.version == version
-        block = pick % model[-1].end
-        want = [old for old in model if old.first < block + 25 and old.end > block]
+        block = selector % model[-1].end
+        expected_extents = [
+            existing for existing in model if existing.first < block + 25 and existing.end > block
+        ]
         end = min(block + 25, model[-1].end)
         pieces = extent_map.lookup(0, block, end - block)
         assert [(piece.extent_first, piece.shard, piece.version) for piece in pieces] == [
-            (old.first, old.shard, old.version) for old in want
+            (existing.first, existing.shard, existing.version) for existing in expected_extents
         ]
         assert sum(piece.length for piece in pieces) == end - block and pieces[0].first == block
     assert list(extent_map) == model == list(extent_map.copy())
 
 
 @pytest.mark.parametrize(
-    ("extents", "word"),
+    ("extents", "expected_text"),
     [
         ([Extent(0, 5, 5, 0, 0)], "block 0: not covered by an extent"),
         ([Extent(0, 0, 0, 0, 0)], "a length of 0 blocks is out of range"),
@@ -127,41 +146,48 @@
         ([Extent(0, 0, 5, -1, 0)], "shard -1"),
         ([Extent(0, 0, 5, 0, -1)], "version -1"),
         ([Extent(0, 0, 1 << 63, 0, 0)], "a length of 9223372036854775808 blocks is out of range"),
-        (row(9), "more than 8"),
+        (consecutive_extents(9), "more than 8"),
     ],
 )
-def test_a_malformed_map_leaves_the_present_one(extents: list[Extent], word: str) -> None:
+def test_malformed_map_is_rejected_and_the_present_map_stays(
+    extents: list[Extent], expected_text: str
+) -> None:
     extent_map = ExtentMap(8)
-    extent_map.replace_all(3, row(4))
-    with pytest.raises(MapError, match=word):
+    extent_map.replace_all(3, consecutive_extents(4))
+    with pytest.raises(MapError, match=expected_text):
         extent_map.replace_all(4, extents)
     assert (extent_map.version, len(extent_map)) == (3, 4)
 
 
-def test_a_refreshed_extent_goes_in_once_and_its_own_change_still_applies() -> None:
+def test_refreshed_extent_is_merged_once_and_its_change_still_applies() -> None:
     extent_map = map_of_extents()
-    newer = Extent(0, 20, 10, 3, 2)
-    assert extent_map.merge(newer) and not extent_map.merge(newer)
-    assert not extent_map.merge(replace(newer, version=1)) and not extent_map.merge(Extent(0, 21, 9, 0, 9))
-    assert extent_map.version == 1 and extent_map.find(0, 25) == newer
-    assert extent_map.apply(Change(1, 2, (newer,)))[0] is ChangeResult.APPLIED
+    refreshed = Extent(0, 20, 10, 3, 2)
+    assert extent_map.merge(refreshed) and not extent_map.merge(refreshed)
+    assert not extent_map.merge(replace(refreshed, version=1)) and not extent_map.merge(
+        Extent(0, 21, 9, 0, 9)
+    )
+    assert extent_map.version == 1 and extent_map.find(0, 25) == refreshed
+    assert extent_map.apply(Change(1, 2, (refreshed,)))[0] is ChangeResult.APPLIED
 
 
-def test_a_refresh_that_is_two_moves_ahead_of_the_watch_outlasts_the_first() -> None:
+def test_extent_refreshed_two_versions_ahead_is_kept_when_the_first_change_arrives() -> None:
     extent_map = map_of_extents()
-    newer = Extent(0, 20, 10, 3, 3)
-    assert extent_map.merge(newer)
-    assert extent_map.apply(Change(1, 2, (replace(newer, shard=1, version=2),)))[0] is ChangeResult.APPLIED
-    assert extent_map.find(0, 25) == newer
-    assert extent_map.apply(Change(2, 3, (newer,)))[0] is ChangeResult.APPLIED
-    # From here on a version that goes back is a broken source again, and a whole map forgets all.
-    assert extent_map.apply(Change(3, 4, (replace(newer, version=2),)))[0] is ChangeResult.BROKEN
-    assert extent_map.merge(replace(newer, version=9))
-    extent_map.replace_all(4, row(8))
-    assert extent_map.apply(Change(4, 5, (replace(newer, version=2),)))[0] is ChangeResult.APPLIED
-
-
-def test_blocks_outside_the_map_are_an_error() -> None:
+    refreshed = Extent(0, 20, 10, 3, 3)
+    assert extent_map.merge(refreshed)
+    assert (
+        extent_map.apply(Change(1, 2, (replace(refreshed, shard=1, version=2),)))[0] is ChangeResult.APPLIED
+    )
+    assert extent_map.find(0, 25) == refreshed
+    assert extent_map.apply(Change(2, 3, (refreshed,)))[0] is ChangeResult.APPLIED
+    # Now that the watch has caught up, a lower version is an error again.
+    assert extent_map.apply(Change(3, 4, (replace(refreshed, version=2),)))[0] is ChangeResult.BROKEN
+    # After a complete map, refreshed versions no longer count.
+    assert extent_map.merge(replace(refreshed, version=9))
+    extent_map.replace_all(4, consecutive_extents(8))
+    assert extent_map.apply(Change(4, 5, (replace(refreshed, version=2),)))[0] is ChangeResult.APPLIED
+
+
+def test_lookup_of_blocks_outside_the_map_raises_an_error() -> None:
     extent_map = map_of_extents()
     for volume, first, length in ((1, 0, 1), (0, 75, 10), (0, 80, 1)):
         with pytest.raises(MapError, match="not in the map"):
@@ -169,257 +195,283 @@
     assert (extent_map.blocks(0), extent_map.blocks(1), extent_map.find(0, 80)) == (80, 0, None)
 
 
-# Whether a map may be used
+# Conditions for using the map
 
 
-def test_a_command_is_rejected_where_the_map_is_missing_unconfirmed_or_too_old() -> None:
-    now, extent_map = 10**9, map_of_extents()
-    for trust, writes, cause in (
-        (MapTrust(now, False), True, RouteRejectReason.MAP_UNCONFIRMED),
-        (MapTrust(now, False), False, None),
-        (MapTrust(now - LIMITS.write_age_us - 1, True), True, RouteRejectReason.MAP_TOO_OLD),
-        (MapTrust(now - LIMITS.write_age_us - 1, True), False, None),
-        (MapTrust(now - LIMITS.read_age_us - 1, True), False, RouteRejectReason.MAP_TOO_OLD),
-        (MapTrust(now, True), True, None),
+def test_command_is_rejected_if_the_map_is_missing_unconfirmed_too_old_or_incomplete() -> None:
+    now_us, extent_map = 10**9, map_of_extents()
+    for trust, writes, expected_reason in (
+        (MapTrust(now_us, False), True, RouteRejectReason.MAP_UNCONFIRMED),
+        (MapTrust(now_us, False), False, None),
+        (MapTrust(now_us - LIMITS.write_age_us - 1, True), True, RouteRejectReason.MAP_TOO_OLD),
+        (MapTrust(now_us - LIMITS.write_age_us - 1, True), False, None),
+        (MapTrust(now_us - LIMITS.read_age_us - 1, True), False, RouteRejectReason.MAP_TOO_OLD),
+        (MapTrust(now_us, True), True, None),
     ):
-        if cause is None:
-            routing.plan_routes(extent_map, trust, LIMITS, 0, 0, 5, writes, now)
+        if expected_reason is None:
+            routing.plan_routes(extent_map, trust, LIMITS, 0, 0, 5, writes, now_us)
             continue
-        with pytest.raises(RouteError, match=cause.value):
-            routing.plan_routes(extent_map, trust, LIMITS, 0, 0, 5, writes, now)
-    good = MapTrust(now, True)
-    for where, cause in (
+        with pytest.raises(RouteError, match=expected_reason.value):
+            routing.plan_routes(extent_map, trust, LIMITS, 0, 0, 5, writes, now_us)
+    confirmed = MapTrust(now_us, True)
+    for tested_map, expected_reason in (
         (ExtentMap(), RouteRejectReason.MAP_MISSING),
         (extent_map, RouteRejectReason.NOT_MAPPED),
     ):
-        with pytest.raises(RouteError, match=cause.value):
-            routing.plan_routes(where, good, LIMITS, 0, 79, 5, False, now)
+        with pytest.raises(RouteError, match=expected_reason.value):
+            routing.plan_routes(tested_map, confirmed, LIMITS, 0, 79, 5, False, now_us)
     with pytest.raises(RouteError, match="pieces"):
-        routing.plan_routes(extent_map, good, replace(LIMITS, pieces=2), 0, 5, 20, False, now)
-    assert routing.shards_of_volume(extent_map, good, LIMITS, 0, True, now) == [0, 1, 2, 3]
+        routing.plan_routes(extent_map, confirmed, replace(LIMITS, pieces=2), 0, 5, 20, False, now_us)
+    assert routing.shards_of_volume(extent_map, confirmed, LIMITS, 0, True, now_us) == [0, 1, 2, 3]
     with pytest.raises(RouteError, match="absent"):
-        routing.shards_of_volume(extent_map, good, LIMITS, 7, True, now)
+        routing.shards_of_volume(extent_map, confirmed, LIMITS, 7, True, now_us)
 
 
 # Redirects
 
-ALL = frozenset(range(4))
+ALL_SHARDS = frozenset(range(4))
 
 
-def route(version: int = 1, shard: int = 0, first: int = 2) -> Route:
+def make_route(version: int = 1, shard: int = 0, first: int = 2) -> Route:
     return Route(Piece(0, first, 3, 0, shard, version), writes=True)
 
 
-def moved(extent_map: ExtentMap, shard: int, version: int) -> None:
+def move_first_extent(extent_map: ExtentMap, shard: int, version: int) -> None:
     extent_map.apply(Change(extent_map.version, extent_map.version + 1, (Extent(0, 0, 10, shard, version),)))
 
 
-def test_a_redirect_that_is_newer_than_the_map_is_followed() -> None:
-    one = route()
+def test_redirect_newer_than_the_map_is_followed() -> None:
+    route = make_route()
     assert (
-        routing.on_redirect(map_of_extents(), LIMITS, one, Redirect(2, 3), ALL).action is RouteAction.FOLLOW
+        routing.on_redirect(map_of_extents(), LIMITS, route, Redirect(2, 3), ALL_SHARDS).action
+        is RouteAction.FOLLOW
     )
-    assert (one.shard, one.piece.version, one.ahead_of_map) == (3, 2, True)
+    assert (route.shard, route.piece.version, route.ahead_of_map) == (3, 2, True)
 
 
-def test_a_map_that_is_newer_than_the_redirect_is_followed() -> None:
-    extent_map, one = map_of_extents(), route()
-    moved(extent_map, 2, 3)
-    assert routing.on_redirect(extent_map, LIMITS, one, Redirect(2, 1), ALL).action is RouteAction.FOLLOW
-    assert (one.shard, one.piece.version, one.ahead_of_map) == (2, 3, False)
+def test_map_newer_than_the_redirect_is_followed() -> None:
+    extent_map, route = map_of_extents(), make_route()
+    move_first_extent(extent_map, 2, 3)
+    assert (
+        routing.on_redirect(extent_map, LIMITS, route, Redirect(2, 1), ALL_SHARDS).action
+        is RouteAction.FOLLOW
+    )
+    assert (route.shard, route.piece.version, route.ahead_of_map) == (2, 3, False)
 
 
-def test_a_redirect_that_is_older_than_the_map_is_refreshed_then_rejected() -> None:
-    """The node we were sent to says that it has yet to hear of the version that the map has."""
+def test_redirect_older_than_the_map_causes_refreshes_and_then_a_rejection() -> None:
+    """The node of the map's shard does not know the map's version of the extent yet."""
     extent_map = map_of_extents()
-    moved(extent_map, 2, 3)
-    one = route(3, 2)
-    decision = routing.on_redirect(extent_map, LIMITS, one, Redirect(2, 1), ALL)
+    move_first_extent(extent_map, 2, 3)
+    route = make_route(3, 2)
+    decision = routing.on_redirect(extent_map, LIMITS, route, Redirect(2, 1), ALL_SHARDS)
     pauses = []
     while decision.action is RouteAction.REFRESH:
         pauses.append(decision.pause_us)
-        decision = routing.on_refresh(extent_map, LIMITS, one)
+        decision = routing.on_refresh(extent_map, LIMITS, route)
     assert decision.reason is RouteRejectReason.LOCATION_UNCONFIRMED
-    assert pauses == [0] + [routing.REFRESH_BACKOFF_US << n for n in range(LIMITS.refreshes - 1)]
+    assert pauses == [0] + [
+        routing.REFRESH_BACKOFF_US << exponent for exponent in range(LIMITS.refreshes - 1)
+    ]
 
 
-def test_a_redirect_to_a_shard_without_a_node_waits_for_a_refresh() -> None:
-    extent_map, one = map_of_extents(), route()
-    assert routing.on_redirect(extent_map, LIMITS, one, Redirect(2, 9), ALL).action is RouteAction.REFRESH
-    moved(extent_map, 3, 2)
-    assert routing.on_refresh(extent_map, LIMITS, one).action is RouteAction.FOLLOW
-    assert one.shard == 3
+def test_redirect_to_a_shard_without_a_node_causes_a_refresh() -> None:
+    extent_map, route = map_of_extents(), make_route()
+    assert (
+        routing.on_redirect(extent_map, LIMITS, route, Redirect(2, 9), ALL_SHARDS).action
+        is RouteAction.REFRESH
+    )
+    move_first_extent(extent_map, 3, 2)
+    assert routing.on_refresh(extent_map, LIMITS, route).action is RouteAction.FOLLOW
+    assert route.shard == 3
 
 
-def test_redirects_between_two_nodes_that_name_each_other_end() -> None:
-    """With one version it waits for the source; with rising ones the count ends it."""
-    one = route()
+def test_mutual_redirects_of_two_nodes_end() -> None:
+    """Equal versions cause a refresh; increasing versions end at the limit on redirects."""
+    route = make_route()
     assert (
-        routing.on_redirect(map_of_extents(), LIMITS, one, Redirect(2, 1), ALL).action is RouteAction.FOLLOW
+        routing.on_redirect(map_of_extents(), LIMITS, route, Redirect(2, 1), ALL_SHARDS).action
+        is RouteAction.FOLLOW
     )
     assert (
-        routing.on_redirect(map_of_extents(), LIMITS, one, Redirect(2, 0), ALL).action is RouteAction.REFRESH
+        routing.on_redirect(map_of_extents(), LIMITS, route, Redirect(2, 0), ALL_SHARDS).action
+        is RouteAction.REFRESH
     )
-    assert (
-        routing.on_refresh(map_of_extents(), LIMITS, one).action is RouteAction.FOLLOW
-    )  # back to what the source says
-    assert (one.shard, one.piece.version, one.ahead_of_map) == (0, 1, False)
-    one, count = route(), 0
+    # The route returns to the shard of the map.
+    assert routing.on_refresh(map_of_extents(), LIMITS, route).action is RouteAction.FOLLOW
+    assert (route.shard, route.piece.version, route.ahead_of_map) == (0, 1, False)
+    route, count = make_route(), 0
     while True:
-        decision = routing.on_redirect(map_of_extents(), LIMITS, one, Redirect(count + 2, count % 2), ALL)
+        decision = routing.on_redirect(
+            map_of_extents(), LIMITS, route, Redirect(count + 2, count % 2), ALL_SHARDS
+        )
         if decision is not routing.FOLLOW:
             break
         count += 1
     assert (decision.reason, count) == (RouteRejectReason.TOO_MANY_REDIRECTS, LIMITS.redirects)
 
 
-def test_an_extent_that_moves_twice_and_returns_is_followed() -> None:
-    extent_map, one = map_of_extents(), route()
-    assert routing.on_redirect(extent_map, LIMITS, one, Redirect(2, 1), ALL).action is RouteAction.FOLLOW
-    moved(extent_map, 1, 2)
-    moved(extent_map, 0, 3)  # back at the first node, under another version
-    assert routing.on_redirect(extent_map, LIMITS, one, Redirect(3, 0), ALL).action is RouteAction.FOLLOW
-    assert (one.shard, one.piece.version) == (0, 3)
+def test_extent_that_moves_away_and_back_is_followed() -> None:
+    extent_map, route = map_of_extents(), make_route()
+    assert (
+        routing.on_redirect(extent_map, LIMITS, route, Redirect(2, 1), ALL_SHARDS).action
+        is RouteAction.FOLLOW
+    )
+    move_first_extent(extent_map, 1, 2)
+    move_first_extent(extent_map, 0, 3)  # back to the first shard, with a newer version
+    assert (
+        routing.on_redirect(extent_map, LIMITS, route, Redirect(3, 0), ALL_SHARDS).action
+        is RouteAction.FOLLOW
+    )
+    assert (route.shard, route.piece.version) == (0, 3)
 
 
-def test_a_refresh_that_brings_nothing_is_repeated() -> None:
-    extent_map, one = map_of_extents(), route()
-    assert routing.on_redirect(extent_map, LIMITS, one, Redirect(), ALL).action is RouteAction.REFRESH
-    assert routing.on_refresh(extent_map, LIMITS, one).action is RouteAction.REFRESH  # it brought nothing
-    moved(extent_map, 1, 2)
-    assert routing.on_refresh(extent_map, LIMITS, one).action is RouteAction.FOLLOW
+def test_refresh_without_a_newer_version_is_repeated() -> None:
+    extent_map, route = map_of_extents(), make_route()
+    assert (
+        routing.on_redirect(extent_map, LIMITS, route, Redirect(), ALL_SHARDS).action is RouteAction.REFRESH
+    )
+    assert routing.on_refresh(extent_map, LIMITS, route).action is RouteAction.REFRESH  # no newer version
+    move_first_extent(extent_map, 1, 2)
+    assert routing.on_refresh(extent_map, LIMITS, route).action is RouteAction.FOLLOW
 
 
-def test_of_two_owners_the_one_with_the_higher_version_is_used() -> None:
-    """The old node still claims version 1 and the new one has 2: no word of 1 leads back."""
-    extent_map, one = map_of_extents(), route(2, 1)
-    moved(extent_map, 1, 2)
-    assert routing.on_redirect(extent_map, LIMITS, one, Redirect(1, 0), ALL).action is RouteAction.REFRESH
-    assert (one.shard, one.piece.version) == (1, 2)
+def test_redirect_to_the_previous_owner_is_not_followed() -> None:
+    """The old owner still claims version 1, but the new owner has version 2: the route does not go back."""
+    extent_map, route = map_of_extents(), make_route(2, 1)
+    move_first_extent(extent_map, 1, 2)
+    assert (
+        routing.on_redirect(extent_map, LIMITS, route, Redirect(1, 0), ALL_SHARDS).action
+        is RouteAction.REFRESH
+    )
+    assert (route.shard, route.piece.version) == (1, 2)
 
 
-def test_a_route_whose_extent_was_split_is_rejected() -> None:
+def test_route_of_a_split_extent_is_rejected() -> None:
     extent_map = map_of_extents()
     extent_map.apply(Change(1, 2, (Extent(0, 0, 3, 0, 2), Extent(0, 3, 7, 1, 2))))
     for decision in (
-        routing.on_redirect(extent_map, LIMITS, route(), Redirect(2, 0), ALL),
-        routing.on_refresh(extent_map, LIMITS, route()),
+        routing.on_redirect(extent_map, LIMITS, make_route(), Redirect(2, 0), ALL_SHARDS),
+        routing.on_refresh(extent_map, LIMITS, make_route()),
     ):
         assert decision.reason is RouteRejectReason.EXTENT_RESHAPED
 
 
-def test_a_queued_route_follows_the_map_and_one_in_flight_does_not() -> None:
-    extent_map, one, two = map_of_extents(), route(), route()
-    two.attempt_in_flight = True
-    moved(extent_map, 3, 2)
-    assert routing.follow_newer_map(extent_map, one) and not routing.follow_newer_map(extent_map, one)
-    assert not routing.follow_newer_map(extent_map, two) and (one.shard, two.shard) == (3, 0)
+def test_queued_route_follows_the_map_but_a_route_in_flight_does_not() -> None:
+    extent_map, queued, in_flight = map_of_extents(), make_route(), make_route()
+    in_flight.attempt_in_flight = True
+    move_first_extent(extent_map, 3, 2)
+    assert routing.follow_newer_map(extent_map, queued) and not routing.follow_newer_map(extent_map, queued)
+    assert not routing.follow_newer_map(extent_map, in_flight) and (queued.shard, in_flight.shard) == (3, 0)
 
 
-# Refreshes
+# Refreshes and polls
 
 
-def test_a_thousand_requests_for_one_extent_cause_one_refresh() -> None:
+def test_thousand_requests_for_one_extent_cause_one_refresh() -> None:
     queue = RefreshQueue()
     numbers = {queue.enqueue((0, 0)) for _ in range(1000)}
     batch = queue.start_batch(0)
     assert numbers == {1} and batch is not None and batch.keys == ((0, 0),) and queue.start_batch(0) is None
-    # One that asks while it is out takes part in the next: this one may have been read before its move.
+    # A request during this batch gets the next one: this batch may have read the extent before it moved.
     assert queue.enqueue((0, 0)) == 2 and queue.next_start_us() is None
     assert queue.finish_batch(10, True) == 1
     assert queue.start_batch(10) is None and queue.next_start_us() == REFRESH_INTERVAL_US
-    after = queue.start_batch(REFRESH_INTERVAL_US)
-    assert after is not None and after.number == 2
+    next_batch = queue.start_batch(REFRESH_INTERVAL_US)
+    assert next_batch is not None and next_batch.number == 2
 
 
-def test_extents_are_refreshed_in_batches_and_rejected_past_the_bound() -> None:
+def test_extents_are_refreshed_in_batches_and_rejected_above_the_limit() -> None:
     queue = RefreshQueue()
-    numbers = [queue.enqueue((0, n)) for n in range(WAITING_EXTENTS_MAX + 3)]
+    numbers = [queue.enqueue((0, index)) for index in range(WAITING_EXTENTS_MAX + 3)]
     assert numbers[-3:] == [None] * 3 and numbers[:WAITING_EXTENTS_MAX] == [
-        n // BATCH_EXTENTS_MAX + 1 for n in range(WAITING_EXTENTS_MAX)
+        index // BATCH_EXTENTS_MAX + 1 for index in range(WAITING_EXTENTS_MAX)
     ]
-    now, seen = 0, 0
-    while (at := queue.next_start_us()) is not None:
-        now = max(now, at)
-        batch = queue.start_batch(now)
+    now_us, refreshed_count = 0, 0
+    while (start_us := queue.next_start_us()) is not None:
+        now_us = max(now_us, start_us)
+        batch = queue.start_batch(now_us)
         assert (
             batch is not None
-            and [numbers[spot[1]] for spot in batch.keys] == [batch.number] * BATCH_EXTENTS_MAX
+            and [numbers[key[1]] for key in batch.keys] == [batch.number] * BATCH_EXTENTS_MAX
         )
-        seen += len(batch.keys)
-        queue.finish_batch(now, True)
-    assert seen == WAITING_EXTENTS_MAX
+        refreshed_count += len(batch.keys)
+        queue.finish_batch(now_us, True)
+    assert refreshed_count == WAITING_EXTENTS_MAX
 
 
-def test_the_interval_doubles_with_each_failure_up_to_its_bound() -> None:
-    queue, now, pauses = RefreshQueue(), 0, []
+def test_refresh_interval_doubles_with_each_failure_up_to_its_limit() -> None:
+    queue, now_us, pauses = RefreshQueue(), 0, []
     for _ in range(12):
         queue.enqueue((0, 0))
-        now = queue.next_start_us() or now
-        queue.start_batch(now)
-        queue.finish_batch(now, False)
-        pauses.append(queue.earliest_start_us - now)
+        now_us = queue.next_start_us() or now_us
+        queue.start_batch(now_us)
+        queue.finish_batch(now_us, False)
+        pauses.append(queue.earliest_start_us - now_us)
     assert (
         pauses[:3] == [REFRESH_INTERVAL_US * 2, REFRESH_INTERVAL_US * 4, REFRESH_INTERVAL_US * 8]
         and pauses[-1] == REFRESH_INTERVAL_MAX_US
     )
     queue.enqueue((0, 0))
-    queue.start_batch(now + REFRESH_INTERVAL_MAX_US)
-    queue.finish_batch(now, True)
+    queue.start_batch(now_us + REFRESH_INTERVAL_MAX_US)
+    queue.finish_batch(now_us, True)
     assert queue.consecutive_failures == 0
 
 
-def test_a_map_that_is_still_behind_at_the_next_poll_has_missed_a_change() -> None:
+def test_map_still_behind_at_the_next_poll_has_missed_a_change() -> None:
     check = FreshnessCheck()
     assert check.check(5, 5) is Freshness.CONFIRMED
-    assert check.check(6, 5) is Freshness.BEHIND  # the watch may be bringing it
-    assert check.check(7, 6) is Freshness.BEHIND  # it brought that one
+    assert check.check(6, 5) is Freshness.BEHIND  # the watch may still deliver version 6
+    assert check.check(7, 6) is Freshness.BEHIND  # the watch has delivered version 6
     assert check.check(7, 6) is Freshness.CHANGE_MISSED
-    assert check.check(8, 6) is Freshness.BEHIND  # judged anew after the whole map
+    assert check.check(8, 6) is Freshness.BEHIND  # a new comparison begins after the complete map is read
     assert check.check(-1, 6) is Freshness.CONFIRMED
 
 
-# Joining
+# Joined outcomes
 
 
-def test_every_combination_of_three_outcomes_gives_a_true_answer() -> None:
-    """Stated as the rules say it, for each combination: what an answer promises must be true."""
+def test_joined_result_is_true_for_every_combination_of_three_outcomes() -> None:
+    """The result must not make a false statement about which pieces were executed."""
     for writes in (False, True):
-        for a in PieceOutcome:
-            for b in PieceOutcome:
-                for c in PieceOutcome:
-                    ends = [a, b, c]
-                    got = joining.join(writes, ends, [3, 9, 4])
-                    ran, all_ran = (
+        for first in PieceOutcome:
+            for second in PieceOutcome:
+                for third in PieceOutcome:
+                    outcomes = [first, second, third]
+                    joined = joining.join(writes, outcomes, [3, 9, 4])
+                    may_have_run, certainly_ran = (
+                        [
+                            outcome in (PieceOutcome.SUCCEEDED, PieceOutcome.NODE_ERROR, PieceOutcome.UNKNOWN)
+                            for outcome in outcomes
+                        ],
                         [
-                            end in (PieceOutcome.SUCCEEDED, PieceOutcome.NODE_ERROR, PieceOutcome.UNKNOWN)
-                            for end in ends
+                            outcome in (PieceOutcome.SUCCEEDED, PieceOutcome.NODE_ERROR)
+                            for outcome in outcomes
                         ],
-                        [end in (PieceOutcome.SUCCEEDED, PieceOutcome.NODE_ERROR) for end in ends],
                     )
-                    if got.result is JoinResult.SERVED:
-                        assert ends == [PieceOutcome.SUCCEEDED] * 3
-                    elif got.result is JoinResult.REPORTED:
+                    if joined.result is JoinResult.SERVED:
+                        assert outcomes == [PieceOutcome.SUCCEEDED] * 3
+                    elif joined.result is JoinResult.REPORTED:
                         assert (
-                            ends[got.piece_index] is PieceOutcome.NODE_ERROR
-                            and PieceOutcome.UNKNOWN not in ends
+                            outcomes[joined.piece_index] is PieceOutcome.NODE_ERROR
+                            and PieceOutcome.UNKNOWN not in outcomes
                             or not writes
                         )
-                        assert ends.index(PieceOutcome.NODE_ERROR) == got.piece_index
-                        assert not writes or PieceOutcome.REJECTED not in ends
-                    elif got.result is JoinResult.REJECTED:
-                        assert not writes or not any(ran), ends
-                        assert got.backoff_us == 9 and not all(all_ran)
+                        assert outcomes.index(PieceOutcome.NODE_ERROR) == joined.piece_index
+                        assert not writes or PieceOutcome.REJECTED not in outcomes
+                    elif joined.result is JoinResult.REJECTED:
+                        assert not writes or not any(may_have_run), outcomes
+                        assert joined.backoff_us == 9 and not all(certainly_ran)
                     else:
-                        assert any(ran) and ends != [PieceOutcome.SUCCEEDED] * 3
-                    if writes and any(ran) and not all_ran[0]:
-                        assert got.result is not JoinResult.REJECTED
+                        assert any(may_have_run) and outcomes != [PieceOutcome.SUCCEEDED] * 3
+                    if writes and any(may_have_run) and not certainly_ran[0]:
+                        assert joined.result is not JoinResult.REJECTED
     with pytest.raises(ValueError, match="at least one"):
         joining.join(True, [])
 
 
 @pytest.mark.parametrize(
-    ("writes", "ends", "whole"),
+    ("writes", "outcomes", "expected_result"),
     [
         (True, [PieceOutcome.SUCCEEDED, PieceOutcome.REJECTED, PieceOutcome.NOT_SENT], JoinResult.FAILED),
         (True, [PieceOutcome.REJECTED, PieceOutcome.NOT_SENT], JoinResult.REJECTED),
@@ -432,16 +484,18 @@
         (True, [PieceOutcome.SUCCEEDED, PieceOutcome.SUCCEEDED], JoinResult.SERVED),
     ],
 )
-def test_joined_outcomes(writes: bool, ends: list[PieceOutcome], whole: JoinResult) -> None:
-    assert joining.join(writes, ends).result is whole
+def test_join_returns_the_expected_result(
+    writes: bool, outcomes: list[PieceOutcome], expected_result: JoinResult
+) -> None:
+    assert joining.join(writes, outcomes).result is expected_result
 
 
-def test_a_write_continues_only_while_every_piece_succeeded() -> None:
+def test_write_continues_only_if_all_earlier_pieces_succeeded() -> None:
     assert joining.may_continue(True, []) and joining.may_continue(True, [PieceOutcome.SUCCEEDED])
     assert not any(
-        joining.may_continue(True, [PieceOutcome.SUCCEEDED, end])
-        for end in PieceOutcome
-        if end is not PieceOutcome.SUCCEEDED
+        joining.may_continue(True, [PieceOutcome.SUCCEEDED, outcome])
+        for outcome in PieceOutcome
+        if outcome is not PieceOutcome.SUCCEEDED
     )
     assert joining.may_continue(False, [PieceOutcome.REJECTED])
     assert joining.join(False, [PieceOutcome.SUCCEEDED]) == JoinedOutcome(JoinResult.SERVED)
