--- a/lemonridge/extents/errors.py
+++ b/lemonridge/extents/errors.py
@@ -28,7 +28,7 @@
     """The reason why a route or a command is rejected. The values are parts of counter names."""
 
     TOO_MANY_REDIRECTS = "redirects"  # more redirects than `Limits.redirects`
-    LOCATION_UNCONFIRMED = "unconfirmed"  # none of `Limits.refreshes` refreshes brought a newer version
+    LOCATION_UNCONFIRMED = "unconfirmed"  # `Limits.refreshes` refreshes brought no newer version
     EXTENT_RESHAPED = "reshaped"  # the extent was split or joined while the command was in progress
     NOT_MAPPED = "absent"  # the blocks or the volume are not in the map
     MAP_TOO_OLD = "old"  # the source last confirmed the map longer ago than is allowed
--- a/lemonridge/extents/extent_map.py
+++ b/lemonridge/extents/extent_map.py
@@ -346,18 +346,22 @@
 
     def blocks(self, volume: int) -> int:
         """Returns the size of a volume in blocks; 0 if the volume is not in the map."""
-        stored = self._volumes.get(volume)
+        volume_extents = self._volumes.get(volume)
         return (
-            stored.extent_at(volume, len(stored.leaves) - 1, len(stored.leaves[-1]) - 1).end if stored else 0
+            volume_extents.extent_at(
+                volume, len(volume_extents.leaves) - 1, len(volume_extents.leaves[-1]) - 1
+            ).end
+            if volume_extents
+            else 0
         )
 
     def find(self, volume: int, block: int) -> Extent | None:
         """Returns the extent that contains a block; None if the block is not in the map."""
-        stored = self._volumes.get(volume)
-        leaf_index, row_index = stored.find_position(block) if stored else (-1, -1)
-        if stored is None or row_index < 0:
+        volume_extents = self._volumes.get(volume)
+        leaf_index, row_index = volume_extents.find_position(block) if volume_extents else (-1, -1)
+        if volume_extents is None or row_index < 0:
             return None
-        extent = stored.extent_at(volume, leaf_index, row_index)
+        extent = volume_extents.extent_at(volume, leaf_index, row_index)
         return extent if block < extent.end else None
 
     def lookup(self, volume: int, first: int, length: int) -> list[Piece]:
@@ -371,23 +375,23 @@
         Raises:
             MapError: Some of the blocks are not in the map.
         """
-        stored, pieces, block, end = self._volumes.get(volume), list[Piece](), first, first + length
-        position: tuple[int, int] | None = stored.find_position(first) if stored else None
+        volume_extents, pieces, block, end = self._volumes.get(volume), list[Piece](), first, first + length
+        position: tuple[int, int] | None = volume_extents.find_position(first) if volume_extents else None
         while block < end:
-            if stored is None or position is None or position[1] < 0:
+            if volume_extents is None or position is None or position[1] < 0:
                 raise MapError(f"volume {volume}, block {block}: not in the map")
-            extent = stored.extent_at(volume, *position)
+            extent = volume_extents.extent_at(volume, *position)
             piece_end = min(end, extent.end)
             if piece_end <= block:
                 raise MapError(f"volume {volume}, block {block}: not in the map")
             pieces.append(Piece(volume, block, piece_end - block, extent.first, extent.shard, extent.version))
-            block, position = piece_end, stored.next_position(*position)
+            block, position = piece_end, volume_extents.next_position(*position)
         return pieces
 
     def shards(self, volume: int) -> set[int]:
         """Returns all shards that store an extent of a volume."""
-        stored = self._volumes.get(volume)
-        return {shard for leaf in stored.leaves for shard in leaf.shard} if stored else set()
+        volume_extents = self._volumes.get(volume)
+        return {shard for leaf in volume_extents.leaves for shard in leaf.shard} if volume_extents else set()
 
     def replace_all(self, version: int, extents: Iterable[Extent]) -> None:
         """Replaces the whole map.
@@ -423,12 +427,12 @@
         """Applies a change.
 
         Returns:
-            The result, and the reason why the change was not applied; the reason is empty if it was.
+            The result, and the reason why the change was not applied; the reason is empty if it was applied.
         """
         if change.version <= self.version:
             return ChangeResult.STALE, f"change to version {change.version}, the map is at {self.version}"
         if change.base != self.version:
-            return ChangeResult.GAP, f"change of version {change.base}, the map is at {self.version}"
+            return ChangeResult.GAP, f"change based on version {change.base}, the map is at {self.version}"
         extents = tuple(extent for extent in change.extents if not self._is_superseded(extent))
         try:
             removed = self._extents_to_remove(change)
@@ -461,21 +465,21 @@
 
     def _replace_extents(self, removed: list[Extent], extents: tuple[Extent, ...]) -> None:
         """Removes and sets extents; if the result is invalid, restores the map and raises MapError."""
-        previous = {
+        previous_extents = {
             (extent.volume, extent.first): self._extent_starting_at(extent.volume, extent.first)
             for extent in extents
         }
         for extent in removed:
-            previous[extent.volume, extent.first] = extent
+            previous_extents[extent.volume, extent.first] = extent
             self._remove_extent(extent.volume, extent.first)
         for extent in extents:
             self._volumes.setdefault(extent.volume, _Volume()).set_extent(extent)
         try:
             if len(self) > self._extents_max:
                 raise MapError(f"more than {self._extents_max} extents")
-            self._check_boundaries(previous, extents)
+            self._check_boundaries(previous_extents, extents)
         except MapError:
-            self._restore(previous)
+            self._restore(previous_extents)
             raise
 
     def _discard_refreshed_versions(self, change: Change) -> None:
@@ -520,38 +524,41 @@
         if self._volumes[volume].remove_extent(first) and not self._volumes[volume].count:
             del self._volumes[volume]
 
-    def _restore(self, previous: dict[tuple[int, int], Extent | None]) -> None:
+    def _restore(self, previous_extents: dict[tuple[int, int], Extent | None]) -> None:
         """Undoes a change.
 
         Args:
-            previous: For each volume and first block that the change touched, the extent before the change;
-                None if there was none.
+            previous_extents: For each volume and first block that the change touched, the extent before the
+                change; None if there was none.
         """
-        for (number, first), _ in previous.items():
+        for (number, first), _ in previous_extents.items():
             if number in self._volumes:
                 self._remove_extent(number, first)
-        for extent in previous.values():
+        for extent in previous_extents.values():
             if extent is not None:
                 self._volumes.setdefault(extent.volume, _Volume()).set_extent(extent)
 
     def _check_boundaries(
-        self, previous: dict[tuple[int, int], Extent | None], new_extents: Iterable[Extent]
+        self, previous_extents: dict[tuple[int, int], Extent | None], new_extents: Iterable[Extent]
     ) -> None:
-        """Checks that changed extents neither overlap their neighbours nor leave uncovered blocks.
+        """Checks that changed extents do not overlap their neighbours and leave no blocks uncovered.
 
         It checks only the boundaries that the change touches: the old and new start and end of each extent.
 
         Args:
-            previous: For each volume and first block that the change touched, the extent before the change.
+            previous_extents: For each volume and first block that the change touched, the extent before the
+                change.
             new_extents: The extents that the change has set.
 
         Raises:
             MapError: Extents overlap, or blocks are not covered.
         """
-        boundaries = {(number, first) for number, first in previous} | {
+        boundaries = {(number, first) for number, first in previous_extents} | {
             (extent.volume, extent.end) for extent in new_extents
         }
-        boundaries |= {(extent.volume, extent.end) for extent in previous.values() if extent is not None}
+        boundaries |= {
+            (extent.volume, extent.end) for extent in previous_extents.values() if extent is not None
+        }
         for number, block in boundaries:
             volume = self._volumes.get(number)
             if volume is None:
--- a/lemonridge/extents/map_cache.py
+++ b/lemonridge/extents/map_cache.py
@@ -35,9 +35,8 @@
 PENDING_CHANGES_MAX = 1024
 RECORD_KEY = struct.Struct(">IQ")  # volume, first block
 RECORD_VALUE = struct.Struct(">QIQ")  # length in blocks, shard, version
-META_VALUE = struct.Struct(
-    ">qQQQQ16s"
-)  # version, time of writing (us), record count, checksum, time since boot (us), boot id
+# Version, time of writing (us), number of records, checksum, time since boot (us), boot id.
+META_VALUE = struct.Struct(">qQQQQ16s")
 BOOT_FILE = "/proc/sys/kernel/random/boot_id"  # changes with each boot (proc(5))
 UNKNOWN_BOOT_ID = bytes(16)
 META_KEY = b"\xffmeta"  # sorts after every extent's key, as volumes are below 2^14
@@ -144,7 +143,7 @@
         """Updates the cached map by a change; an error is logged."""
         if self._stopped:
             return
-        previous = self._checksum, self._count
+        previous_state = self._checksum, self._count
         try:
             with self._environment.begin(write=True) as transaction:
                 for volume, first in change.removed:
@@ -153,7 +152,7 @@
                     self._put_record(transaction, extent)
                 self._put_meta(transaction, change.version)
         except lmdb.Error as error:
-            self._checksum, self._count = previous
+            self._checksum, self._count = previous_state
             self._stop_saving(error)
 
     def close(self) -> None:
--- a/lemonridge/extents/router.py
+++ b/lemonridge/extents/router.py
@@ -359,7 +359,7 @@
                 if self.map.merge(extent):
                     self.counters["refreshes.news"] += 1
                     self._notify_routes((extent.volume, extent.first))
-        except Exception as error:  # no error may leave the refresh's waiters pending
+        except Exception as error:  # no error of the source may stop later refreshes
             self.counters["refreshes.failed"] += 1
             log.warning("refresh failed", extra={"error": f"{type(error).__name__}: {error}"})
         finally:
--- a/lemonridge/extents/routing.py
+++ b/lemonridge/extents/routing.py
@@ -2,13 +2,13 @@
 
 The functions are pure: the caller passes the time, in whole microseconds. They decide only which shard stores
 the data. The `scheduling` package decides on the endpoint of that shard, on further attempts and on the
-client's answer; it is notified when data moves and when a request ends.
+client's answer; it is notified when data moves and when an attempt ends.
 
 Safety: an attempt carries the extent version that it relies on, and a node executes it only if the node has
 exactly that version. A wrong shard therefore costs an attempt but never reads or writes the wrong data.
 
-Termination: the limit of four attempts, the limits on redirects and on refreshes, and the deadline each end a
-series of redirects.
+Termination: the limit of four attempts, the limits on redirects and on refreshes, and the deadline each bound
+a series of redirects.
 """
 
 from __future__ import annotations
@@ -46,7 +46,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Redirect:
-    """A node's reply when it refuses an attempt without executing it, because it lacks the extent's version.
+    """A node's reply to an attempt that it does not execute, because it lacks that version of the extent.
 
     Attributes:
         version: The newest version of the extent that the node knows; -1 if it knows none.
@@ -66,7 +66,7 @@
         writes: Whether the command writes.
         redirects: The number of redirects so far.
         refreshes: The number of refreshes so far.
-        attempt_in_flight: Whether an attempt is in flight, which relies on the piece's shard and version.
+        attempt_in_flight: Whether an attempt is in flight; it relies on the piece's shard and version.
         ahead_of_map: Whether the shard and version come from a node's redirect and are newer than the map's.
     """
 
@@ -241,7 +241,7 @@
 
 
 def on_refresh(extent_map: ExtentMap, limits: Limits, route: Route) -> RouteDecision:
-    """Decides on the next step after a refresh that started after the redirect, even if it has failed."""
+    """Decides on the next step after a refresh, successful or not, that started after the redirect."""
     current = _current_extent(extent_map, route)
     if current is None:
         return RouteDecision(RouteAction.REJECT, RouteRejectReason.EXTENT_RESHAPED)
