--- a/lemonridge/iscsi/initiator.py
+++ b/lemonridge/iscsi/initiator.py
@@ -126,7 +126,7 @@
             if not session.checks_versions:
                 log.error("node does not support extent versions", extra={"node": attempt.endpoint_id})
                 raise ConnectFailedError
-            ahs = versions.pack_ahs(route.piece.extent, route.piece.version)
+            ahs = versions.pack_ahs(route.piece.extent_first, route.piece.version)
         attempt.begin()  # the command may run from here on: there is no await between this and the write
         try:
             reply = await session.execute(command, ahs)
--- a/lemonridge/service/iscsi.py
+++ b/lemonridge/service/iscsi.py
@@ -54,7 +54,7 @@
     """
     counters, etcd = Counters(), None
     if config.etcd is not None:
-        etcd = EtcdSource(config.etcd, Random(), counters, config.extents.page)
+        etcd = EtcdSource(config.etcd, Random(), counters, config.extents.page_size)
         settings = await etcd.apply_contracts(config.plans, config.settings)
         if fleet is None or fleet.rollout is None:  # otherwise the fleet agrees on contracts first
             config = replace(config, settings=settings)
@@ -87,7 +87,7 @@
         return None
     refresher: Refresher | None = None
     feeds: dict[str, Feed] = {EndpointsFeed.KIND: EndpointsFeed(service.registry, service.counters)}
-    if router is not None and not config.extents.fixed and config.extents.file is None:
+    if router is not None and not config.extents.inline_extents and config.extents.file is None:
         feeds[MapFeed.KIND] = MapFeed(router, config.mapped)
         refresher = Refresher(etcd.client)
         router.read_extents = refresher.read
@@ -128,8 +128,8 @@
     """
     extents = config.extents
     router = Router(extents.limits, extents.extents_max, service.clock, service.registry, service.counters)
-    if extents.fixed:
-        router.replace_map(0, extents.fixed)
+    if extents.inline_extents:
+        router.replace_map(0, extents.inline_extents)
         router.confirm(permanently=True)
         return router
     if extents.cache_path is not None:
