--- a/lemonridge/config/operator_file.py
+++ b/lemonridge/config/operator_file.py
@@ -42,7 +42,7 @@
 from lemonridge.extents.routing import Limits
 from lemonridge.iscsi.chap import Account
 from lemonridge.iscsi.config import IscsiConfig, Lun
-from lemonridge.iscsi.keys import Wishes
+from lemonridge.iscsi.keys import NegotiationPreferences
 from lemonridge.iscsi.login import TargetRule
 from lemonridge.scheduling.settings import DeduplicationScope, IdempotencyKind, RequestClass, Settings
 
@@ -161,14 +161,14 @@
         etcd=etcd,
         extents=_extents(file.extents, fixed),
         targets=targets,
-        wishes=_target_wishes(front),
+        target_preferences=_target_wishes(front),
         max_connections=front.max_connections,
-        statuses=front.statuses_kept,
+        max_unacknowledged_statuses=front.statuses_kept,
         ping_s=front.ping_s,
         login_failures=front.login_failures,
         power_on_attention=front.power_on_attention,
         reservations=front.reservations,
-        endpoint_wishes=Wishes(digests=initiator.digests, initial_r2t=True),
+        endpoint_preferences=NegotiationPreferences(digests=initiator.digests, initial_r2t=True),
         endpoint_account=_endpoint_account(initiator, accounts),
     )
 
@@ -251,8 +251,8 @@
     )
 
 
-def _target_wishes(front: FrontTable) -> Wishes:
-    return Wishes(
+def _target_wishes(front: FrontTable) -> NegotiationPreferences:
+    return NegotiationPreferences(
         digests=front.digests,
         max_connections=front.connections,
         initial_r2t=front.initial_r2t,
@@ -261,7 +261,7 @@
         time2wait=front.time2wait_s,
         time2retain=front.time2retain_s,
         max_r2t=front.max_r2t,
-        recovery=front.recovery_level,
+        recovery_level=front.recovery_level,
     )
 
 
--- a/lemonridge/iscsi/chap.py
+++ b/lemonridge/iscsi/chap.py
@@ -17,7 +17,7 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from lemonridge.iscsi.keys import Pairs
+from lemonridge.iscsi.keys import TextPairs
 
 ALGORITHMS = {5: "md5", 7: "sha256", 8: "sha3_256"}
 PREFERRED = (8, 7, 5)
@@ -81,7 +81,7 @@
         self.name = ""  # who has proved to be there, once it is done
         self._algorithm, self._ident, self._challenge = 0, 0, b""
 
-    def answer(self, told: Mapping[str, str]) -> Pairs:
+    def answer(self, told: Mapping[str, str]) -> TextPairs:
         """The next keys to send; ChapError ends it."""
         if self.step is Step.ALGORITHM:
             return self._challenge_with(told)
@@ -89,7 +89,7 @@
             return self._check(told)
         raise ChapError("keys after the end of the exchange")
 
-    def _challenge_with(self, told: Mapping[str, str]) -> Pairs:
+    def _challenge_with(self, told: Mapping[str, str]) -> TextPairs:
         if "CHAP_A" not in told:
             raise ChapError("no algorithm was offered")
         offered = told["CHAP_A"].split(",")
@@ -101,7 +101,7 @@
         self.step = Step.RESPONSE
         return [("CHAP_A", chosen), ("CHAP_I", str(self._ident)), ("CHAP_C", encode(self._challenge))]
 
-    def _check(self, told: Mapping[str, str]) -> Pairs:
+    def _check(self, told: Mapping[str, str]) -> TextPairs:
         if "CHAP_N" not in told or "CHAP_R" not in told:
             raise ChapError("name or response is missing")
         name, given = told["CHAP_N"], decode(told["CHAP_R"])
@@ -111,13 +111,13 @@
         want = response(self._algorithm, self._ident, secret, self._challenge)
         if not hmac.compare_digest(want, given) or account is None:
             raise ChapError("name or secret is wrong")
-        answers: Pairs = []
+        answers: TextPairs = []
         if "CHAP_I" in told or "CHAP_C" in told:
             answers = self._prove(account, told)
         self.step, self.name = Step.DONE, name
         return answers
 
-    def _prove(self, account: Account, told: Mapping[str, str]) -> Pairs:
+    def _prove(self, account: Account, told: Mapping[str, str]) -> TextPairs:
         """Mutual: answer the initiator's own challenge."""
         ident, challenge = told.get("CHAP_I", ""), decode(told.get("CHAP_C", ""))
         if not ident.isdigit() or int(ident) > 255 or not CHALLENGE_MIN <= len(challenge) <= CHALLENGE_MAX:
@@ -140,10 +140,10 @@
         self._account, self._random = account, random
         self._algorithm, self._ident, self._challenge = 0, 0, b""
 
-    def begin(self) -> Pairs:
+    def begin(self) -> TextPairs:
         return [("CHAP_A", ",".join(map(str, PREFERRED)))]
 
-    def respond(self, told: Mapping[str, str]) -> Pairs:
+    def respond(self, told: Mapping[str, str]) -> TextPairs:
         """Answer the node's challenge, and challenge it where it must prove itself."""
         chosen, ident = told.get("CHAP_A", ""), told.get("CHAP_I", "")
         if not chosen.isdigit() or int(chosen) not in PREFERRED or not ident.isdigit() or int(ident) > 255:
--- a/lemonridge/iscsi/config.py
+++ b/lemonridge/iscsi/config.py
@@ -10,7 +10,7 @@
 from lemonridge.core.endpoint_registry import EndpointAddress
 from lemonridge.extents.config import ExtentsConfig
 from lemonridge.iscsi.chap import Account
-from lemonridge.iscsi.keys import Wishes
+from lemonridge.iscsi.keys import NegotiationPreferences
 from lemonridge.iscsi.login import TargetRule
 from lemonridge.scheduling.settings import Settings
 
@@ -53,14 +53,14 @@
     etcd: EtcdConfig | None
     extents: ExtentsConfig
     targets: dict[str, TargetRule]
-    wishes: Wishes
+    target_preferences: NegotiationPreferences
     max_connections: int
-    statuses: int
+    max_unacknowledged_statuses: int
     ping_s: float
     login_failures: int
     power_on_attention: bool
     reservations: str | None
-    endpoint_wishes: Wishes
+    endpoint_preferences: NegotiationPreferences
     endpoint_account: Account | None
 
     def units(self, length: int) -> float:
--- a/lemonridge/iscsi/connection.py
+++ b/lemonridge/iscsi/connection.py
@@ -7,11 +7,11 @@
 import secrets
 from typing import TYPE_CHECKING
 
-from lemonridge.iscsi.keys import Agreed
-from lemonridge.iscsi.login import AUTHENTICATION, TargetLogin
+from lemonridge.iscsi.keys import NegotiatedParameters
+from lemonridge.iscsi.login import AUTHENTICATION_FAILURE, TargetLogin
 from lemonridge.iscsi.numbers import StatusLog
 from lemonridge.iscsi.pdu import (
-    NONE,
+    RESERVED_TAG,
     DataDigestError,
     HeaderDigestError,
     Op,
@@ -38,7 +38,7 @@
         peer = writer.get_extra_info("peername") or ("",)
         self.peer = str(peer[0])
         self.cid = 0
-        self.agreed = Agreed()
+        self.agreed = NegotiatedParameters()
         self.session: Session | None = None
         self.statuses: StatusLog[Pdu] = StatusLog(1, 0)
         self.unseen: set[int] = set()  # tags of pings that the initiator has not answered
@@ -58,9 +58,11 @@
             return
         if login is None:
             return
-        self.agreed = login.agreed
+        self.agreed = login.parameters
         self.session = session = self.front.admit(self, login)
-        self.statuses.keep = self.front.config.statuses if self.agreed.recovery else 0
+        self.statuses.capacity = (
+            self.front.config.max_unacknowledged_statuses if self.agreed.recovery_level else 0
+        )
         self._watch()
         try:
             while not self.over and session.take(self, await self._read(session)):
@@ -88,7 +90,7 @@
                 return pdu
             except DataDigestError as error:
                 self.front.counters["digests.data"] += 1
-                if not self.agreed.recovery:
+                if not self.agreed.recovery_level:
                     raise PduError(PduError.DIGEST, "a data digest at recovery level 0", error.pdu) from None
                 self.reject(error.pdu, PduError.DIGEST)
                 session.spoilt(self, error.pdu)
@@ -107,18 +109,18 @@
             if first:
                 front.expected[self] = pdu.words[1]
                 self.cid, first = pdu.words[0] >> 16, False
-            reply = login.take(pdu)
+            reply = login.answer(pdu)
             if reply.status:
                 front.counters["logins.refused"] += 1
-                if reply.status == AUTHENTICATION:
+                if reply.status == AUTHENTICATION_FAILURE:
                     front.counters["logins.unauthenticated"] += 1
-                    front.attempts.failed(self.peer, front.clock.now_us())
+                    front.attempts.record_failure(self.peer, front.clock.now_us())
                 log.warning(
                     "login refused",
-                    extra={"peer": self.peer, "status": f"{reply.status:#06x}", "why": login.why},
+                    extra={"peer": self.peer, "status": f"{reply.status:#06x}", "why": login.refusal_reason},
                 )
             lun = pdu.lun
-            if reply.over and not reply.status:
+            if reply.login_ended and not reply.status:
                 lun = lun[:6] + front.tsih_for(login).to_bytes(2, "big")
             answer = Pdu(
                 Op.LOGIN_RESPONSE,
@@ -129,10 +131,10 @@
                 words=[0, 0, front.expected[self], 0, reply.status << 16, 0, 0],
             )
             self._number(answer)
-            answer.words[3] = (front.expected[self] + front.config.queue_depth - 1) & NONE
+            answer.words[3] = (front.expected[self] + front.config.queue_depth - 1) & RESERVED_TAG
             self.writer.write(answer.encode())
             await self.writer.drain()
-            if reply.over:
+            if reply.login_ended:
                 return None if reply.status else login
 
     # What goes out
@@ -142,7 +144,7 @@
         if status:
             self._number(pdu)
         else:
-            pdu.words[1] = self.statuses.next
+            pdu.words[1] = self.statuses.next_stat_sn
         self.again(pdu)
 
     def again(self, pdu: Pdu) -> None:
@@ -153,8 +155,8 @@
             self.writer.write(pdu.encode(self.agreed.header_digest, self.agreed.data_digest))
 
     def _number(self, pdu: Pdu) -> None:
-        pdu.words[1] = self.statuses.next
-        self.statuses.number(pdu)
+        pdu.words[1] = self.statuses.next_stat_sn
+        self.statuses.assign_stat_sn(pdu)
 
     def reject(self, pdu: Pdu | None, reason: int) -> None:
         self.front.counters[f"rejects.{reason:#04x}"] += 1
@@ -174,7 +176,7 @@
             self.writer.transport.abort()
             return
         if silent >= every and not self.unseen:
-            tag = secrets.randbelow(NONE)
+            tag = secrets.randbelow(RESERVED_TAG)
             self.unseen.add(tag)
             self.send(Pdu(Op.NOP_IN, words=[tag, 0, 0, 0, 0, 0, 0]))
         self._pinger = self.front.loop.call_later(every / 4, self._watch)
--- a/lemonridge/iscsi/device.py
+++ b/lemonridge/iscsi/device.py
@@ -18,8 +18,8 @@
 from lemonridge.iscsi import scsi
 from lemonridge.iscsi.config import IscsiConfig
 from lemonridge.iscsi.pdu import pack_lun
-from lemonridge.iscsi.reservation_file import NotKeptError, ReservationFile
-from lemonridge.iscsi.reservations import Action, Attention, Done, Effect, Refusal, Reservations
+from lemonridge.iscsi.reservation_file import ReservationFile, ReservationsNotSavedError
+from lemonridge.iscsi.reservations import Action, ActionResult, Effect, Refusal, Reservations, UnitAttention
 
 ATTENTIONS_MAX = 8  # that wait for one nexus and LUN; past it the newest is left out, as SAM-5 allows
 POWER_ON, RESET, CLEARED, CAPACITY_CHANGED = ((0x29, 0x00), (0x29, 0x03), (0x2F, 0x00), (0x2A, 0x09))
@@ -35,7 +35,9 @@
 )
 START_STOP, RESERVE_IN, RESERVE_OUT, REPORT_LUNS, MAINTENANCE_IN = 0x1B, 0x5E, 0x5F, 0xA0, 0xA3
 PORT_GROUPS, OPCODES = 0x0A, 0x0C
-WITH_DATA = frozenset((MODE_SELECT_6, MODE_SELECT_10, RESERVE_OUT))  # answered here once their data are there
+LOCAL_DATA_OUT_COMMANDS = frozenset(
+    (MODE_SELECT_6, MODE_SELECT_10, RESERVE_OUT)
+)  # answered here once their data are there
 UNASKED = frozenset((INQUIRY, REQUEST_SENSE, REPORT_LUNS))  # they leave unit attentions alone (SAM-5, 5.14)
 FREE = UNASKED | {0x00, 0x25, 0x9E, RESERVE_IN, RESERVE_OUT, MAINTENANCE_IN}
 
@@ -90,16 +92,16 @@
 
     name: str
     device: Device
-    waiting: dict[int, deque[tuple[int, int]]] = field(default_factory=dict)
+    unit_attentions: dict[int, deque[tuple[int, int]]] = field(default_factory=dict)
 
     def __post_init__(self) -> None:
         self.device.nexuses.add(self)
         if self.device.config.power_on_attention:
             for lun in self.device.config.luns:
-                self.attend(lun, POWER_ON)
+                self.add_unit_attention(lun, POWER_ON)
 
-    def attend(self, lun: int, what: tuple[int, int]) -> None:
-        queue = self.waiting.setdefault(lun, deque())
+    def add_unit_attention(self, lun: int, what: tuple[int, int]) -> None:
+        queue = self.unit_attentions.setdefault(lun, deque())
         if what not in queue and len(queue) < ATTENTIONS_MAX:
             queue.append(what)
 
@@ -127,18 +129,18 @@
         self.reservations: dict[int, Reservations] = keeper.load() if keeper is not None else {}
         self._fixed = {lun: self._identity(lun) for lun in config.luns}
 
-    def local(self, nexus: Nexus, command: scsi.Command) -> Reply | None:
+    def answer_locally(self, nexus: Nexus, command: scsi.Command) -> Reply | None:
         """The answer to a command that no node is asked for, before any of its data; None if it goes on."""
         opcode, lun = command.cdb[0], command.lun
         if opcode == REPORT_LUNS:
             return self._report_luns(command)
         if lun not in self.config.luns:
             if opcode == INQUIRY:
-                return self._data(command, scsi.absent_inquiry())
+                return self._data(command, scsi.absent_lun_inquiry_data())
             return scsi.no_such_lun()
-        queue = nexus.waiting.get(lun)
+        queue = nexus.unit_attentions.get(lun)
         if queue and opcode not in UNASKED:
-            return scsi.check(0x06, *queue.popleft())
+            return scsi.check_condition(0x06, *queue.popleft())
         if not self._known(command):
             return scsi.invalid_opcode()
         if not self._shaped(command):
@@ -150,7 +152,7 @@
             return self._inquiry(command)
         if opcode == REQUEST_SENSE:
             key, code = (0x06, queue.popleft()) if queue else (0, (0, 0))
-            return self._data(command, scsi.check(key, *code).sense[: command.cdb[4]])
+            return self._data(command, scsi.check_condition(key, *code).sense[: command.cdb[4]])
         if opcode in (MODE_SENSE_6, MODE_SENSE_10):
             return self._mode_sense(command)
         if opcode == START_STOP:
@@ -161,26 +163,26 @@
             return self._maintenance(command)
         return None
 
-    def finish(self, nexus: Nexus, command: scsi.Command) -> Reply:
-        """A command of `WITH_DATA`, now that its data are there."""
+    def execute_with_data(self, nexus: Nexus, command: scsi.Command) -> Reply:
+        """A command of `LOCAL_DATA_OUT_COMMANDS`, now that its data are there."""
         if command.cdb[0] == RESERVE_OUT:
             return self._reserve_out(nexus, command)
         return self._mode_select(nexus, command)
 
-    def reset(self, nexus: Nexus, luns: list[int], cleared: bool) -> None:
+    def report_reset(self, nexus: Nexus, luns: list[int], cleared: bool) -> None:
         """Tell the others that a LUN was reset, or their commands were cleared."""
         for other in self.nexuses:
             for lun in luns:
                 if not cleared:
-                    other.attend(lun, RESET)
+                    other.add_unit_attention(lun, RESET)
                 elif other is not nexus:
-                    other.attend(lun, CLEARED)
+                    other.add_unit_attention(lun, CLEARED)
 
-    def tell(self, what: tuple[int, int], luns: list[int]) -> None:
+    def report_unit_attention(self, what: tuple[int, int], luns: list[int]) -> None:
         """An attention for every initiator."""
         for nexus in self.nexuses:
             for lun in luns:
-                nexus.attend(lun, what)
+                nexus.add_unit_attention(lun, what)
 
     # What may come at all
 
@@ -192,15 +194,15 @@
             return action in (PORT_GROUPS, OPCODES)
         if opcode in (MODE_SELECT_6, MODE_SELECT_10, START_STOP):
             return True
-        if self.config.luns[command.lun].mapped and opcode in scsi.UNMAPPED_ONLY:
+        if self.config.luns[command.lun].mapped and opcode in scsi.UNSUPPORTED_ON_MAPPED_LUNS:
             return False
         return opcode in scsi.READS or opcode in scsi.WRITES
 
     def _shaped(self, command: scsi.Command) -> bool:
         """The direction and the length of the transfer."""
         opcode = command.cdb[0]
-        out = opcode in scsi.WRITES or opcode in WITH_DATA or opcode in scsi.VERIFIES
-        into = opcode not in scsi.WRITES and opcode not in WITH_DATA
+        out = opcode in scsi.WRITES or opcode in LOCAL_DATA_OUT_COMMANDS or opcode in scsi.VERIFIES
+        into = opcode not in scsi.WRITES and opcode not in LOCAL_DATA_OUT_COMMANDS
         return not (
             (command.writes and not out)
             or (command.reads and not into)
@@ -217,7 +219,7 @@
         if command.cdb[2] not in (0, 1, 2) or room < 16:
             return scsi.invalid_field()
         luns = [] if command.cdb[2] == 1 else sorted(self.config.luns)
-        return self._data(command, scsi.report_luns([pack_lun(lun) for lun in luns])[:room])
+        return self._data(command, scsi.report_luns_data([pack_lun(lun) for lun in luns])[:room])
 
     # Identity
 
@@ -300,7 +302,7 @@
         page, control = cdb[2] & 0x3F, cdb[2] >> 6
         body = self._mode_pages(page, control == 1) if cdb[3] in (0, 0xFF) else None
         if control == 3:
-            return scsi.check(0x05, 0x39)  # saving parameters is not supported
+            return scsi.check_condition(0x05, 0x39)  # saving parameters is not supported
         if body is None:
             return scsi.invalid_field()
         if cdb[0] == MODE_SENSE_6:
@@ -315,15 +317,15 @@
             return scsi.invalid_field()
         head = 4 if cdb[0] == MODE_SELECT_6 else 8
         if data and len(data) < head:
-            return scsi.check(0x05, 0x1A)  # parameter list length error
+            return scsi.check_condition(0x05, 0x1A)  # parameter list length error
         descriptors = data[3] if head == 4 and data else int.from_bytes(data[6:8], "big")
         pages = data[head + descriptors :]
         while pages:
             held = self._mode_pages(pages[0] & 0x3F, False)
             if held is None or pages[0] & 0x3F == 0x3F or len(pages) < len(held) or pages[1] != held[1]:
-                return scsi.check(0x05, 0x26)
+                return scsi.check_condition(0x05, 0x26)
             if pages[2 : len(held)] != held[2:]:
-                return scsi.check(0x05, 0x26)
+                return scsi.check_condition(0x05, 0x26)
             pages = pages[len(held) :]
         return Reply(scsi.Status.GOOD)
 
@@ -345,19 +347,21 @@
     def _reserve_out(self, nexus: Nexus, command: scsi.Command) -> Reply:
         cdb, data = command.cdb, command.data
         if len(data) != 24 or int.from_bytes(cdb[5:9], "big") != 24:
-            return scsi.check(0x05, 0x1A)
+            return scsi.check_condition(0x05, 0x1A)
         key, new, flags = struct.unpack(">QQ4xBxxx", data)
         # SPEC_I_PT and ALL_TG_PT are not supported; APTPL wants a disk.
         if flags & 0x0C or (flags & 0x01 and self._keeper is None):
-            return scsi.check(0x05, 0x26)
+            return scsi.check_condition(0x05, 0x26)
         held = self.reservations.setdefault(command.lun, Reservations())
         before = held.copy()
-        done: Done = held.out(nexus.name, cdb[1] & 0x1F, cdb[2] >> 4, cdb[2] & 0x0F, key, new)
+        done: ActionResult = held.persistent_reserve_out(
+            nexus.name, cdb[1] & 0x1F, cdb[2] >> 4, cdb[2] & 0x0F, key, new
+        )
         if done.refusal is None and cdb[1] & 0x1F in (Action.REGISTER, Action.REGISTER_AND_IGNORE):
-            held.lasting = bool(flags & 0x01)
-        if done.refusal is None and not self._kept(before.lasting or held.lasting):
+            held.persistent = bool(flags & 0x01)
+        if done.refusal is None and not self._kept(before.persistent or held.persistent):
             self.reservations[command.lun] = before  # nothing of it is in force, and nobody is told
-            return scsi.check(HARDWARE_ERROR, 0x44)  # internal target failure
+            return scsi.check_condition(HARDWARE_ERROR, 0x44)  # internal target failure
         for name, attention in done.attentions:
             self._attend(name, command.lun, attention)
         for name in done.aborts:
@@ -366,18 +370,18 @@
 
     def _kept(self, lasting: bool) -> bool:
         """Keep the reservations that are to last, where a change touches those; whether that went well."""
-        if self._keeper is None or not (lasting or self._keeper.unsure):
+        if self._keeper is None or not (lasting or self._keeper.may_differ):
             return True
         try:
-            self._keeper.save({lun: one for lun, one in self.reservations.items() if one.lasting})
-        except NotKeptError:
+            self._keeper.save({lun: one for lun, one in self.reservations.items() if one.persistent})
+        except ReservationsNotSavedError:
             return not lasting
         return True
 
-    def _attend(self, name: str, lun: int, attention: Attention) -> None:
+    def _attend(self, name: str, lun: int, attention: UnitAttention) -> None:
         for nexus in self.nexuses:
             if nexus.name == name:
-                nexus.attend(lun, attention.value)
+                nexus.add_unit_attention(lun, attention.value)
 
     # Maintenance in
 
@@ -418,7 +422,7 @@
         return Reply(scsi.Status.RESERVATION_CONFLICT)
     return {
         Refusal.FIELD: scsi.invalid_field(),
-        Refusal.PARAMETER: scsi.check(0x05, 0x26),
-        Refusal.RELEASE: scsi.check(0x05, 0x26, 0x04),
-        Refusal.RESOURCES: scsi.check(0x05, 0x55, 0x04),
+        Refusal.PARAMETER: scsi.check_condition(0x05, 0x26),
+        Refusal.RELEASE: scsi.check_condition(0x05, 0x26, 0x04),
+        Refusal.RESOURCES: scsi.check_condition(0x05, 0x55, 0x04),
     }[why]
--- a/lemonridge/iscsi/initiator.py
+++ b/lemonridge/iscsi/initiator.py
@@ -17,14 +17,21 @@
 from lemonridge.extents.routing import Route
 from lemonridge.iscsi import chap, scsi, versions
 from lemonridge.iscsi.config import IscsiConfig
-from lemonridge.iscsi.keys import Agreed, NegotiationError, Pairs, conclude, parse, proposal
-from lemonridge.iscsi.numbers import later
+from lemonridge.iscsi.keys import (
+    NegotiatedParameters,
+    NegotiationError,
+    TextPairs,
+    apply_answers,
+    parse_text,
+    proposal,
+)
+from lemonridge.iscsi.numbers import serial_distance
 from lemonridge.iscsi.pdu import (
     CONTINUE,
     FINAL,
-    NONE,
-    PORTAL_MAX,
-    TEXT_MAX,
+    MAX_DATA_SEGMENT_BYTES,
+    RESERVED_TAG,
+    TEXT_MAX_BYTES,
     DataDigestError,
     HeaderDigestError,
     Op,
@@ -109,7 +116,7 @@
             return Outcome(AttemptResult.QUEUE_FULL)
         if reply.status == scsi.Status.TASK_ABORTED:
             return Outcome(AttemptResult.ERROR)
-        if ahs and (told := versions.unpack_moved(reply.sense)) is not None:
+        if ahs and (told := versions.unpack_redirect_sense(reply.sense)) is not None:
             return Outcome(AttemptResult.DATA_MIGRATED, told)
         return Outcome(AttemptResult.OK, reply)
 
@@ -204,7 +211,7 @@
         self._tags = itertools.count(1)
         self._cmd_sn, self._max_cmd_sn, self._exp_stat_sn = 1, 1, 0
         self._flights: dict[int, Flight] = {}
-        self._agreed = Agreed()
+        self._agreed = NegotiatedParameters()
         self._heard, self._used = self._loop.time(), self._loop.time()
         self._receiver: asyncio.Task[None] | None = None
         self.over = False  # takes no new commands
@@ -213,7 +220,7 @@
     @property
     def has_room(self) -> bool:
         """Whether the target's window takes another command."""
-        return later(self._max_cmd_sn, self._cmd_sn) >= 0
+        return serial_distance(self._max_cmd_sn, self._cmd_sn) >= 0
 
     @property
     def ended(self) -> bool:
@@ -231,22 +238,22 @@
         if config.endpoint_account is not None:
             await self._authenticate(isid, names, config.endpoint_account)
             names = []
-        wishes = config.endpoint_wishes
+        wishes = config.endpoint_preferences
         offers = proposal(wishes, OFFERED)
-        offers.append(("MaxRecvDataSegmentLength", str(PORTAL_MAX)))
+        offers.append(("MaxRecvDataSegmentLength", str(MAX_DATA_SEGMENT_BYTES)))
         if config.mapped:
-            offers.append((versions.KEY, versions.AGREED))
+            offers.append((versions.EXTENT_VERSION_KEY, versions.EXTENT_VERSION_VALUE))
         told, final = await self._exchange(isid, 1, 3, names + offers)
         if not final:
             raise PduError(PduError.PROTOCOL, "the login goes on after all was said")
         try:
-            self._agreed, private = conclude(offers, told, PORTAL_MAX)
+            self._agreed, private = apply_answers(offers, told, MAX_DATA_SEGMENT_BYTES)
         except NegotiationError as error:
             raise PduError(PduError.PROTOCOL, f"login answered with {error}") from None
-        self.versioned = private.get(versions.KEY) == versions.AGREED
+        self.versioned = private.get(versions.EXTENT_VERSION_KEY) == versions.EXTENT_VERSION_VALUE
         self._receiver = asyncio.create_task(self._receive())
 
-    async def _authenticate(self, isid: bytes, names: Pairs, account: chap.Account) -> None:
+    async def _authenticate(self, isid: bytes, names: TextPairs, account: chap.Account) -> None:
         """CHAP, mutual where the account has a secret for the node (RFC 7143, section 12.1.3)."""
         ours = chap.Initiator(account, secrets.token_bytes)
         try:
@@ -260,7 +267,9 @@
         if not final:
             raise PduError(PduError.PROTOCOL, "the node does not leave the security stage")
 
-    async def _exchange(self, isid: bytes, now: int, following: int, pairs: Pairs) -> tuple[Pairs, bool]:
+    async def _exchange(
+        self, isid: bytes, now: int, following: int, pairs: TextPairs
+    ) -> tuple[TextPairs, bool]:
         """One step of the login: what the node says, in as many PDUs as it takes, and whether the stage is
         left.
         """
@@ -275,7 +284,7 @@
                 raise PduError(PduError.PROTOCOL, f"login refused with {answer.words[4] >> 16:#06x}", answer)
             self._numbers(answer, status=True)
             text += answer.data
-            if len(text) > TEXT_MAX or answer.flags >> 2 & 3 != now:
+            if len(text) > TEXT_MAX_BYTES or answer.flags >> 2 & 3 != now:
                 raise PduError(PduError.PROTOCOL, "a login response out of place", answer)
             if not answer.flags & CONTINUE:
                 break
@@ -284,13 +293,13 @@
         if final and answer.flags & 3 != following:
             raise PduError(PduError.PROTOCOL, "a login response out of place", answer)
         try:
-            return parse(text), final
+            return parse_text(text), final
         except NegotiationError as error:
             raise PduError(PduError.PROTOCOL, str(error), answer) from None
 
     async def execute(self, command: scsi.Command, ahs: bytes = b"") -> scsi.Reply:
         """Send a command, with as much of its data as goes along; the target asks for the rest."""
-        tag, sent = next(self._tags) % NONE, self._loop.time()
+        tag, sent = next(self._tags) % RESERVED_TAG, self._loop.time()
         flight = self._flights[tag] = Flight(command, self._loop.create_future())
         agreed = self._agreed
         first = min(agreed.send_segment, agreed.first_burst)
@@ -322,7 +331,7 @@
                         Op.TASK_MANAGEMENT,
                         FINAL | 1,
                         lun=pack_lun(command.lun),
-                        tag=next(self._tags) % NONE,
+                        tag=next(self._tags) % RESERVED_TAG,
                         immediate=True,
                         words=[tag, 0, 0, self._cmd_sn, 0, 0, 0],
                     ),
@@ -339,7 +348,9 @@
         """No new commands; log out once the last one has ended."""
         self.over = True
         if not self._flights and not self._writer.is_closing():
-            self._write(Pdu(Op.LOGOUT, FINAL, tag=next(self._tags) % NONE, immediate=True), number=True)
+            self._write(
+                Pdu(Op.LOGOUT, FINAL, tag=next(self._tags) % RESERVED_TAG, immediate=True), number=True
+            )
             self._writer.close()  # what is written still goes out
 
     def _fail(self, why: str) -> None:
@@ -356,7 +367,7 @@
         if number:
             pdu.words[1], pdu.words[2] = self._cmd_sn, self._exp_stat_sn
             if not pdu.immediate:
-                self._cmd_sn = (self._cmd_sn + 1) & NONE
+                self._cmd_sn = (self._cmd_sn + 1) & RESERVED_TAG
         else:
             pdu.words[2] = self._exp_stat_sn
         if not self._writer.is_closing():
@@ -364,8 +375,8 @@
 
     def _numbers(self, pdu: Pdu, status: bool) -> None:
         if status:
-            self._exp_stat_sn = (pdu.words[1] + 1) & NONE
-        if later(pdu.words[3], self._max_cmd_sn) > 0 or not self._flights:
+            self._exp_stat_sn = (pdu.words[1] + 1) & RESERVED_TAG
+        if serial_distance(pdu.words[3], self._max_cmd_sn) > 0 or not self._flights:
             self._max_cmd_sn = pdu.words[3]
 
     async def _receive(self) -> None:
@@ -374,7 +385,7 @@
         try:
             while True:
                 pdu = await read_pdu(
-                    self._reader, PORTAL_MAX, self._agreed.header_digest, self._agreed.data_digest
+                    self._reader, MAX_DATA_SEGMENT_BYTES, self._agreed.header_digest, self._agreed.data_digest
                 )
                 self._heard = self._loop.time()
                 self._take(pdu)
@@ -406,8 +417,8 @@
             if flight is not None:
                 self._data_out(flight, pdu)
         elif pdu.opcode == Op.NOP_IN:
-            self._numbers(pdu, status=pdu.tag != NONE)
-            if pdu.words[0] != NONE:  # a ping
+            self._numbers(pdu, status=pdu.tag != RESERVED_TAG)
+            if pdu.words[0] != RESERVED_TAG:  # a ping
                 self._write(
                     Pdu(
                         Op.NOP_OUT, lun=pdu.lun, immediate=True, words=[pdu.words[0]] + [0] * 6, data=pdu.data
--- a/lemonridge/iscsi/keys.py
+++ b/lemonridge/iscsi/keys.py
@@ -1,8 +1,8 @@
 """Text keys and their negotiation (RFC 7143, chapters 6 and 13). Pure.
 
 A table says of each key its type, who may send it, in which phase, its default and its bounds; two functions
-go by it: `Responder` answers what a peer offers, and `conclude` takes a peer's answers to what was proposed.
-Neither depends on the order of the keys, nor on how they were split over PDUs.
+go by it: `Responder` answers what a peer offers, and `apply_answers` takes a peer's answers to what was
+proposed. Neither depends on the order of the keys, nor on how they were split over PDUs.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 from dataclasses import dataclass, field, replace
 from enum import Enum
 
-Pairs = list[tuple[str, str]]
+TextPairs = list[tuple[str, str]]
 
 NOT_UNDERSTOOD, REJECT, IRRELEVANT, NONE = "NotUnderstood", "Reject", "Irrelevant", "None"
 RESERVED = frozenset((NOT_UNDERSTOOD, REJECT, IRRELEVANT))
@@ -19,7 +19,7 @@
 SEGMENT_TOP = 2**24 - 1
 
 
-class Kind(Enum):
+class NegotiationType(Enum):
     """How a key is settled."""
 
     LIST = "list"  # the first of the offers that the answerer takes
@@ -44,7 +44,7 @@
     """One line of the table; bounds are of numbers, `values` of lists and declarations."""
 
     name: str
-    kind: Kind
+    kind: NegotiationType
     phase: Phase
     default: str = ""
     low: int = 0
@@ -56,38 +56,69 @@
 TABLE = {
     key.name: key
     for key in (
-        Key("HeaderDigest", Kind.LIST, Phase.LOGIN, NONE, values=("CRC32C", NONE), section="13.1"),
-        Key("DataDigest", Kind.LIST, Phase.LOGIN, NONE, values=("CRC32C", NONE), section="13.1"),
-        Key("MaxConnections", Kind.LEAST, Phase.LEADING, "1", 1, 65535, section="13.2"),
-        Key("SendTargets", Kind.DECLARED, Phase.FULL, section="13.3"),
-        Key("TargetName", Kind.DECLARED, Phase.LOGIN, section="13.4"),
-        Key("InitiatorName", Kind.DECLARED, Phase.LOGIN, section="13.5"),
-        Key("TargetAlias", Kind.DECLARED, Phase.ANY, section="13.6"),
-        Key("InitiatorAlias", Kind.DECLARED, Phase.ANY, section="13.7"),
-        Key("TargetAddress", Kind.DECLARED, Phase.ANY, section="13.8"),
-        Key("TargetPortalGroupTag", Kind.DECLARED, Phase.LOGIN, section="13.9"),
-        Key("InitialR2T", Kind.OR, Phase.LEADING, "Yes", section="13.10"),
-        Key("ImmediateData", Kind.AND, Phase.LEADING, "Yes", section="13.11"),
-        Key("MaxRecvDataSegmentLength", Kind.DECLARED, Phase.ANY, "8192", 512, SEGMENT_TOP, section="13.12"),
-        Key("MaxBurstLength", Kind.LEAST, Phase.LEADING, "262144", 512, SEGMENT_TOP, section="13.13"),
-        Key("FirstBurstLength", Kind.LEAST, Phase.LEADING, "65536", 512, SEGMENT_TOP, section="13.14"),
-        Key("DefaultTime2Wait", Kind.MOST, Phase.LEADING, "2", 0, 3600, section="13.15"),
-        Key("DefaultTime2Retain", Kind.LEAST, Phase.LEADING, "20", 0, 3600, section="13.16"),
-        Key("MaxOutstandingR2T", Kind.LEAST, Phase.LEADING, "1", 1, 65535, section="13.17"),
-        Key("DataPDUInOrder", Kind.OR, Phase.LEADING, "Yes", section="13.18"),
-        Key("DataSequenceInOrder", Kind.OR, Phase.LEADING, "Yes", section="13.19"),
-        Key("ErrorRecoveryLevel", Kind.LEAST, Phase.LEADING, "0", 0, 2, section="13.20"),
+        Key("HeaderDigest", NegotiationType.LIST, Phase.LOGIN, NONE, values=("CRC32C", NONE), section="13.1"),
+        Key("DataDigest", NegotiationType.LIST, Phase.LOGIN, NONE, values=("CRC32C", NONE), section="13.1"),
+        Key("MaxConnections", NegotiationType.LEAST, Phase.LEADING, "1", 1, 65535, section="13.2"),
+        Key("SendTargets", NegotiationType.DECLARED, Phase.FULL, section="13.3"),
+        Key("TargetName", NegotiationType.DECLARED, Phase.LOGIN, section="13.4"),
+        Key("InitiatorName", NegotiationType.DECLARED, Phase.LOGIN, section="13.5"),
+        Key("TargetAlias", NegotiationType.DECLARED, Phase.ANY, section="13.6"),
+        Key("InitiatorAlias", NegotiationType.DECLARED, Phase.ANY, section="13.7"),
+        Key("TargetAddress", NegotiationType.DECLARED, Phase.ANY, section="13.8"),
+        Key("TargetPortalGroupTag", NegotiationType.DECLARED, Phase.LOGIN, section="13.9"),
+        Key("InitialR2T", NegotiationType.OR, Phase.LEADING, "Yes", section="13.10"),
+        Key("ImmediateData", NegotiationType.AND, Phase.LEADING, "Yes", section="13.11"),
+        Key(
+            "MaxRecvDataSegmentLength",
+            NegotiationType.DECLARED,
+            Phase.ANY,
+            "8192",
+            512,
+            SEGMENT_TOP,
+            section="13.12",
+        ),
+        Key(
+            "MaxBurstLength",
+            NegotiationType.LEAST,
+            Phase.LEADING,
+            "262144",
+            512,
+            SEGMENT_TOP,
+            section="13.13",
+        ),
+        Key(
+            "FirstBurstLength",
+            NegotiationType.LEAST,
+            Phase.LEADING,
+            "65536",
+            512,
+            SEGMENT_TOP,
+            section="13.14",
+        ),
+        Key("DefaultTime2Wait", NegotiationType.MOST, Phase.LEADING, "2", 0, 3600, section="13.15"),
+        Key("DefaultTime2Retain", NegotiationType.LEAST, Phase.LEADING, "20", 0, 3600, section="13.16"),
+        Key("MaxOutstandingR2T", NegotiationType.LEAST, Phase.LEADING, "1", 1, 65535, section="13.17"),
+        Key("DataPDUInOrder", NegotiationType.OR, Phase.LEADING, "Yes", section="13.18"),
+        Key("DataSequenceInOrder", NegotiationType.OR, Phase.LEADING, "Yes", section="13.19"),
+        Key("ErrorRecoveryLevel", NegotiationType.LEAST, Phase.LEADING, "0", 0, 2, section="13.20"),
         Key(
             "SessionType",
-            Kind.DECLARED,
+            NegotiationType.DECLARED,
             Phase.LOGIN,
             "Normal",
             values=("Normal", "Discovery"),
             section="13.21",
         ),
-        Key("TaskReporting", Kind.LIST, Phase.LEADING, "RFC3720", values=("RFC3720",), section="13.23"),
-        Key("iSCSIProtocolLevel", Kind.LEAST, Phase.LEADING, "1", 0, 31, section="13.24"),
-        Key("AuthMethod", Kind.LIST, Phase.LOGIN, NONE, values=("CHAP", NONE), section="12"),
+        Key(
+            "TaskReporting",
+            NegotiationType.LIST,
+            Phase.LEADING,
+            "RFC3720",
+            values=("RFC3720",),
+            section="13.23",
+        ),
+        Key("iSCSIProtocolLevel", NegotiationType.LEAST, Phase.LEADING, "1", 0, 31, section="13.24"),
+        Key("AuthMethod", NegotiationType.LIST, Phase.LOGIN, NONE, values=("CHAP", NONE), section="12"),
     )
 }
 
@@ -101,7 +132,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Agreed:
+class NegotiatedParameters:
     """What holds for a connection and its session, from this side's view; sizes are in bytes, times in s."""
 
     header_digest: bool = False
@@ -116,17 +147,17 @@
     time2wait: int = 2
     time2retain: int = 20
     max_r2t: int = 1
-    pdu_in_order: bool = True
-    sequence_in_order: bool = True
-    recovery: int = 0
+    data_pdu_in_order: bool = True
+    data_sequence_in_order: bool = True
+    recovery_level: int = 0
 
-    def settled(self) -> Agreed:
+    def with_valid_first_burst(self) -> NegotiatedParameters:
         """The first burst is part of a burst (13.14)."""
         return replace(self, first_burst=min(self.first_burst, self.max_burst))
 
 
 @dataclass(frozen=True, slots=True)
-class Wishes:
+class NegotiationPreferences:
     """What this side would have; each is a limit for its kind of key."""
 
     digests: tuple[str, ...] = ("CRC32C", NONE)
@@ -139,10 +170,10 @@
     time2wait: int = 2
     time2retain: int = 20
     max_r2t: int = 1
-    recovery: int = 0
-    private: dict[str, str] = field(default_factory=dict)  # X- keys that are understood, and the answers
+    recovery_level: int = 0
+    private_keys: dict[str, str] = field(default_factory=dict)  # X- keys that are understood, and the answers
 
-    def of(self, name: str) -> str:
+    def value_of(self, name: str) -> str:
         """The value that this side would propose for a key."""
         yes = {True: "Yes", False: "No"}
         return {
@@ -158,13 +189,13 @@
             "MaxOutstandingR2T": str(self.max_r2t),
             "DataPDUInOrder": "Yes",
             "DataSequenceInOrder": "Yes",
-            "ErrorRecoveryLevel": str(self.recovery),
+            "ErrorRecoveryLevel": str(self.recovery_level),
             "TaskReporting": "RFC3720",
             "iSCSIProtocolLevel": "1",
         }[name]
 
 
-def number(text: str) -> int | None:
+def parse_number(text: str) -> int | None:
     """A numerical value in decimal or hexadecimal (6.1); None if it is neither."""
     if text[:2] in ("0x", "0X"):
         digits = text[2:]
@@ -174,11 +205,11 @@
     return int(text)
 
 
-def parse(data: bytes) -> Pairs:
+def parse_text(data: bytes) -> TextPairs:
     """Text keys in their order; NegotiationError on what is no key=value, on a name or a value past its
     bound, and on a key that stands twice (6.1, 6.3).
     """
-    pairs: Pairs = []
+    pairs: TextPairs = []
     seen: set[str] = set()
     for item in data.split(b"\0"):
         if not item:
@@ -203,21 +234,21 @@
     legal. Lists keep the offerer's order (6.2.1); numbers and booleans come out alike whoever offers
     (6.2.2).
     """
-    if key.kind is Kind.LIST:
+    if key.kind is NegotiationType.LIST:
         takes = wish.split(",")
         return next((one for one in offer.split(",") if one in takes and one in key.values), None)
-    if key.kind in (Kind.LEAST, Kind.MOST):
-        told, own = number(offer), number(wish)
+    if key.kind in (NegotiationType.LEAST, NegotiationType.MOST):
+        told, own = parse_number(offer), parse_number(wish)
         if told is None or own is None or not key.low <= told <= key.high:
             return None
-        return str(min(told, own) if key.kind is Kind.LEAST else max(told, own))
+        return str(min(told, own) if key.kind is NegotiationType.LEAST else max(told, own))
     if offer not in ("Yes", "No"):
         return None
     both = (offer == "Yes", wish == "Yes")
-    return "Yes" if (all(both) if key.kind is Kind.AND else any(both)) else "No"
+    return "Yes" if (all(both) if key.kind is NegotiationType.AND else any(both)) else "No"
 
 
-def _take(agreed: Agreed, name: str, result: str) -> Agreed:
+def _take(agreed: NegotiatedParameters, name: str, result: str) -> NegotiatedParameters:
     """A settled key as what now holds."""
     yes = result == "Yes"
     if name in ("HeaderDigest", "DataDigest"):
@@ -230,9 +261,9 @@
     if name == "ImmediateData":
         return replace(agreed, immediate_data=yes)
     if name == "DataPDUInOrder":
-        return replace(agreed, pdu_in_order=yes)
+        return replace(agreed, data_pdu_in_order=yes)
     if name == "DataSequenceInOrder":
-        return replace(agreed, sequence_in_order=yes)
+        return replace(agreed, data_sequence_in_order=yes)
     fields = {
         "MaxConnections": "max_connections",
         "MaxBurstLength": "max_burst",
@@ -240,7 +271,7 @@
         "DefaultTime2Wait": "time2wait",
         "DefaultTime2Retain": "time2retain",
         "MaxOutstandingR2T": "max_r2t",
-        "ErrorRecoveryLevel": "recovery",
+        "ErrorRecoveryLevel": "recovery_level",
     }
     return replace(agreed, **{fields[name]: int(result)}) if name in fields else agreed  # type: ignore[arg-type]
 
@@ -248,22 +279,22 @@
 class Responder:
     """Answers a peer's keys in the login, PDU by PDU, and keeps what was agreed."""
 
-    def __init__(self, wishes: Wishes, leading: bool = True) -> None:
-        self.wishes, self._leading = wishes, leading
-        self.agreed = Agreed(recv_segment=8192)
-        self.private: dict[str, str] = {}
+    def __init__(self, wishes: NegotiationPreferences, leading: bool = True) -> None:
+        self.preferences, self._leading = wishes, leading
+        self.parameters = NegotiatedParameters(recv_segment=8192)
+        self.private_keys: dict[str, str] = {}
         self._seen: set[str] = set()
         self._declared = False
 
     def answer(
         self, pairs: Iterable[tuple[str, str]], skip: frozenset[str] = frozenset(), declare: bool = False
-    ) -> Pairs:
+    ) -> TextPairs:
         """The answers to operational keys; keys of `skip` are settled elsewhere. With `declare` this side's
         own length of data segments is told, once.
 
         NegotiationError on a key that is sent again in the login (6.3).
         """
-        answers: Pairs = []
+        answers: TextPairs = []
         for name, value in pairs:
             if name in self._seen:
                 raise NegotiationError(f"{name} is negotiated twice")
@@ -275,8 +306,8 @@
                 answers.append((name, told))
         if not self._declared and (declare or "MaxRecvDataSegmentLength" in self._seen):
             self._declared = True
-            answers.append(("MaxRecvDataSegmentLength", str(self.wishes.recv_segment)))
-            self.agreed = replace(self.agreed, recv_segment=self.wishes.recv_segment)
+            answers.append(("MaxRecvDataSegmentLength", str(self.preferences.recv_segment)))
+            self.parameters = replace(self.parameters, recv_segment=self.preferences.recv_segment)
         return answers
 
     def _one(self, name: str, value: str) -> str | None:
@@ -284,57 +315,61 @@
             return REJECT
         key = TABLE.get(name)
         if key is None:
-            if name in self.wishes.private:
-                self.private[name] = value
-                return self.wishes.private[name]
+            if name in self.preferences.private_keys:
+                self.private_keys[name] = value
+                return self.preferences.private_keys[name]
             return NOT_UNDERSTOOD
-        if key.kind is Kind.DECLARED:
+        if key.kind is NegotiationType.DECLARED:
             return self._declaration(key, value)
         if value in RESERVED or key.phase is Phase.FULL or (key.phase is Phase.LEADING and not self._leading):
             return REJECT if value not in RESERVED else None
-        result = settle(key, value, self.wishes.of(name))
+        result = settle(key, value, self.preferences.value_of(name))
         if result is None:
             return REJECT
-        self.agreed = _take(self.agreed, name, result)
+        self.parameters = _take(self.parameters, name, result)
         return result
 
     def _declaration(self, key: Key, value: str) -> str | None:
         if key.name == "MaxRecvDataSegmentLength":
-            told = number(value)
+            told = parse_number(value)
             if told is None or not key.low <= told <= key.high:
                 return REJECT
-            self.agreed = replace(self.agreed, send_segment=told)
+            self.parameters = replace(self.parameters, send_segment=told)
         elif key.phase is Phase.FULL or (key.values and value not in key.values):
             return REJECT
         return None
 
 
-def conclude(
+def apply_answers(
     proposed: Sequence[tuple[str, str]], answers: Iterable[tuple[str, str]], recv_segment: int
-) -> tuple[Agreed, dict[str, str]]:
+) -> tuple[NegotiatedParameters, dict[str, str]]:
     """What holds after a peer's answers to what was proposed, and its private keys.
 
     NegotiationError if an answer is none that the proposal allows (6.2): the peer and this side would go by
     different figures. What was proposed and not answered, or not understood, keeps its default.
     """
-    offers, agreed, private = dict(proposed), Agreed(recv_segment=recv_segment), dict[str, str]()
+    offers, agreed, private = (
+        dict(proposed),
+        NegotiatedParameters(recv_segment=recv_segment),
+        dict[str, str](),
+    )
     for name, value in answers:
         key = TABLE.get(name)
         if key is None or name == "AuthMethod":
             private[name] = value
         elif name == "MaxRecvDataSegmentLength":
-            told = number(value)
+            told = parse_number(value)
             if told is None or not key.low <= told <= key.high:
                 raise NegotiationError(f"{name}={value}")
             agreed = replace(agreed, send_segment=told)
-        elif key.kind is not Kind.DECLARED and value not in RESERVED:
+        elif key.kind is not NegotiationType.DECLARED and value not in RESERVED:
             # An answer is legal if, as an offer, it comes out as itself against what was proposed.
             if name in offers and settle(key, value, offers[name]) != value:
                 raise NegotiationError(f"{name}={value} answers {offers[name]}")
             agreed = _take(agreed, name, value)
-    return agreed.settled(), private
+    return agreed.with_valid_first_burst(), private
 
 
-def proposal(wishes: Wishes, names: Iterable[str]) -> Pairs:
+def proposal(wishes: NegotiationPreferences, names: Iterable[str]) -> TextPairs:
     """What an initiator offers for the named keys."""
-    return [(name, wishes.of(name)) for name in names]
+    return [(name, wishes.value_of(name)) for name in names]
--- a/lemonridge/iscsi/login.py
+++ b/lemonridge/iscsi/login.py
@@ -13,14 +13,20 @@
 from dataclasses import dataclass, field, replace
 
 from lemonridge.iscsi import chap, keys
-from lemonridge.iscsi.keys import Agreed, NegotiationError, Pairs, Responder, Wishes
+from lemonridge.iscsi.keys import (
+    NegotiatedParameters,
+    NegotiationError,
+    NegotiationPreferences,
+    Responder,
+    TextPairs,
+)
 from lemonridge.iscsi.pdu import CONTINUE, FINAL, Pdu, pack_text
 
 SECURITY, OPERATIONAL, FULL_FEATURE = 0, 1, 3
-TEXT_MAX = 16 * 1024  # of the text of one exchange
+TEXT_MAX_BYTES = 16 * 1024  # of the text of one exchange
 ANSWER_MAX = 8192  # of the data segment of one login response
 # Status class and detail (11.13.5)
-FAILED, AUTHENTICATION, FORBIDDEN, NOT_FOUND, VERSION = 0x0200, 0x0201, 0x0202, 0x0203, 0x0205
+FAILED, AUTHENTICATION_FAILURE, FORBIDDEN, NOT_FOUND, VERSION = 0x0200, 0x0201, 0x0202, 0x0203, 0x0205
 TOO_MANY, MISSING, NOT_INCLUDED, TYPE, NO_SESSION, INVALID = 0x0206, 0x0207, 0x0208, 0x0209, 0x020A, 0x020B
 UNAVAILABLE, FULL = 0x0301, 0x0302
 _IDENTITY = frozenset(("InitiatorName", "TargetName", "SessionType", "InitiatorAlias", "AuthMethod"))
@@ -39,25 +45,25 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Known:
+class ExistingSession:
     """A session that is there, as a further connection's login needs it."""
 
     tsih: int
     isid: bytes
     initiator: str
     target: str
-    agreed: Agreed
+    parameters: NegotiatedParameters
     connections: frozenset[int]
     discovery: bool
 
 
 @dataclass(frozen=True, slots=True)
-class Rules:
+class LoginPolicy:
     """What a login is held against."""
 
     targets: Mapping[str, TargetRule]
-    wishes: Wishes
-    session: Callable[[int], Known | None]  # by TSIH
+    preferences: NegotiationPreferences
+    session: Callable[[int], ExistingSession | None]  # by TSIH
     room: Callable[[], bool]  # for one session more
     stopping: Callable[[], bool]
     random: Callable[[int], bytes]
@@ -70,7 +76,7 @@
     flags: int
     data: bytes = b""
     status: int = 0
-    over: bool = False
+    login_ended: bool = False
 
 
 class _RefusedError(Exception):
@@ -82,7 +88,7 @@
 class TargetLogin:
     """One connection's login."""
 
-    def __init__(self, rules: Rules) -> None:
+    def __init__(self, rules: LoginPolicy) -> None:
         self._rules = rules
         self._stage, self._text, self._out = -1, b"", b""
         self._pending: tuple[bool, int] | None = None  # a transit that waits until all text is out
@@ -90,21 +96,21 @@
         self._chap: chap.Target | None = None
         self._passed = False  # authenticated, or none is wanted
         self._rule: TargetRule | None = None
-        self._responder = Responder(rules.wishes)
+        self._responder = Responder(rules.preferences)
         self.initiator = self.target = ""
         self.discovery = False
         self.isid, self.cid, self.tsih = b"", 0, 0
-        self.joins: Known | None = None
-        self.why = ""  # a refusal, in words for the log
+        self.existing_session: ExistingSession | None = None
+        self.refusal_reason = ""  # a refusal, in words for the log
 
     @property
-    def agreed(self) -> Agreed:
+    def parameters(self) -> NegotiatedParameters:
         """What was agreed; of a joining connection, with its session's own figures."""
-        made = self._responder.agreed.settled()
-        if self.joins is None:
+        made = self._responder.parameters.with_valid_first_burst()
+        if self.existing_session is None:
             return made
         return replace(
-            self.joins.agreed,
+            self.existing_session.parameters,
             header_digest=made.header_digest,
             data_digest=made.data_digest,
             send_segment=made.send_segment,
@@ -112,22 +118,22 @@
         )
 
     @property
-    def private(self) -> dict[str, str]:
-        return self._responder.private
+    def private_keys(self) -> dict[str, str]:
+        return self._responder.private_keys
 
-    def take(self, pdu: Pdu) -> LoginReply:
+    def answer(self, pdu: Pdu) -> LoginReply:
         """Answer one login request."""
         try:
             return self._take(pdu)
         except _RefusedError as error:
-            self.why = str(error)
-            return LoginReply(0, status=error.status, over=True)
+            self.refusal_reason = str(error)
+            return LoginReply(0, status=error.status, login_ended=True)
         except chap.ChapError as error:
-            self.why = str(error)
-            return LoginReply(0, status=AUTHENTICATION, over=True)
+            self.refusal_reason = str(error)
+            return LoginReply(0, status=AUTHENTICATION_FAILURE, login_ended=True)
         except NegotiationError as error:
-            self.why = str(error)
-            return LoginReply(0, status=FAILED, over=True)
+            self.refusal_reason = str(error)
+            return LoginReply(0, status=FAILED, login_ended=True)
 
     def _take(self, pdu: Pdu) -> LoginReply:
         now, following, transit = pdu.flags >> 2 & 3, pdu.flags & 3, bool(pdu.flags & FINAL)
@@ -138,11 +144,11 @@
                 raise _RefusedError(INVALID, "data while an answer is not complete")
             return self._reply(now)
         self._text += pdu.data
-        if len(self._text) > TEXT_MAX:
+        if len(self._text) > TEXT_MAX_BYTES:
             raise _RefusedError(INVALID, "too much text")
         if pdu.flags & CONTINUE:
             return LoginReply(now << 2)
-        told, self._text = keys.parse(self._text), b""
+        told, self._text = keys.parse_text(self._text), b""
         answers = self._answers(now, told)
         if transit and not self._may_leave(now):
             transit = False
@@ -159,7 +165,7 @@
         if not transit:
             return LoginReply(now << 2, part)
         self._stage = following
-        return LoginReply(FINAL | now << 2 | following, part, over=following == FULL_FEATURE)
+        return LoginReply(FINAL | now << 2 | following, part, login_ended=following == FULL_FEATURE)
 
     def _sane(self, pdu: Pdu, now: int, following: int, transit: bool) -> None:
         """The rules on stages and flags (11.12.1 to 11.12.4)."""
@@ -181,9 +187,9 @@
         ):
             raise _RefusedError(INVALID, f"stage {now} to {following} after {self._stage}")
 
-    def _answers(self, now: int, told: Pairs) -> Pairs:
+    def _answers(self, now: int, told: TextPairs) -> TextPairs:
         values = dict(told)
-        answers: Pairs = []
+        answers: TextPairs = []
         if not self._identified:
             self._identify(values)
             self._identified = True
@@ -194,7 +200,7 @@
         if now == SECURITY:
             answers += self._security(values)
         elif not self._passed:
-            raise _RefusedError(AUTHENTICATION, "authentication is wanted")
+            raise _RefusedError(AUTHENTICATION_FAILURE, "authentication is wanted")
         skip = _IDENTITY | {name for name in values if name.startswith("CHAP_")}
         return answers + self._responder.answer(told, skip, declare=now == OPERATIONAL)
 
@@ -240,18 +246,20 @@
             raise _RefusedError(NO_SESSION, f"no session {self.tsih}")
         if known.discovery or self.discovery or known.target != self.target:
             raise _RefusedError(NOT_INCLUDED, "the session is of another kind")
-        if self.cid not in known.connections and len(known.connections) >= known.agreed.max_connections:
+        if self.cid not in known.connections and len(known.connections) >= known.parameters.max_connections:
             raise _RefusedError(TOO_MANY, "too many connections")
-        self.joins = known
-        self._responder = Responder(self._rules.wishes, leading=False)
+        self.existing_session = known
+        self._responder = Responder(self._rules.preferences, leading=False)
 
-    def _security(self, values: dict[str, str]) -> Pairs:
-        answers: Pairs = []
+    def _security(self, values: dict[str, str]) -> TextPairs:
+        answers: TextPairs = []
         if "AuthMethod" in values:
             offered = values["AuthMethod"].split(",")
             wanted = keys.NONE if self._passed else "CHAP"
             if wanted not in offered:
-                raise _RefusedError(AUTHENTICATION, f"AuthMethod {values['AuthMethod']}, {wanted} is wanted")
+                raise _RefusedError(
+                    AUTHENTICATION_FAILURE, f"AuthMethod {values['AuthMethod']}, {wanted} is wanted"
+                )
             answers.append(("AuthMethod", wanted))
             if not self._passed:
                 self._chap = chap.Target(self._accounts, self._rules.random)
@@ -269,12 +277,12 @@
         """Whether the stage may be left as the initiator asks."""
         if now == SECURITY and not self._passed:
             if self._chap is None:
-                raise _RefusedError(AUTHENTICATION, "authentication is wanted")
+                raise _RefusedError(AUTHENTICATION_FAILURE, "authentication is wanted")
             return False
         return True
 
 
-class Attempts:
+class FailedLoginLimiter:
     """Bounds failed logins a peer: past `most` within `span_us` it is refused before it says a word.
 
     `peers_max` bounds the table; the peer whose failure is oldest makes room.
@@ -284,13 +292,13 @@
         self._most, self._span_us, self._peers_max = most, span_us, peers_max
         self._failed: OrderedDict[str, list[int]] = OrderedDict()
 
-    def failed(self, peer: str, now_us: int) -> None:
+    def record_failure(self, peer: str, now_us: int) -> None:
         marks = [at for at in self._failed.pop(peer, ()) if at > now_us - self._span_us]
         self._failed[peer] = [*marks, now_us][-self._most :]
         while len(self._failed) > self._peers_max:
             self._failed.popitem(last=False)
 
-    def passed(self, peer: str) -> None:
+    def record_success(self, peer: str) -> None:
         self._failed.pop(peer, None)
 
     def allows(self, peer: str, now_us: int) -> bool:
--- a/lemonridge/iscsi/mapped.py
+++ b/lemonridge/iscsi/mapped.py
@@ -43,7 +43,7 @@
         shard=shard,
         volume=lun.lun,
         deadline_us=deadline_us,
-        key=scsi.block(command.cdb),
+        key=scsi.first_block(command.cdb),
         cls=class_of(command),
         plan=lun.plan,
         units=config.units(command.length),
@@ -73,14 +73,18 @@
     def local(self, command: scsi.Command) -> scsi.Reply | None:
         """The answer that the map alone gives, before any data is asked for."""
         cdb = command.cdb
-        if cdb[0] == scsi.CAPACITY_10 or (cdb[0] == scsi.SERVICE_IN and cdb[1] & 0x1F == scsi.CAPACITY_16):
+        if cdb[0] == scsi.READ_CAPACITY_10 or (
+            cdb[0] == scsi.SERVICE_ACTION_IN and cdb[1] & 0x1F == scsi.READ_CAPACITY_16
+        ):
             blocks = self._router.map.blocks(command.lun)
             if not blocks:
                 return scsi.Reply(scsi.Status.BUSY)
-            return scsi.Reply(scsi.Status.GOOD, scsi.capacity(cdb, blocks, self._block)[: command.length])
-        if cdb[0] not in scsi.BLOCKS:
+            return scsi.Reply(
+                scsi.Status.GOOD, scsi.read_capacity_data(cdb, blocks, self._block)[: command.length]
+            )
+        if cdb[0] not in scsi.READ_WRITE_CDB_BYTES:
             return None
-        first, blocks = scsi.span(cdb)
+        first, blocks = scsi.block_range(cdb)
         if not blocks:
             return scsi.Reply(scsi.Status.GOOD)
         held = self._router.map.blocks(command.lun)
@@ -97,7 +101,7 @@
     ) -> scsi.Reply:
         """Carry a command by the map; what cannot be routed ends at once, and nothing of it ran."""
         try:
-            if command.cdb[0] in scsi.BLOCKS:
+            if command.cdb[0] in scsi.READ_WRITE_CDB_BYTES:
                 return await self._blocks(command, lun, deadline_us, abandoned)
             writes = command.cdb[0] in scsi.WRITES
             shards = self._router.shards_of_volume(command.lun, writes)
@@ -117,7 +121,7 @@
     async def _blocks(
         self, command: scsi.Command, lun: Lun, deadline_us: int, abandoned: Callable[[], bool]
     ) -> scsi.Reply:
-        first, blocks = scsi.span(command.cdb)
+        first, blocks = scsi.block_range(command.cdb)
         writes, size = command.cdb[0] in scsi.WRITES, self._block
         requests = []
         for route in self._router.plan_routes(command.lun, first, blocks, writes):
@@ -126,7 +130,7 @@
             data = command.data[start : start + length] if writes else b""
             part = scsi.Command(
                 command.lun,
-                scsi.rebase(command.cdb, piece.first, piece.length),
+                scsi.with_block_range(command.cdb, piece.first, piece.length),
                 command.reads,
                 command.writes,
                 length,
--- a/lemonridge/iscsi/pdu.py
+++ b/lemonridge/iscsi/pdu.py
@@ -15,10 +15,10 @@
 log = logging.getLogger(__name__)
 
 BHS = struct.Struct(">BBBBI8sI7I")
-NONE = 0xFFFFFFFF  # a task tag that names no task
+RESERVED_TAG = 0xFFFFFFFF  # a task tag that names no task
 FINAL, CONTINUE = 0x80, 0x40
-TEXT_MAX = 16 * 1024  # of the text keys of one exchange
-PORTAL_MAX = 64 * 1024  # the data segment that either side of this program takes
+TEXT_MAX_BYTES = 16 * 1024  # of the text keys of one exchange
+MAX_DATA_SEGMENT_BYTES = 64 * 1024  # the data segment that either side of this program takes
 
 
 class Op(IntEnum):
@@ -76,7 +76,7 @@
     byte2: int = 0
     byte3: int = 0
     lun: bytes = bytes(8)
-    tag: int = NONE
+    tag: int = RESERVED_TAG
     words: list[int] = field(default_factory=lambda: [0] * 7)
     data: bytes = b""
     immediate: bool = False
@@ -106,7 +106,7 @@
 
 async def read_pdu(
     reader: asyncio.StreamReader,
-    data_max: int = PORTAL_MAX,
+    data_max: int = MAX_DATA_SEGMENT_BYTES,
     header_digest: bool = False,
     data_digest: bool = False,
 ) -> Pdu:
--- a/lemonridge/iscsi/portal.py
+++ b/lemonridge/iscsi/portal.py
@@ -15,7 +15,7 @@
 from lemonridge.iscsi.config import IscsiConfig
 from lemonridge.iscsi.connection import Connection
 from lemonridge.iscsi.device import Device
-from lemonridge.iscsi.login import Attempts, Known, Rules, TargetLogin
+from lemonridge.iscsi.login import ExistingSession, FailedLoginLimiter, LoginPolicy, TargetLogin
 from lemonridge.iscsi.mapped import MappedLuns
 from lemonridge.iscsi.pdu import keep_alive
 from lemonridge.iscsi.reservation_file import ReservationFile
@@ -53,9 +53,14 @@
         self.expected: dict[Connection, int] = {}  # ExpCmdSN of logins
         self.buffered = 0  # bytes of data that commands of all sessions may hold at this moment
         self.stopping = False
-        self.attempts = Attempts(config.login_failures)
-        self.rules = Rules(
-            config.targets, config.wishes, self._known, self._room, lambda: self.stopping, secrets.token_bytes
+        self.attempts = FailedLoginLimiter(config.login_failures)
+        self.rules = LoginPolicy(
+            config.targets,
+            config.target_preferences,
+            self._known,
+            self._room,
+            lambda: self.stopping,
+            secrets.token_bytes,
         )
         self._tsih = 0
         self._listener: Listener | None = None
@@ -94,11 +99,11 @@
 
     # Sessions
 
-    def _known(self, tsih: int) -> Known | None:
+    def _known(self, tsih: int) -> ExistingSession | None:
         session = self.sessions.get(tsih)
         if session is None or session.over:
             return None
-        return Known(
+        return ExistingSession(
             tsih,
             session.isid,
             session.initiator,
@@ -113,7 +118,7 @@
 
     def tsih_for(self, login: TargetLogin) -> int:
         """The session's handle: its own where a connection joins, a free one where it leads."""
-        if login.joins is None:
+        if login.existing_session is None:
             self._tsih = self._tsih % 0xFFFF + 1
             while self._tsih in self.sessions:
                 self._tsih = self._tsih % 0xFFFF + 1
@@ -125,7 +130,7 @@
         answer was made, so that its session is still there.
         """
         expected = self.expected.pop(connection, 0)
-        if login.joins is not None:
+        if login.existing_session is not None:
             joined = self.sessions.get(login.tsih)
             if joined is None:
                 raise ConnectionError("the session ended under the login")
@@ -145,7 +150,7 @@
 
     def local(self, session: Session, command: scsi.Command) -> scsi.Reply | None:
         """The answer to a command that no node is asked for."""
-        reply = self.device.local(session.nexus, command)
+        reply = self.device.answer_locally(session.nexus, command)
         if reply is None and self.mapped is not None and self.config.luns[command.lun].mapped:
             return self.mapped.local(command)
         return reply
--- a/lemonridge/iscsi/reservation_file.py
+++ b/lemonridge/iscsi/reservation_file.py
@@ -23,7 +23,7 @@
 READ_AGAIN_S = 0.1  # between two tries to read the file at a start
 
 
-class NotKeptError(Exception):
+class ReservationsNotSavedError(Exception):
     """A change is not on disk, or not surely."""
 
 
@@ -56,19 +56,19 @@
             return {}
         try:
             told = orjson.loads(self._text)
-            return {int(lun): Reservations.restored(state) for lun, state in told.items()}
+            return {int(lun): Reservations.from_state(state) for lun, state in told.items()}
         except (ValueError, AttributeError) as error:
             log.error("reservations spoilt", extra={"path": str(self._path), "error": str(error)})
             self._path.replace(self._path.with_suffix(".spoilt"))
             return {}
 
     @property
-    def unsure(self) -> bool:
+    def may_differ(self) -> bool:
         """Whether the file may hold something else than what was last said to be kept."""
         return self._unsure
 
     def save(self, held: dict[int, Reservations]) -> None:
-        """Keep these and no others: on disk once this returns. `NotKeptError` where they cannot be kept."""
+        """Write `held` and nothing else to the file; raises ReservationsNotSavedError if that fails."""
         text = orjson.dumps({str(lun): one.state() for lun, one in held.items()})
         made = self._path.with_suffix(".new")
         self._unsure = True
@@ -81,7 +81,7 @@
             _sync_folder(self._path.parent)
         except OSError as error:
             log.error("reservations not kept", extra={"path": str(self._path), "error": str(error)})
-            raise NotKeptError(str(error)) from None
+            raise ReservationsNotSavedError(str(error)) from None
         self._unsure = False
 
 
--- a/lemonridge/iscsi/reservations.py
+++ b/lemonridge/iscsi/reservations.py
@@ -13,7 +13,7 @@
 REGISTRATIONS_MAX = 64  # of one logical unit; past it REGISTER ends with INSUFFICIENT REGISTRATION RESOURCES
 
 
-class Type(IntEnum):
+class ReservationType(IntEnum):
     """Table 57 of SPC-4: what a reservation keeps others from."""
 
     WRITE_EXCLUSIVE = 1
@@ -24,9 +24,18 @@
     ACCESS_ALL = 8
 
 
-REGISTRANTS = frozenset((Type.WRITE_REGISTRANTS, Type.ACCESS_REGISTRANTS, Type.WRITE_ALL, Type.ACCESS_ALL))
-ALL = frozenset((Type.WRITE_ALL, Type.ACCESS_ALL))
-WRITES_ONLY = frozenset((Type.WRITE_EXCLUSIVE, Type.WRITE_REGISTRANTS, Type.WRITE_ALL))
+REGISTRANTS = frozenset(
+    (
+        ReservationType.WRITE_REGISTRANTS,
+        ReservationType.ACCESS_REGISTRANTS,
+        ReservationType.WRITE_ALL,
+        ReservationType.ACCESS_ALL,
+    )
+)
+ALL = frozenset((ReservationType.WRITE_ALL, ReservationType.ACCESS_ALL))
+WRITES_ONLY = frozenset(
+    (ReservationType.WRITE_EXCLUSIVE, ReservationType.WRITE_REGISTRANTS, ReservationType.WRITE_ALL)
+)
 
 
 class Action(IntEnum):
@@ -49,7 +58,7 @@
     WRITES = "writes"
 
 
-class Attention(Enum):
+class UnitAttention(Enum):
     """Unit attentions for others, as ASC and ASCQ."""
 
     RESERVATIONS_PREEMPTED = (0x2A, 0x03)
@@ -68,16 +77,16 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Done:
+class ActionResult:
     """What a service action led to: attentions by nexus, and whose commands are to be aborted."""
 
     refusal: Refusal | None = None
-    attentions: tuple[tuple[str, Attention], ...] = ()
+    attentions: tuple[tuple[str, UnitAttention], ...] = ()
     aborts: tuple[str, ...] = ()
 
 
-def _refused(why: Refusal) -> Done:
-    return Done(why)
+def _refused(why: Refusal) -> ActionResult:
+    return ActionResult(why)
 
 
 @dataclass(slots=True)
@@ -87,8 +96,8 @@
     generation: int = 0
     keys: dict[str, int] = field(default_factory=dict)  # nexus -> key, in the order of their registration
     holder: str = ""
-    type: Type | None = None
-    lasting: bool = False  # through a restart, as the last REGISTER asked (APTPL, 6.16.3)
+    type: ReservationType | None = None
+    persistent: bool = False  # through a restart, as the last REGISTER asked (APTPL, 6.16.3)
 
     def copy(self) -> Reservations:
         """As it is now, whatever is changed later."""
@@ -99,14 +108,16 @@
         return {"keys": dict(self.keys), "holder": self.holder, "type": int(self.type) if self.type else 0}
 
     @classmethod
-    def restored(cls, state: dict[str, object]) -> Reservations:
+    def from_state(cls, state: dict[str, object]) -> Reservations:
         """From `state`; the generation begins anew (5.13.7). ValueError on what cannot be."""
         keys, holder, kind = state.get("keys"), state.get("holder"), state.get("type")
         if not isinstance(keys, dict) or not isinstance(holder, str) or not isinstance(kind, int):
             raise ValueError("a reservation's state is malformed")
         if not all(isinstance(name, str) and isinstance(key, int) for name, key in keys.items()):
             raise ValueError("a registration is malformed")
-        made = cls(keys=dict(keys), holder=holder, type=Type(kind) if kind else None, lasting=True)
+        made = cls(
+            keys=dict(keys), holder=holder, type=ReservationType(kind) if kind else None, persistent=True
+        )
         if made.type is not None and made.type not in ALL and holder not in keys:
             raise ValueError("the holder is not registered")
         return made
@@ -119,7 +130,9 @@
             return False
         return effect is Effect.WRITES or self.type not in WRITES_ONLY
 
-    def out(self, nexus: str, action: int, scope: int, kind: int, key: int, new: int) -> Done:
+    def persistent_reserve_out(
+        self, nexus: str, action: int, scope: int, kind: int, key: int, new: int
+    ) -> ActionResult:
         """One PERSISTENT RESERVE OUT; `key` is the reservation key, `new` the service action's."""
         try:
             what = Action(action)
@@ -130,13 +143,13 @@
         if self.keys.get(nexus) != key:
             return _refused(Refusal.CONFLICT)
         if what is Action.CLEAR:
-            others = tuple((one, Attention.RESERVATIONS_PREEMPTED) for one in self.keys if one != nexus)
+            others = tuple((one, UnitAttention.RESERVATIONS_PREEMPTED) for one in self.keys if one != nexus)
             self.keys.clear()
             self._free()
             self._count()
-            return Done(attentions=others)
+            return ActionResult(attentions=others)
         try:
-            wanted = Type(kind)
+            wanted = ReservationType(kind)
         except ValueError:
             return _refused(Refusal.FIELD)
         if scope:
@@ -149,22 +162,22 @@
 
     # The service actions
 
-    def _register(self, nexus: str, key: int, new: int, ignore: bool) -> Done:
+    def _register(self, nexus: str, key: int, new: int, ignore: bool) -> ActionResult:
         held = self.keys.get(nexus)
         if not ignore and key != (held or 0):
             return _refused(Refusal.CONFLICT)
         if held is None:
             if not new:
-                return Done()  # nothing is registered, and nothing is asked for
+                return ActionResult()  # nothing is registered, and nothing is asked for
             if len(self.keys) >= REGISTRATIONS_MAX:
                 return _refused(Refusal.RESOURCES)
         self._count()
         if new:
             self.keys[nexus] = new
-            return Done()
-        return Done(attentions=self._leave(nexus))
+            return ActionResult()
+        return ActionResult(attentions=self._leave(nexus))
 
-    def _leave(self, nexus: str) -> tuple[tuple[str, Attention], ...]:
+    def _leave(self, nexus: str) -> tuple[tuple[str, UnitAttention], ...]:
         """Unregister; a reservation goes with its holder, and for all registrants with the last
         (5.13.11.2).
         """
@@ -179,26 +192,26 @@
             return ()
         told = self.keys if self.type in REGISTRANTS else ()
         self._free()
-        return tuple((one, Attention.RESERVATIONS_RELEASED) for one in told)
+        return tuple((one, UnitAttention.RESERVATIONS_RELEASED) for one in told)
 
-    def _reserve(self, nexus: str, kind: Type) -> Done:
+    def _reserve(self, nexus: str, kind: ReservationType) -> ActionResult:
         if self.type is None:
             self.holder, self.type = nexus, kind
-            return Done()
+            return ActionResult()
         if not self._holds(nexus) or self.type is not kind:
             return _refused(Refusal.CONFLICT)
-        return Done()
+        return ActionResult()
 
-    def _release(self, nexus: str, kind: Type) -> Done:
+    def _release(self, nexus: str, kind: ReservationType) -> ActionResult:
         if self.type is None or not self._holds(nexus):
-            return Done()  # there is nothing of its own to release
+            return ActionResult()  # there is nothing of its own to release
         if self.type is not kind:
             return _refused(Refusal.RELEASE)
         told = [one for one in self.keys if one != nexus] if kind in REGISTRANTS else []
         self._free()
-        return Done(attentions=tuple((one, Attention.RESERVATIONS_RELEASED) for one in told))
+        return ActionResult(attentions=tuple((one, UnitAttention.RESERVATIONS_RELEASED) for one in told))
 
-    def _preempt(self, nexus: str, kind: Type, victim: int, abort: bool) -> Done:
+    def _preempt(self, nexus: str, kind: ReservationType, victim: int, abort: bool) -> ActionResult:
         """5.13.11.4: take away registrations by key, and the reservation where the victim holds it."""
         everyone = self.type in ALL and not victim
         if not victim and not everyone:
@@ -208,15 +221,17 @@
         if not gone and not holds:
             return _refused(Refusal.CONFLICT)
         self._count()
-        attentions = [(one, Attention.REGISTRATIONS_PREEMPTED) for one in gone]
+        attentions = [(one, UnitAttention.REGISTRATIONS_PREEMPTED) for one in gone]
         for one in gone:
             del self.keys[one]
         if holds or everyone:
             changed = self.type is not kind
             self.holder, self.type = nexus, kind
             if changed:
-                attentions += [(one, Attention.RESERVATIONS_RELEASED) for one in self.keys if one != nexus]
-        return Done(attentions=tuple(attentions), aborts=tuple(gone) if abort else ())
+                attentions += [
+                    (one, UnitAttention.RESERVATIONS_RELEASED) for one in self.keys if one != nexus
+                ]
+        return ActionResult(attentions=tuple(attentions), aborts=tuple(gone) if abort else ())
 
     def _holds(self, nexus: str) -> bool:
         return self.type is not None and (nexus in self.keys if self.type in ALL else self.holder == nexus)
@@ -256,4 +271,4 @@
 
     def capabilities(self, may_last: bool) -> bytes:
         """REPORT CAPABILITIES: every type; persistence over a power loss where there is a disk for it."""
-        return struct.pack(">HBBHxx", 8, int(may_last), 0x80 | int(self.lasting), 0xEA01)
+        return struct.pack(">HBBHxx", 8, int(may_last), 0x80 | int(self.persistent), 0xEA01)
--- a/lemonridge/iscsi/runner.py
+++ b/lemonridge/iscsi/runner.py
@@ -10,13 +10,13 @@
 from typing import TYPE_CHECKING
 
 from lemonridge.iscsi import scsi
-from lemonridge.iscsi.device import WITH_DATA
-from lemonridge.iscsi.keys import Agreed
+from lemonridge.iscsi.device import LOCAL_DATA_OUT_COMMANDS
+from lemonridge.iscsi.keys import NegotiatedParameters
 from lemonridge.iscsi.mapped import class_of, reply_of, request_of
-from lemonridge.iscsi.pdu import FINAL, NONE, Op, Pdu, PduError, unpack_lun
+from lemonridge.iscsi.pdu import FINAL, RESERVED_TAG, Op, Pdu, PduError, unpack_lun
 from lemonridge.iscsi.task import Task
 from lemonridge.iscsi.task_order import TaskOrder
-from lemonridge.iscsi.transfer import Ask, Inbound, Outbound, Part, TransferError
+from lemonridge.iscsi.transfer import DataInPdu, Inbound, Outbound, ReadyToTransfer, TransferError
 from lemonridge.net.sockets import peer_has_closed
 
 if TYPE_CHECKING:
@@ -44,7 +44,9 @@
         session, front, config = self._session, self._front, self._front.config
         agreed = session.agreed
         old = session.tasks.get(pdu.tag)
-        if pdu.tag == NONE or (old is not None and (old.status is None or session.agreed.recovery)):
+        if pdu.tag == RESERVED_TAG or (
+            old is not None and (old.status is None or session.agreed.recovery_level)
+        ):
             raise PduError(PduError.FIELD, "a task tag that is in use", pdu)
         reads, writes = bool(pdu.flags & 0x40), bool(pdu.flags & 0x20)
         lun, length = unpack_lun(pdu.lun), pdu.words[0]
@@ -70,15 +72,15 @@
                 task.inbound = Inbound(0, b"", agreed, False, 0)
             self.respond(task, reply)
             return
-        task.held = length
+        task.buffered_bytes = length
         front.buffered += length
         if writes:
             task.inbound = Inbound(length, pdu.data, agreed, more, self._transfers)
-            task.moved_s = front.loop.time()
+            task.last_data_s = front.loop.time()
         order = self._orders.setdefault(command.lun, TaskOrder())
         order.add(task, pdu.flags & ATTRIBUTE, command.cdb)
-        task.runner = asyncio.create_task(self._life(task))
-        task.runner.add_done_callback(lambda _: self._leave(task, order))
+        task.execution = asyncio.create_task(self._life(task))
+        task.execution.add_done_callback(lambda _: self._leave(task, order))
 
     def _leave(self, task: Task, order: TaskOrder) -> None:
         """A command has ended: those that waited for it alone go on."""
@@ -116,8 +118,8 @@
             if not await self._wait_for_turn(task, deadline_us):
                 self.respond(task, scsi.Reply(scsi.Status.BUSY))
                 return
-            if command.cdb[0] in WITH_DATA:
-                self.respond(task, front.device.finish(self._session.nexus, command))
+            if command.cdb[0] in LOCAL_DATA_OUT_COMMANDS:
+                self.respond(task, front.device.execute_with_data(self._session.nexus, command))
             elif lun.mapped and front.mapped is not None:
                 self.respond(
                     task, await front.mapped.serve(command, lun, deadline_us, partial(self._abandoned, task))
@@ -139,7 +141,7 @@
     def _abandoned(self, task: Task) -> bool:
         """Whether its initiator has ended the connection; at level 2 the command may go on on another."""
         connection = task.connection
-        if connection is None or self._session.agreed.recovery >= 2:
+        if connection is None or self._session.agreed.recovery_level >= 2:
             return False
         return peer_has_closed(connection.writer.transport)
 
@@ -147,25 +149,25 @@
 
     async def _gather(self, task: Task, inbound: Inbound, deadline_us: int) -> bool:
         """Ask for a write's data, burst by burst; False if they do not come in time."""
-        loop, recovers = self._front.loop, self._session.agreed.recovery > 0
+        loop, recovers = self._front.loop, self._session.agreed.recovery_level > 0
         end = self._front.clock.loop_time(deadline_us)
-        while not inbound.done:
-            self.ask(task, inbound.asks())
-            task.news.clear()
-            stall = task.moved_s + STALL_S if recovers and inbound.waits else end
+        while not inbound.complete:
+            self.ask(task, inbound.next_r2ts())
+            task.progress.clear()
+            stall = task.last_data_s + STALL_S if recovers and inbound.awaits_data else end
             try:
                 async with asyncio.timeout_at(min(end, stall)):
-                    await task.news.wait()
+                    await task.progress.wait()
             except TimeoutError:
                 if loop.time() >= end:
                     return False
-                task.moved_s = loop.time()
-                self.ask(task, inbound.stalled())
+                task.last_data_s = loop.time()
+                self.ask(task, inbound.recovery_r2ts_after_stall())
         return True
 
-    def ask(self, task: Task, asks: list[Ask]) -> None:
+    def ask(self, task: Task, asks: list[ReadyToTransfer]) -> None:
         for one in asks:
-            self._transfers = max(self._transfers, one.tag)
+            self._transfers = max(self._transfers, one.transfer_tag)
             if task.connection is not None:
                 self._front.counters["r2ts"] += 1
                 task.connection.send(
@@ -173,7 +175,7 @@
                         Op.R2T,
                         lun=task.pdu.lun,
                         tag=task.tag,
-                        words=[one.tag, 0, 0, 0, one.r2t_sn, one.offset, one.length],
+                        words=[one.transfer_tag, 0, 0, 0, one.r2t_sn, one.offset, one.length],
                     )
                 )
 
@@ -184,25 +186,25 @@
         if not task.inbound.length:
             return
         try:
-            task.inbound.take(pdu.words[0], pdu.words[4], pdu.words[5], pdu.data, bool(pdu.flags & FINAL))
+            task.inbound.receive(pdu.words[0], pdu.words[4], pdu.words[5], pdu.data, bool(pdu.flags & FINAL))
         except TransferError as error:
-            if self._session.agreed.recovery and pdu.words[0] != NONE:
+            if self._session.agreed.recovery_level and pdu.words[0] != RESERVED_TAG:
                 self._front.counters["data.ignored"] += 1  # of a burst that was asked for anew
                 return
             raise PduError(PduError.PROTOCOL, str(error), pdu) from None
-        task.moved_s = self._front.loop.time()
-        if pdu.flags & FINAL and self._session.agreed.recovery:
-            self._recover(task, task.inbound.again())
-        task.news.set()
+        task.last_data_s = self._front.loop.time()
+        if pdu.flags & FINAL and self._session.agreed.recovery_level:
+            self._recover(task, task.inbound.recovery_r2ts())
+        task.progress.set()
 
     def stalled(self, tag: int) -> None:
         """Data of a command were discarded: what is missing is asked for again."""
         task = self._session.tasks.get(tag)
         if task is not None and task.inbound is not None and task.inbound.length:
-            self._recover(task, task.inbound.stalled())
+            self._recover(task, task.inbound.recovery_r2ts_after_stall())
 
-    def _recover(self, task: Task, asks: list[Ask]) -> None:
-        self._front.counters["r2ts.recovery"] += len(asks)
+    def _recover(self, task: Task, asks: list[ReadyToTransfer]) -> None:
+        self._front.counters["r2ts.recovery_level"] += len(asks)
         self.ask(task, asks)
 
     # Its data and status out
@@ -227,7 +229,7 @@
         assert reply is not None
         outbound = task.outbound
         if outbound is not None:
-            for part in outbound.parts():
+            for part in outbound.data_in_pdus():
                 if part.data_sn >= first:
                     self._data_in(connection, task, outbound, part)
         length, moved = task.command.length, len(outbound.data) if outbound is not None else 0
@@ -236,7 +238,7 @@
             residual = length - moved or min(0, reply.residual)
         flags = FINAL | (0x02 if residual > 0 else 0x04 if residual < 0 else 0)
         sense = len(reply.sense).to_bytes(2, "big") + reply.sense if reply.sense else b""
-        count = outbound.count if outbound is not None else 0
+        count = outbound.pdu_count if outbound is not None else 0
         task.status = Pdu(
             Op.SCSI_RESPONSE,
             flags,
@@ -246,10 +248,10 @@
             words=[0, 0, 0, 0, count, 0, abs(residual)],
         )
         connection.send(task.status, status=True)
-        if not self._session.agreed.recovery:
+        if not self._session.agreed.recovery_level:
             self._session.forget(task)
 
-    def _data_in(self, connection: Connection, task: Task, outbound: Outbound, part: Part) -> None:
+    def _data_in(self, connection: Connection, task: Task, outbound: Outbound, part: DataInPdu) -> None:
         data = outbound.data[part.offset : part.offset + part.length]
         connection.send(
             Pdu(
@@ -258,7 +260,7 @@
                 lun=task.pdu.lun,
                 tag=task.tag,
                 data=data,
-                words=[NONE, 0, 0, 0, part.data_sn, part.offset, 0],
+                words=[RESERVED_TAG, 0, 0, 0, part.data_sn, part.offset, 0],
             )
         )
 
@@ -272,10 +274,10 @@
         """What the initiator missed is sent again (7.3, 11.16); what is not kept gets a Reject."""
         kind, first, run = pdu.flags & 0x0F, pdu.words[5], pdu.words[6]
         self._front.counters["snacks"] += 1
-        if not self._session.agreed.recovery:
+        if not self._session.agreed.recovery_level:
             raise PduError(PduError.PROTOCOL, "a SNACK at recovery level 0", pdu)
         if kind == STATUS_SNACK:
-            statuses = connection.statuses.again(first, run)
+            statuses = connection.statuses.find_retained(first, run)
             if statuses is not None:
                 for _, status in statuses:
                     connection.again(status)
@@ -289,16 +291,16 @@
                 task.outbound = Outbound(
                     task.outbound.data, connection.agreed.send_segment, self._session.agreed.max_burst
                 )
-            if task.outbound is not None and (parts := task.outbound.again(first, run)) is not None:
+            if task.outbound is not None and (parts := task.outbound.find_for_snack(first, run)) is not None:
                 for part in parts:
                     self._data_in(connection, task, task.outbound, part)
                 return
             if task.inbound is not None and kind == DATA_SNACK:  # R2Ts were missed
-                self._recover(task, task.inbound.stalled())
+                self._recover(task, task.inbound.recovery_r2ts_after_stall())
                 return
         connection.reject(pdu, PduError.SNACK)
 
-    def resize(self, connection: Connection, segment: int) -> Agreed:
+    def resize(self, connection: Connection, segment: int) -> NegotiatedParameters:
         """The initiator takes another length of data segments from now on."""
         return replace(connection.agreed, send_segment=segment)
 
@@ -306,7 +308,7 @@
         """TASK REASSIGN (7.4, 11.5): a command whose connection was lost goes on on this one. It was not run
         again: its life went on, and its end was kept.
         """
-        if self._session.agreed.recovery < 2:
+        if self._session.agreed.recovery_level < 2:
             return 4
         task = self._session.tasks.get(pdu.words[0])
         if task is None:
@@ -329,7 +331,7 @@
         if kept:
             first = 0
             if task.outbound is not None:
-                if connection.agreed.send_segment == task.outbound.segment:
+                if connection.agreed.send_segment == task.outbound.max_segment:
                     first = expected
                 else:
                     task.outbound = Outbound(
@@ -337,4 +339,4 @@
                     )
             self._send(task, first)
         elif task.inbound is not None:
-            self._recover(task, task.inbound.stalled())
+            self._recover(task, task.inbound.recovery_r2ts_after_stall())
--- a/lemonridge/iscsi/scsi.py
+++ b/lemonridge/iscsi/scsi.py
@@ -23,7 +23,7 @@
 # TEST UNIT READY, REQUEST SENSE, READ (6), INQUIRY, MODE SENSE (6), READ CAPACITY (10), READ (10),
 # MODE SENSE (10), READ (16), SERVICE ACTION IN, VERIFY (10, 16)
 VERIFIES = frozenset((0x2F, 0x8F))  # may bring data to compare with, and change none
-UNMAPPED_ONLY = frozenset((0x2F, 0x8F, 0x41, 0x93, 0x42, 0x89))  # not for LUNs in extents
+UNSUPPORTED_ON_MAPPED_LUNS = frozenset((0x2F, 0x8F, 0x41, 0x93, 0x42, 0x89))  # not for LUNs in extents
 
 
 @dataclass(slots=True)
@@ -48,46 +48,46 @@
     residual: int = 0
 
 
-def check(key: int, code: int, qualifier: int = 0) -> Reply:
+def check_condition(key: int, code: int, qualifier: int = 0) -> Reply:
     """CHECK CONDITION with fixed-format sense."""
     sense = struct.pack(">BBBIB4xBB4x", 0x70, 0, key, 0, 10, code, qualifier)
     return Reply(Status.CHECK_CONDITION, sense=sense)
 
 
 def no_such_lun() -> Reply:
-    return check(0x05, 0x25)
+    return check_condition(0x05, 0x25)
 
 
 def invalid_opcode() -> Reply:
-    return check(0x05, 0x20)
+    return check_condition(0x05, 0x20)
 
 
 def invalid_field() -> Reply:
-    return check(0x05, 0x24)
+    return check_condition(0x05, 0x24)
 
 
 def data_incomplete() -> Reply:
     """Its data did not come in time: ABORTED COMMAND, it never ran."""
-    return check(0x0B, 0x4B)
+    return check_condition(0x0B, 0x4B)
 
 
 def unreachable() -> Reply:
     """The request failed, and nothing is promised of its effect: HARDWARE ERROR, LOGICAL UNIT
     COMMUNICATION FAILURE. Not ABORTED COMMAND, on which initiators repeat a write by themselves.
     """
-    return check(0x04, 0x08)
+    return check_condition(0x04, 0x08)
 
 
-def report_luns(luns: list[bytes]) -> bytes:
+def report_luns_data(luns: list[bytes]) -> bytes:
     return struct.pack(">I4x", 8 * len(luns)) + b"".join(luns)
 
 
-def absent_inquiry() -> bytes:
+def absent_lun_inquiry_data() -> bytes:
     """INQUIRY data of a LUN that is not there."""
     return struct.pack(">BBBBB31x", 0x7F, 0, 5, 2, 31)
 
 
-def block(cdb: bytes) -> int:
+def first_block(cdb: bytes) -> int:
     """The first block that a command names, or 0."""
     if cdb[0] in (0x08, 0x0A):
         return int.from_bytes(cdb[1:4], "big") & 0x1FFFFF
@@ -98,22 +98,29 @@
     return 0
 
 
-BLOCKS = {0x08: 6, 0x0A: 6, 0x28: 10, 0x2A: 10, 0x88: 16, 0x8A: 16}  # READ and WRITE, by the CDB's length
+READ_WRITE_CDB_BYTES = {
+    0x08: 6,
+    0x0A: 6,
+    0x28: 10,
+    0x2A: 10,
+    0x88: 16,
+    0x8A: 16,
+}  # READ and WRITE, by the CDB's length
 SYNCHRONIZE = frozenset((0x35, 0x91))
-CAPACITY_10, SERVICE_IN, CAPACITY_16 = 0x25, 0x9E, 0x10
+READ_CAPACITY_10, SERVICE_ACTION_IN, READ_CAPACITY_16 = 0x25, 0x9E, 0x10
 
 
-def span(cdb: bytes) -> tuple[int, int]:
+def block_range(cdb: bytes) -> tuple[int, int]:
     """First block and number of blocks of a READ or WRITE (SBC-3, sections 5.8 to 5.12 and 5.32 to 5.36)."""
-    size = BLOCKS[cdb[0]]
+    size = READ_WRITE_CDB_BYTES[cdb[0]]
     if size == 6:
-        return block(cdb), cdb[4] or 256
-    return block(cdb), int.from_bytes(cdb[7:9] if size == 10 else cdb[10:14], "big")
+        return first_block(cdb), cdb[4] or 256
+    return first_block(cdb), int.from_bytes(cdb[7:9] if size == 10 else cdb[10:14], "big")
 
 
-def rebase(cdb: bytes, first: int, blocks: int) -> bytes:
+def with_block_range(cdb: bytes, first: int, blocks: int) -> bytes:
     """The same READ or WRITE of a part of its blocks."""
-    size = BLOCKS[cdb[0]]
+    size = READ_WRITE_CDB_BYTES[cdb[0]]
     if size == 6:
         made = bytes([cdb[0]]) + first.to_bytes(3, "big") + bytes([blocks & 0xFF, cdb[5]])
     elif size == 10:
@@ -124,11 +131,11 @@
 
 
 def out_of_range() -> Reply:
-    return check(0x05, 0x21)
+    return check_condition(0x05, 0x21)
 
 
-def capacity(cdb: bytes, blocks: int, block_bytes: int) -> bytes:
+def read_capacity_data(cdb: bytes, blocks: int, block_bytes: int) -> bytes:
     """READ CAPACITY data (10) or (16): the last block and the block's length."""
-    if cdb[0] == CAPACITY_10:
+    if cdb[0] == READ_CAPACITY_10:
         return struct.pack(">II", min(blocks - 1, 0xFFFFFFFF), block_bytes)
     return struct.pack(">QI20x", blocks - 1, block_bytes)[: int.from_bytes(cdb[10:14], "big")]
--- a/lemonridge/iscsi/session.py
+++ b/lemonridge/iscsi/session.py
@@ -10,10 +10,10 @@
 
 from lemonridge.iscsi.connection import Connection
 from lemonridge.iscsi.device import Nexus
-from lemonridge.iscsi.keys import NegotiationError, Responder, parse
+from lemonridge.iscsi.keys import NegotiationError, Responder, parse_text
 from lemonridge.iscsi.login import TargetLogin
-from lemonridge.iscsi.numbers import CommandWindow, Place, later
-from lemonridge.iscsi.pdu import CONTINUE, FINAL, NONE, Op, Pdu, PduError, pack_text, unpack_lun
+from lemonridge.iscsi.numbers import ArrivalResult, CommandWindow, serial_distance
+from lemonridge.iscsi.pdu import CONTINUE, FINAL, RESERVED_TAG, Op, Pdu, PduError, pack_text, unpack_lun
 from lemonridge.iscsi.runner import Runner
 from lemonridge.iscsi.task import Task
 
@@ -37,7 +37,7 @@
     def __init__(self, front: IscsiFront, login: TargetLogin, expected: int) -> None:
         self.front, self.loop = front, front.loop
         self.initiator, self.target, self.isid = login.initiator, login.target, login.isid
-        self.tsih, self.discovery, self.agreed = login.tsih, login.discovery, login.agreed
+        self.tsih, self.discovery, self.agreed = login.tsih, login.discovery, login.parameters
         self.window: CommandWindow[Item] = CommandWindow(expected, front.config.queue_depth)
         self.connections: dict[int, Connection] = {}
         self.tasks: dict[int, Task] = {}
@@ -73,11 +73,11 @@
         del self.connections[connection.cid]
         if self.over:
             return
-        if self.discovery or (self.agreed.recovery < 2 and not connection.over):
+        if self.discovery or (self.agreed.recovery_level < 2 and not connection.over):
             self.end()
             return
         orphans = [task for task in self.tasks.values() if task.connection is connection]
-        if self.agreed.recovery < 2:  # it logged out: what it had is over
+        if self.agreed.recovery_level < 2:  # it logged out: what it had is over
             for task in orphans:
                 self.abort(task)
         else:
@@ -87,7 +87,7 @@
             wait = self.agreed.time2wait + self.agreed.time2retain
             self.loop.call_later(wait, self._expire, orphans)
         if not self.connections:
-            if self.agreed.recovery < 2 or not self.agreed.time2retain:
+            if self.agreed.recovery_level < 2 or not self.agreed.time2retain:
                 self.end()
             else:
                 wait = self.agreed.time2wait + self.agreed.time2retain
@@ -135,16 +135,20 @@
         kept for the initiator beyond half of the room for such.
         """
         busy = sum(task.status is None for task in self.tasks.values())
-        kept = sum(one.statuses.unacknowledged for one in self.connections.values())
-        spare = max(0, self.front.config.statuses - kept)
-        busy = max(busy, self.window.size - spare) if kept * 2 > self.front.config.statuses else busy
-        return self.window.expected, self.window.told(busy)
+        kept = sum(one.statuses.unacknowledged_count for one in self.connections.values())
+        spare = max(0, self.front.config.max_unacknowledged_statuses - kept)
+        busy = (
+            max(busy, self.window.size - spare)
+            if kept * 2 > self.front.config.max_unacknowledged_statuses
+            else busy
+        )
+        return self.window.exp_cmd_sn, self.window.advertise_max_cmd_sn(busy)
 
     # What comes in
 
     def take(self, connection: Connection, pdu: Pdu) -> bool:
         """Take one PDU; False ends the connection."""
-        if pdu.opcode != Op.DATA_OUT or connection.agreed.recovery:
+        if pdu.opcode != Op.DATA_OUT or connection.agreed.recovery_level:
             self._acknowledge(connection, pdu)
         if pdu.opcode == Op.DATA_OUT:
             self.runner.data_out(connection, pdu)
@@ -161,10 +165,15 @@
                 return True
             return self._one(connection, pdu)
         self.numbers()
-        place, ready = self.window.arrive(pdu.words[1], (connection, pdu))
-        if place is Place.REPEATED and connection.agreed.recovery:
+        place, ready = self.window.receive(pdu.words[1], (connection, pdu))
+        if place is ArrivalResult.REPEATED and connection.agreed.recovery_level:
             self._again(connection, pdu)
-        if place is Place.NEXT and not ready and len(self.connections) == 1 and not self.agreed.recovery:
+        if (
+            place is ArrivalResult.NEXT
+            and not ready
+            and len(self.connections) == 1
+            and not self.agreed.recovery_level
+        ):
             # One connection at level 0 delivers in order: what is missing will never come.
             raise PduError(PduError.PROTOCOL, "a command number was left out", pdu)
         goes_on = True
@@ -207,10 +216,10 @@
         return True
 
     def _ping(self, connection: Connection, pdu: Pdu) -> None:
-        if pdu.words[0] != NONE:  # the answer to a ping of this side's
+        if pdu.words[0] != RESERVED_TAG:  # the answer to a ping of this side's
             connection.unseen.discard(pdu.words[0])
-        if pdu.tag != NONE:
-            words = [NONE, 0, 0, 0, 0, 0, 0]
+        if pdu.tag != RESERVED_TAG:
+            words = [RESERVED_TAG, 0, 0, 0, 0, 0, 0]
             data = pdu.data[: connection.agreed.send_segment]
             connection.send(Pdu(Op.NOP_IN, lun=pdu.lun, tag=pdu.tag, words=words, data=data), status=True)
 
@@ -218,7 +227,7 @@
 
     def _text_request(self, connection: Connection, pdu: Pdu) -> None:
         """Text in the full feature phase, in as many PDUs as it takes either way (11.10, 11.11)."""
-        if pdu.words[0] != NONE:  # the initiator wants the rest of a long answer
+        if pdu.words[0] != RESERVED_TAG:  # the initiator wants the rest of a long answer
             rest = self._text.pop(pdu.words[0], None)
             if rest is None or pdu.data:
                 raise PduError(PduError.PROTOCOL, "no such text exchange", pdu)
@@ -235,7 +244,7 @@
             )
             return
         try:
-            pairs = parse(text)
+            pairs = parse_text(text)
         except NegotiationError as error:
             raise PduError(PduError.PROTOCOL, str(error), pdu) from None
         told: list[tuple[str, str]] = []
@@ -243,23 +252,23 @@
         for key, value in pairs:
             if key == "SendTargets":
                 told += self._targets(connection, value)
-        responder = Responder(self.front.config.wishes, leading=False)
+        responder = Responder(self.front.config.target_preferences, leading=False)
         told += [
             (key, value)
             for key, value in responder.answer(rest_of)
             if key != "MaxRecvDataSegmentLength" or value == "Reject"
         ]
         if "MaxRecvDataSegmentLength" in dict(rest_of) and ("MaxRecvDataSegmentLength", "Reject") not in told:
-            connection.agreed = self.runner.resize(connection, responder.agreed.send_segment)
+            connection.agreed = self.runner.resize(connection, responder.parameters.send_segment)
         self._tell(connection, pdu, pack_text(told))
 
     def _tag(self) -> int:
-        self._tags = (self._tags + 1) % NONE
+        self._tags = (self._tags + 1) % RESERVED_TAG
         return self._tags
 
     def _tell(self, connection: Connection, pdu: Pdu, text: bytes) -> None:
         part, rest = text[: connection.agreed.send_segment], text[connection.agreed.send_segment :]
-        tag = NONE
+        tag = RESERVED_TAG
         if rest:
             tag = self._tag()
             self._text = {tag: rest}  # one exchange at a time (11.10.2)
@@ -293,7 +302,7 @@
         if reason > 2:
             connection.reject(pdu, PduError.FIELD)
             return True
-        if reason == 2 and self.agreed.recovery < 2:
+        if reason == 2 and self.agreed.recovery_level < 2:
             response = 2
         elif victim is None and not (reason == 2 and any(t.connection is None for t in self.tasks.values())):
             response = 1
@@ -340,7 +349,7 @@
             self.front.abort(task)
         if response == COMPLETE and function in (CLEAR_SET, LUN_RESET, WARM_RESET, COLD_RESET):
             luns = list(self.front.config.luns) if function in (WARM_RESET, COLD_RESET) else [lun or 0]
-            self.front.device.reset(self.nexus, luns, cleared=function == CLEAR_SET)
+            self.front.device.report_reset(self.nexus, luns, cleared=function == CLEAR_SET)
         connection.send(Pdu(Op.TASK_MANAGEMENT_RESPONSE, byte2=response, tag=pdu.tag), status=True)
         if function == COLD_RESET:
             for session in list(self.front.sessions.values()):
@@ -354,13 +363,13 @@
         if task is not None and task.status is None:
             return COMPLETE, [task]
         number = pdu.words[3]
-        ahead = later(number, self.window.expected)
-        if task is None and 0 <= ahead < self.window.size and number not in self.window.held:
-            nothing = Pdu(Op.NOP_OUT, tag=NONE, words=[NONE, number, 0, 0, 0, 0, 0])
+        ahead = serial_distance(number, self.window.exp_cmd_sn)
+        if task is None and 0 <= ahead < self.window.size and number not in self.window.pending:
+            nothing = Pdu(Op.NOP_OUT, tag=RESERVED_TAG, words=[RESERVED_TAG, number, 0, 0, 0, 0, 0])
             if not self.connections:
                 return NO_TASK, []
             origin = next(iter(self.connections.values()))
-            for connection, one in self.window.arrive(number, (origin, nothing))[1]:
+            for connection, one in self.window.receive(number, (origin, nothing))[1]:
                 self._one(connection, one)
             return COMPLETE, []
         return NO_TASK, []
@@ -368,14 +377,14 @@
     def abort(self, task: Task) -> None:
         """End a command without a response."""
         task.aborted = True
-        if task.runner is not None:
-            task.runner.cancel()
+        if task.execution is not None:
+            task.execution.cancel()
         self.forget(task)
 
     def forget(self, task: Task) -> None:
         """A command is over; its tag and its bytes are free again."""
         if self.tasks.get(task.tag) is task:
             del self.tasks[task.tag]
-        self.front.buffered -= task.held
-        task.held = 0
+        self.front.buffered -= task.buffered_bytes
+        task.buffered_bytes = 0
         self._look()
--- a/lemonridge/iscsi/task.py
+++ b/lemonridge/iscsi/task.py
@@ -28,12 +28,12 @@
     outbound: Outbound | None = None
     reply: scsi.Reply | None = None  # its end, once it is known
     status: Pdu | None = None  # as it was sent
-    runner: asyncio.Task[None] | None = None
-    news: asyncio.Event = field(default_factory=asyncio.Event)  # data came, or a stall was noticed
+    execution: asyncio.Task[None] | None = None
+    progress: asyncio.Event = field(default_factory=asyncio.Event)  # data came, or a stall was noticed
     aborted: bool = False
-    held: int = 0  # bytes that it holds of the front's bound
-    told: int = 0  # R2Ts that are unanswered
-    moved_s: float = 0.0  # when its data last came
+    buffered_bytes: int = 0  # bytes that it holds of the front's bound
+    outstanding_r2ts: int = 0  # R2Ts that are unanswered
+    last_data_s: float = 0.0  # when its data last came
 
     @property
     def tag(self) -> int:
--- a/lemonridge/iscsi/task_order.py
+++ b/lemonridge/iscsi/task_order.py
@@ -48,8 +48,8 @@
 def blocks_of(cdb: bytes) -> BlockRange:
     """The blocks that a command reads or writes; of UNMAP, whose data name them, all."""
     code = cdb[0]
-    if code in scsi.BLOCKS:
-        first, count = scsi.span(cdb)
+    if code in scsi.READ_WRITE_CDB_BYTES:
+        first, count = scsi.block_range(cdb)
     elif code in VERIFY_AND_WRITE_SAME:
         is_short = VERIFY_AND_WRITE_SAME[code] == 10
         first = int.from_bytes(cdb[2:6] if is_short else cdb[2:10], "big")
--- a/lemonridge/iscsi/transfer.py
+++ b/lemonridge/iscsi/transfer.py
@@ -11,7 +11,7 @@
 from collections.abc import Iterator
 from dataclasses import dataclass, field
 
-from lemonridge.iscsi.keys import Agreed
+from lemonridge.iscsi.keys import NegotiatedParameters
 
 NO_TAG = 0xFFFFFFFF
 
@@ -21,10 +21,10 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Ask:
+class ReadyToTransfer:
     """An R2T to send."""
 
-    tag: int
+    transfer_tag: int
     r2t_sn: int
     offset: int
     length: int
@@ -45,7 +45,7 @@
     """A write's data on their way in."""
 
     def __init__(
-        self, length: int, immediate: bytes, agreed: Agreed, unsolicited: bool, first_tag: int
+        self, length: int, immediate: bytes, agreed: NegotiatedParameters, unsolicited: bool, first_tag: int
     ) -> None:
         """`length` bytes are expected; `unsolicited` says that more follow the command unasked."""
         self.length, self.data, self._agreed = length, bytearray(length), agreed
@@ -60,17 +60,17 @@
             self._asked = end
 
     @property
-    def done(self) -> bool:
+    def complete(self) -> bool:
         return not self.length or self._have == [(0, self.length)]
 
     @property
-    def waits(self) -> bool:
+    def awaits_data(self) -> bool:
         """Whether the initiator owes data that were asked for, or that it announced."""
         return any(not burst.over for burst in self._bursts.values())
 
-    def asks(self) -> list[Ask]:
+    def next_r2ts(self) -> list[ReadyToTransfer]:
         """The R2Ts that may be sent now: none before the unsolicited data are over (11.8)."""
-        made: list[Ask] = []
+        made: list[ReadyToTransfer] = []
         if NO_TAG in self._bursts:
             return made
         while self._asked < self.length and len(self._bursts) < self._agreed.max_r2t:
@@ -79,23 +79,23 @@
             self._asked = end
         return made
 
-    def _ask(self, start: int, end: int) -> Ask:
+    def _ask(self, start: int, end: int) -> ReadyToTransfer:
         self._tag = (self._tag + 1) % NO_TAG
         self._bursts[self._tag] = _Burst(start, end, at=start)
         self._r2t_sn += 1
-        return Ask(self._tag, self._r2t_sn - 1, start, end - start)
+        return ReadyToTransfer(self._tag, self._r2t_sn - 1, start, end - start)
 
-    def take(self, tag: int, data_sn: int, offset: int, data: bytes, final: bool) -> None:
+    def receive(self, tag: int, data_sn: int, offset: int, data: bytes, final: bool) -> None:
         """One Data-Out PDU. TransferError where it breaks what was agreed."""
         burst = self._bursts.get(tag)
         if burst is None:
             raise TransferError("data that were not asked for")
-        recovery = self._agreed.recovery > 0
+        recovery = self._agreed.recovery_level > 0
         if offset < burst.start or offset + len(data) > burst.end:
             raise TransferError("data outside their burst")
         if data_sn != burst.data_sn and not (recovery and data_sn > burst.data_sn):
             raise TransferError(f"DataSN {data_sn} after {burst.data_sn}")
-        if self._agreed.pdu_in_order and offset != burst.at and not (recovery and offset > burst.at):
+        if self._agreed.data_pdu_in_order and offset != burst.at and not (recovery and offset > burst.at):
             raise TransferError("data out of order")
         burst.data_sn, burst.at = data_sn + 1, offset + len(data)
         self._take(offset, data)
@@ -112,20 +112,20 @@
             if not missing:
                 del self._bursts[tag]
 
-    def again(self) -> list[Ask]:
+    def recovery_r2ts(self) -> list[ReadyToTransfer]:
         """Recovery R2Ts for what is missing of bursts that are over (7.2)."""
-        made: list[Ask] = []
+        made: list[ReadyToTransfer] = []
         for tag, burst in list(self._bursts.items()):
             if burst.over:
                 del self._bursts[tag]
                 made += [self._ask(*part) for part in self._missing(burst.start, burst.end)]
         return made
 
-    def stalled(self) -> list[Ask]:
+    def recovery_r2ts_after_stall(self) -> list[ReadyToTransfer]:
         """The same for bursts whose last PDU does not come: it may have been lost."""
         for burst in self._bursts.values():
             burst.over = True
-        return self.again()
+        return self.recovery_r2ts()
 
     def _missing(self, start: int, end: int) -> list[tuple[int, int]]:
         parts, at = list[tuple[int, int]](), start
@@ -154,7 +154,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Part:
+class DataInPdu:
     """One Data-In PDU."""
 
     data_sn: int
@@ -168,29 +168,29 @@
     """A read's data on their way out; they are kept until the command's status is acknowledged."""
 
     data: bytes
-    segment: int
-    burst: int
+    max_segment: int
+    max_burst: int
     acknowledged: int = 0  # DataSN before which all is known (DataACK)
     _count: int = field(default=-1)
 
     @property
-    def count(self) -> int:
+    def pdu_count(self) -> int:
         """How many Data-In PDUs there are, which is the command's ExpDataSN."""
         if self._count < 0:
-            self._count = sum(1 for _ in self.parts())
+            self._count = sum(1 for _ in self.data_in_pdus())
         return self._count
 
-    def parts(self) -> Iterator[Part]:
+    def data_in_pdus(self) -> Iterator[DataInPdu]:
         """Every PDU in order; none goes past the end of its burst."""
         offset, number, end = 0, 0, len(self.data)
         while offset < end:
-            until = min(offset + self.segment, (offset // self.burst + 1) * self.burst, end)
-            yield Part(number, offset, until - offset, until == end or until % self.burst == 0)
+            until = min(offset + self.max_segment, (offset // self.max_burst + 1) * self.max_burst, end)
+            yield DataInPdu(number, offset, until - offset, until == end or until % self.max_burst == 0)
             offset, number = until, number + 1
 
-    def again(self, first: int, run: int) -> list[Part] | None:
+    def find_for_snack(self, first: int, run: int) -> list[DataInPdu] | None:
         """What a Data SNACK asks for; None if it asks for what was acknowledged, or never sent (11.16)."""
-        last = first + run if run else self.count
-        if first < self.acknowledged or last > self.count or first >= last:
+        last = first + run if run else self.pdu_count
+        if first < self.acknowledged or last > self.pdu_count or first >= last:
             return None
-        return [part for part in self.parts() if first <= part.data_sn < last]
+        return [part for part in self.data_in_pdus() if first <= part.data_sn < last]
--- a/lemonridge/iscsi/versions.py
+++ b/lemonridge/iscsi/versions.py
@@ -15,7 +15,7 @@
 
 from lemonridge.extents.routing import Redirect
 
-KEY, AGREED = "X-org.lemonridge.ExtentVersion", "1"
+EXTENT_VERSION_KEY, EXTENT_VERSION_VALUE = "X-org.lemonridge.ExtentVersion", "1"
 _AHS = struct.Struct(">HBBQQ")
 _TYPE = 60
 _SENSE = struct.Struct(">BBBBxxxB")
@@ -46,14 +46,14 @@
     return None
 
 
-def pack_moved(told: Redirect) -> bytes:
+def pack_redirect_sense(told: Redirect) -> bytes:
     """The sense of a refusal."""
     shard = told.shard if told.shard >= 0 else _NO_SHARD
     version = told.version if told.version >= 0 else _NO_VERSION
     return _SENSE.pack(*_HEAD, _WORD.size) + _WORD.pack(0x80, _WORD.size - 2, shard, version)
 
 
-def unpack_moved(sense: bytes) -> Redirect | None:
+def unpack_redirect_sense(sense: bytes) -> Redirect | None:
     """What a refusal says; None for any other sense."""
     if len(sense) < _SENSE.size or _SENSE.unpack_from(sense)[:4] != _HEAD:
         return None
--- a/lemonridge/lab/conform/data.py
+++ b/lemonridge/lab/conform/data.py
@@ -7,7 +7,7 @@
 import asyncio
 import struct
 
-from lemonridge.iscsi.pdu import FINAL, NONE, Op, Pdu, pack_lun
+from lemonridge.iscsi.pdu import FINAL, RESERVED_TAG, Op, Pdu, pack_lun
 from lemonridge.lab.conform.cases import CaseContext, SkipError, case
 from lemonridge.lab.conform.peer import Peer, expect, same
 
@@ -30,7 +30,7 @@
 async def _ask(peer: Peer, tag: int) -> Pdu:
     pdu = await peer.get(Op.R2T)
     same(pdu.tag, tag, "task tag")
-    expect(pdu.words[0] != NONE, "an R2T without a transfer tag")
+    expect(pdu.words[0] != RESERVED_TAG, "an R2T without a transfer tag")
     return pdu
 
 
@@ -77,7 +77,9 @@
                     if more:
                         end = min(length, 16384)
                         for count, at in enumerate(range(along, end, 4096)):
-                            peer.out(tag, NONE, count, at, data[at : min(at + 4096, end)], at + 4096 >= end)
+                            peer.out(
+                                tag, RESERVED_TAG, count, at, data[at : min(at + 4096, end)], at + 4096 >= end
+                            )
                     first = min(length, 16384) if more else along
                     asked = await _serve(peer, tag, data)
                     expect(all(one <= 32768 for _, one in asked), "an R2T past MaxBurstLength")
@@ -189,7 +191,7 @@
         raise SkipError("the target wants R2Ts")
     data = _bytes(context, 4096)
     tag = peer.command(write10(0, 4096), data=data, along=0, final=False)
-    peer.out(tag, NONE, 0, 0, data[:1024])
+    peer.out(tag, RESERVED_TAG, 0, 0, data[:1024])
     same(await _serve(peer, tag, data), [(1024, 3072)])
 
 
@@ -291,13 +293,13 @@
 
 
 async def _snack(peer: Peer, kind: int, tag: int, first: int, run: int) -> None:
-    peer.put(Pdu(Op.SNACK, FINAL | kind, tag=tag, words=[NONE, 0, 0, 0, 0, first, run]), number=False)
+    peer.put(Pdu(Op.SNACK, FINAL | kind, tag=tag, words=[RESERVED_TAG, 0, 0, 0, 0, first, run]), number=False)
 
 
 @case("recover.level-0-knows-no-snack", "11.16")
 async def _level_0(context: CaseContext) -> None:
     peer = await context.session(ErrorRecoveryLevel="0")
-    await _snack(peer, 1, NONE, 1, 1)
+    await _snack(peer, 1, RESERVED_TAG, 1, 1)
     await peer.rejected(0x04)
     await peer.ended()
 
@@ -332,7 +334,7 @@
                 peer.exp_stat_sn = 0
                 await peer.get(Op.SCSI_RESPONSE)
                 peer.exp_stat_sn = first
-            await _snack(peer, 1, NONE, first, 2)
+            await _snack(peer, 1, RESERVED_TAG, first, 2)
             for number in (0, 1):
                 peer.exp_stat_sn = 0
                 pdu = await peer.get(Op.SCSI_RESPONSE)
@@ -344,7 +346,7 @@
             first = peer.exp_stat_sn
             for _ in range(3):
                 await peer.good(bytes(6))
-            await _snack(peer, 1, NONE, first, 1)
+            await _snack(peer, 1, RESERVED_TAG, first, 1)
             await peer.rejected(0x03)
 
         @case(f"recover.data-snack-of-nothing.level-{level}", "11.16")
--- a/lemonridge/lab/conform/login.py
+++ b/lemonridge/lab/conform/login.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from lemonridge.iscsi import chap, keys
-from lemonridge.iscsi.pdu import CONTINUE, FINAL, NONE, Op, Pdu, pack_text, unpack_text
+from lemonridge.iscsi.pdu import CONTINUE, FINAL, RESERVED_TAG, Op, Pdu, pack_text, unpack_text
 from lemonridge.lab.conform.cases import (
     ACCOUNT,
     GUARDED,
@@ -24,16 +24,16 @@
 def _legal(name: str, offer: str, answer: str) -> bool:
     """Whether an answer is one that the rule of the key allows, whatever the target's own wish."""
     key = keys.TABLE[name]
-    if key.kind is keys.Kind.LIST:
+    if key.kind is keys.NegotiationType.LIST:
         return answer in offer.split(",") or answer == keys.REJECT
-    if key.kind in (keys.Kind.LEAST, keys.Kind.MOST):
-        told, asked = keys.number(answer), keys.number(offer)
+    if key.kind in (keys.NegotiationType.LEAST, keys.NegotiationType.MOST):
+        told, asked = keys.parse_number(answer), keys.parse_number(offer)
         if told is None or asked is None or not key.low <= told <= key.high:
             return False
-        return told <= asked if key.kind is keys.Kind.LEAST else told >= asked
-    if key.kind is keys.Kind.AND and offer == "No":
+        return told <= asked if key.kind is keys.NegotiationType.LEAST else told >= asked
+    if key.kind is keys.NegotiationType.AND and offer == "No":
         return answer == "No"
-    if key.kind is keys.Kind.OR and offer == "Yes":
+    if key.kind is keys.NegotiationType.OR and offer == "Yes":
         return answer == "Yes"
     return answer in ("Yes", "No")
 
@@ -445,7 +445,7 @@
 
 
 async def _text(peer: Peer, pairs: dict[str, str], **changes: int) -> Pdu:
-    words = [NONE, 0, 0, 0, 0, 0, 0]
+    words = [RESERVED_TAG, 0, 0, 0, 0, 0, 0]
     peer.put(
         Pdu(
             Op.TEXT,
@@ -466,7 +466,7 @@
     names = [value for key, _, value in items if key == "TargetName"]
     expect(context.target in names and PRIVATE not in names, f"{names}")
     expect(b"TargetAddress=" in answer.data, "no address")
-    same((answer.tag, answer.words[0], answer.flags & FINAL), (40, NONE, FINAL))
+    same((answer.tag, answer.words[0], answer.flags & FINAL), (40, RESERVED_TAG, FINAL))
 
 
 @case("text.send-targets-one", "Appendix C")
@@ -516,11 +516,11 @@
 async def _split(context: CaseContext) -> None:
     peer = await _discovery(context)
     text = pack_text([("SendTargets", context.target)])
-    peer.put(Pdu(Op.TEXT, CONTINUE, tag=41, words=[NONE, 0, 0, 0, 0, 0, 0], data=text[:9]))
+    peer.put(Pdu(Op.TEXT, CONTINUE, tag=41, words=[RESERVED_TAG, 0, 0, 0, 0, 0, 0], data=text[:9]))
     first = await peer.get(Op.TEXT_RESPONSE)
     same((first.data, first.flags & FINAL, first.tag), (b"", 0, 41))
-    expect(first.words[0] != NONE, "no transfer tag for the rest")
-    peer.put(Pdu(Op.TEXT, FINAL, tag=41, words=[NONE, 0, 0, 0, 0, 0, 0], data=text[9:]))
+    expect(first.words[0] != RESERVED_TAG, "no transfer tag for the rest")
+    peer.put(Pdu(Op.TEXT, FINAL, tag=41, words=[RESERVED_TAG, 0, 0, 0, 0, 0, 0], data=text[9:]))
     same(unpack_text((await peer.get(Op.TEXT_RESPONSE)).data)["TargetName"], context.target)
 
 
@@ -534,7 +534,7 @@
 @case("text.malformed", "6.1")
 async def _malformed(context: CaseContext) -> None:
     peer = await context.session()
-    peer.put(Pdu(Op.TEXT, FINAL, tag=41, words=[NONE, 0, 0, 0, 0, 0, 0], data=b"no value\0"))
+    peer.put(Pdu(Op.TEXT, FINAL, tag=41, words=[RESERVED_TAG, 0, 0, 0, 0, 0, 0], data=b"no value\0"))
     await peer.rejected(0x04)
     await peer.ended()
 
--- a/lemonridge/lab/conform/peer.py
+++ b/lemonridge/lab/conform/peer.py
@@ -7,7 +7,7 @@
 import struct
 from typing import Any
 
-from lemonridge.iscsi.pdu import FINAL, NONE, Op, Pdu, pack_lun, pack_text, read_pdu, unpack_text
+from lemonridge.iscsi.pdu import FINAL, RESERVED_TAG, Op, Pdu, pack_lun, pack_text, read_pdu, unpack_text
 
 PATIENCE_S = 4.0  # for a PDU that must come
 QUIET_S = 0.15  # for one that must not
@@ -73,7 +73,9 @@
             raise CaseError("nothing came") from None
         except (asyncio.IncompleteReadError, ConnectionError):
             raise CaseError("the connection ended") from None
-        takes = pdu.opcode not in (Op.R2T, Op.DATA_IN) and not (pdu.opcode == Op.NOP_IN and pdu.tag == NONE)
+        takes = pdu.opcode not in (Op.R2T, Op.DATA_IN) and not (
+            pdu.opcode == Op.NOP_IN and pdu.tag == RESERVED_TAG
+        )
         if takes:
             same(pdu.words[1], self.exp_stat_sn, "StatSN") if self.exp_stat_sn else None
             self.exp_stat_sn = (pdu.words[1] + 1) % (1 << 32)
--- a/lemonridge/lab/conform/session.py
+++ b/lemonridge/lab/conform/session.py
@@ -7,7 +7,7 @@
 import asyncio
 import struct
 
-from lemonridge.iscsi.pdu import FINAL, NONE, Op, Pdu
+from lemonridge.iscsi.pdu import FINAL, RESERVED_TAG, Op, Pdu
 from lemonridge.lab.conform.cases import GUARDED, CaseContext, SkipError, case
 from lemonridge.lab.conform.peer import Peer, expect, same
 
@@ -118,7 +118,7 @@
 @case("numbers.no-tag", "11.2.1.7")
 async def _no_tag(context: CaseContext) -> None:
     peer = await context.session()
-    peer.command(TUR, tag=NONE)
+    peer.command(TUR, tag=RESERVED_TAG)
     await peer.rejected(0x09)
 
 
@@ -128,29 +128,35 @@
 @case("nop.ping", "11.18")
 async def _ping(context: CaseContext) -> None:
     peer = await context.session()
-    peer.put(Pdu(Op.NOP_OUT, FINAL, tag=9, immediate=True, data=b"hello", words=[NONE, 0, 0, 0, 0, 0, 0]))
+    peer.put(
+        Pdu(Op.NOP_OUT, FINAL, tag=9, immediate=True, data=b"hello", words=[RESERVED_TAG, 0, 0, 0, 0, 0, 0])
+    )
     pong = await peer.get(Op.NOP_IN)
-    same((pong.tag, pong.data, pong.words[0]), (9, b"hello", NONE))
+    same((pong.tag, pong.data, pong.words[0]), (9, b"hello", RESERVED_TAG))
 
 
 @case("nop.numbered", "11.18")
 async def _numbered(context: CaseContext) -> None:
     peer = await context.session()
-    peer.put(Pdu(Op.NOP_OUT, FINAL, tag=9, words=[NONE, 0, 0, 0, 0, 0, 0]))
+    peer.put(Pdu(Op.NOP_OUT, FINAL, tag=9, words=[RESERVED_TAG, 0, 0, 0, 0, 0, 0]))
     same((await peer.get(Op.NOP_IN)).words[2], peer.cmd_sn)
 
 
 @case("nop.no-answer-wanted", "11.18")
 async def _one_way(context: CaseContext) -> None:
     peer = await context.session()
-    peer.put(Pdu(Op.NOP_OUT, FINAL, tag=NONE, immediate=True, words=[NONE, 0, 0, 0, 0, 0, 0]))
+    peer.put(Pdu(Op.NOP_OUT, FINAL, tag=RESERVED_TAG, immediate=True, words=[RESERVED_TAG, 0, 0, 0, 0, 0, 0]))
     await peer.silence()
 
 
 @case("nop.data-within-the-segment", "11.18")
 async def _long_ping(context: CaseContext) -> None:
     peer = await context.session(MaxRecvDataSegmentLength="512")
-    peer.put(Pdu(Op.NOP_OUT, FINAL, tag=9, immediate=True, data=b"x" * 2000, words=[NONE, 0, 0, 0, 0, 0, 0]))
+    peer.put(
+        Pdu(
+            Op.NOP_OUT, FINAL, tag=9, immediate=True, data=b"x" * 2000, words=[RESERVED_TAG, 0, 0, 0, 0, 0, 0]
+        )
+    )
     same(len((await peer.get(Op.NOP_IN)).data), 512)
 
 
@@ -319,7 +325,12 @@
 async def _bytewise(context: CaseContext) -> None:
     peer = await context.session()
     pdu = Pdu(
-        Op.NOP_OUT, FINAL, tag=9, immediate=True, data=b"split!", words=[NONE, peer.cmd_sn, 0, 0, 0, 0, 0]
+        Op.NOP_OUT,
+        FINAL,
+        tag=9,
+        immediate=True,
+        data=b"split!",
+        words=[RESERVED_TAG, peer.cmd_sn, 0, 0, 0, 0, 0],
     )
     for one in pdu.encode():
         peer.raw(bytes([one]))
@@ -338,7 +349,7 @@
 # Task management
 
 
-async def _manage(peer: Peer, function: int, lun: int = 0, task: int = NONE, ref: int = 0) -> Pdu:
+async def _manage(peer: Peer, function: int, lun: int = 0, task: int = RESERVED_TAG, ref: int = 0) -> Pdu:
     peer.put(
         Pdu(
             Op.TASK_MANAGEMENT,
@@ -389,7 +400,9 @@
 @case("manage.cold-reset", "11.5.1")
 async def _cold(context: CaseContext) -> None:
     peer, other = await context.session(), await context.session()
-    peer.put(Pdu(Op.TASK_MANAGEMENT, FINAL | 7, tag=5000, immediate=True, words=[NONE, 0, 0, 0, 0, 0, 0]))
+    peer.put(
+        Pdu(Op.TASK_MANAGEMENT, FINAL | 7, tag=5000, immediate=True, words=[RESERVED_TAG, 0, 0, 0, 0, 0, 0])
+    )
     same((await peer.get(Op.TASK_MANAGEMENT_RESPONSE)).byte2, 0)
     await peer.ended()
     await other.ended()
@@ -470,7 +483,9 @@
             async def _(context: CaseContext, header: str = header, data: str = data) -> None:
                 peer = await context.session(HeaderDigest=header, DataDigest=data)
                 same((peer.told["HeaderDigest"], peer.told["DataDigest"]), (header, data))
-                peer.put(Pdu(Op.NOP_OUT, FINAL, tag=9, immediate=True, data=b"odd", words=[NONE] + [0] * 6))
+                peer.put(
+                    Pdu(Op.NOP_OUT, FINAL, tag=9, immediate=True, data=b"odd", words=[RESERVED_TAG] + [0] * 6)
+                )
                 same((await peer.get(Op.NOP_IN)).data, b"odd")
                 await peer.good(READ, read=512)
 
@@ -490,14 +505,14 @@
 async def _header_spoilt(context: CaseContext) -> None:
     """Where the next PDU begins is not known: the connection ends."""
     peer = await context.session(HeaderDigest="CRC32C")
-    await _spoil(peer, Pdu(Op.NOP_OUT, FINAL, tag=9, immediate=True, words=[NONE] + [0] * 6), 17)
+    await _spoil(peer, Pdu(Op.NOP_OUT, FINAL, tag=9, immediate=True, words=[RESERVED_TAG] + [0] * 6), 17)
     await peer.ended()
 
 
 @case("digests.data-spoilt-at-level-0", "7.8")
 async def _data_spoilt(context: CaseContext) -> None:
     peer = await context.session(DataDigest="CRC32C", ErrorRecoveryLevel="0")
-    ping = Pdu(Op.NOP_OUT, FINAL, tag=9, immediate=True, data=b"spoilt", words=[NONE] + [0] * 6)
+    ping = Pdu(Op.NOP_OUT, FINAL, tag=9, immediate=True, data=b"spoilt", words=[RESERVED_TAG] + [0] * 6)
     await _spoil(peer, ping, 49)
     await peer.rejected(0x02)
     await peer.ended()
--- a/lemonridge/lab/load/client.py
+++ b/lemonridge/lab/load/client.py
@@ -15,10 +15,10 @@
 from random import Random
 
 from lemonridge.iscsi import chap
-from lemonridge.iscsi.numbers import later
+from lemonridge.iscsi.numbers import serial_distance
 from lemonridge.iscsi.pdu import (
     FINAL,
-    NONE,
+    RESERVED_TAG,
     DataDigestError,
     HeaderDigestError,
     Op,
@@ -171,10 +171,10 @@
                 command.touched = True
                 self._snack(0, pdu.tag, pdu.words[4], 1)
         elif pdu.opcode in (Op.SCSI_RESPONSE, Op.REJECT, Op.TEXT_RESPONSE):
-            self._snack(1, NONE, pdu.words[1], 1)
+            self._snack(1, RESERVED_TAG, pdu.words[1], 1)
 
     def _snack(self, kind: int, tag: int, first: int, run: int) -> None:
-        self.send(Pdu(Op.SNACK, FINAL | kind, tag=tag, words=[NONE, 0, 0, 0, 0, first, run]))
+        self.send(Pdu(Op.SNACK, FINAL | kind, tag=tag, words=[RESERVED_TAG, 0, 0, 0, 0, first, run]))
 
     def take(self, pdu: Pdu) -> None:
         client = self.client
@@ -188,8 +188,8 @@
         if pdu.opcode == Op.R2T:
             client.data_out(self, pdu)
             return
-        if pdu.opcode == Op.NOP_IN and pdu.tag == NONE:
-            if pdu.words[0] != NONE:
+        if pdu.opcode == Op.NOP_IN and pdu.tag == RESERVED_TAG:
+            if pdu.words[0] != RESERVED_TAG:
                 self.send(Pdu(Op.NOP_OUT, immediate=True, words=[pdu.words[0], client.cmd_sn, 0, 0, 0, 0, 0]))
             return
         if pdu.opcode == Op.SCSI_RESPONSE:
@@ -208,7 +208,7 @@
         """Note a StatSN; whether it is new. What lies between is asked for by `_missed` as it comes
         spoilt.
         """
-        if later(number, self.exp_stat_sn) < 0 or number in self.statuses:
+        if serial_distance(number, self.exp_stat_sn) < 0 or number in self.statuses:
             return False
         self.statuses.add(number)
         self.acknowledge()
@@ -278,11 +278,11 @@
         """Status and data of one command; CommandLostError if its session ended under it."""
         while True:
             await self._ready()
-            if later(self.cmd_sn, self.max_cmd_sn) <= 0 and self.up and (alive := self._alive()):
+            if serial_distance(self.cmd_sn, self.max_cmd_sn) <= 0 and self.up and (alive := self._alive()):
                 break
             self._room.clear()
             await self._wait(self._room.wait())
-        tag = next(self._tags) % NONE
+        tag = next(self._tags) % RESERVED_TAG
         flags = FINAL | (0x40 if read else 0) | (0x20 if data else 0) | 1
         words = list(struct.unpack(">4I", cdb.ljust(16, b"\0")))
         pdu = Pdu(
@@ -317,9 +317,9 @@
         return [one for one in self.open if one.alive]
 
     def window(self, expected: int, top: int) -> None:
-        if later(expected, self.exp_cmd_sn) > 0:
+        if serial_distance(expected, self.exp_cmd_sn) > 0:
             self.exp_cmd_sn = expected
-        if later(top, self.max_cmd_sn) > 0:
+        if serial_distance(top, self.max_cmd_sn) > 0:
             self.max_cmd_sn = top
             self._room.set()
 
@@ -449,7 +449,7 @@
     async def _reassign(self, made: Connection, command: Command) -> None:
         command.parts.clear()
         command.status = None
-        tag = next(self._tags) % NONE
+        tag = next(self._tags) % RESERVED_TAG
         try:
             answer = await made.ask(
                 Pdu(
@@ -466,7 +466,7 @@
         command.touched = True
         if answer.byte2 == 0:
             return
-        if later(command.pdu.words[1], self.exp_cmd_sn) >= 0:
+        if serial_distance(command.pdu.words[1], self.exp_cmd_sn) >= 0:
             made.send(command.pdu)  # it never came: again under its number
         elif not command.done.done():
             command.done.set_exception(CommandLostError())
--- a/lemonridge/lab/standins/node.py
+++ b/lemonridge/lab/standins/node.py
@@ -17,7 +17,7 @@
 
 from lemonridge.extents.routing import Redirect
 from lemonridge.iscsi import scsi, versions
-from lemonridge.iscsi.pdu import FINAL, NONE, Op, Pdu, pack_text, read_pdu, unpack_lun, unpack_text
+from lemonridge.iscsi.pdu import FINAL, RESERVED_TAG, Op, Pdu, pack_text, read_pdu, unpack_lun, unpack_text
 from lemonridge.lab.ticks import Ticks
 
 BLOCK = 512
@@ -191,7 +191,7 @@
             if self.node.silent:
                 continue  # it takes what comes, and neither runs nor answers it
             if not pdu.immediate and pdu.opcode != Op.DATA_OUT:
-                self.expected = (pdu.words[1] + 1) & NONE
+                self.expected = (pdu.words[1] + 1) & RESERVED_TAG
             if pdu.opcode == Op.LOGIN:
                 self._login(pdu)
             elif pdu.opcode == Op.SCSI_COMMAND:
@@ -204,8 +204,8 @@
                 self.send(Pdu(Op.LOGOUT_RESPONSE, tag=pdu.tag))
 
     def send(self, pdu: Pdu, status: bool = True) -> None:
-        pdu.words[1:4] = [self.stat_sn, self.expected, (self.expected + 63) & NONE]
-        self.stat_sn = (self.stat_sn + status) & NONE
+        pdu.words[1:4] = [self.stat_sn, self.expected, (self.expected + 63) & RESERVED_TAG]
+        self.stat_sn = (self.stat_sn + status) & RESERVED_TAG
         if not self.writer.is_closing():
             self.writer.write(pdu.encode())
 
@@ -216,14 +216,16 @@
             "MaxBurstLength": str(BURST),
             "FirstBurstLength": "8192",
         }
-        self.versioned = unpack_text(pdu.data).get(versions.KEY) == versions.AGREED
+        self.versioned = (
+            unpack_text(pdu.data).get(versions.EXTENT_VERSION_KEY) == versions.EXTENT_VERSION_VALUE
+        )
         if self.versioned:
-            told[versions.KEY] = versions.AGREED
+            told[versions.EXTENT_VERSION_KEY] = versions.EXTENT_VERSION_VALUE
         self.send(Pdu(Op.LOGIN_RESPONSE, pdu.flags, lun=pdu.lun, tag=pdu.tag, data=pack_text(told.items())))
 
     def _command(self, pdu: Pdu) -> None:
         lun, opcode = unpack_lun(pdu.lun), pdu.cdb[0]
-        if lun is None or opcode not in scsi.BLOCKS:  # TEST UNIT READY and the like: no effect
+        if lun is None or opcode not in scsi.READ_WRITE_CDB_BYTES:  # TEST UNIT READY and the like: no effect
             if lun is None or not self.node.plain or not self._other(pdu, lun):
                 self._status(pdu)
             return
@@ -231,9 +233,9 @@
         if named is None and self.node.plain:
             named = (0, 1)
         if named is None:  # an attempt that names no version runs nowhere
-            self._status(pdu, scsi.check(0x05, 0x24))
+            self._status(pdu, scsi.check_condition(0x05, 0x24))
             return
-        work = _Work(pdu, lun, *scsi.span(pdu.cdb), named, bytearray(pdu.data))
+        work = _Work(pdu, lun, *scsi.block_range(pdu.cdb), named, bytearray(pdu.data))
         told = self.node.refusal(work)
         if told is not None:
             self._refuse(pdu, told)
@@ -251,8 +253,8 @@
         """
         opcode, cdb, blocks = pdu.cdb[0], pdu.cdb, self.node.blocks
         top = sum(hold.length for key, hold in self.node.holds.items() if key[0] == lun)
-        if opcode in (scsi.CAPACITY_10, scsi.SERVICE_IN):
-            self._data(pdu, scsi.capacity(cdb, top, BLOCK))
+        if opcode in (scsi.READ_CAPACITY_10, scsi.SERVICE_ACTION_IN):
+            self._data(pdu, scsi.read_capacity_data(cdb, top, BLOCK))
             return True
         first, count = int.from_bytes(cdb[2:10], "big"), int.from_bytes(cdb[10:14], "big")
         reply = scsi.Reply(scsi.Status.GOOD)
@@ -266,7 +268,7 @@
             if blocks.get((lun, first), bytes(BLOCK)) == pdu.data[:BLOCK]:
                 blocks[lun, first] = pdu.data[BLOCK:]
             else:
-                reply = scsi.check(0x0E, 0x1D)  # MISCOMPARE
+                reply = scsi.check_condition(0x0E, 0x1D)  # MISCOMPARE
         else:
             return False
         self._status(pdu, reply)
@@ -280,7 +282,7 @@
                 lun=pdu.lun,
                 tag=pdu.tag,
                 data=data[: pdu.words[0]],
-                words=[NONE, 0, 0, 0, 0, 0, 0],
+                words=[RESERVED_TAG, 0, 0, 0, 0, 0, 0],
             ),
             False,
         )
@@ -288,7 +290,7 @@
 
     def _refuse(self, pdu: Pdu, told: Redirect) -> None:
         self.node.refused += 1
-        self._status(pdu, scsi.Reply(scsi.Status.CHECK_CONDITION, sense=versions.pack_moved(told)))
+        self._status(pdu, scsi.Reply(scsi.Status.CHECK_CONDITION, sense=versions.pack_redirect_sense(told)))
 
     def _ask(self, work: _Work) -> None:
         self.transfers += 1
@@ -377,7 +379,7 @@
                     lun=work.pdu.lun,
                     tag=work.pdu.tag,
                     data=part,
-                    words=[NONE, 0, 0, 0, at // 8192, at, 0],
+                    words=[RESERVED_TAG, 0, 0, 0, at // 8192, at, 0],
                 ),
                 False,
             )
--- a/lemonridge/service/iscsi.py
+++ b/lemonridge/service/iscsi.py
@@ -97,7 +97,7 @@
         config, broker, service.clock, service.registry, service.counters, mapped, reservations
     )
     if router is not None:
-        router.on_resize = lambda luns: front.device.tell(CAPACITY_CHANGED, luns)
+        router.on_resize = lambda luns: front.device.report_unit_attention(CAPACITY_CHANGED, luns)
     return front
 
 
--- a/tests/formats/test_format_reservations.py
+++ b/tests/formats/test_format_reservations.py
@@ -8,7 +8,7 @@
 from pathlib import Path
 
 from lemonridge.iscsi.reservation_file import ReservationFile
-from lemonridge.iscsi.reservations import Reservations, Type
+from lemonridge.iscsi.reservations import Reservations, ReservationType
 
 FIRST, SECOND = "iqn.2026-12.org.a:1,i,0x400001370000", "iqn.b,i,0x1"
 KEYS = {FIRST: 0x1122334455667788, SECOND: 2}
@@ -17,18 +17,18 @@
 def shared() -> Reservations:
     """Two registrations, one of which holds the reservation for the registrants."""
     return Reservations(
-        generation=4, keys=dict(KEYS), holder=SECOND, type=Type.WRITE_REGISTRANTS, lasting=True
+        generation=4, keys=dict(KEYS), holder=SECOND, type=ReservationType.WRITE_REGISTRANTS, persistent=True
     )
 
 
 def registered() -> Reservations:
     """One registration, no reservation."""
-    return Reservations(keys={"n": 1}, lasting=True)
+    return Reservations(keys={"n": 1}, persistent=True)
 
 
 # By LUN; the key of each nexus as a number, in the order of registration; the type as in table 57 of SPC-4.
-# The keys are literals of the program (`state`, `restored`), not derived from fields; the number of a type is
-# the value of its member. The generation and `lasting` are not kept.
+# The keys are literals of the program (`state`, `from_state`), not derived from fields; the number of a type
+# is the value of its member. The generation and `persistent` are not kept.
 TEXT = (
     b'{"0":{"keys":{"iqn.2026-12.org.a:1,i,0x400001370000":1234605616436508552,"iqn.b,i,0x1":2},'
     b'"holder":"iqn.b,i,0x1","type":5},'
@@ -62,18 +62,18 @@
 
         self.assertEqual(list(held), [0, 7])
         self.assertEqual(list(held[0].keys.items()), list(KEYS.items()))
-        self.assertEqual((held[0].holder, held[0].type), (SECOND, Type.WRITE_REGISTRANTS))
-        self.assertEqual((held[0].generation, held[0].lasting), (0, True))
+        self.assertEqual((held[0].holder, held[0].type), (SECOND, ReservationType.WRITE_REGISTRANTS))
+        self.assertEqual((held[0].generation, held[0].persistent), (0, True))
         self.assertEqual((held[7].keys, held[7].holder, held[7].type), ({"n": 1}, "", None))
 
     def test_every_type_has_its_number(self) -> None:
         for kind, number in (
-            (Type.WRITE_EXCLUSIVE, 1),
-            (Type.EXCLUSIVE_ACCESS, 3),
-            (Type.WRITE_REGISTRANTS, 5),
-            (Type.ACCESS_REGISTRANTS, 6),
-            (Type.WRITE_ALL, 7),
-            (Type.ACCESS_ALL, 8),
+            (ReservationType.WRITE_EXCLUSIVE, 1),
+            (ReservationType.EXCLUSIVE_ACCESS, 3),
+            (ReservationType.WRITE_REGISTRANTS, 5),
+            (ReservationType.ACCESS_REGISTRANTS, 6),
+            (ReservationType.WRITE_ALL, 7),
+            (ReservationType.ACCESS_ALL, 8),
         ):
             text = b'{"0":{"keys":{"n":1},"holder":"n","type":%d}}' % number
             with self.subTest(number=number):
--- a/tests/harness.py
+++ b/tests/harness.py
@@ -19,7 +19,7 @@
 from pathlib import Path
 from typing import Any
 
-from lemonridge.iscsi.pdu import FINAL, NONE, Op, Pdu, pack_text, read_pdu
+from lemonridge.iscsi.pdu import FINAL, RESERVED_TAG, Op, Pdu, pack_text, read_pdu
 from lemonridge.lab.load.initiator import Initiator, cdb
 from lemonridge.lab.standins.etcd import Etcd
 
@@ -529,9 +529,9 @@
         self.writes[pdu.tag] = (pdu.words[0] if write else 0, bytearray(pdu.data), block)
         if self.odd:
             odd = self.odd.pop(0)
-            odd.tag = pdu.tag if odd.opcode not in (Op.NOP_IN, Op.ASYNC) else NONE
+            odd.tag = pdu.tag if odd.opcode not in (Op.NOP_IN, Op.ASYNC) else RESERVED_TAG
             self._send(writer, numbers, odd, False)
-            if odd.tag != NONE:
+            if odd.tag != RESERVED_TAG:
                 return
         if write and len(pdu.data) < pdu.words[0]:
             self._r2t(pdu, writer, numbers)
@@ -551,7 +551,7 @@
             for at in range(0, len(found), 4096):
                 flags = FINAL if at + 4096 >= len(found) else 0
                 part = Pdu(Op.DATA_IN, flags, lun=pdu.lun, tag=pdu.tag, data=found[at : at + 4096])
-                part.words = [NONE, 0, 0, 0, at // 4096, at, 0]
+                part.words = [RESERVED_TAG, 0, 0, 0, at // 4096, at, 0]
                 self._send(writer, numbers, part, False)
         self._send(writer, numbers, Pdu(Op.SCSI_RESPONSE, tag=pdu.tag))
 
--- a/tests/integration/test_extents_live.py
+++ b/tests/integration/test_extents_live.py
@@ -218,7 +218,10 @@
     async def test_a_node_that_checks_no_versions_gets_nothing(self) -> None:
         other = self.nodes[1]
         other.kill()
-        key, versions.KEY = versions.KEY, "X-org.lemonridge.Other"  # of the stand-in's side only
+        key, versions.EXTENT_VERSION_KEY = (
+            versions.EXTENT_VERSION_KEY,
+            "X-org.lemonridge.Other",
+        )  # of the stand-in's side only
         self.addCleanup(setattr, versions, "KEY", key)
         await other.start()
         self.etcd.put("/t/nodes/n1", other.row())
@@ -380,7 +383,9 @@
         with self.assertRaises(ValueError):
             versions.unpack_ahs(versions.pack_ahs(0, 9)[:-4])
         for told in (Redirect(), Redirect(7, 3), Redirect(-1, 3), Redirect(0, -1)):
-            self.assertEqual(versions.unpack_moved(versions.pack_moved(told)), told)
-        self.assertIsNone(versions.unpack_moved(b"\x72\x0b\x80\x02" + bytes(20)))
-        self.assertIsNone(versions.unpack_moved(b""))
-        self.assertEqual(versions.unpack_moved(versions.pack_moved(Redirect(7, 3))[:9]), Redirect())
+            self.assertEqual(versions.unpack_redirect_sense(versions.pack_redirect_sense(told)), told)
+        self.assertIsNone(versions.unpack_redirect_sense(b"\x72\x0b\x80\x02" + bytes(20)))
+        self.assertIsNone(versions.unpack_redirect_sense(b""))
+        self.assertEqual(
+            versions.unpack_redirect_sense(versions.pack_redirect_sense(Redirect(7, 3))[:9]), Redirect()
+        )
--- a/tests/integration/test_iscsi.py
+++ b/tests/integration/test_iscsi.py
@@ -9,7 +9,7 @@
 
 from harness import Initiator, IscsiCase, Target, cdb
 
-from lemonridge.iscsi.pdu import FINAL, NONE, Op, Pdu, pack_text, unpack_text
+from lemonridge.iscsi.pdu import FINAL, RESERVED_TAG, Op, Pdu, pack_text, unpack_text
 
 DATA = bytes(range(256)) * 160  # 40 KiB: immediate data, and several bursts and PDUs
 
@@ -33,7 +33,10 @@
         await session.login()
         words = struct.unpack(">4I", cdb(0x28, 3, 512).ljust(16, b"\0"))
         read = Pdu(Op.SCSI_COMMAND, FINAL | 0x40, tag=1, words=[512, 0, 0, *words])
-        text = read.encode() + Pdu(Op.NOP_OUT, tag=2, words=[NONE, 1, 0, 0, 0, 0, 0], data=b"ping!").encode()
+        text = (
+            read.encode()
+            + Pdu(Op.NOP_OUT, tag=2, words=[RESERVED_TAG, 1, 0, 0, 0, 0, 0], data=b"ping!").encode()
+        )
         session.receiver = asyncio.create_task(session._receive())
         session.waiting[1] = (asyncio.get_running_loop().create_future(), bytearray(), b"")
         for at in range(len(text)):
@@ -131,7 +134,7 @@
                 Op.TEXT,
                 tag=4,
                 data=pack_text([("SendTargets", "All"), ("X-odd", "1")]),
-                words=[NONE, 0, 0, 0, 0, 0, 0],
+                words=[RESERVED_TAG, 0, 0, 0, 0, 0, 0],
             )
         )
         told = unpack_text((await session.other.get()).data)
@@ -190,7 +193,7 @@
         for pdu, reason in (
             (Pdu(0x1E, tag=1), 0x05),
             (Pdu(Op.SNACK, tag=1), 0x04),
-            (Pdu(Op.SCSI_COMMAND, tag=NONE), 0x09),
+            (Pdu(Op.SCSI_COMMAND, tag=RESERVED_TAG), 0x09),
             (Pdu(Op.SCSI_COMMAND, 0x20, tag=1), 0x04),
             (Pdu(Op.SCSI_COMMAND, FINAL | 0x40, tag=1, data=b"x"), 0x04),
             (Pdu(Op.TEXT, tag=1, data=b"no value\0"), 0x04),
@@ -240,7 +243,7 @@
             (
                 Pdu(Op.R2T, words=[7, 0, 0, 0, 0, 1 << 20, 512]),
                 Pdu(Op.R2T, words=[7, 0, 0, 0, 0, 0, 1 << 20]),
-                Pdu(Op.DATA_IN, words=[NONE, 0, 0, 0, 0, 99, 0], data=b"x"),
+                Pdu(Op.DATA_IN, words=[RESERVED_TAG, 0, 0, 0, 0, 99, 0], data=b"x"),
                 Pdu(0x3D),
             ),
             1,
--- a/tests/iscsi/test_protocol_state.py
+++ b/tests/iscsi/test_protocol_state.py
@@ -7,22 +7,31 @@
 from hypothesis import strategies as st
 
 from lemonridge.iscsi import chap, keys
-from lemonridge.iscsi.keys import NegotiationError, Responder, Wishes, conclude, parse, proposal
-from lemonridge.iscsi.login import Attempts, Rules, TargetLogin, TargetRule
-from lemonridge.iscsi.numbers import WRAP, CommandWindow, Place, StatusLog, later
+from lemonridge.iscsi.keys import (
+    NegotiationError,
+    NegotiationPreferences,
+    Responder,
+    apply_answers,
+    parse_text,
+    proposal,
+)
+from lemonridge.iscsi.login import FailedLoginLimiter, LoginPolicy, TargetLogin, TargetRule
+from lemonridge.iscsi.numbers import SERIAL_MODULUS, ArrivalResult, CommandWindow, StatusLog, serial_distance
 from lemonridge.iscsi.pdu import CONTINUE, FINAL, Pdu, pack_text
-from lemonridge.iscsi.reservations import Action, Effect, Refusal, Reservations, Type
+from lemonridge.iscsi.reservations import Action, Effect, Refusal, Reservations, ReservationType
 from lemonridge.iscsi.transfer import Inbound, Outbound, TransferError
 
 many = settings(max_examples=150, derandomize=True, deadline=None)
 NEGOTIATED = [
-    key for key in keys.TABLE.values() if key.kind is not keys.Kind.DECLARED and key.name != "AuthMethod"
+    key
+    for key in keys.TABLE.values()
+    if key.kind is not keys.NegotiationType.DECLARED and key.name != "AuthMethod"
 ]
 
 # Negotiation
 
 wishes_of = st.builds(
-    Wishes,
+    NegotiationPreferences,
     digests=st.sampled_from([("CRC32C", "None"), ("None", "CRC32C"), ("None",)]),
     max_connections=st.integers(1, 9),
     initial_r2t=st.booleans(),
@@ -33,14 +42,14 @@
     time2wait=st.integers(0, 3600),
     time2retain=st.integers(0, 3600),
     max_r2t=st.integers(1, 9),
-    recovery=st.integers(0, 2),
+    recovery_level=st.integers(0, 2),
 )
 
 
 @many
 @given(ours=wishes_of, theirs=wishes_of, data=st.data())
 def test_both_sides_agree_whatever_the_order_and_the_split(
-    ours: Wishes, theirs: Wishes, data: st.DataObject
+    ours: NegotiationPreferences, theirs: NegotiationPreferences, data: st.DataObject
 ) -> None:
     """What the target takes for agreed is what the initiator does, and the RFC's function of both wishes."""
     offers = proposal(theirs, [key.name for key in NEGOTIATED])
@@ -49,8 +58,8 @@
     cut = data.draw(st.integers(0, len(mixed)))
     target = Responder(ours)
     answers = target.answer(mixed[:cut]) + target.answer(mixed[cut:], declare=True)
-    agreed, _ = conclude(offers, answers, theirs.recv_segment)
-    back = target.agreed.settled()
+    agreed, _ = apply_answers(offers, answers, theirs.recv_segment)
+    back = target.parameters.with_valid_first_burst()
     assert (agreed.send_segment, agreed.recv_segment) == (ours.recv_segment, theirs.recv_segment)
     assert (back.send_segment, back.recv_segment) == (theirs.recv_segment, ours.recv_segment)
     same = (
@@ -62,7 +71,7 @@
         "time2wait",
         "time2retain",
         "max_r2t",
-        "recovery",
+        "recovery_level",
         "header_digest",
         "data_digest",
     )
@@ -78,9 +87,9 @@
 @given(text=st.binary(max_size=300))
 def test_any_text_is_read_or_refused(text: bytes) -> None:
     try:
-        pairs = parse(text)
+        pairs = parse_text(text)
         assert len({name for name, _ in pairs}) == len(pairs)
-        Responder(Wishes()).answer(pairs)
+        Responder(NegotiationPreferences()).answer(pairs)
     except NegotiationError as error:
         assert str(error)
 
@@ -96,9 +105,9 @@
     ],
 )
 def test_an_answer_that_the_offer_does_not_allow_is_refused(name: str, value: str) -> None:
-    offers = proposal(Wishes(), [key.name for key in NEGOTIATED])
+    offers = proposal(NegotiationPreferences(), [key.name for key in NEGOTIATED])
     with pytest.raises(NegotiationError, match=name):
-        conclude(offers, [(name, value)], 8192)
+        apply_answers(offers, [(name, value)], 8192)
 
 
 # CHAP
@@ -156,7 +165,7 @@
 
 @many
 @given(
-    start=st.sampled_from([0, 1, WRAP - 3, WRAP // 2 - 2]),
+    start=st.sampled_from([0, 1, SERIAL_MODULUS - 3, SERIAL_MODULUS // 2 - 2]),
     size=st.integers(1, 8),
     order=st.lists(st.integers(-3, 12), max_size=60),
 )
@@ -166,49 +175,49 @@
     came: set[int] = set()
     handed = 0
     for step in order:
-        number = (start + step) % WRAP
-        window.told(0)
-        place, ready = window.arrive(number, step)
+        number = (start + step) % SERIAL_MODULUS
+        window.advertise_max_cmd_sn(0)
+        place, ready = window.receive(number, step)
         if step < handed or step in came:
-            assert place is Place.REPEATED
+            assert place is ArrivalResult.REPEATED
         elif step >= handed + size:
-            assert place is Place.OUTSIDE and not ready
+            assert place is ArrivalResult.OUTSIDE and not ready
         else:
-            assert place is Place.NEXT
+            assert place is ArrivalResult.NEXT
             came.add(step)
         for one in ready:
             assert one == handed
             handed += 1
-        assert window.expected == (start + handed) % WRAP and len(window.held) <= size
+        assert window.exp_cmd_sn == (start + handed) % SERIAL_MODULUS and len(window.pending) <= size
 
 
 def test_the_window_never_shrinks_and_closes_when_all_is_busy() -> None:
     window: CommandWindow[None] = CommandWindow(5, 4)
-    assert window.told(0) == 8
-    assert window.told(3) == 8  # it was told already
+    assert window.advertise_max_cmd_sn(0) == 8
+    assert window.advertise_max_cmd_sn(3) == 8  # it was told already
     for number in range(5, 9):
-        window.arrive(number, None)
-    assert later(window.told(4), window.expected) == -1
+        window.receive(number, None)
+    assert serial_distance(window.advertise_max_cmd_sn(4), window.exp_cmd_sn) == -1
 
 
 @many
-@given(start=st.sampled_from([1, WRAP - 2]), steps=st.lists(st.integers(0, 6), max_size=40))
+@given(start=st.sampled_from([1, SERIAL_MODULUS - 2]), steps=st.lists(st.integers(0, 6), max_size=40))
 def test_statuses_are_kept_until_they_are_acknowledged(start: int, steps: list[int]) -> None:
     log: StatusLog[int] = StatusLog(start, 5)
     sent, known = 0, 0
     for step in steps:
         if step < 3:
-            assert log.number(sent) == (start + sent) % WRAP
+            assert log.assign_stat_sn(sent) == (start + sent) % SERIAL_MODULUS
             sent += 1
         else:
             known = min(sent, known + step - 3)
-            log.acknowledge((start + known) % WRAP)
+            log.acknowledge((start + known) % SERIAL_MODULUS)
         kept = list(range(max(known, sent - 5), sent))
-        assert list(log.kept.values()) == kept
-        asked = log.again((start + known) % WRAP, 0)
+        assert list(log.retained.values()) == kept
+        asked = log.find_retained((start + known) % SERIAL_MODULUS, 0)
         want = kept if kept and kept[0] == known else None
         assert ([item for _, item in asked] if asked else None) == want
-    assert log.acknowledge((start + sent + 1) % WRAP) == []  # nothing past what was sent
+    assert log.acknowledge((start + sent + 1) % SERIAL_MODULUS) == []  # nothing past what was sent
 
 
 # Transfers
@@ -229,15 +238,17 @@
 ) -> None:
     """With recovery, PDUs are lost at random; what comes again fills exactly the holes."""
     whole = bytes(place % 251 for place in range(length))
-    agreed = keys.Agreed(max_burst=burst, first_burst=first, max_r2t=r2ts, recovery=level).settled()
+    agreed = keys.NegotiatedParameters(
+        max_burst=burst, first_burst=first, max_r2t=r2ts, recovery_level=level
+    ).with_valid_first_burst()
     along = data.draw(st.integers(0, min(length, agreed.first_burst)))
     inbound = Inbound(length, whole[:along], agreed, unsolicited, 0)
     bursts = []
     if unsolicited and along < min(agreed.first_burst, length):
         bursts.append((0xFFFFFFFF, along, min(agreed.first_burst, length)))
     drawn = 0
-    while not inbound.done:
-        bursts += [(ask.tag, ask.offset, ask.offset + ask.length) for ask in inbound.asks()]
+    while not inbound.complete:
+        bursts += [(ask.transfer_tag, ask.offset, ask.offset + ask.length) for ask in inbound.next_r2ts()]
         assert bursts, "nothing is asked for, and not all is there"
         tag, start, end = bursts.pop(data.draw(st.integers(0, len(bursts) - 1)) if not unsolicited else 0)
         for number, at in enumerate(range(start, end, 512)):
@@ -245,31 +256,31 @@
             drawn += 1
             if level and drawn < 30 and until < end and data.draw(st.booleans()):
                 continue  # lost
-            inbound.take(tag, number, at, whole[at:until], until == end)
-        bursts += [(ask.tag, ask.offset, ask.offset + ask.length) for ask in inbound.again()]
-    assert bytes(inbound.data) == whole and not inbound.asks()
+            inbound.receive(tag, number, at, whole[at:until], until == end)
+        bursts += [(ask.transfer_tag, ask.offset, ask.offset + ask.length) for ask in inbound.recovery_r2ts()]
+    assert bytes(inbound.data) == whole and not inbound.next_r2ts()
 
 
 def test_data_that_break_the_protocol() -> None:
     for tag, number, offset, size in ((99, 0, 0, 10), (1, 1, 0, 10), (1, 0, 5, 10), (1, 0, 0, 2000)):
-        inbound = Inbound(1000, b"", keys.Agreed(), False, 0)
-        assert [ask.tag for ask in inbound.asks()] == [1]
+        inbound = Inbound(1000, b"", keys.NegotiatedParameters(), False, 0)
+        assert [ask.transfer_tag for ask in inbound.next_r2ts()] == [1]
         with pytest.raises(TransferError):
-            inbound.take(tag, number, offset, bytes(size), False)
+            inbound.receive(tag, number, offset, bytes(size), False)
 
 
 @many
 @given(length=st.integers(0, 5000), segment=st.integers(512, 3000), burst=st.integers(512, 3000))
 def test_a_reads_data_are_cut_within_segments_and_bursts(length: int, segment: int, burst: int) -> None:
     out = Outbound(bytes(length), segment, burst)
-    parts = list(out.parts())
-    assert sum(part.length for part in parts) == length and out.count == len(parts)
+    parts = list(out.data_in_pdus())
+    assert sum(part.length for part in parts) == length and out.pdu_count == len(parts)
     for part in parts:
         assert 0 < part.length <= segment and part.offset // burst == (part.offset + part.length - 1) // burst
         assert part.final == ((part.offset + part.length) % burst == 0 or part.offset + part.length == length)
     if parts:
-        assert out.again(len(parts) - 1, 1) == parts[-1:] and out.again(0, 0) == parts
-    assert out.again(0, len(parts) + 1) is None
+        assert out.find_for_snack(len(parts) - 1, 1) == parts[-1:] and out.find_for_snack(0, 0) == parts
+    assert out.find_for_snack(0, len(parts) + 1) is None
 
 
 # Reservations
@@ -331,17 +342,19 @@
         st.tuples(
             st.sampled_from("abc"),
             st.integers(0, 6),
-            st.sampled_from(list(Type)),
+            st.sampled_from(list(ReservationType)),
             st.integers(0, 3),
             st.integers(0, 3),
         ),
         max_size=40,
     )
 )
-def test_reservations_are_as_in_a_plain_model(steps: list[tuple[str, int, Type, int, int]]) -> None:
+def test_reservations_are_as_in_a_plain_model(
+    steps: list[tuple[str, int, ReservationType, int, int]],
+) -> None:
     held, model = Reservations(), Model()
     for who, action, kind, key, new in steps:
-        done = held.out(who, action, 0, kind, key, new)
+        done = held.persistent_reserve_out(who, action, 0, kind, key, new)
         assert (done.refusal is None) == model.step(who, action, kind, key, new), (who, Action(action))
         assert held.keys == model.keys and (held.type or 0) == model.kind
         assert all(one in held.keys for one, _ in done.attentions) or action in (3, 4, 5)
@@ -356,17 +369,17 @@
 def test_registrations_are_bounded() -> None:
     held = Reservations()
     for number in range(64):
-        assert held.out(f"n{number}", 6, 0, 0, 0, 5).refusal is None
-    assert held.out("one more", 6, 0, 0, 0, 5).refusal is Refusal.RESOURCES
+        assert held.persistent_reserve_out(f"n{number}", 6, 0, 0, 0, 5).refusal is None
+    assert held.persistent_reserve_out("one more", 6, 0, 0, 0, 5).refusal is Refusal.RESOURCES
 
 
 # Logins
 
 
-def rules(**accounts: chap.Account) -> Rules:
-    return Rules(
+def rules(**accounts: chap.Account) -> LoginPolicy:
+    return LoginPolicy(
         {"t": TargetRule("t", accounts=accounts)},
-        Wishes(),
+        NegotiationPreferences(),
         lambda tsih: None,
         lambda: True,
         lambda: False,
@@ -380,8 +393,8 @@
     login = TargetLogin(rules(us=ACCOUNT))
     for flags, data, named in steps:
         text = pack_text([("InitiatorName", "i"), ("TargetName", "t")]) if named else b""
-        reply = login.take(Pdu(3, flags, data=text + data))
-        if reply.over:
+        reply = login.answer(Pdu(3, flags, data=text + data))
+        if reply.login_ended:
             assert reply.status, "nobody gets in without a proof"
             break
 
@@ -390,21 +403,21 @@
     login = TargetLogin(rules())
     odd = [(f"X-{number:04}", "1") for number in range(900)]
     text = pack_text([("InitiatorName", "i"), ("TargetName", "t"), *odd])
-    first = login.take(Pdu(3, CONTINUE | 1 << 2, data=text[:8000]))
+    first = login.answer(Pdu(3, CONTINUE | 1 << 2, data=text[:8000]))
     assert (first.flags, first.data) == (1 << 2, b"")
-    answer, told = login.take(Pdu(3, FINAL | 1 << 2 | 3, data=text[8000:])), b""
+    answer, told = login.answer(Pdu(3, FINAL | 1 << 2 | 3, data=text[8000:])), b""
     while answer.flags & CONTINUE:
         told += answer.data
-        answer = login.take(Pdu(3, FINAL | 1 << 2 | 3))
-    assert answer.over and not answer.status and (told + answer.data).count(b"=NotUnderstood\0") == 900
+        answer = login.answer(Pdu(3, FINAL | 1 << 2 | 3))
+    assert answer.login_ended and not answer.status and (told + answer.data).count(b"=NotUnderstood\0") == 900
 
 
 def test_failed_logins_are_bounded_a_peer() -> None:
-    held = Attempts(3, 1000, 2)
+    held = FailedLoginLimiter(3, 1000, 2)
     for at in (0, 10, 20):
         assert held.allows("a", at)
-        held.failed("a", at)
+        held.record_failure("a", at)
     assert not held.allows("a", 30) and held.allows("b", 30) and held.allows("a", 1015)
-    held.failed("b", 30)
-    held.failed("c", 30)
+    held.record_failure("b", 30)
+    held.record_failure("c", 30)
     assert held.allows("a", 31)  # the table is bounded: the oldest makes room
--- a/tests/iscsi/test_reassignment.py
+++ b/tests/iscsi/test_reassignment.py
@@ -9,7 +9,7 @@
 
 from lemonridge.core.counters import Counters
 from lemonridge.iscsi import scsi
-from lemonridge.iscsi.keys import Agreed
+from lemonridge.iscsi.keys import NegotiatedParameters
 from lemonridge.iscsi.pdu import FINAL, Op, Pdu
 from lemonridge.iscsi.runner import Runner
 from lemonridge.iscsi.task import Task
@@ -20,7 +20,7 @@
 
     async def responses(self, *, ended_first: bool) -> int:
         """How many SCSI responses the new connection carries."""
-        agreed = Agreed(recovery=2)
+        agreed = NegotiatedParameters(recovery_level=2)
         sent: list[Pdu] = []
         connection = SimpleNamespace(agreed=agreed, over=False, send=lambda pdu, **_: sent.append(pdu))
         front = SimpleNamespace(loop=asyncio.get_running_loop(), counters=Counters())
