--- a/lemonridge/iscsi/runner.py
+++ b/lemonridge/iscsi/runner.py
@@ -204,7 +204,7 @@
             self._recover(task, task.inbound.recovery_r2ts_after_stall())
 
     def _recover(self, task: Task, asks: list[ReadyToTransfer]) -> None:
-        self._front.counters["r2ts.recovery_level"] += len(asks)
+        self._front.counters["r2ts.recovery"] += len(asks)
         self.ask(task, asks)
 
     # Its data and status out
