--- a/lemonridge/iscsi/task.py
+++ b/lemonridge/iscsi/task.py
@@ -1,4 +1,4 @@
-"""One command from its PDU to the acknowledgement of its status."""
+"""State of one SCSI command, from the receipt of its PDU to the acknowledgement of its status."""
 
 from __future__ import annotations
 
@@ -16,8 +16,24 @@
 
 @dataclass(slots=True, eq=False)
 class Task:
-    """A command. `connection` is the one that it belongs to (allegiance, 4.2.5.1), None while that is
-    lost.
+    """One SCSI command of a session.
+
+    Attributes:
+        pdu: The SCSI Command PDU as received.
+        command: The command to execute.
+        arrived_us: Arrival time in microseconds of the program's clock.
+        connection: Connection that the command is allegiant to (RFC 7143, 4.2.5.1); None after that
+            connection was lost.
+        inbound: Data of a write that is being received.
+        outbound: Data of a read, retained for retransmission.
+        reply: Result of the command; None until it is known.
+        status: The SCSI Response PDU as sent; None until it is sent.
+        execution: asyncio task that executes the command; None for a command that is answered at once.
+        progress: Set when data of the command was received.
+        aborted: Whether the command was aborted; it gets no response.
+        buffered_bytes: Bytes that the command occupies of the front's buffer limit.
+        outstanding_r2ts: Number of unanswered R2Ts.
+        last_data_s: Event loop time in seconds at which data was last received, or a stall was detected.
     """
 
     pdu: Pdu
@@ -26,15 +42,16 @@
     connection: Connection | None
     inbound: Inbound | None = None
     outbound: Outbound | None = None
-    reply: scsi.Reply | None = None  # its end, once it is known
-    status: Pdu | None = None  # as it was sent
+    reply: scsi.Reply | None = None
+    status: Pdu | None = None
     execution: asyncio.Task[None] | None = None
-    progress: asyncio.Event = field(default_factory=asyncio.Event)  # data came, or a stall was noticed
+    progress: asyncio.Event = field(default_factory=asyncio.Event)
     aborted: bool = False
-    buffered_bytes: int = 0  # bytes that it holds of the front's bound
-    outstanding_r2ts: int = 0  # R2Ts that are unanswered
-    last_data_s: float = 0.0  # when its data last came
+    buffered_bytes: int = 0
+    outstanding_r2ts: int = 0
+    last_data_s: float = 0.0
 
     @property
     def tag(self) -> int:
+        """Initiator Task Tag of the command."""
         return self.pdu.tag
--- a/lemonridge/iscsi/transfer.py
+++ b/lemonridge/iscsi/transfer.py
@@ -1,8 +1,10 @@
-"""A command's data, either way, as PDUs and offsets (RFC 7143, sections 4.2.5, 11.7, 11.8 and 7.2). Pure.
+"""Data transfer of one SCSI command, in both directions, as PDUs and byte offsets. Pure.
 
-`Inbound` gathers a write's data: immediate and unsolicited data first, then what is asked for by R2T, several
-at a time, in any order that was agreed on; what is missing is asked for again where the recovery level allows
-it. `Outbound` cuts a read's data into Data-In PDUs, and knows them again by their numbers.
+Implements the data transfer rules of RFC 7143, sections 4.2.5, 11.7 and 11.8, and the recovery of lost data
+within a command (7.2). `Inbound` collects the data of a write: first the immediate and unsolicited data, then
+the data requested by R2Ts, several of which may be outstanding, in any order that the negotiated parameters
+allow. If the recovery level permits, missing data is requested again. `Outbound` splits the data of a read
+into Data-In PDUs and finds sent PDUs by their DataSN.
 """
 
 from __future__ import annotations
@@ -13,16 +15,23 @@
 
 from lemonridge.iscsi.keys import NegotiatedParameters
 
-NO_TAG = 0xFFFFFFFF
+UNSOLICITED_TRANSFER_TAG = 0xFFFFFFFF  # Target Transfer Tag of unsolicited Data-Out PDUs (RFC 7143, 11.7.4)
 
 
 class TransferError(Exception):
-    """Data that break the protocol; the text says how."""
+    """A Data-Out PDU violates the protocol; the message describes the violation."""
 
 
 @dataclass(frozen=True, slots=True)
 class ReadyToTransfer:
-    """An R2T to send."""
+    """An R2T to send to the initiator (RFC 7143, 11.8).
+
+    Attributes:
+        transfer_tag: Target Transfer Tag that the requested Data-Out PDUs carry.
+        r2t_sn: R2TSN, the number of the R2T within its command.
+        offset: Buffer offset of the first requested byte.
+        length: Number of requested bytes.
+    """
 
     transfer_tag: int
     r2t_sn: int
@@ -32,165 +41,233 @@
 
 @dataclass(slots=True)
 class _Burst:
-    """What one R2T, or the right to unsolicited data, covers."""
+    """The byte range [start, end) of one R2T or of the unsolicited data, and its progress."""
 
     start: int
     end: int
-    data_sn: int = 0
-    at: int = 0  # where the next data begin, if they come in order
-    over: bool = False  # its last PDU has come
+    next_data_sn: int = 0
+    next_offset: int = 0  # buffer offset of the next PDU if the data arrives in order
+    ended: bool = False  # the PDU with the F bit was received
 
 
 class Inbound:
-    """A write's data on their way in."""
+    """Collects the data of a write.
+
+    Attributes:
+        length: Expected number of bytes.
+        data: Buffer of `length` bytes that receives the data.
+    """
 
     def __init__(
-        self, length: int, immediate: bytes, agreed: NegotiatedParameters, unsolicited: bool, first_tag: int
+        self,
+        length: int,
+        immediate: bytes,
+        parameters: NegotiatedParameters,
+        unsolicited: bool,
+        last_transfer_tag: int,
     ) -> None:
-        """`length` bytes are expected; `unsolicited` says that more follow the command unasked."""
-        self.length, self.data, self._agreed = length, bytearray(length), agreed
-        self._have: list[tuple[int, int]] = []  # ranges, ordered and apart
-        self._bursts: dict[int, _Burst] = {}
-        self._tag, self._r2t_sn, self._asked = first_tag, 0, 0
-        self._take(0, immediate)
-        self._asked = len(immediate)
-        if unsolicited and len(immediate) < min(agreed.first_burst, length):
-            end = min(agreed.first_burst, length)
-            self._bursts[NO_TAG] = _Burst(len(immediate), end, at=len(immediate))
-            self._asked = end
+        """Creates the buffer and stores the immediate data.
+
+        Args:
+            length: Expected number of bytes of the whole transfer.
+            immediate: Data that the SCSI Command PDU carried.
+            parameters: Negotiated parameters of the session.
+            unsolicited: Whether unsolicited Data-Out PDUs follow the command.
+            last_transfer_tag: Target Transfer Tag after which this transfer numbers its R2Ts.
+        """
+        self.length, self.data, self._parameters = length, bytearray(length), parameters
+        self._received_ranges: list[tuple[int, int]] = []  # [start, end), sorted and disjoint
+        self._bursts: dict[int, _Burst] = {}  # by Target Transfer Tag
+        self._last_transfer_tag, self._next_r2t_sn, self._requested_end = last_transfer_tag, 0, 0
+        self._store(0, immediate)
+        self._requested_end = len(immediate)
+        if unsolicited and len(immediate) < min(parameters.first_burst, length):
+            end = min(parameters.first_burst, length)
+            self._bursts[UNSOLICITED_TRANSFER_TAG] = _Burst(len(immediate), end, next_offset=len(immediate))
+            self._requested_end = end
 
     @property
     def complete(self) -> bool:
-        return not self.length or self._have == [(0, self.length)]
+        """Whether all data was received."""
+        return not self.length or self._received_ranges == [(0, self.length)]
 
     @property
     def awaits_data(self) -> bool:
-        """Whether the initiator owes data that were asked for, or that it announced."""
-        return any(not burst.over for burst in self._bursts.values())
+        """Whether the initiator still has to send requested or announced unsolicited data."""
+        return any(not burst.ended for burst in self._bursts.values())
 
     def next_r2ts(self) -> list[ReadyToTransfer]:
-        """The R2Ts that may be sent now: none before the unsolicited data are over (11.8)."""
-        made: list[ReadyToTransfer] = []
-        if NO_TAG in self._bursts:
-            return made
-        while self._asked < self.length and len(self._bursts) < self._agreed.max_r2t:
-            end = min(self._asked + self._agreed.max_burst, self.length)
-            made.append(self._ask(self._asked, end))
-            self._asked = end
-        return made
-
-    def _ask(self, start: int, end: int) -> ReadyToTransfer:
-        self._tag = (self._tag + 1) % NO_TAG
-        self._bursts[self._tag] = _Burst(start, end, at=start)
-        self._r2t_sn += 1
-        return ReadyToTransfer(self._tag, self._r2t_sn - 1, start, end - start)
-
-    def receive(self, tag: int, data_sn: int, offset: int, data: bytes, final: bool) -> None:
-        """One Data-Out PDU. TransferError where it breaks what was agreed."""
-        burst = self._bursts.get(tag)
+        """Returns the R2Ts to send now, within MaxOutstandingR2T and MaxBurstLength.
+
+        The list is empty until the unsolicited data has ended (RFC 7143, 11.8).
+        """
+        r2ts: list[ReadyToTransfer] = []
+        if UNSOLICITED_TRANSFER_TAG in self._bursts:
+            return r2ts
+        while self._requested_end < self.length and len(self._bursts) < self._parameters.max_r2t:
+            end = min(self._requested_end + self._parameters.max_burst, self.length)
+            r2ts.append(self._create_r2t(self._requested_end, end))
+            self._requested_end = end
+        return r2ts
+
+    def _create_r2t(self, start: int, end: int) -> ReadyToTransfer:
+        self._last_transfer_tag = (self._last_transfer_tag + 1) % UNSOLICITED_TRANSFER_TAG
+        self._bursts[self._last_transfer_tag] = _Burst(start, end, next_offset=start)
+        self._next_r2t_sn += 1
+        return ReadyToTransfer(self._last_transfer_tag, self._next_r2t_sn - 1, start, end - start)
+
+    def receive(self, transfer_tag: int, data_sn: int, offset: int, data: bytes, final: bool) -> None:
+        """Stores the data of one Data-Out PDU.
+
+        Args:
+            transfer_tag: Target Transfer Tag of the PDU.
+            data_sn: DataSN of the PDU within its burst.
+            offset: Buffer offset of the first byte.
+            data: Data segment of the PDU.
+            final: Whether the PDU has the F bit, which ends its burst.
+
+        Raises:
+            TransferError: The PDU belongs to no open burst, lies outside its burst, is out of order, or ends
+                a burst with data missing where the recovery level is 0.
+        """
+        burst = self._bursts.get(transfer_tag)
         if burst is None:
-            raise TransferError("data that were not asked for")
-        recovery = self._agreed.recovery_level > 0
+            raise TransferError("data that was not requested")
+        recovers = self._parameters.recovery_level > 0
         if offset < burst.start or offset + len(data) > burst.end:
-            raise TransferError("data outside their burst")
-        if data_sn != burst.data_sn and not (recovery and data_sn > burst.data_sn):
-            raise TransferError(f"DataSN {data_sn} after {burst.data_sn}")
-        if self._agreed.data_pdu_in_order and offset != burst.at and not (recovery and offset > burst.at):
+            raise TransferError("data outside its burst")
+        if data_sn != burst.next_data_sn and not (recovers and data_sn > burst.next_data_sn):
+            raise TransferError(f"DataSN {data_sn}, expected {burst.next_data_sn}")
+        if (
+            self._parameters.data_pdu_in_order
+            and offset != burst.next_offset
+            and not (recovers and offset > burst.next_offset)
+        ):
             raise TransferError("data out of order")
-        burst.data_sn, burst.at = data_sn + 1, offset + len(data)
-        self._take(offset, data)
+        burst.next_data_sn, burst.next_offset = data_sn + 1, offset + len(data)
+        self._store(offset, data)
         if final:
-            burst.over = True
-            missing = self._missing(burst.start, burst.end)
-            if missing and tag == NO_TAG:
-                # Fewer unsolicited data than could have come are no fault: the rest is asked for.
+            burst.ended = True
+            missing = self._missing_ranges(burst.start, burst.end)
+            if missing and transfer_tag == UNSOLICITED_TRANSFER_TAG:
+                # The initiator may send less unsolicited data than allowed: R2Ts request the rest.
                 tail = missing[-1]
                 if tail[1] == burst.end and len(missing) == 1:
-                    self._asked, missing = tail[0], []
-            if missing and not recovery:
-                raise TransferError("a burst ended before its data")
+                    self._requested_end, missing = tail[0], []
+            if missing and not recovers:
+                raise TransferError("burst ended with data missing")
             if not missing:
-                del self._bursts[tag]
+                del self._bursts[transfer_tag]
 
     def recovery_r2ts(self) -> list[ReadyToTransfer]:
-        """Recovery R2Ts for what is missing of bursts that are over (7.2)."""
-        made: list[ReadyToTransfer] = []
-        for tag, burst in list(self._bursts.items()):
-            if burst.over:
-                del self._bursts[tag]
-                made += [self._ask(*part) for part in self._missing(burst.start, burst.end)]
-        return made
+        """Returns recovery R2Ts for the missing data of bursts that have ended (RFC 7143, 7.2)."""
+        r2ts: list[ReadyToTransfer] = []
+        for transfer_tag, burst in list(self._bursts.items()):
+            if burst.ended:
+                del self._bursts[transfer_tag]
+                r2ts += [
+                    self._create_r2t(*byte_range)
+                    for byte_range in self._missing_ranges(burst.start, burst.end)
+                ]
+        return r2ts
 
     def recovery_r2ts_after_stall(self) -> list[ReadyToTransfer]:
-        """The same for bursts whose last PDU does not come: it may have been lost."""
+        """Returns recovery R2Ts for the missing data of all bursts.
+
+        Open bursts are treated as ended, since their last PDU may have been lost.
+        """
         for burst in self._bursts.values():
-            burst.over = True
+            burst.ended = True
         return self.recovery_r2ts()
 
-    def _missing(self, start: int, end: int) -> list[tuple[int, int]]:
-        parts, at = list[tuple[int, int]](), start
-        for low, high in self._have:
-            if high <= at or low >= end:
+    def _missing_ranges(self, start: int, end: int) -> list[tuple[int, int]]:
+        """Returns the ranges within [start, end) that were not received."""
+        missing, position = list[tuple[int, int]](), start
+        for range_start, range_end in self._received_ranges:
+            if range_end <= position or range_start >= end:
                 continue
-            if low > at:
-                parts.append((at, low))
-            at = max(at, high)
-        if at < end:
-            parts.append((at, end))
-        return parts
-
-    def _take(self, offset: int, data: bytes) -> None:
+            if range_start > position:
+                missing.append((position, range_start))
+            position = max(position, range_end)
+        if position < end:
+            missing.append((position, end))
+        return missing
+
+    def _store(self, offset: int, data: bytes) -> None:
+        """Copies `data` into the buffer and merges its range into the received ranges."""
         if not data:
             return
         self.data[offset : offset + len(data)] = data
-        insort(self._have, (offset, offset + len(data)))
-        merged = self._have[:1]
-        for low, high in self._have[1:]:
-            if low <= merged[-1][1]:
-                merged[-1] = (merged[-1][0], max(merged[-1][1], high))
+        insort(self._received_ranges, (offset, offset + len(data)))
+        merged = self._received_ranges[:1]
+        for range_start, range_end in self._received_ranges[1:]:
+            if range_start <= merged[-1][1]:
+                merged[-1] = (merged[-1][0], max(merged[-1][1], range_end))
             else:
-                merged.append((low, high))
-        self._have = merged
+                merged.append((range_start, range_end))
+        self._received_ranges = merged
 
 
 @dataclass(frozen=True, slots=True)
 class DataInPdu:
-    """One Data-In PDU."""
+    """Number and byte range of one Data-In PDU.
+
+    Attributes:
+        data_sn: DataSN within the command.
+        offset: Buffer offset of the first byte.
+        length: Number of bytes.
+        final: Whether the PDU is the last of its burst (F bit).
+    """
 
     data_sn: int
     offset: int
     length: int
-    final: bool  # the last of its burst
+    final: bool
 
 
 @dataclass(slots=True)
 class Outbound:
-    """A read's data on their way out; they are kept until the command's status is acknowledged."""
+    """The data of a read, retained until the initiator acknowledges the command's status.
+
+    Attributes:
+        data: All data of the read.
+        max_segment: Largest data segment that the initiator accepts, in bytes.
+        max_burst: MaxBurstLength in bytes.
+        acknowledged: DataSN up to which, exclusively, the initiator has acknowledged the data (DataACK).
+    """
 
     data: bytes
     max_segment: int
     max_burst: int
-    acknowledged: int = 0  # DataSN before which all is known (DataACK)
-    _count: int = field(default=-1)
+    acknowledged: int = 0
+    _pdu_count: int = field(default=-1)  # -1 until it is computed
 
     @property
     def pdu_count(self) -> int:
-        """How many Data-In PDUs there are, which is the command's ExpDataSN."""
-        if self._count < 0:
-            self._count = sum(1 for _ in self.data_in_pdus())
-        return self._count
+        """Number of Data-In PDUs, which is the ExpDataSN of the command's SCSI Response."""
+        if self._pdu_count < 0:
+            self._pdu_count = sum(1 for _ in self.data_in_pdus())
+        return self._pdu_count
 
     def data_in_pdus(self) -> Iterator[DataInPdu]:
-        """Every PDU in order; none goes past the end of its burst."""
-        offset, number, end = 0, 0, len(self.data)
-        while offset < end:
-            until = min(offset + self.max_segment, (offset // self.max_burst + 1) * self.max_burst, end)
-            yield DataInPdu(number, offset, until - offset, until == end or until % self.max_burst == 0)
-            offset, number = until, number + 1
-
-    def find_for_snack(self, first: int, run: int) -> list[DataInPdu] | None:
-        """What a Data SNACK asks for; None if it asks for what was acknowledged, or never sent (11.16)."""
-        last = first + run if run else self.pdu_count
-        if first < self.acknowledged or last > self.pdu_count or first >= last:
+        """Yields all Data-In PDUs in order; none crosses the end of its burst."""
+        offset, data_sn, length = 0, 0, len(self.data)
+        while offset < length:
+            end = min(offset + self.max_segment, (offset // self.max_burst + 1) * self.max_burst, length)
+            yield DataInPdu(data_sn, offset, end - offset, end == length or end % self.max_burst == 0)
+            offset, data_sn = end, data_sn + 1
+
+    def find_for_snack(self, first_data_sn: int, run_length: int) -> list[DataInPdu] | None:
+        """Returns the PDUs that a Data SNACK requests (RFC 7143, 11.16).
+
+        Args:
+            first_data_sn: BegRun, the DataSN of the first requested PDU.
+            run_length: RunLength, the number of requested PDUs; 0 requests all from `first_data_sn` on.
+
+        Returns:
+            The PDUs, or None if the request includes acknowledged PDUs or PDUs that were never sent.
+        """
+        end = first_data_sn + run_length if run_length else self.pdu_count
+        if first_data_sn < self.acknowledged or end > self.pdu_count or first_data_sn >= end:
             return None
-        return [part for part in self.data_in_pdus() if first <= part.data_sn < last]
+        return [pdu for pdu in self.data_in_pdus() if first_data_sn <= pdu.data_sn < end]
