--- a/lemonridge/iscsi/keys.py
+++ b/lemonridge/iscsi/keys.py
@@ -1,8 +1,8 @@
 """Text keys and their negotiation (RFC 7143, chapters 6 and 13). Pure.
 
-A table says of each key its type, who may send it, in which phase, its default and its bounds; two functions
-go by it: `Responder` answers what a peer offers, and `apply_answers` takes a peer's answers to what was
-proposed. Neither depends on the order of the keys, nor on how they were split over PDUs.
+`TABLE` defines for each key its type, the phase in which it may be sent, its default and its bounds.
+`Responder` answers the keys that a peer offers, and `apply_answers` evaluates a peer's answers to a proposal.
+Neither depends on the order of the keys, nor on how the text was split into PDUs.
 """
 
 from __future__ import annotations
@@ -14,34 +14,45 @@
 TextPairs = list[tuple[str, str]]
 
 NOT_UNDERSTOOD, REJECT, IRRELEVANT, NONE = "NotUnderstood", "Reject", "Irrelevant", "None"
-RESERVED = frozenset((NOT_UNDERSTOOD, REJECT, IRRELEVANT))
-KEY_MAX, VALUE_MAX = 63, 255  # bytes of a key's name and of a plain value (6.1)
-SEGMENT_TOP = 2**24 - 1
+RESERVED_VALUES = frozenset((NOT_UNDERSTOOD, REJECT, IRRELEVANT))
+KEY_NAME_MAX, VALUE_MAX_BYTES = 63, 255  # length of a key name and of a simple value (RFC 7143, 6.1)
+SEGMENT_LENGTH_MAX = 2**24 - 1  # bytes
 
 
 class NegotiationType(Enum):
-    """How a key is settled."""
+    """How the value of a key is determined (RFC 7143, 6.2)."""
 
-    LIST = "list"  # the first of the offers that the answerer takes
-    LEAST = "least"  # the lesser of two numbers
-    MOST = "most"  # the greater
-    AND = "and"  # Yes if both say so
-    OR = "or"  # Yes if one says so
-    DECLARED = "declared"  # said, not answered
+    LIST = "list"  # the first offered value that the responder supports
+    LEAST = "least"  # the minimum of both numbers
+    MOST = "most"  # the maximum of both numbers
+    AND = "and"  # Yes if both sides have Yes
+    OR = "or"  # Yes if either side has Yes
+    DECLARED = "declared"  # declared by one side, without an answer
 
 
 class Phase(Enum):
-    """Where a key may be sent."""
+    """The phase in which a key may be sent."""
 
-    LEADING = "leading"  # the login of a session's first connection only
-    LOGIN = "login"
-    ANY = "any"  # in the login and in the full feature phase
-    FULL = "full"  # in the full feature phase only
+    LEADING = "leading"  # only the login of a session's first connection
+    LOGIN = "login"  # the login of any connection
+    ANY = "any"  # the login and the full feature phase
+    FULL = "full"  # only the full feature phase
 
 
 @dataclass(frozen=True, slots=True)
 class Key:
-    """One line of the table; bounds are of numbers, `values` of lists and declarations."""
+    """Definition of one text key.
+
+    Attributes:
+        name: Name of the key.
+        kind: How its value is determined.
+        phase: Phase in which it may be sent.
+        default: Value that applies if the key is not negotiated; empty if there is none.
+        low: Lowest permitted number.
+        high: Highest permitted number.
+        values: Permitted values of a list or a declaration; empty if any value is permitted.
+        section: Section of RFC 7143 that defines the key.
+    """
 
     name: str
     kind: NegotiationType
@@ -74,7 +85,7 @@
             Phase.ANY,
             "8192",
             512,
-            SEGMENT_TOP,
+            SEGMENT_LENGTH_MAX,
             section="13.12",
         ),
         Key(
@@ -83,7 +94,7 @@
             Phase.LEADING,
             "262144",
             512,
-            SEGMENT_TOP,
+            SEGMENT_LENGTH_MAX,
             section="13.13",
         ),
         Key(
@@ -92,7 +103,7 @@
             Phase.LEADING,
             "65536",
             512,
-            SEGMENT_TOP,
+            SEGMENT_LENGTH_MAX,
             section="13.14",
         ),
         Key("DefaultTime2Wait", NegotiationType.MOST, Phase.LEADING, "2", 0, 3600, section="13.15"),
@@ -122,26 +133,44 @@
     )
 }
 
-# Of RFC 3720, obsolete; whoever still offers them is answered so (13.25).
-OBSOLETE = frozenset(("IFMarker", "OFMarker", "IFMarkInt", "OFMarkInt"))
+# Keys of RFC 3720 that are obsolete and answered with Reject (RFC 7143, 13.25)
+OBSOLETE_KEYS = frozenset(("IFMarker", "OFMarker", "IFMarkInt", "OFMarkInt"))
 _DIGITS = frozenset("0123456789")
 
 
 class NegotiationError(Exception):
-    """A breach of the rules of negotiation, after which the login is over; the text says which."""
+    """A violation of the negotiation rules, which ends the login; the message describes it."""
 
 
 @dataclass(frozen=True, slots=True)
 class NegotiatedParameters:
-    """What holds for a connection and its session, from this side's view; sizes are in bytes, times in s."""
+    """Negotiated parameters of a connection and its session.
+
+    Attributes:
+        header_digest: Whether headers carry a CRC32C digest.
+        data_digest: Whether data segments carry a CRC32C digest.
+        max_connections: MaxConnections.
+        initial_r2t: InitialR2T.
+        immediate_data: ImmediateData.
+        send_segment: Largest data segment that the peer accepts, in bytes.
+        recv_segment: Largest data segment that this side accepts, in bytes.
+        max_burst: MaxBurstLength in bytes.
+        first_burst: FirstBurstLength in bytes.
+        time2wait: DefaultTime2Wait in seconds.
+        time2retain: DefaultTime2Retain in seconds.
+        max_r2t: MaxOutstandingR2T.
+        data_pdu_in_order: DataPDUInOrder.
+        data_sequence_in_order: DataSequenceInOrder.
+        recovery_level: ErrorRecoveryLevel.
+    """
 
     header_digest: bool = False
     data_digest: bool = False
     max_connections: int = 1
     initial_r2t: bool = True
     immediate_data: bool = True
-    send_segment: int = 8192  # the largest data segment that the peer takes
-    recv_segment: int = 8192  # and this side
+    send_segment: int = 8192
+    recv_segment: int = 8192
     max_burst: int = 262144
     first_burst: int = 65536
     time2wait: int = 2
@@ -152,13 +181,28 @@
     recovery_level: int = 0
 
     def with_valid_first_burst(self) -> NegotiatedParameters:
-        """The first burst is part of a burst (13.14)."""
+        """Returns a copy whose FirstBurstLength does not exceed MaxBurstLength (RFC 7143, 13.14)."""
         return replace(self, first_burst=min(self.first_burst, self.max_burst))
 
 
 @dataclass(frozen=True, slots=True)
 class NegotiationPreferences:
-    """What this side would have; each is a limit for its kind of key."""
+    """The values that this side offers, or accepts as limits, in a negotiation.
+
+    Attributes:
+        digests: Digests for headers and data in the order of preference.
+        max_connections: MaxConnections.
+        initial_r2t: InitialR2T.
+        immediate_data: ImmediateData.
+        recv_segment: MaxRecvDataSegmentLength that this side declares, in bytes.
+        max_burst: MaxBurstLength in bytes.
+        first_burst: FirstBurstLength in bytes.
+        time2wait: DefaultTime2Wait in seconds.
+        time2retain: DefaultTime2Retain in seconds.
+        max_r2t: MaxOutstandingR2T.
+        recovery_level: ErrorRecoveryLevel.
+        private_keys: Private (X-) keys that this side supports, with the answer to each.
+    """
 
     digests: tuple[str, ...] = ("CRC32C", NONE)
     max_connections: int = 1
@@ -171,17 +215,21 @@
     time2retain: int = 20
     max_r2t: int = 1
     recovery_level: int = 0
-    private_keys: dict[str, str] = field(default_factory=dict)  # X- keys that are understood, and the answers
+    private_keys: dict[str, str] = field(default_factory=dict)
 
     def value_of(self, name: str) -> str:
-        """The value that this side would propose for a key."""
-        yes = {True: "Yes", False: "No"}
+        """Returns the value that this side proposes for a key.
+
+        Raises:
+            KeyError: The key is not negotiated by this class.
+        """
+        booleans = {True: "Yes", False: "No"}
         return {
             "HeaderDigest": ",".join(self.digests),
             "DataDigest": ",".join(self.digests),
             "MaxConnections": str(self.max_connections),
-            "InitialR2T": yes[self.initial_r2t],
-            "ImmediateData": yes[self.immediate_data],
+            "InitialR2T": booleans[self.initial_r2t],
+            "ImmediateData": booleans[self.immediate_data],
             "MaxBurstLength": str(self.max_burst),
             "FirstBurstLength": str(self.first_burst),
             "DefaultTime2Wait": str(self.time2wait),
@@ -196,18 +244,29 @@
 
 
 def parse_number(text: str) -> int | None:
-    """A numerical value in decimal or hexadecimal (6.1); None if it is neither."""
+    """Returns a numerical value in decimal or hexadecimal (RFC 7143, 6.1), or None if it is malformed."""
     if text[:2] in ("0x", "0X"):
         digits = text[2:]
-        return int(digits, 16) if digits and all(one in "0123456789abcdefABCDEF" for one in digits) else None
+        return (
+            int(digits, 16) if digits and all(digit in "0123456789abcdefABCDEF" for digit in digits) else None
+        )
     if not text or not _DIGITS.issuperset(text) or len(text) > 10:
         return None
     return int(text)
 
 
 def parse_text(data: bytes) -> TextPairs:
-    """Text keys in their order; NegotiationError on what is no key=value, on a name or a value past its
-    bound, and on a key that stands twice (6.1, 6.3).
+    """Parses the text keys of a request or response.
+
+    Args:
+        data: Complete text, with a NUL byte after each key=value pair.
+
+    Returns:
+        Names and values in the order of the text.
+
+    Raises:
+        NegotiationError: An item is no key=value pair or not UTF-8, a name or a value is too long, or a key
+            is present more than once (RFC 7143, 6.1 and 6.3).
     """
     pairs: TextPairs = []
     seen: set[str] = set()
@@ -217,53 +276,62 @@
         try:
             name, equals, value = item.decode("utf-8").partition("=")
         except UnicodeDecodeError:
-            raise NegotiationError("text that is not UTF-8") from None
-        if not equals or not name or len(name) > KEY_MAX:
-            raise NegotiationError(f"malformed text key {name[:KEY_MAX]!r}")
+            raise NegotiationError("text is not UTF-8") from None
+        if not equals or not name or len(name) > KEY_NAME_MAX:
+            raise NegotiationError(f"malformed text key {name[:KEY_NAME_MAX]!r}")
         if name in seen:
-            raise NegotiationError(f"{name} stands twice")
-        if len(value.encode()) > VALUE_MAX and not name.startswith("CHAP_"):
+            raise NegotiationError(f"{name} is present twice")
+        if len(value.encode()) > VALUE_MAX_BYTES and not name.startswith("CHAP_"):
             raise NegotiationError(f"the value of {name} is too long")
         seen.add(name)
         pairs.append((name, value))
     return pairs
 
 
-def settle(key: Key, offer: str, wish: str) -> str | None:
-    """The result of a negotiated key from one side's offer and the other's wish; None if the offer is not
-    legal. Lists keep the offerer's order (6.2.1); numbers and booleans come out alike whoever offers
-    (6.2.2).
+def negotiate(key: Key, offer: str, preference: str) -> str | None:
+    """Determines the result of a negotiated key.
+
+    A list result follows the order of the offer (RFC 7143, 6.2.1); the results of numbers and booleans do not
+    depend on which side offers (6.2.2).
+
+    Args:
+        key: Definition of the key.
+        offer: Value that one side offers.
+        preference: Value that the other side prefers.
+
+    Returns:
+        The negotiated value, or None if the offer is not permitted.
     """
     if key.kind is NegotiationType.LIST:
-        takes = wish.split(",")
-        return next((one for one in offer.split(",") if one in takes and one in key.values), None)
+        accepted = preference.split(",")
+        return next((value for value in offer.split(",") if value in accepted and value in key.values), None)
     if key.kind in (NegotiationType.LEAST, NegotiationType.MOST):
-        told, own = parse_number(offer), parse_number(wish)
-        if told is None or own is None or not key.low <= told <= key.high:
+        offered, preferred = parse_number(offer), parse_number(preference)
+        if offered is None or preferred is None or not key.low <= offered <= key.high:
             return None
-        return str(min(told, own) if key.kind is NegotiationType.LEAST else max(told, own))
+        return str(min(offered, preferred) if key.kind is NegotiationType.LEAST else max(offered, preferred))
     if offer not in ("Yes", "No"):
         return None
-    both = (offer == "Yes", wish == "Yes")
+    both = (offer == "Yes", preference == "Yes")
     return "Yes" if (all(both) if key.kind is NegotiationType.AND else any(both)) else "No"
 
 
-def _take(agreed: NegotiatedParameters, name: str, result: str) -> NegotiatedParameters:
-    """A settled key as what now holds."""
+def _apply_result(parameters: NegotiatedParameters, name: str, result: str) -> NegotiatedParameters:
+    """Returns a copy of `parameters` with the negotiated result of one key."""
     yes = result == "Yes"
     if name in ("HeaderDigest", "DataDigest"):
-        on = result == "CRC32C"
+        enabled = result == "CRC32C"
         if name == "HeaderDigest":
-            return replace(agreed, header_digest=on)
-        return replace(agreed, data_digest=on)
+            return replace(parameters, header_digest=enabled)
+        return replace(parameters, data_digest=enabled)
     if name == "InitialR2T":
-        return replace(agreed, initial_r2t=yes)
+        return replace(parameters, initial_r2t=yes)
     if name == "ImmediateData":
-        return replace(agreed, immediate_data=yes)
+        return replace(parameters, immediate_data=yes)
     if name == "DataPDUInOrder":
-        return replace(agreed, data_pdu_in_order=yes)
+        return replace(parameters, data_pdu_in_order=yes)
     if name == "DataSequenceInOrder":
-        return replace(agreed, data_sequence_in_order=yes)
+        return replace(parameters, data_sequence_in_order=yes)
     fields = {
         "MaxConnections": "max_connections",
         "MaxBurstLength": "max_burst",
@@ -273,45 +341,67 @@
         "MaxOutstandingR2T": "max_r2t",
         "ErrorRecoveryLevel": "recovery_level",
     }
-    return replace(agreed, **{fields[name]: int(result)}) if name in fields else agreed  # type: ignore[arg-type]
+    return replace(parameters, **{fields[name]: int(result)}) if name in fields else parameters  # type: ignore[arg-type]
 
 
 class Responder:
-    """Answers a peer's keys in the login, PDU by PDU, and keeps what was agreed."""
+    """Answers the keys that a peer offers, request by request.
+
+    Attributes:
+        preferences: Values that this side accepts.
+        parameters: Parameters that were negotiated so far.
+        private_keys: Supported private keys that the peer offered, with the offered values.
+    """
 
-    def __init__(self, wishes: NegotiationPreferences, leading: bool = True) -> None:
-        self.preferences, self._leading = wishes, leading
+    def __init__(self, preferences: NegotiationPreferences, leading: bool = True) -> None:
+        """Creates a responder.
+
+        Args:
+            preferences: Values that this side accepts.
+            leading: Whether the connection is the first of its session, which may negotiate all keys.
+        """
+        self.preferences, self._leading = preferences, leading
         self.parameters = NegotiatedParameters(recv_segment=8192)
         self.private_keys: dict[str, str] = {}
-        self._seen: set[str] = set()
-        self._declared = False
+        self._received_keys: set[str] = set()
+        self._segment_declared = False
 
     def answer(
         self, pairs: Iterable[tuple[str, str]], skip: frozenset[str] = frozenset(), declare: bool = False
     ) -> TextPairs:
-        """The answers to operational keys; keys of `skip` are settled elsewhere. With `declare` this side's
-        own length of data segments is told, once.
+        """Answers operational keys.
 
-        NegotiationError on a key that is sent again in the login (6.3).
+        Args:
+            pairs: Keys that the peer offers.
+            skip: Names of keys that are handled elsewhere and not answered here.
+            declare: Whether to declare this side's MaxRecvDataSegmentLength, which happens once. It is also
+                declared after the peer has declared its own.
+
+        Returns:
+            The answers, and the declaration if it is due.
+
+        Raises:
+            NegotiationError: A key was already sent in this login (RFC 7143, 6.3).
         """
         answers: TextPairs = []
         for name, value in pairs:
-            if name in self._seen:
+            if name in self._received_keys:
                 raise NegotiationError(f"{name} is negotiated twice")
-            self._seen.add(name)
+            self._received_keys.add(name)
             if name in skip:
                 continue
-            told = self._one(name, value)
-            if told is not None:
-                answers.append((name, told))
-        if not self._declared and (declare or "MaxRecvDataSegmentLength" in self._seen):
-            self._declared = True
+            answer = self._answer_key(name, value)
+            if answer is not None:
+                answers.append((name, answer))
+        if not self._segment_declared and (declare or "MaxRecvDataSegmentLength" in self._received_keys):
+            self._segment_declared = True
             answers.append(("MaxRecvDataSegmentLength", str(self.preferences.recv_segment)))
             self.parameters = replace(self.parameters, recv_segment=self.preferences.recv_segment)
         return answers
 
-    def _one(self, name: str, value: str) -> str | None:
-        if name in OBSOLETE:
+    def _answer_key(self, name: str, value: str) -> str | None:
+        """Returns the answer to one key; None if it has none."""
+        if name in OBSOLETE_KEYS:
             return REJECT
         key = TABLE.get(name)
         if key is None:
@@ -320,21 +410,25 @@
                 return self.preferences.private_keys[name]
             return NOT_UNDERSTOOD
         if key.kind is NegotiationType.DECLARED:
-            return self._declaration(key, value)
-        if value in RESERVED or key.phase is Phase.FULL or (key.phase is Phase.LEADING and not self._leading):
-            return REJECT if value not in RESERVED else None
-        result = settle(key, value, self.preferences.value_of(name))
+            return self._receive_declaration(key, value)
+        if (
+            value in RESERVED_VALUES
+            or key.phase is Phase.FULL
+            or (key.phase is Phase.LEADING and not self._leading)
+        ):
+            return REJECT if value not in RESERVED_VALUES else None
+        result = negotiate(key, value, self.preferences.value_of(name))
         if result is None:
             return REJECT
-        self.parameters = _take(self.parameters, name, result)
+        self.parameters = _apply_result(self.parameters, name, result)
         return result
 
-    def _declaration(self, key: Key, value: str) -> str | None:
+    def _receive_declaration(self, key: Key, value: str) -> str | None:
         if key.name == "MaxRecvDataSegmentLength":
-            told = parse_number(value)
-            if told is None or not key.low <= told <= key.high:
+            length = parse_number(value)
+            if length is None or not key.low <= length <= key.high:
                 return REJECT
-            self.parameters = replace(self.parameters, send_segment=told)
+            self.parameters = replace(self.parameters, send_segment=length)
         elif key.phase is Phase.FULL or (key.values and value not in key.values):
             return REJECT
         return None
@@ -343,12 +437,23 @@
 def apply_answers(
     proposed: Sequence[tuple[str, str]], answers: Iterable[tuple[str, str]], recv_segment: int
 ) -> tuple[NegotiatedParameters, dict[str, str]]:
-    """What holds after a peer's answers to what was proposed, and its private keys.
+    """Evaluates a peer's answers to a proposal.
+
+    A key that was proposed but not answered, or not understood, keeps its default.
+
+    Args:
+        proposed: Proposed keys and values.
+        answers: The peer's answers.
+        recv_segment: MaxRecvDataSegmentLength that this side has declared, in bytes.
+
+    Returns:
+        The negotiated parameters, and the values of keys that `TABLE` does not define and of AuthMethod.
 
-    NegotiationError if an answer is none that the proposal allows (6.2): the peer and this side would go by
-    different figures. What was proposed and not answered, or not understood, keeps its default.
+    Raises:
+        NegotiationError: The proposal does not permit an answer (RFC 7143, 6.2): both sides would use
+            different values.
     """
-    offers, agreed, private = (
+    offers, parameters, private_keys = (
         dict(proposed),
         NegotiatedParameters(recv_segment=recv_segment),
         dict[str, str](),
@@ -356,20 +461,20 @@
     for name, value in answers:
         key = TABLE.get(name)
         if key is None or name == "AuthMethod":
-            private[name] = value
+            private_keys[name] = value
         elif name == "MaxRecvDataSegmentLength":
-            told = parse_number(value)
-            if told is None or not key.low <= told <= key.high:
+            length = parse_number(value)
+            if length is None or not key.low <= length <= key.high:
                 raise NegotiationError(f"{name}={value}")
-            agreed = replace(agreed, send_segment=told)
-        elif key.kind is not NegotiationType.DECLARED and value not in RESERVED:
-            # An answer is legal if, as an offer, it comes out as itself against what was proposed.
-            if name in offers and settle(key, value, offers[name]) != value:
+            parameters = replace(parameters, send_segment=length)
+        elif key.kind is not NegotiationType.DECLARED and value not in RESERVED_VALUES:
+            # An answer is permitted if negotiating it as an offer against the proposal yields the answer.
+            if name in offers and negotiate(key, value, offers[name]) != value:
                 raise NegotiationError(f"{name}={value} answers {offers[name]}")
-            agreed = _take(agreed, name, value)
-    return agreed.with_valid_first_burst(), private
+            parameters = _apply_result(parameters, name, value)
+    return parameters.with_valid_first_burst(), private_keys
 
 
-def proposal(wishes: NegotiationPreferences, names: Iterable[str]) -> TextPairs:
-    """What an initiator offers for the named keys."""
-    return [(name, wishes.value_of(name)) for name in names]
+def proposal(preferences: NegotiationPreferences, names: Iterable[str]) -> TextPairs:
+    """Returns the offers of an initiator for the named keys."""
+    return [(name, preferences.value_of(name)) for name in names]
