--- a/lemonridge/iscsi/numbers.py
+++ b/lemonridge/iscsi/numbers.py
@@ -1,8 +1,8 @@
-"""Command and status numbers of a session (RFC 7143, sections 4.2.2 and 7.1). Pure.
+"""Command and status sequence numbers of a session (RFC 7143, sections 4.2.2 and 7.1). Pure.
 
-Commands of one session may come over several connections and out of order; they are handed on in the order of
-CmdSN. Statuses are numbered a connection, and kept until they are acknowledged where they may be asked for
-again.
+The commands of a session may arrive on several connections and out of order; `CommandWindow` delivers them in
+the order of CmdSN. Statuses are numbered per connection; `StatusLog` retains them until they are acknowledged
+if the recovery level permits the initiator to request them again.
 """
 
 from __future__ import annotations
@@ -17,39 +17,62 @@
 SERIAL_MODULUS = 1 << 32
 
 
-def serial_distance(one: int, other: int) -> int:
-    """How far one serial number is past another (RFC 1982): from -2^31 to 2^31 - 1."""
-    distance = (one - other) % SERIAL_MODULUS
+def serial_distance(number: int, reference: int) -> int:
+    """Returns how far `number` is ahead of `reference` in serial number arithmetic (RFC 1982).
+
+    The result lies between -2^31 and 2^31 - 1; it is negative if `number` precedes `reference`.
+    """
+    distance = (number - reference) % SERIAL_MODULUS
     return distance - SERIAL_MODULUS if distance >= SERIAL_MODULUS // 2 else distance
 
 
 class ArrivalResult(Enum):
-    """Where a command number lies."""
+    """How the window treats a received command number."""
 
-    NEXT = "next"  # in order, or held until those before it have come
-    REPEATED = "repeated"  # seen before: taken, or held already
-    OUTSIDE = "outside"  # past the window: ignored (4.2.2.1)
+    NEXT = "next"  # new: delivered at once, or kept until all earlier commands were received
+    REPEATED = "repeated"  # received before
+    OUTSIDE = "outside"  # beyond the window; the command is ignored (RFC 7143, 4.2.2.1)
 
 
 @dataclass(slots=True)
 class CommandWindow(Generic[T]):
-    """The target's side of CmdSN. `size` is how far ahead of ExpCmdSN commands may come."""
+    """The target's command window: it delivers the commands of a session in the order of CmdSN.
+
+    Attributes:
+        exp_cmd_sn: ExpCmdSN, the number of the next command to deliver.
+        size: Maximum number of commands from ExpCmdSN on that are accepted.
+        pending: Commands received out of order, by CmdSN.
+        max_cmd_sn: MaxCmdSN as last advertised, which never decreases (RFC 7143, 4.2.2.1); -1 before the
+            first advertisement.
+    """
 
     exp_cmd_sn: int
     size: int
     pending: dict[int, T] = field(default_factory=dict)
-    max_cmd_sn: int = -1  # MaxCmdSN as last told; it never goes back (4.2.2.1)
+    max_cmd_sn: int = -1
 
     def advertise_max_cmd_sn(self, busy: int) -> int:
-        """MaxCmdSN to tell now, with `busy` places of the window taken by commands in work."""
-        room = max(0, self.size - busy)
-        fresh = (self.exp_cmd_sn + room - 1) % SERIAL_MODULUS
-        if self.max_cmd_sn < 0 or serial_distance(fresh, self.max_cmd_sn) > 0:
-            self.max_cmd_sn = fresh
+        """Returns the MaxCmdSN to advertise now.
+
+        Args:
+            busy: Number of commands in progress, each of which occupies a slot of the window.
+        """
+        free = max(0, self.size - busy)
+        candidate = (self.exp_cmd_sn + free - 1) % SERIAL_MODULUS
+        if self.max_cmd_sn < 0 or serial_distance(candidate, self.max_cmd_sn) > 0:
+            self.max_cmd_sn = candidate
         return self.max_cmd_sn
 
     def receive(self, number: int, item: T) -> tuple[ArrivalResult, list[T]]:
-        """A command that is not immediate: its place, and the commands that are now in order."""
+        """Receives a non-immediate command.
+
+        Args:
+            number: CmdSN of the command.
+            item: The command.
+
+        Returns:
+            How the window treats the number, and the commands that are now in order, for delivery.
+        """
         ahead = serial_distance(number, self.exp_cmd_sn)
         if ahead < 0 or number in self.pending:
             return ArrivalResult.REPEATED, []
@@ -65,9 +88,13 @@
 
 @dataclass(slots=True)
 class StatusLog(Generic[T]):
-    """Statuses of one connection that the initiator has not acknowledged, oldest first.
+    """Numbers the statuses of one connection and retains those that the initiator has not acknowledged.
 
-    `keep` is the greatest number kept, 0 where none may be asked for again (recovery level 0).
+    Attributes:
+        next_stat_sn: StatSN of the next status.
+        capacity: Maximum number of retained statuses; 0 at recovery level 0, where no status can be requested
+            again.
+        retained: Unacknowledged statuses by StatSN, oldest first.
     """
 
     next_stat_sn: int
@@ -75,7 +102,7 @@
     retained: OrderedDict[int, T] = field(default_factory=OrderedDict)
 
     def assign_stat_sn(self, item: T) -> int:
-        """The StatSN of a status that is sent now."""
+        """Returns the StatSN for a status that is about to be sent, and retains the status."""
         number, self.next_stat_sn = self.next_stat_sn, (self.next_stat_sn + 1) % SERIAL_MODULUS
         if self.capacity:
             self.retained[number] = item
@@ -83,29 +110,45 @@
                 self.retained.popitem(last=False)
         return number
 
-    def acknowledge(self, expected: int) -> list[T]:
-        """ExpStatSN came: everything before it is known. The statuses that go are returned; an ExpStatSN past
-        what was sent acknowledges nothing.
+    def acknowledge(self, exp_stat_sn: int) -> list[T]:
+        """Removes the statuses that an ExpStatSN acknowledges.
+
+        Args:
+            exp_stat_sn: ExpStatSN of a received PDU, which acknowledges all earlier numbers. A number beyond
+                the last status sent acknowledges nothing.
+
+        Returns:
+            The acknowledged statuses, oldest first.
         """
-        if serial_distance(expected, self.next_stat_sn) > 0:
+        if serial_distance(exp_stat_sn, self.next_stat_sn) > 0:
             return []
-        gone: list[T] = []
-        while self.retained and serial_distance(next(iter(self.retained)), expected) < 0:
-            gone.append(self.retained.popitem(last=False)[1])
-        return gone
+        acknowledged: list[T] = []
+        while self.retained and serial_distance(next(iter(self.retained)), exp_stat_sn) < 0:
+            acknowledged.append(self.retained.popitem(last=False)[1])
+        return acknowledged
+
+    def find_retained(self, first: int, run_length: int) -> list[tuple[int, T]] | None:
+        """Returns the statuses that a Status SNACK requests (RFC 7143, 7.3 and 11.16).
 
-    def find_retained(self, first: int, run: int) -> list[tuple[int, T]] | None:
-        """What a Status SNACK asks for, by number; `run` 0 is all from `first` on (7.3, 11.16).
+        Args:
+            first: BegRun, the StatSN of the first requested status.
+            run_length: RunLength, the number of requested statuses; 0 requests all from `first` on.
 
-        None if one of them is not kept: the request cannot be met.
+        Returns:
+            StatSN and status of each, or None if any of them is not retained.
         """
-        if not run:
-            run = serial_distance(self.next_stat_sn, first)
-        numbers = [(first + place) % SERIAL_MODULUS for place in range(max(0, run))]
-        if run <= 0 or run > len(self.retained) or any(number not in self.retained for number in numbers):
+        if not run_length:
+            run_length = serial_distance(self.next_stat_sn, first)
+        numbers = [(first + index) % SERIAL_MODULUS for index in range(max(0, run_length))]
+        if (
+            run_length <= 0
+            or run_length > len(self.retained)
+            or any(number not in self.retained for number in numbers)
+        ):
             return None
         return [(number, self.retained[number]) for number in numbers]
 
     @property
     def unacknowledged_count(self) -> int:
+        """Number of retained statuses."""
         return len(self.retained)
