--- a/lemonridge/iscsi/chap.py
+++ b/lemonridge/iscsi/chap.py
@@ -1,10 +1,12 @@
-"""CHAP as RFC 7143, section 12.1.3, and RFC 1994 have it. Pure but for the random bytes that the caller
-brings.
+"""CHAP authentication of an iSCSI login (RFC 7143, section 12.1.3, and RFC 1994).
 
-The target challenges; the initiator may challenge back (mutual). Algorithms by their numbers of the IANA
-registry: 5 MD5, 7 SHA-256, 8 SHA3-256 (RFC 7143 asks for MD5, the others come with RFC 7143's successors in
-the registry). Comparison takes constant time; a failure never says which half was wrong; a challenge that is
-reflected is refused (12.1.3, and section 9.2.1 on its reasons).
+Pure, except for the random bytes that the caller provides.
+
+The target challenges the initiator; with mutual authentication the initiator also challenges the target.
+Algorithms are identified by their numbers in the IANA registry: 5 MD5, 7 SHA-256, 8 SHA3-256. RFC 7143
+requires MD5; the others were registered by its successors. Responses are compared in constant time, and a
+failure does not reveal whether the name or the secret was wrong. A reflected challenge is refused (RFC 7143,
+12.1.3; 9.2.1 gives the reasons).
 """
 
 from __future__ import annotations
@@ -19,20 +21,29 @@
 
 from lemonridge.iscsi.keys import TextPairs
 
+# Hash functions by algorithm number, and the numbers that an initiator offers in the order of preference
 ALGORITHMS = {5: "md5", 7: "sha256", 8: "sha3_256"}
 PREFERRED = (8, 7, 5)
-SECRET_MIN, SECRET_MAX = 12, 255  # bytes; 12 are 96 bits, below which RFC 7143 asks for IPsec (9.2.1)
+# Lengths in bytes. Below 96 bits, or 12 bytes, a secret requires IPsec (RFC 7143, 9.2.1).
+SECRET_MIN, SECRET_MAX = 12, 255
 CHALLENGE_MIN, CHALLENGE_MAX = 16, 1024
 NAME_MAX = 255
 
 
 class ChapError(Exception):
-    """Authentication fails; the text is for the log alone."""
+    """Authentication failed; the message is only for the log."""
 
 
 @dataclass(frozen=True, slots=True)
 class Account:
-    """An initiator's name and secret, and this target's own where it proves itself (mutual)."""
+    """Credentials of one initiator.
+
+    Attributes:
+        name: CHAP name of the initiator.
+        secret: Secret of the initiator.
+        own_name: CHAP name of the target, for mutual authentication.
+        own_secret: Secret of the target, for mutual authentication; empty if there is none.
+    """
 
     name: str
     secret: bytes
@@ -41,18 +52,30 @@
 
 
 def response(algorithm: int, ident: int, secret: bytes, challenge: bytes) -> bytes:
-    """RFC 1994, section 4.1: the digest of identifier, secret and challenge."""
+    """Returns the CHAP response: the hash of identifier, secret and challenge (RFC 1994, 4.1).
+
+    Args:
+        algorithm: Algorithm number, a key of `ALGORITHMS`.
+        ident: Identifier of the challenge, 0 to 255.
+        secret: Secret of the side that responds.
+        challenge: Challenge bytes.
+    """
     return hashlib.new(ALGORITHMS[algorithm], bytes([ident]) + secret + challenge).digest()
 
 
 def encode(raw: bytes) -> str:
+    """Returns a binary value in hexadecimal (RFC 7143, 6.1)."""
     return "0x" + raw.hex()
 
 
 def decode(text: str) -> bytes:
-    """A binary value in hexadecimal or base64 (6.1); ChapError if it is neither, or past every bound."""
+    """Returns the bytes of a binary value in hexadecimal or base64 (RFC 7143, 6.1).
+
+    Raises:
+        ChapError: The value is malformed, or longer than any permitted value.
+    """
     if len(text) > 2 * CHALLENGE_MAX + 2:
-        raise ChapError("a value is too long")
+        raise ChapError("binary value is too long")
     try:
         if text[:2] in ("0x", "0X"):
             digits = text[2:]
@@ -61,94 +84,121 @@
             return base64.b64decode(text[2:], validate=True)
     except (ValueError, binascii.Error):
         pass
-    raise ChapError("a binary value is malformed")
+    raise ChapError("binary value is malformed")
 
 
 class Step(Enum):
-    """Where the exchange stands."""
+    """The keys that the target expects next."""
 
-    ALGORITHM = "algorithm"
-    RESPONSE = "response"
-    DONE = "done"
+    ALGORITHM = "algorithm"  # CHAP_A
+    RESPONSE = "response"  # CHAP_N and CHAP_R
+    DONE = "done"  # the initiator is authenticated
 
 
 class Target:
-    """The target's half of one exchange."""
+    """The target's side of one CHAP exchange.
+
+    Attributes:
+        step: The keys that are expected next.
+        name: CHAP name of the initiator once it is authenticated, else empty.
+    """
 
     def __init__(self, accounts: Mapping[str, Account], random: Callable[[int], bytes]) -> None:
+        """Creates an exchange.
+
+        Args:
+            accounts: Accounts of the initiators by CHAP name.
+            random: Returns the given number of random bytes.
+        """
         self._accounts, self._random = accounts, random
         self.step = Step.ALGORITHM
-        self.name = ""  # who has proved to be there, once it is done
+        self.name = ""
         self._algorithm, self._ident, self._challenge = 0, 0, b""
 
-    def answer(self, told: Mapping[str, str]) -> TextPairs:
-        """The next keys to send; ChapError ends it."""
+    def answer(self, keys: Mapping[str, str]) -> TextPairs:
+        """Returns the keys to send in response to the initiator's.
+
+        Raises:
+            ChapError: Authentication failed, which ends the exchange.
+        """
         if self.step is Step.ALGORITHM:
-            return self._challenge_with(told)
+            return self._send_challenge(keys)
         if self.step is Step.RESPONSE:
-            return self._check(told)
+            return self._check_response(keys)
         raise ChapError("keys after the end of the exchange")
 
-    def _challenge_with(self, told: Mapping[str, str]) -> TextPairs:
-        if "CHAP_A" not in told:
+    def _send_challenge(self, keys: Mapping[str, str]) -> TextPairs:
+        if "CHAP_A" not in keys:
             raise ChapError("no algorithm was offered")
-        offered = told["CHAP_A"].split(",")
-        chosen = next((one for one in offered if one.isdigit() and int(one) in ALGORITHMS), None)
+        offered = keys["CHAP_A"].split(",")
+        chosen = next((number for number in offered if number.isdigit() and int(number) in ALGORITHMS), None)
         if chosen is None:
-            raise ChapError(f"none of the algorithms is known: {told['CHAP_A']}")
+            raise ChapError(f"no offered algorithm is supported: {keys['CHAP_A']}")
         self._algorithm = int(chosen)
         self._ident, self._challenge = self._random(1)[0], self._random(32)
         self.step = Step.RESPONSE
         return [("CHAP_A", chosen), ("CHAP_I", str(self._ident)), ("CHAP_C", encode(self._challenge))]
 
-    def _check(self, told: Mapping[str, str]) -> TextPairs:
-        if "CHAP_N" not in told or "CHAP_R" not in told:
+    def _check_response(self, keys: Mapping[str, str]) -> TextPairs:
+        if "CHAP_N" not in keys or "CHAP_R" not in keys:
             raise ChapError("name or response is missing")
-        name, given = told["CHAP_N"], decode(told["CHAP_R"])
+        name, received = keys["CHAP_N"], decode(keys["CHAP_R"])
         account = self._accounts.get(name)
-        # An unknown name costs the same time as a wrong secret, and gets the same answer.
+        # An unknown name takes the same time as a wrong secret and gets the same response.
         secret = account.secret if account is not None else bytes(SECRET_MIN)
-        want = response(self._algorithm, self._ident, secret, self._challenge)
-        if not hmac.compare_digest(want, given) or account is None:
+        expected = response(self._algorithm, self._ident, secret, self._challenge)
+        if not hmac.compare_digest(expected, received) or account is None:
             raise ChapError("name or secret is wrong")
         answers: TextPairs = []
-        if "CHAP_I" in told or "CHAP_C" in told:
-            answers = self._prove(account, told)
+        if "CHAP_I" in keys or "CHAP_C" in keys:
+            answers = self._respond_to_initiator(account, keys)
         self.step, self.name = Step.DONE, name
         return answers
 
-    def _prove(self, account: Account, told: Mapping[str, str]) -> TextPairs:
-        """Mutual: answer the initiator's own challenge."""
-        ident, challenge = told.get("CHAP_I", ""), decode(told.get("CHAP_C", ""))
+    def _respond_to_initiator(self, account: Account, keys: Mapping[str, str]) -> TextPairs:
+        """Returns the response to the initiator's challenge (mutual authentication)."""
+        ident, challenge = keys.get("CHAP_I", ""), decode(keys.get("CHAP_C", ""))
         if not ident.isdigit() or int(ident) > 255 or not CHALLENGE_MIN <= len(challenge) <= CHALLENGE_MAX:
             raise ChapError("the initiator's challenge is malformed")
         if challenge == self._challenge:
             raise ChapError("the challenge was reflected")
         if not account.own_secret:
-            raise ChapError("the initiator wants a proof that this target has no secret for")
+            raise ChapError("the initiator requires mutual authentication, for which there is no secret")
         proof = response(self._algorithm, int(ident), account.own_secret, challenge)
         return [("CHAP_N", account.own_name), ("CHAP_R", encode(proof))]
 
 
 class Initiator:
-    """The initiator's half, towards a node."""
+    """The initiator's side of one CHAP exchange, with a node as the target."""
 
     def __init__(self, account: Account, random: Callable[[int], bytes]) -> None:
-        """`account` has the name and secret that the node knows, and as its own the node's, if that must
-        prove itself too.
+        """Creates an exchange.
+
+        Args:
+            account: Name and secret of this initiator; `own_name` and `own_secret` are those of the node if
+                the node must authenticate itself too.
+            random: Returns the given number of random bytes.
         """
         self._account, self._random = account, random
         self._algorithm, self._ident, self._challenge = 0, 0, b""
 
     def begin(self) -> TextPairs:
+        """Returns the key that offers the algorithms."""
         return [("CHAP_A", ",".join(map(str, PREFERRED)))]
 
-    def respond(self, told: Mapping[str, str]) -> TextPairs:
-        """Answer the node's challenge, and challenge it where it must prove itself."""
-        chosen, ident = told.get("CHAP_A", ""), told.get("CHAP_I", "")
+    def respond(self, keys: Mapping[str, str]) -> TextPairs:
+        """Returns the response to the node's challenge, and a challenge if the node must authenticate itself.
+
+        Args:
+            keys: CHAP keys that the node sent.
+
+        Raises:
+            ChapError: The node's challenge is malformed.
+        """
+        chosen, ident = keys.get("CHAP_A", ""), keys.get("CHAP_I", "")
         if not chosen.isdigit() or int(chosen) not in PREFERRED or not ident.isdigit() or int(ident) > 255:
             raise ChapError("the node's challenge is malformed")
-        self._algorithm, challenge = int(chosen), decode(told.get("CHAP_C", ""))
+        self._algorithm, challenge = int(chosen), decode(keys.get("CHAP_C", ""))
         if not CHALLENGE_MIN <= len(challenge) <= CHALLENGE_MAX:
             raise ChapError("the node's challenge is malformed")
         proof = response(self._algorithm, int(ident), self._account.secret, challenge)
@@ -160,11 +210,18 @@
             answers += [("CHAP_I", str(self._ident)), ("CHAP_C", encode(self._challenge))]
         return answers
 
-    def check(self, told: Mapping[str, str]) -> None:
-        """ChapError if the node had to prove itself and did not."""
+    def check(self, keys: Mapping[str, str]) -> None:
+        """Checks the node's response if the node must authenticate itself.
+
+        Args:
+            keys: CHAP keys that the node sent.
+
+        Raises:
+            ChapError: The response is missing or wrong.
+        """
         if not self._account.own_secret:
             return
-        want = response(self._algorithm, self._ident, self._account.own_secret, self._challenge)
-        given = decode(told.get("CHAP_R", ""))
-        if not hmac.compare_digest(want, given) or told.get("CHAP_N") != self._account.own_name:
+        expected = response(self._algorithm, self._ident, self._account.own_secret, self._challenge)
+        received = decode(keys.get("CHAP_R", ""))
+        if not hmac.compare_digest(expected, received) or keys.get("CHAP_N") != self._account.own_name:
             raise ChapError("the node did not prove itself")
--- a/lemonridge/iscsi/pdu.py
+++ b/lemonridge/iscsi/pdu.py
@@ -1,4 +1,7 @@
-"""PDUs of RFC 7143: their layout, their digests, and their way on and off a stream."""
+"""iSCSI PDUs (RFC 7143, chapter 11): layout, digests, and reading and encoding them.
+
+Also contains helpers for LUN and text encoding and for TCP keep-alive.
+"""
 
 from __future__ import annotations
 
@@ -15,13 +18,15 @@
 log = logging.getLogger(__name__)
 
 BHS = struct.Struct(">BBBBI8sI7I")
-RESERVED_TAG = 0xFFFFFFFF  # a task tag that names no task
-FINAL, CONTINUE = 0x80, 0x40
-TEXT_MAX_BYTES = 16 * 1024  # of the text keys of one exchange
-MAX_DATA_SEGMENT_BYTES = 64 * 1024  # the data segment that either side of this program takes
+RESERVED_TAG = 0xFFFFFFFF  # value of a task tag or transfer tag field that identifies nothing
+FINAL, CONTINUE = 0x80, 0x40  # F (or T) and C bits of the flags byte
+TEXT_MAX_BYTES = 16 * 1024  # text keys of one exchange
+MAX_DATA_SEGMENT_BYTES = 64 * 1024  # data segment that this program accepts, as target and as initiator
 
 
 class Op(IntEnum):
+    """Operation codes of PDUs (RFC 7143, 11.2.1.2)."""
+
     NOP_OUT = 0x00
     SCSI_COMMAND = 0x01
     TASK_MANAGEMENT = 0x02
@@ -43,22 +48,36 @@
 
 
 class HeaderDigestError(Exception):
-    """A header that came spoilt: where the next PDU begins is not known, so the connection is lost (7.8)."""
+    """The digest of a received header does not match.
+
+    The start of the next PDU is unknown, so the connection must be closed (RFC 7143, 7.8).
+    """
 
 
 class DataDigestError(Exception):
-    """A data segment that came spoilt; the header `pdu` is sound."""
+    """The digest of a received data segment does not match; the header is intact.
+
+    Attributes:
+        pdu: The PDU without its data.
+    """
 
     def __init__(self, pdu: Pdu) -> None:
-        super().__init__(f"data digest of opcode {pdu.opcode:#04x}")
+        super().__init__(f"data digest mismatch in a PDU with opcode {pdu.opcode:#04x}")
         self.pdu = pdu
 
 
 class PduError(Exception):
-    """A PDU that breaks the protocol; `reason` is the one of a Reject."""
+    """A received PDU violates the protocol.
+
+    The class constants are the reason codes of a Reject PDU (RFC 7143, 11.17.1).
+
+    Attributes:
+        reason: Reason code.
+        pdu: The PDU, if it is known.
+    """
 
     PROTOCOL, UNSUPPORTED, FIELD = 0x04, 0x05, 0x09
-    DIGEST, SNACK, TOO_MANY, IN_PROGRESS = 0x02, 0x03, 0x06, 0x07  # reasons of a Reject (11.17.1)
+    DIGEST, SNACK, TOO_MANY, IN_PROGRESS = 0x02, 0x03, 0x06, 0x07
 
     def __init__(self, reason: int, text: str, pdu: Pdu | None = None) -> None:
         super().__init__(text)
@@ -67,8 +86,20 @@
 
 @dataclass(slots=True)
 class Pdu:
-    """One PDU. `words` are the seven words from byte 20 on; most opcodes hold
-    (transfer) tag, CmdSN or StatSN, ExpStatSN or ExpCmdSN, MaxCmdSN and three of their own there.
+    """One PDU.
+
+    Attributes:
+        opcode: Operation code.
+        flags: Byte 1.
+        byte2: Byte 2.
+        byte3: Byte 3.
+        lun: Bytes 8 to 15: the LUN, or other fields that the opcode defines.
+        tag: Initiator Task Tag.
+        words: The seven 32-bit words from byte 20 on. For most opcodes they are the transfer tag, CmdSN or
+            StatSN, ExpStatSN or ExpCmdSN, MaxCmdSN and three opcode-specific words.
+        data: Data segment without padding.
+        immediate: Whether the I bit is set.
+        ahs: Additional header segments, padded to whole words.
     """
 
     opcode: int
@@ -80,14 +111,21 @@
     words: list[int] = field(default_factory=lambda: [0] * 7)
     data: bytes = b""
     immediate: bool = False
-    ahs: bytes = b""  # additional header segments, whole words
+    ahs: bytes = b""
 
     def encode(self, header_digest: bool = False, data_digest: bool = False) -> bytes:
-        """The bytes on the wire; digests are CRC32C in the byte order of RFC 3720's examples (13.1)."""
+        """Returns the PDU as sent on the wire.
+
+        Digests are CRC32C in the byte order of the examples in RFC 3720 (RFC 7143, 13.1).
+
+        Args:
+            header_digest: Whether to append a header digest.
+            data_digest: Whether to append a data digest, if there is data.
+        """
         first = self.opcode | (0x40 if self.immediate else 0)
         lengths = len(self.ahs) // 4 << 24 | len(self.data)
-        head = (first, self.flags, self.byte2, self.byte3, lengths, self.lun, self.tag)
-        header = BHS.pack(*head, *self.words) + self.ahs
+        fields = (first, self.flags, self.byte2, self.byte3, lengths, self.lun, self.tag)
+        header = BHS.pack(*fields, *self.words) + self.ahs
         data = self.data + bytes(-len(self.data) % 4)
         if header_digest:
             header += _digest(header)
@@ -97,10 +135,12 @@
 
     @property
     def cdb(self) -> bytes:
+        """The 16 CDB bytes of a SCSI Command PDU."""
         return struct.pack(">4I", *self.words[3:])
 
 
 def _digest(raw: bytes) -> bytes:
+    """Returns the CRC32C of `raw` as sent on the wire."""
     return int(crc32c(raw)).to_bytes(4, "little")
 
 
@@ -110,12 +150,22 @@
     header_digest: bool = False,
     data_digest: bool = False,
 ) -> Pdu:
-    """The next PDU, however TCP has split it; no more than `data_max` is ever held for it.
-
-    PduError if its data segment is longer, HeaderDigestError and DataDigestError if it came spoilt.
+    """Reads the next PDU from a stream.
+
+    Args:
+        reader: Stream to read from.
+        data_max: Maximum length of the data segment in bytes; no more than this is buffered.
+        header_digest: Whether PDUs carry a header digest.
+        data_digest: Whether data segments carry a digest.
+
+    Raises:
+        PduError: The data segment is longer than `data_max`.
+        HeaderDigestError: The header digest does not match.
+        DataDigestError: The data digest does not match.
+        asyncio.IncompleteReadError: The stream ended.
     """
     header = await reader.readexactly(BHS.size)
-    if header_digest:  # before a spoilt length is believed, where there are no further header segments
+    if header_digest:  # check it before using the data segment length
         ahs = await reader.readexactly(header[4] * 4)
         if await reader.readexactly(4) != _digest(header + ahs):
             raise HeaderDigestError
@@ -123,7 +173,7 @@
     pdu = Pdu(first & 0x3F, flags, byte2, byte3, lun, tag, words, b"", bool(first & 0x40))
     length = lengths & 0xFFFFFF
     if length > data_max:
-        raise PduError(PduError.PROTOCOL, f"a data segment of {length} bytes", pdu)
+        raise PduError(PduError.PROTOCOL, f"data segment of {length} bytes is too long", pdu)
     if header_digest:
         pdu.ahs = ahs
     elif lengths >> 24:
@@ -138,8 +188,9 @@
 
 
 def keep_alive(writer: asyncio.StreamWriter) -> None:
-    """Let TCP find out, within two minutes, that a peer which says nothing is no longer there. A connection
-    that the system denies an option is served without it.
+    """Enables TCP keep-alive, so that a dead peer is detected within two minutes.
+
+    A connection for which the system refuses the socket options continues without them.
     """
     sock = writer.get_extra_info("socket")
     try:
@@ -148,28 +199,33 @@
             if hasattr(socket, name):
                 sock.setsockopt(socket.IPPROTO_TCP, getattr(socket, name), value)
     except OSError as error:
-        log.info("no keep-alive", extra={"error": str(error)})
+        log.info("TCP keep-alive not enabled", extra={"error": str(error)})
 
 
 def pack_lun(lun: int) -> bytes:
-    """A LUN below 256 in peripheral, another in flat addressing."""
+    """Returns the 8 bytes of a LUN: peripheral device addressing below 256, else flat space addressing."""
     return struct.pack(">H6x", lun if lun < 256 else 0x4000 | lun)
 
 
 def unpack_lun(raw: bytes) -> int | None:
-    """The number of a single-level LUN."""
-    head, rest = struct.unpack(">H6s", raw)
-    if any(rest) or head >> 14 > 1 or (head >> 14 == 0 and head > 255):
+    """Returns the number of a single-level LUN; None for any other addressing."""
+    first_level, rest = struct.unpack(">H6s", raw)
+    if any(rest) or first_level >> 14 > 1 or (first_level >> 14 == 0 and first_level > 255):
         return None
-    return int(head & 0x3FFF)
+    return int(first_level & 0x3FFF)
 
 
 def pack_text(pairs: Iterable[tuple[str, str]]) -> bytes:
+    """Returns text keys as a data segment: key=value pairs, each followed by a NUL byte."""
     return b"".join(f"{key}={value}".encode() + b"\0" for key, value in pairs)
 
 
 def unpack_text(data: bytes) -> dict[str, str]:
-    """Text keys; the first value of a key that stands twice is kept, as no key may."""
+    """Returns the text keys of a data segment.
+
+    Raises:
+        PduError: An item is no key=value pair, or a key is present more than once.
+    """
     pairs: dict[str, str] = {}
     for item in data.split(b"\0"):
         if not item:
