--- a/lemonridge/iscsi/reservations.py
+++ b/lemonridge/iscsi/reservations.py
@@ -1,7 +1,8 @@
 """Persistent reservations of one logical unit (SPC-4, sections 5.13, 6.15 and 6.16). Pure.
 
-Who registered which key, who holds the reservation, and what a command of another may do beside it. State
-lives as long as the program, or longer where the caller keeps it and the initiator asks for that (APTPL).
+Records which nexus registered which key and which nexus holds the reservation, and decides which commands of
+other nexuses conflict with it. The state lasts as long as the program, or longer if the caller saves it and
+the initiator requests persistence (APTPL).
 """
 
 from __future__ import annotations
@@ -10,11 +11,11 @@
 from dataclasses import dataclass, field, replace
 from enum import Enum, IntEnum
 
-REGISTRATIONS_MAX = 64  # of one logical unit; past it REGISTER ends with INSUFFICIENT REGISTRATION RESOURCES
+MAX_REGISTRATIONS = 64  # per logical unit; beyond it REGISTER fails: INSUFFICIENT REGISTRATION RESOURCES
 
 
 class ReservationType(IntEnum):
-    """Table 57 of SPC-4: what a reservation keeps others from."""
+    """Persistent reservation types (SPC-4, table 57)."""
 
     WRITE_EXCLUSIVE = 1
     EXCLUSIVE_ACCESS = 3
@@ -24,7 +25,8 @@
     ACCESS_ALL = 8
 
 
-REGISTRANTS = frozenset(
+# Types that also allow the access of registered nexuses
+REGISTRANTS_TYPES = frozenset(
     (
         ReservationType.WRITE_REGISTRANTS,
         ReservationType.ACCESS_REGISTRANTS,
@@ -32,8 +34,10 @@
         ReservationType.ACCESS_ALL,
     )
 )
-ALL = frozenset((ReservationType.WRITE_ALL, ReservationType.ACCESS_ALL))
-WRITES_ONLY = frozenset(
+# Types for which every registered nexus is a holder
+ALL_REGISTRANTS_TYPES = frozenset((ReservationType.WRITE_ALL, ReservationType.ACCESS_ALL))
+# Types that allow reads by other nexuses
+WRITE_EXCLUSIVE_TYPES = frozenset(
     (ReservationType.WRITE_EXCLUSIVE, ReservationType.WRITE_REGISTRANTS, ReservationType.WRITE_ALL)
 )
 
@@ -51,15 +55,15 @@
 
 
 class Effect(Enum):
-    """What a command does, as far as a reservation asks (SPC-4 table 59, SBC-3 table 13)."""
+    """How a command accesses the medium, as reservations distinguish it (SPC-4 table 59, SBC-3 table 13)."""
 
-    NONE = "none"  # allowed to everyone
+    NONE = "none"  # allowed for every nexus
     READS = "reads"
     WRITES = "writes"
 
 
 class UnitAttention(Enum):
-    """Unit attentions for others, as ASC and ASCQ."""
+    """Unit attentions for other nexuses, as ASC and ASCQ."""
 
     RESERVATIONS_PREEMPTED = (0x2A, 0x03)
     RESERVATIONS_RELEASED = (0x2A, 0x04)
@@ -67,7 +71,7 @@
 
 
 class Refusal(Enum):
-    """Why a service action was not done."""
+    """Reason for which a service action was refused."""
 
     CONFLICT = "conflict"  # RESERVATION CONFLICT status
     FIELD = "field"  # INVALID FIELD IN CDB
@@ -78,197 +82,279 @@
 
 @dataclass(frozen=True, slots=True)
 class ActionResult:
-    """What a service action led to: attentions by nexus, and whose commands are to be aborted."""
+    """Result of a service action.
+
+    Attributes:
+        refusal: Reason for a refusal; None if the action was executed.
+        attentions: Unit attentions to establish, with the names of their nexuses.
+        aborts: Names of the nexuses whose commands are to be aborted.
+    """
 
     refusal: Refusal | None = None
     attentions: tuple[tuple[str, UnitAttention], ...] = ()
     aborts: tuple[str, ...] = ()
 
 
-def _refused(why: Refusal) -> ActionResult:
-    return ActionResult(why)
+def _refused(reason: Refusal) -> ActionResult:
+    """Returns the result of a refused service action."""
+    return ActionResult(reason)
 
 
 @dataclass(slots=True)
 class Reservations:
-    """One logical unit's registrations and its reservation."""
+    """Registrations and reservation of one logical unit.
+
+    Attributes:
+        generation: PRGENERATION, which counts the changes of registrations.
+        keys: Reservation key by nexus name, in the order of registration.
+        holder: Name of the nexus that reserved; empty if there is no reservation.
+        type: Type of the reservation; None if there is none.
+        persistent: Whether the state survives a restart, as the last REGISTER requested (APTPL, 6.16.3).
+    """
 
     generation: int = 0
-    keys: dict[str, int] = field(default_factory=dict)  # nexus -> key, in the order of their registration
+    keys: dict[str, int] = field(default_factory=dict)
     holder: str = ""
     type: ReservationType | None = None
-    persistent: bool = False  # through a restart, as the last REGISTER asked (APTPL, 6.16.3)
+    persistent: bool = False
 
     def copy(self) -> Reservations:
-        """As it is now, whatever is changed later."""
+        """Returns an independent copy."""
         return replace(self, keys=dict(self.keys))
 
     def state(self) -> dict[str, object]:
-        """What a restart needs, as plain values."""
+        """Returns the state that is stored for a restart, as plain values."""
         return {"keys": dict(self.keys), "holder": self.holder, "type": int(self.type) if self.type else 0}
 
     @classmethod
     def from_state(cls, state: dict[str, object]) -> Reservations:
-        """From `state`; the generation begins anew (5.13.7). ValueError on what cannot be."""
-        keys, holder, kind = state.get("keys"), state.get("holder"), state.get("type")
-        if not isinstance(keys, dict) or not isinstance(holder, str) or not isinstance(kind, int):
-            raise ValueError("a reservation's state is malformed")
+        """Returns the reservations with a stored state; the generation starts at 0 (SPC-4, 5.13.7).
+
+        Args:
+            state: Result of the method `state`.
+
+        Raises:
+            ValueError: The state is malformed or contradictory.
+        """
+        keys, holder, type_code = state.get("keys"), state.get("holder"), state.get("type")
+        if not isinstance(keys, dict) or not isinstance(holder, str) or not isinstance(type_code, int):
+            raise ValueError("reservation state is malformed")
         if not all(isinstance(name, str) and isinstance(key, int) for name, key in keys.items()):
-            raise ValueError("a registration is malformed")
-        made = cls(
-            keys=dict(keys), holder=holder, type=ReservationType(kind) if kind else None, persistent=True
+            raise ValueError("registration is malformed")
+        reservations = cls(
+            keys=dict(keys),
+            holder=holder,
+            type=ReservationType(type_code) if type_code else None,
+            persistent=True,
         )
-        if made.type is not None and made.type not in ALL and holder not in keys:
+        if (
+            reservations.type is not None
+            and reservations.type not in ALL_REGISTRANTS_TYPES
+            and holder not in keys
+        ):
             raise ValueError("the holder is not registered")
-        return made
+        return reservations
 
     def conflicts(self, nexus: str, effect: Effect) -> bool:
-        """Whether a command must end with RESERVATION CONFLICT."""
-        if self.type is None or effect is Effect.NONE or self._holds(nexus):
+        """Returns whether a command must end with RESERVATION CONFLICT.
+
+        Args:
+            nexus: Name of the nexus that sent the command.
+            effect: How the command accesses the medium.
+        """
+        if self.type is None or effect is Effect.NONE or self._is_holder(nexus):
             return False
-        if self.type in REGISTRANTS and nexus in self.keys:
+        if self.type in REGISTRANTS_TYPES and nexus in self.keys:
             return False
-        return effect is Effect.WRITES or self.type not in WRITES_ONLY
+        return effect is Effect.WRITES or self.type not in WRITE_EXCLUSIVE_TYPES
 
     def persistent_reserve_out(
-        self, nexus: str, action: int, scope: int, kind: int, key: int, new: int
+        self, nexus: str, action: int, scope: int, type_code: int, key: int, action_key: int
     ) -> ActionResult:
-        """One PERSISTENT RESERVE OUT; `key` is the reservation key, `new` the service action's."""
+        """Executes PERSISTENT RESERVE OUT.
+
+        Args:
+            nexus: Name of the nexus that sent the command.
+            action: Service action.
+            scope: Scope; only 0 (logical unit) is supported.
+            type_code: Reservation type.
+            key: Reservation key of the parameter list.
+            action_key: Service action reservation key of the parameter list.
+        """
         try:
-            what = Action(action)
+            service_action = Action(action)
         except ValueError:
             return _refused(Refusal.FIELD)
-        if what in (Action.REGISTER, Action.REGISTER_AND_IGNORE):
-            return self._register(nexus, key, new, what is Action.REGISTER_AND_IGNORE)
+        if service_action in (Action.REGISTER, Action.REGISTER_AND_IGNORE):
+            return self._register(nexus, key, action_key, service_action is Action.REGISTER_AND_IGNORE)
         if self.keys.get(nexus) != key:
             return _refused(Refusal.CONFLICT)
-        if what is Action.CLEAR:
-            others = tuple((one, UnitAttention.RESERVATIONS_PREEMPTED) for one in self.keys if one != nexus)
+        if service_action is Action.CLEAR:
+            others = tuple(
+                (other, UnitAttention.RESERVATIONS_PREEMPTED) for other in self.keys if other != nexus
+            )
             self.keys.clear()
-            self._free()
-            self._count()
+            self._clear_reservation()
+            self._increment_generation()
             return ActionResult(attentions=others)
         try:
-            wanted = ReservationType(kind)
+            reservation_type = ReservationType(type_code)
         except ValueError:
             return _refused(Refusal.FIELD)
         if scope:
             return _refused(Refusal.FIELD)
-        if what is Action.RESERVE:
-            return self._reserve(nexus, wanted)
-        if what is Action.RELEASE:
-            return self._release(nexus, wanted)
-        return self._preempt(nexus, wanted, new, what is Action.PREEMPT_AND_ABORT)
+        if service_action is Action.RESERVE:
+            return self._reserve(nexus, reservation_type)
+        if service_action is Action.RELEASE:
+            return self._release(nexus, reservation_type)
+        return self._preempt(nexus, reservation_type, action_key, service_action is Action.PREEMPT_AND_ABORT)
 
-    # The service actions
+    # Service actions
 
-    def _register(self, nexus: str, key: int, new: int, ignore: bool) -> ActionResult:
-        held = self.keys.get(nexus)
-        if not ignore and key != (held or 0):
+    def _register(self, nexus: str, key: int, action_key: int, ignore: bool) -> ActionResult:
+        registered_key = self.keys.get(nexus)
+        if not ignore and key != (registered_key or 0):
             return _refused(Refusal.CONFLICT)
-        if held is None:
-            if not new:
-                return ActionResult()  # nothing is registered, and nothing is asked for
-            if len(self.keys) >= REGISTRATIONS_MAX:
+        if registered_key is None:
+            if not action_key:
+                return ActionResult()  # the nexus is not registered and does not register
+            if len(self.keys) >= MAX_REGISTRATIONS:
                 return _refused(Refusal.RESOURCES)
-        self._count()
-        if new:
-            self.keys[nexus] = new
+        self._increment_generation()
+        if action_key:
+            self.keys[nexus] = action_key
             return ActionResult()
-        return ActionResult(attentions=self._leave(nexus))
+        return ActionResult(attentions=self._unregister(nexus))
+
+    def _unregister(self, nexus: str) -> tuple[tuple[str, UnitAttention], ...]:
+        """Removes a registration and returns the unit attentions that result.
 
-    def _leave(self, nexus: str) -> tuple[tuple[str, UnitAttention], ...]:
-        """Unregister; a reservation goes with its holder, and for all registrants with the last
-        (5.13.11.2).
+        The reservation is released with the registration of its holder, or, for an all registrants type, with
+        the last registration (SPC-4, 5.13.11.2).
         """
         del self.keys[nexus]
         if self.type is None:
             return ()
-        if self.type in ALL:
+        if self.type in ALL_REGISTRANTS_TYPES:
             if not self.keys:
-                self._free()
+                self._clear_reservation()
             return ()
         if self.holder != nexus:
             return ()
-        told = self.keys if self.type in REGISTRANTS else ()
-        self._free()
-        return tuple((one, UnitAttention.RESERVATIONS_RELEASED) for one in told)
+        notified = self.keys if self.type in REGISTRANTS_TYPES else ()
+        self._clear_reservation()
+        return tuple((other, UnitAttention.RESERVATIONS_RELEASED) for other in notified)
 
-    def _reserve(self, nexus: str, kind: ReservationType) -> ActionResult:
+    def _reserve(self, nexus: str, reservation_type: ReservationType) -> ActionResult:
         if self.type is None:
-            self.holder, self.type = nexus, kind
+            self.holder, self.type = nexus, reservation_type
             return ActionResult()
-        if not self._holds(nexus) or self.type is not kind:
+        if not self._is_holder(nexus) or self.type is not reservation_type:
             return _refused(Refusal.CONFLICT)
         return ActionResult()
 
-    def _release(self, nexus: str, kind: ReservationType) -> ActionResult:
-        if self.type is None or not self._holds(nexus):
-            return ActionResult()  # there is nothing of its own to release
-        if self.type is not kind:
+    def _release(self, nexus: str, reservation_type: ReservationType) -> ActionResult:
+        if self.type is None or not self._is_holder(nexus):
+            return ActionResult()  # the nexus holds no reservation
+        if self.type is not reservation_type:
             return _refused(Refusal.RELEASE)
-        told = [one for one in self.keys if one != nexus] if kind in REGISTRANTS else []
-        self._free()
-        return ActionResult(attentions=tuple((one, UnitAttention.RESERVATIONS_RELEASED) for one in told))
-
-    def _preempt(self, nexus: str, kind: ReservationType, victim: int, abort: bool) -> ActionResult:
-        """5.13.11.4: take away registrations by key, and the reservation where the victim holds it."""
-        everyone = self.type in ALL and not victim
-        if not victim and not everyone:
+        notified = (
+            [other for other in self.keys if other != nexus] if reservation_type in REGISTRANTS_TYPES else []
+        )
+        self._clear_reservation()
+        return ActionResult(
+            attentions=tuple((other, UnitAttention.RESERVATIONS_RELEASED) for other in notified)
+        )
+
+    def _preempt(
+        self, nexus: str, reservation_type: ReservationType, victim_key: int, abort: bool
+    ) -> ActionResult:
+        """Removes registrations by key, and takes the reservation if it is theirs (SPC-4, 5.13.11.4).
+
+        Args:
+            nexus: Name of the preempting nexus.
+            reservation_type: Type of the new reservation.
+            victim_key: Key of the registrations to remove; 0 removes all registrations of other nexuses,
+                which is permitted for an all registrants reservation.
+            abort: Whether to abort the commands of the removed registrations.
+        """
+        preempts_all = self.type in ALL_REGISTRANTS_TYPES and not victim_key
+        if not victim_key and not preempts_all:
             return _refused(Refusal.PARAMETER)
-        gone = [one for one, key in self.keys.items() if one != nexus and (everyone or key == victim)]
-        holds = self.type is not None and self.type not in ALL and self.keys.get(self.holder) == victim
-        if not gone and not holds:
+        removed = [
+            other
+            for other, key in self.keys.items()
+            if other != nexus and (preempts_all or key == victim_key)
+        ]
+        takes_reservation = (
+            self.type is not None
+            and self.type not in ALL_REGISTRANTS_TYPES
+            and self.keys.get(self.holder) == victim_key
+        )
+        if not removed and not takes_reservation:
             return _refused(Refusal.CONFLICT)
-        self._count()
-        attentions = [(one, UnitAttention.REGISTRATIONS_PREEMPTED) for one in gone]
-        for one in gone:
-            del self.keys[one]
-        if holds or everyone:
-            changed = self.type is not kind
-            self.holder, self.type = nexus, kind
+        self._increment_generation()
+        attentions = [(other, UnitAttention.REGISTRATIONS_PREEMPTED) for other in removed]
+        for other in removed:
+            del self.keys[other]
+        if takes_reservation or preempts_all:
+            changed = self.type is not reservation_type
+            self.holder, self.type = nexus, reservation_type
             if changed:
                 attentions += [
-                    (one, UnitAttention.RESERVATIONS_RELEASED) for one in self.keys if one != nexus
+                    (other, UnitAttention.RESERVATIONS_RELEASED) for other in self.keys if other != nexus
                 ]
-        return ActionResult(attentions=tuple(attentions), aborts=tuple(gone) if abort else ())
+        return ActionResult(attentions=tuple(attentions), aborts=tuple(removed) if abort else ())
 
-    def _holds(self, nexus: str) -> bool:
-        return self.type is not None and (nexus in self.keys if self.type in ALL else self.holder == nexus)
+    def _is_holder(self, nexus: str) -> bool:
+        return self.type is not None and (
+            nexus in self.keys if self.type in ALL_REGISTRANTS_TYPES else self.holder == nexus
+        )
 
-    def _free(self) -> None:
+    def _clear_reservation(self) -> None:
         self.holder, self.type = "", None
 
-    def _count(self) -> None:
+    def _increment_generation(self) -> None:
         self.generation = (self.generation + 1) % (1 << 32)
 
     # PERSISTENT RESERVE IN
 
     def read_keys(self) -> bytes:
+        """Returns the parameter data of READ KEYS."""
         keys = b"".join(struct.pack(">Q", key) for key in self.keys.values())
         return struct.pack(">II", self.generation, len(keys)) + keys
 
     def read_reservation(self) -> bytes:
+        """Returns the parameter data of READ RESERVATION."""
         if self.type is None:
             return struct.pack(">II", self.generation, 0)
-        key = 0 if self.type in ALL else self.keys[self.holder]
+        key = 0 if self.type in ALL_REGISTRANTS_TYPES else self.keys[self.holder]
         return struct.pack(">IIQIBBH", self.generation, 16, key, 0, 0, self.type, 0)
 
     def read_full_status(self) -> bytes:
-        """Each registration with its holder bit and the initiator port's name (SPC-4, 7.5.4, iSCSI format
-        01b).
+        """Returns the parameter data of READ FULL STATUS.
+
+        Each registration has the holder bit and the TransportID of the initiator port (SPC-4, 7.5.4, iSCSI
+        format 01b).
         """
-        rows = b""
+        descriptors = b""
         for nexus, key in self.keys.items():
             name, _, isid = nexus.partition(",")
-            text = f"{name},i,0x{isid}".encode() + b"\0"
-            text += bytes(-len(text) % 4)
-            holds = self._holds(nexus)
-            kind = self.type if holds and self.type is not None else 0
-            identity = struct.pack(">BBH", 0x45, 0, len(text)) + text
-            rows += struct.pack(">Q4xBB4xHI", key, holds, kind, 1, len(identity)) + identity
-        return struct.pack(">II", self.generation, len(rows)) + rows
-
-    def capabilities(self, may_last: bool) -> bytes:
-        """REPORT CAPABILITIES: every type; persistence over a power loss where there is a disk for it."""
-        return struct.pack(">HBBHxx", 8, int(may_last), 0x80 | int(self.persistent), 0xEA01)
+            port_name = f"{name},i,0x{isid}".encode() + b"\0"
+            port_name += bytes(-len(port_name) % 4)
+            is_holder = self._is_holder(nexus)
+            type_code = self.type if is_holder and self.type is not None else 0
+            transport_id = struct.pack(">BBH", 0x45, 0, len(port_name)) + port_name
+            descriptors += (
+                struct.pack(">Q4xBB4xHI", key, is_holder, type_code, 1, len(transport_id)) + transport_id
+            )
+        return struct.pack(">II", self.generation, len(descriptors)) + descriptors
+
+    def capabilities(self, persistence_available: bool) -> bytes:
+        """Returns the parameter data of REPORT CAPABILITIES; every type is supported.
+
+        Args:
+            persistence_available: Whether reservations can persist through a power loss, which requires a
+                reservation file.
+        """
+        return struct.pack(">HBBHxx", 8, int(persistence_available), 0x80 | int(self.persistent), 0xEA01)
