--- a/lemonridge/iscsi/device.py
+++ b/lemonridge/iscsi/device.py
@@ -121,6 +121,7 @@
     unit_attentions: dict[int, deque[tuple[int, int]]] = field(default_factory=dict)
 
     def __post_init__(self) -> None:
+        """Registers the nexus, and queues the power-on unit attention if it is configured."""
         self.device.nexuses.add(self)
         if self.device.config.power_on_attention:
             for lun in self.device.config.luns:
@@ -327,14 +328,18 @@
         return self._identities[lun].hex()[:16].encode()
 
     def _device_identification(self, lun: int) -> bytes:
-        """Returns page 83h: T10, NAA, target name, port and port group designators (SPC-4, 7.8.6)."""
+        """Returns page 83h (SPC-4, 7.8.6).
+
+        Its designators are a T10 and an NAA name, the name of the target port, and the numbers of the port
+        and its group.
+        """
         naa = bytes([0x60 | self._identities[lun][0] & 0x0F]) + self._identities[lun][1:]
-        text = self.config.target.encode() + b",t,0x0001\0"
-        text += bytes(-len(text) % 4)
+        port_name = self.config.target.encode() + b",t,0x0001\0"
+        port_name += bytes(-len(port_name) % 4)
         designators = (
             (2, 0x01, VENDOR + self._serial_number(lun)),
             (1, 0x03, naa),
-            (3, 0x98, text),
+            (3, 0x98, port_name),
             (1, 0x94, struct.pack(">HH", 0, 1)),
             (1, 0x95, struct.pack(">HH", 0, 1)),
         )
--- a/lemonridge/iscsi/login.py
+++ b/lemonridge/iscsi/login.py
@@ -145,7 +145,7 @@
         discovery: Whether the initiator requests a discovery session.
         isid: ISID of the session, 6 bytes.
         cid: CID of the connection.
-        tsih: TSIH that the initiator sent; 0 requests a new session.
+        tsih: TSIH that the initiator sent, 0 for a new session; the front assigns that session's TSIH.
         existing_session: The session that the connection joins; None if it leads a new one.
         refusal_reason: Reason for a refusal, for the log.
     """
--- a/lemonridge/iscsi/pdu.py
+++ b/lemonridge/iscsi/pdu.py
@@ -62,6 +62,7 @@
     """
 
     def __init__(self, pdu: Pdu) -> None:
+        """Creates the error for a PDU."""
         super().__init__(f"data digest mismatch in a PDU with opcode {pdu.opcode:#04x}")
         self.pdu = pdu
 
@@ -80,6 +81,7 @@
     DIGEST, SNACK, TOO_MANY, IN_PROGRESS = 0x02, 0x03, 0x06, 0x07
 
     def __init__(self, reason: int, text: str, pdu: Pdu | None = None) -> None:
+        """Creates the error; `text` describes the violation for the log."""
         super().__init__(text)
         self.reason, self.pdu = reason, pdu
 
