--- a/lemonridge/iscsi/connection.py
+++ b/lemonridge/iscsi/connection.py
@@ -7,11 +7,11 @@
 import secrets
 from typing import TYPE_CHECKING
 
-from lemonridge.iscsi.keys import Agreed
-from lemonridge.iscsi.login import AUTHENTICATION, TargetLogin
+from lemonridge.iscsi.keys import NegotiatedParameters
+from lemonridge.iscsi.login import AUTHENTICATION_FAILURE, TargetLogin
 from lemonridge.iscsi.numbers import StatusLog
 from lemonridge.iscsi.pdu import (
-    NONE,
+    RESERVED_TAG,
     DataDigestError,
     HeaderDigestError,
     Op,
@@ -57,7 +57,7 @@
         peer = writer.get_extra_info("peername") or ("",)
         self.peer = str(peer[0])
         self.cid = 0
-        self.agreed = Agreed()
+        self.agreed = NegotiatedParameters()
         self.session: Session | None = None
         self.statuses: StatusLog[Pdu] = StatusLog(1, 0)
         self.unanswered_pings: set[int] = set()
@@ -86,9 +86,11 @@
             return
         if login is None:
             return
-        self.agreed = login.agreed
+        self.agreed = login.parameters
         self.session = session = self.front.admit(self, login)
-        self.statuses.keep = self.front.config.statuses if self.agreed.recovery else 0
+        self.statuses.capacity = (
+            self.front.config.max_unacknowledged_statuses if self.agreed.recovery_level else 0
+        )
         self._check_liveness()
         try:
             while not self.closed and session.receive(self, await self._next_pdu(session)):
@@ -123,7 +125,7 @@
                 return pdu
             except DataDigestError as error:
                 self.front.counters["digests.data"] += 1
-                if not self.agreed.recovery:
+                if not self.agreed.recovery_level:
                     raise PduError(
                         PduError.DIGEST, "data digest mismatch at recovery level 0", error.pdu
                     ) from None
@@ -152,18 +154,18 @@
             if is_first_request:
                 front.login_exp_cmd_sns[self] = pdu.words[1]
                 self.cid, is_first_request = pdu.words[0] >> 16, False
-            reply = login.take(pdu)
+            reply = login.answer(pdu)
             if reply.status:
                 front.counters["logins.refused"] += 1
-                if reply.status == AUTHENTICATION:
+                if reply.status == AUTHENTICATION_FAILURE:
                     front.counters["logins.unauthenticated"] += 1
-                    front.login_attempts.failed(self.peer, front.clock.now_us())
+                    front.login_attempts.record_failure(self.peer, front.clock.now_us())
                 log.warning(
                     "login refused",
-                    extra={"peer": self.peer, "status": f"{reply.status:#06x}", "why": login.why},
+                    extra={"peer": self.peer, "status": f"{reply.status:#06x}", "why": login.refusal_reason},
                 )
             lun = pdu.lun
-            if reply.over and not reply.status:
+            if reply.login_ended and not reply.status:
                 lun = lun[:6] + front.tsih_for(login).to_bytes(2, "big")
             response = Pdu(
                 Op.LOGIN_RESPONSE,
@@ -174,10 +176,10 @@
                 words=[0, 0, front.login_exp_cmd_sns[self], 0, reply.status << 16, 0, 0],
             )
             self._assign_stat_sn(response)
-            response.words[3] = (front.login_exp_cmd_sns[self] + front.config.queue_depth - 1) & NONE
+            response.words[3] = (front.login_exp_cmd_sns[self] + front.config.queue_depth - 1) & RESERVED_TAG
             self.writer.write(response.encode())
             await self.writer.drain()
-            if reply.over:
+            if reply.login_ended:
                 return None if reply.status else login
 
     # Sending PDUs
@@ -192,7 +194,7 @@
         if status:
             self._assign_stat_sn(pdu)
         else:
-            pdu.words[1] = self.statuses.next
+            pdu.words[1] = self.statuses.next_stat_sn
         self.write(pdu)
 
     def write(self, pdu: Pdu) -> None:
@@ -208,8 +210,8 @@
 
     def _assign_stat_sn(self, pdu: Pdu) -> None:
         """Gives a PDU the next StatSN."""
-        pdu.words[1] = self.statuses.next
-        self.statuses.number(pdu)
+        pdu.words[1] = self.statuses.next_stat_sn
+        self.statuses.assign_stat_sn(pdu)
 
     def reject(self, pdu: Pdu | None, reason: int) -> None:
         """Sends a Reject (RFC 7143, section 11.17).
@@ -238,7 +240,7 @@
             self.writer.transport.abort()
             return
         if silence_s >= interval_s and not self.unanswered_pings:
-            tag = secrets.randbelow(NONE)
+            tag = secrets.randbelow(RESERVED_TAG)
             self.unanswered_pings.add(tag)
             self.send(Pdu(Op.NOP_IN, words=[tag, 0, 0, 0, 0, 0, 0]))
         self._ping_timer = self.front.loop.call_later(interval_s / 4, self._check_liveness)
--- a/lemonridge/iscsi/initiator.py
+++ b/lemonridge/iscsi/initiator.py
@@ -17,14 +17,21 @@
 from lemonridge.extents.routing import Route
 from lemonridge.iscsi import chap, scsi, versions
 from lemonridge.iscsi.config import IscsiConfig
-from lemonridge.iscsi.keys import Agreed, NegotiationError, Pairs, conclude, parse, proposal
-from lemonridge.iscsi.numbers import later
+from lemonridge.iscsi.keys import (
+    NegotiatedParameters,
+    NegotiationError,
+    TextPairs,
+    apply_answers,
+    parse_text,
+    proposal,
+)
+from lemonridge.iscsi.numbers import serial_distance
 from lemonridge.iscsi.pdu import (
     CONTINUE,
     FINAL,
-    NONE,
-    PORTAL_MAX,
-    TEXT_MAX,
+    MAX_DATA_SEGMENT_BYTES,
+    RESERVED_TAG,
+    TEXT_MAX_BYTES,
     DataDigestError,
     HeaderDigestError,
     Op,
@@ -136,7 +143,7 @@
             return Outcome(AttemptResult.QUEUE_FULL)
         if reply.status == scsi.Status.TASK_ABORTED:
             return Outcome(AttemptResult.ERROR)
-        if ahs and (redirect := versions.unpack_moved(reply.sense)) is not None:
+        if ahs and (redirect := versions.unpack_redirect_sense(reply.sense)) is not None:
             return Outcome(AttemptResult.DATA_MIGRATED, redirect)
         return Outcome(AttemptResult.OK, reply)
 
@@ -255,7 +262,7 @@
         self._task_tags = itertools.count(1)
         self._cmd_sn, self._max_cmd_sn, self._exp_stat_sn = 1, 1, 0
         self._pending_commands: dict[int, PendingCommand] = {}
-        self._agreed = Agreed()
+        self._agreed = NegotiatedParameters()
         self._last_received_s, self._last_used_s = self._loop.time(), self._loop.time()
         self._receiver: asyncio.Task[None] | None = None
         self.closing = False
@@ -264,7 +271,7 @@
     @property
     def has_room(self) -> bool:
         """Whether the target's command window has room for another command."""
-        return later(self._max_cmd_sn, self._cmd_sn) >= 0
+        return serial_distance(self._max_cmd_sn, self._cmd_sn) >= 0
 
     @property
     def is_unavailable(self) -> bool:
@@ -296,22 +303,22 @@
         if config.endpoint_account is not None:
             await self._authenticate(isid, names, config.endpoint_account)
             names = []
-        wishes = config.endpoint_wishes
+        wishes = config.endpoint_preferences
         offers = proposal(wishes, OFFERED_KEYS)
-        offers.append(("MaxRecvDataSegmentLength", str(PORTAL_MAX)))
+        offers.append(("MaxRecvDataSegmentLength", str(MAX_DATA_SEGMENT_BYTES)))
         if config.mapped:
-            offers.append((versions.KEY, versions.AGREED))
+            offers.append((versions.EXTENT_VERSION_KEY, versions.EXTENT_VERSION_VALUE))
         answers, transit = await self._exchange(isid, 1, 3, names + offers)
         if not transit:
             raise PduError(PduError.PROTOCOL, "the target does not end the login")
         try:
-            self._agreed, private = conclude(offers, answers, PORTAL_MAX)
+            self._agreed, private = apply_answers(offers, answers, MAX_DATA_SEGMENT_BYTES)
         except NegotiationError as error:
             raise PduError(PduError.PROTOCOL, f"negotiation failed: {error}") from None
-        self.checks_versions = private.get(versions.KEY) == versions.AGREED
+        self.checks_versions = private.get(versions.EXTENT_VERSION_KEY) == versions.EXTENT_VERSION_VALUE
         self._receiver = asyncio.create_task(self._receive_pdus())
 
-    async def _authenticate(self, isid: bytes, names: Pairs, account: chap.Account) -> None:
+    async def _authenticate(self, isid: bytes, names: TextPairs, account: chap.Account) -> None:
         """Authenticates with CHAP, and the node too if the account has a secret for it.
 
         RFC 7143, section 12.1.3.
@@ -334,8 +341,8 @@
             raise PduError(PduError.PROTOCOL, "the target does not leave the security stage")
 
     async def _exchange(
-        self, isid: bytes, current_stage: int, next_stage: int, pairs: Pairs
-    ) -> tuple[Pairs, bool]:
+        self, isid: bytes, current_stage: int, next_stage: int, pairs: TextPairs
+    ) -> tuple[TextPairs, bool]:
         """Sends one login request and receives the response, in as many PDUs as it takes.
 
         Args:
@@ -363,7 +370,7 @@
                 )
             self._update_numbers(response, carries_status=True)
             text += response.data
-            if len(text) > TEXT_MAX or response.flags >> 2 & 3 != current_stage:
+            if len(text) > TEXT_MAX_BYTES or response.flags >> 2 & 3 != current_stage:
                 raise PduError(
                     PduError.PROTOCOL, "login response of an unexpected stage or too long", response
                 )
@@ -374,7 +381,7 @@
         if transit and response.flags & 3 != next_stage:
             raise PduError(PduError.PROTOCOL, "login response of an unexpected stage or too long", response)
         try:
-            return parse(text), transit
+            return parse_text(text), transit
         except NegotiationError as error:
             raise PduError(PduError.PROTOCOL, str(error), response) from None
 
@@ -395,7 +402,7 @@
         Raises:
             SessionLostError: The session ended before the reply.
         """
-        tag, sent_s = next(self._task_tags) % NONE, self._loop.time()
+        tag, sent_s = next(self._task_tags) % RESERVED_TAG, self._loop.time()
         pending = self._pending_commands[tag] = PendingCommand(command, self._loop.create_future())
         agreed = self._agreed
         immediate_bytes = min(agreed.send_segment, agreed.first_burst)
@@ -425,7 +432,7 @@
                         Op.TASK_MANAGEMENT,
                         FINAL | 1,
                         lun=pack_lun(command.lun),
-                        tag=next(self._task_tags) % NONE,
+                        tag=next(self._task_tags) % RESERVED_TAG,
                         immediate=True,
                         words=[tag, 0, 0, self._cmd_sn, 0, 0, 0],
                     ),
@@ -443,7 +450,7 @@
         self.closing = True
         if not self._pending_commands and not self._writer.is_closing():
             self._write(
-                Pdu(Op.LOGOUT, FINAL, tag=next(self._task_tags) % NONE, immediate=True), numbered=True
+                Pdu(Op.LOGOUT, FINAL, tag=next(self._task_tags) % RESERVED_TAG, immediate=True), numbered=True
             )
             self._writer.close()  # pending output is still sent
 
@@ -462,7 +469,7 @@
         if numbered:
             pdu.words[1], pdu.words[2] = self._cmd_sn, self._exp_stat_sn
             if not pdu.immediate:
-                self._cmd_sn = (self._cmd_sn + 1) & NONE
+                self._cmd_sn = (self._cmd_sn + 1) & RESERVED_TAG
         else:
             pdu.words[2] = self._exp_stat_sn
         if not self._writer.is_closing():
@@ -471,8 +478,8 @@
     def _update_numbers(self, pdu: Pdu, carries_status: bool) -> None:
         """Updates ExpStatSN and MaxCmdSN from a received PDU."""
         if carries_status:
-            self._exp_stat_sn = (pdu.words[1] + 1) & NONE
-        if later(pdu.words[3], self._max_cmd_sn) > 0 or not self._pending_commands:
+            self._exp_stat_sn = (pdu.words[1] + 1) & RESERVED_TAG
+        if serial_distance(pdu.words[3], self._max_cmd_sn) > 0 or not self._pending_commands:
             self._max_cmd_sn = pdu.words[3]
 
     async def _receive_pdus(self) -> None:
@@ -481,7 +488,7 @@
         try:
             while True:
                 pdu = await read_pdu(
-                    self._reader, PORTAL_MAX, self._agreed.header_digest, self._agreed.data_digest
+                    self._reader, MAX_DATA_SEGMENT_BYTES, self._agreed.header_digest, self._agreed.data_digest
                 )
                 self._last_received_s = self._loop.time()
                 self._process_pdu(pdu)
@@ -518,8 +525,8 @@
             if pending is not None:
                 self._send_data_out(pending, pdu)
         elif pdu.opcode == Op.NOP_IN:
-            self._update_numbers(pdu, carries_status=pdu.tag != NONE)
-            if pdu.words[0] != NONE:  # a ping
+            self._update_numbers(pdu, carries_status=pdu.tag != RESERVED_TAG)
+            if pdu.words[0] != RESERVED_TAG:  # a ping
                 self._write(
                     Pdu(
                         Op.NOP_OUT, lun=pdu.lun, immediate=True, words=[pdu.words[0]] + [0] * 6, data=pdu.data
--- a/lemonridge/iscsi/mapped.py
+++ b/lemonridge/iscsi/mapped.py
@@ -63,7 +63,7 @@
         shard=shard,
         volume=lun.lun,
         deadline_us=deadline_us,
-        key=scsi.block(command.cdb),
+        key=scsi.first_block(command.cdb),
         cls=request_class_of(command),
         plan=lun.plan,
         units=config.units(command.length),
@@ -117,16 +117,18 @@
             The reply; None if a node has to execute the command.
         """
         cdb = command.cdb
-        if cdb[0] == scsi.CAPACITY_10 or (cdb[0] == scsi.SERVICE_IN and cdb[1] & 0x1F == scsi.CAPACITY_16):
+        if cdb[0] == scsi.READ_CAPACITY_10 or (
+            cdb[0] == scsi.SERVICE_ACTION_IN and cdb[1] & 0x1F == scsi.READ_CAPACITY_16
+        ):
             blocks = self._router.map.blocks(command.lun)
             if not blocks:
                 return scsi.Reply(scsi.Status.BUSY)
             return scsi.Reply(
-                scsi.Status.GOOD, scsi.capacity(cdb, blocks, self._block_bytes)[: command.length]
+                scsi.Status.GOOD, scsi.read_capacity_data(cdb, blocks, self._block_bytes)[: command.length]
             )
-        if cdb[0] not in scsi.BLOCKS:
+        if cdb[0] not in scsi.READ_WRITE_CDB_BYTES:
             return None
-        first, blocks = scsi.span(cdb)
+        first, blocks = scsi.block_range(cdb)
         if not blocks:
             return scsi.Reply(scsi.Status.GOOD)
         capacity_blocks = self._router.map.blocks(command.lun)
@@ -159,7 +161,7 @@
             The reply for the initiator.
         """
         try:
-            if command.cdb[0] in scsi.BLOCKS:
+            if command.cdb[0] in scsi.READ_WRITE_CDB_BYTES:
                 return await self._serve_blocks(command, lun, deadline_us, has_initiator_disconnected)
             writes = command.cdb[0] in scsi.WRITES
             shards = self._router.shards_of_volume(command.lun, writes)
@@ -191,7 +193,7 @@
         Raises:
             RouteError: The command cannot be routed.
         """
-        first, blocks = scsi.span(command.cdb)
+        first, blocks = scsi.block_range(command.cdb)
         writes, block_bytes = command.cdb[0] in scsi.WRITES, self._block_bytes
         requests = []
         for route in self._router.plan_routes(command.lun, first, blocks, writes):
@@ -200,7 +202,7 @@
             data = command.data[start : start + length] if writes else b""
             part = scsi.Command(
                 command.lun,
-                scsi.rebase(command.cdb, piece.first, piece.length),
+                scsi.with_block_range(command.cdb, piece.first, piece.length),
                 command.reads,
                 command.writes,
                 length,
--- a/lemonridge/iscsi/portal.py
+++ b/lemonridge/iscsi/portal.py
@@ -15,7 +15,7 @@
 from lemonridge.iscsi.config import IscsiConfig
 from lemonridge.iscsi.connection import Connection
 from lemonridge.iscsi.device import Device
-from lemonridge.iscsi.login import Attempts, Known, Rules, TargetLogin
+from lemonridge.iscsi.login import ExistingSession, FailedLoginLimiter, LoginPolicy, TargetLogin
 from lemonridge.iscsi.mapped import MappedLuns
 from lemonridge.iscsi.pdu import keep_alive
 from lemonridge.iscsi.reservation_file import ReservationFile
@@ -78,10 +78,10 @@
         self.login_exp_cmd_sns: dict[Connection, int] = {}
         self.buffered_bytes = 0
         self.stopping = False
-        self.login_attempts = Attempts(config.login_failures)
-        self.login_rules = Rules(
+        self.login_attempts = FailedLoginLimiter(config.login_failures)
+        self.login_rules = LoginPolicy(
             config.targets,
-            config.wishes,
+            config.target_preferences,
             self._find_session,
             self._has_room,
             lambda: self.stopping,
@@ -139,12 +139,12 @@
 
     # Sessions
 
-    def _find_session(self, tsih: int) -> Known | None:
+    def _find_session(self, tsih: int) -> ExistingSession | None:
         """Returns the session with a TSIH in the form that a login needs; None if there is none."""
         session = self.sessions.get(tsih)
         if session is None or session.ended:
             return None
-        return Known(
+        return ExistingSession(
             tsih,
             session.isid,
             session.initiator,
@@ -166,7 +166,7 @@
         Args:
             login: A login that has succeeded; its TSIH is set if it opens a session.
         """
-        if login.joins is None:
+        if login.existing_session is None:
             self._last_tsih = self._last_tsih % 0xFFFF + 1
             while self._last_tsih in self.sessions:
                 self._last_tsih = self._last_tsih % 0xFFFF + 1
@@ -186,7 +186,7 @@
             ConnectionError: The session to join has ended.
         """
         exp_cmd_sn = self.login_exp_cmd_sns.pop(connection, 0)
-        if login.joins is not None:
+        if login.existing_session is not None:
             joined = self.sessions.get(login.tsih)
             if joined is None:
                 raise ConnectionError("the session ended during the login")
@@ -215,7 +215,7 @@
             session: The session that received the command.
             command: The command, whose data has not been received.
         """
-        reply = self.device.local(session.nexus, command)
+        reply = self.device.answer_locally(session.nexus, command)
         if reply is None and self.mapped_luns is not None and self.config.luns[command.lun].mapped:
             return self.mapped_luns.answer_locally(command)
         return reply
--- a/lemonridge/iscsi/runner.py
+++ b/lemonridge/iscsi/runner.py
@@ -12,13 +12,13 @@
 from typing import TYPE_CHECKING
 
 from lemonridge.iscsi import scsi
-from lemonridge.iscsi.device import WITH_DATA
-from lemonridge.iscsi.keys import Agreed
+from lemonridge.iscsi.device import LOCAL_DATA_OUT_COMMANDS
+from lemonridge.iscsi.keys import NegotiatedParameters
 from lemonridge.iscsi.mapped import make_request, reply_from_answer, request_class_of
-from lemonridge.iscsi.pdu import FINAL, NONE, Op, Pdu, PduError, unpack_lun
+from lemonridge.iscsi.pdu import FINAL, RESERVED_TAG, Op, Pdu, PduError, unpack_lun
 from lemonridge.iscsi.task import Task
 from lemonridge.iscsi.task_order import TaskOrder
-from lemonridge.iscsi.transfer import Ask, Inbound, Outbound, Part, TransferError
+from lemonridge.iscsi.transfer import DataInPdu, Inbound, Outbound, ReadyToTransfer, TransferError
 from lemonridge.net.sockets import peer_has_closed
 
 if TYPE_CHECKING:
@@ -62,7 +62,9 @@
         session, front, config = self._session, self._front, self._front.config
         agreed = session.agreed
         previous = session.tasks.get(pdu.tag)
-        if pdu.tag == NONE or (previous is not None and (previous.status is None or session.agreed.recovery)):
+        if pdu.tag == RESERVED_TAG or (
+            previous is not None and (previous.status is None or session.agreed.recovery_level)
+        ):
             raise PduError(PduError.FIELD, "task tag is reserved or in use", pdu)
         reads, writes = bool(pdu.flags & 0x40), bool(pdu.flags & 0x20)
         lun, length = unpack_lun(pdu.lun), pdu.words[0]
@@ -88,15 +90,15 @@
                 task.inbound = Inbound(0, b"", agreed, False, 0)
             self.respond(task, reply)
             return
-        task.held = length
+        task.buffered_bytes = length
         front.buffered_bytes += length
         if writes:
             task.inbound = Inbound(length, pdu.data, agreed, more_data_follows, self._last_transfer_tag)
-            task.moved_s = front.loop.time()
+            task.last_data_s = front.loop.time()
         order = self._task_orders.setdefault(command.lun, TaskOrder())
         order.add(task, pdu.flags & TASK_ATTRIBUTE_MASK, command.cdb)
-        task.runner = asyncio.create_task(self._run(task))
-        task.runner.add_done_callback(lambda _: self._remove_from_order(task, order))
+        task.execution = asyncio.create_task(self._run(task))
+        task.execution.add_done_callback(lambda _: self._remove_from_order(task, order))
 
     def _remove_from_order(self, task: Task, order: TaskOrder) -> None:
         """Removes a finished command from the order and wakes the commands that were waiting only for it."""
@@ -143,8 +145,8 @@
             if not await self._wait_for_earlier_tasks(task, deadline_us):
                 self.respond(task, scsi.Reply(scsi.Status.BUSY))
                 return
-            if command.cdb[0] in WITH_DATA:
-                self.respond(task, front.device.finish(self._session.nexus, command))
+            if command.cdb[0] in LOCAL_DATA_OUT_COMMANDS:
+                self.respond(task, front.device.execute_with_data(self._session.nexus, command))
             elif lun.mapped and front.mapped_luns is not None:
                 self.respond(
                     task,
@@ -177,7 +179,7 @@
         At recovery level 2 this is always False, since the task may be reassigned to another connection.
         """
         connection = task.connection
-        if connection is None or self._session.agreed.recovery >= 2:
+        if connection is None or self._session.agreed.recovery_level >= 2:
             return False
         return peer_has_closed(connection.writer.transport)
 
@@ -192,23 +194,25 @@
         Returns:
             False if data is still missing at the deadline.
         """
-        loop, may_retry = self._front.loop, self._session.agreed.recovery > 0
+        loop, may_retry = self._front.loop, self._session.agreed.recovery_level > 0
         deadline_s = self._front.clock.loop_time(deadline_us)
-        while not inbound.done:
-            self.send_r2ts(task, inbound.asks())
-            task.news.clear()
-            retry_at_s = task.moved_s + R2T_RETRY_INTERVAL_S if may_retry and inbound.waits else deadline_s
+        while not inbound.complete:
+            self.send_r2ts(task, inbound.next_r2ts())
+            task.progress.clear()
+            retry_at_s = (
+                task.last_data_s + R2T_RETRY_INTERVAL_S if may_retry and inbound.awaits_data else deadline_s
+            )
             try:
                 async with asyncio.timeout_at(min(deadline_s, retry_at_s)):
-                    await task.news.wait()
+                    await task.progress.wait()
             except TimeoutError:
                 if loop.time() >= deadline_s:
                     return False
-                task.moved_s = loop.time()
-                self.send_r2ts(task, inbound.stalled())
+                task.last_data_s = loop.time()
+                self.send_r2ts(task, inbound.recovery_r2ts_after_stall())
         return True
 
-    def send_r2ts(self, task: Task, r2ts: list[Ask]) -> None:
+    def send_r2ts(self, task: Task, r2ts: list[ReadyToTransfer]) -> None:
         """Sends R2Ts for a task on its connection; sends nothing while the task has no connection.
 
         Args:
@@ -216,7 +220,7 @@
             r2ts: The R2Ts, whose transfer tags are recorded as used also when they are not sent.
         """
         for r2t in r2ts:
-            self._last_transfer_tag = max(self._last_transfer_tag, r2t.tag)
+            self._last_transfer_tag = max(self._last_transfer_tag, r2t.transfer_tag)
             if task.connection is not None:
                 self._front.counters["r2ts"] += 1
                 task.connection.send(
@@ -224,7 +228,7 @@
                         Op.R2T,
                         lun=task.pdu.lun,
                         tag=task.tag,
-                        words=[r2t.tag, 0, 0, 0, r2t.r2t_sn, r2t.offset, r2t.length],
+                        words=[r2t.transfer_tag, 0, 0, 0, r2t.r2t_sn, r2t.offset, r2t.length],
                     )
                 )
 
@@ -248,16 +252,16 @@
         if not task.inbound.length:
             return
         try:
-            task.inbound.take(pdu.words[0], pdu.words[4], pdu.words[5], pdu.data, bool(pdu.flags & FINAL))
+            task.inbound.receive(pdu.words[0], pdu.words[4], pdu.words[5], pdu.data, bool(pdu.flags & FINAL))
         except TransferError as error:
-            if self._session.agreed.recovery and pdu.words[0] != NONE:
+            if self._session.agreed.recovery_level and pdu.words[0] != RESERVED_TAG:
                 self._front.counters["data.ignored"] += 1  # its burst was requested again under another R2T
                 return
             raise PduError(PduError.PROTOCOL, str(error), pdu) from None
-        task.moved_s = self._front.loop.time()
-        if pdu.flags & FINAL and self._session.agreed.recovery:
-            self._send_recovery_r2ts(task, task.inbound.again())
-        task.news.set()
+        task.last_data_s = self._front.loop.time()
+        if pdu.flags & FINAL and self._session.agreed.recovery_level:
+            self._send_recovery_r2ts(task, task.inbound.recovery_r2ts())
+        task.progress.set()
 
     def request_missing_data(self, tag: int) -> None:
         """Sends recovery R2Ts for the missing data of a task, after a Data-Out PDU of it was discarded.
@@ -267,9 +271,9 @@
         """
         task = self._session.tasks.get(tag)
         if task is not None and task.inbound is not None and task.inbound.length:
-            self._send_recovery_r2ts(task, task.inbound.stalled())
+            self._send_recovery_r2ts(task, task.inbound.recovery_r2ts_after_stall())
 
-    def _send_recovery_r2ts(self, task: Task, r2ts: list[Ask]) -> None:
+    def _send_recovery_r2ts(self, task: Task, r2ts: list[ReadyToTransfer]) -> None:
         """Sends R2Ts for data that was requested before, and counts them as `r2ts.recovery`."""
         self._front.counters["r2ts.recovery"] += len(r2ts)
         self.send_r2ts(task, r2ts)
@@ -304,7 +308,7 @@
         assert reply is not None
         outbound = task.outbound
         if outbound is not None:
-            for part in outbound.parts():
+            for part in outbound.data_in_pdus():
                 if part.data_sn >= first_data_sn:
                     self._send_data_in(connection, task, outbound, part)
         length, transferred = task.command.length, len(outbound.data) if outbound is not None else 0
@@ -313,7 +317,7 @@
             residual = length - transferred or min(0, reply.residual)
         flags = FINAL | (0x02 if residual > 0 else 0x04 if residual < 0 else 0)
         sense = len(reply.sense).to_bytes(2, "big") + reply.sense if reply.sense else b""
-        data_in_count = outbound.count if outbound is not None else 0
+        data_in_count = outbound.pdu_count if outbound is not None else 0
         task.status = Pdu(
             Op.SCSI_RESPONSE,
             flags,
@@ -323,10 +327,10 @@
             words=[0, 0, 0, 0, data_in_count, 0, abs(residual)],
         )
         connection.send(task.status, status=True)
-        if not self._session.agreed.recovery:
+        if not self._session.agreed.recovery_level:
             self._session.remove_task(task)
 
-    def _send_data_in(self, connection: Connection, task: Task, outbound: Outbound, part: Part) -> None:
+    def _send_data_in(self, connection: Connection, task: Task, outbound: Outbound, part: DataInPdu) -> None:
         """Sends one Data-In PDU of a task."""
         data = outbound.data[part.offset : part.offset + part.length]
         connection.send(
@@ -336,7 +340,7 @@
                 lun=task.pdu.lun,
                 tag=task.tag,
                 data=data,
-                words=[NONE, 0, 0, 0, part.data_sn, part.offset, 0],
+                words=[RESERVED_TAG, 0, 0, 0, part.data_sn, part.offset, 0],
             )
         )
 
@@ -364,10 +368,10 @@
         """
         kind, begin_run, run_length = pdu.flags & 0x0F, pdu.words[5], pdu.words[6]
         self._front.counters["snacks"] += 1
-        if not self._session.agreed.recovery:
+        if not self._session.agreed.recovery_level:
             raise PduError(PduError.PROTOCOL, "SNACK at recovery level 0", pdu)
         if kind == STATUS_SNACK:
-            statuses = connection.statuses.again(begin_run, run_length)
+            statuses = connection.statuses.find_retained(begin_run, run_length)
             if statuses is not None:
                 for _, status in statuses:
                     connection.write(status)
@@ -383,17 +387,17 @@
                 )
             if (
                 task.outbound is not None
-                and (parts := task.outbound.again(begin_run, run_length)) is not None
+                and (parts := task.outbound.find_for_snack(begin_run, run_length)) is not None
             ):
                 for part in parts:
                     self._send_data_in(connection, task, task.outbound, part)
                 return
             if task.inbound is not None and kind == DATA_SNACK:  # the initiator did not receive some R2Ts
-                self._send_recovery_r2ts(task, task.inbound.stalled())
+                self._send_recovery_r2ts(task, task.inbound.recovery_r2ts_after_stall())
                 return
         connection.reject(pdu, PduError.SNACK)
 
-    def agreed_with_send_segment(self, connection: Connection, segment_bytes: int) -> Agreed:
+    def agreed_with_send_segment(self, connection: Connection, segment_bytes: int) -> NegotiatedParameters:
         """Returns a connection's parameters with a new maximum length of the data segments that it sends.
 
         Args:
@@ -415,7 +419,7 @@
             The response code (section 11.6.1): 0 function complete, 1 task does not exist, 3 task still
             allegiant, 4 task allegiance reassignment not supported.
         """
-        if self._session.agreed.recovery < 2:
+        if self._session.agreed.recovery_level < 2:
             return 4
         task = self._session.tasks.get(pdu.words[0])
         if task is None:
@@ -444,7 +448,7 @@
         if has_reply:
             first_data_sn = 0
             if task.outbound is not None:
-                if connection.agreed.send_segment == task.outbound.segment:
+                if connection.agreed.send_segment == task.outbound.max_segment:
                     first_data_sn = exp_data_sn
                 else:
                     task.outbound = Outbound(
@@ -452,4 +456,4 @@
                     )
             self._send_data_and_status(task, first_data_sn)
         elif task.inbound is not None:
-            self._send_recovery_r2ts(task, task.inbound.stalled())
+            self._send_recovery_r2ts(task, task.inbound.recovery_r2ts_after_stall())
--- a/lemonridge/iscsi/session.py
+++ b/lemonridge/iscsi/session.py
@@ -12,10 +12,10 @@
 
 from lemonridge.iscsi.connection import Connection
 from lemonridge.iscsi.device import Nexus
-from lemonridge.iscsi.keys import NegotiationError, Responder, parse
+from lemonridge.iscsi.keys import NegotiationError, Responder, parse_text
 from lemonridge.iscsi.login import TargetLogin
-from lemonridge.iscsi.numbers import CommandWindow, Place, later
-from lemonridge.iscsi.pdu import CONTINUE, FINAL, NONE, Op, Pdu, PduError, pack_text, unpack_lun
+from lemonridge.iscsi.numbers import ArrivalResult, CommandWindow, serial_distance
+from lemonridge.iscsi.pdu import CONTINUE, FINAL, RESERVED_TAG, Op, Pdu, PduError, pack_text, unpack_lun
 from lemonridge.iscsi.runner import TaskRunner
 from lemonridge.iscsi.task import Task
 
@@ -79,7 +79,7 @@
     def __init__(self, front: IscsiFront, login: TargetLogin, exp_cmd_sn: int) -> None:
         self.front, self.loop = front, front.loop
         self.initiator, self.target, self.isid = login.initiator, login.target, login.isid
-        self.tsih, self.discovery, self.agreed = login.tsih, login.discovery, login.agreed
+        self.tsih, self.discovery, self.agreed = login.tsih, login.discovery, login.parameters
         self.window: CommandWindow[ReceivedPdu] = CommandWindow(exp_cmd_sn, front.config.queue_depth)
         self.connections: dict[int, Connection] = {}
         self.tasks: dict[int, Task] = {}
@@ -130,11 +130,11 @@
         del self.connections[connection.cid]
         if self.ended:
             return
-        if self.discovery or (self.agreed.recovery < 2 and not connection.closed):
+        if self.discovery or (self.agreed.recovery_level < 2 and not connection.closed):
             self.end()
             return
         orphans = [task for task in self.tasks.values() if task.connection is connection]
-        if self.agreed.recovery < 2:  # after a logout
+        if self.agreed.recovery_level < 2:  # after a logout
             for task in orphans:
                 self.abort(task)
         else:
@@ -144,7 +144,7 @@
             expiry_delay_s = self.agreed.time2wait + self.agreed.time2retain
             self.loop.call_later(expiry_delay_s, self._abort_unreassigned, orphans)
         if not self.connections:
-            if self.agreed.recovery < 2 or not self.agreed.time2retain:
+            if self.agreed.recovery_level < 2 or not self.agreed.time2retain:
                 self.end()
             else:
                 expiry_delay_s = self.agreed.time2wait + self.agreed.time2retain
@@ -203,14 +203,16 @@
         be kept.
         """
         occupied = sum(task.status is None for task in self.tasks.values())
-        kept_statuses = sum(connection.statuses.unacknowledged for connection in self.connections.values())
-        spare_statuses = max(0, self.front.config.statuses - kept_statuses)
+        kept_statuses = sum(
+            connection.statuses.unacknowledged_count for connection in self.connections.values()
+        )
+        spare_statuses = max(0, self.front.config.max_unacknowledged_statuses - kept_statuses)
         occupied = (
             max(occupied, self.window.size - spare_statuses)
-            if kept_statuses * 2 > self.front.config.statuses
+            if kept_statuses * 2 > self.front.config.max_unacknowledged_statuses
             else occupied
         )
-        return self.window.expected, self.window.told(occupied)
+        return self.window.exp_cmd_sn, self.window.advertise_max_cmd_sn(occupied)
 
     # Receiving PDUs
 
@@ -230,7 +232,7 @@
         Raises:
             PduError: The PDU, or a held one that is now in order, breaks the protocol.
         """
-        if pdu.opcode != Op.DATA_OUT or connection.agreed.recovery:
+        if pdu.opcode != Op.DATA_OUT or connection.agreed.recovery_level:
             self._acknowledge(connection, pdu)
         if pdu.opcode == Op.DATA_OUT:
             self.runner.receive_data_out(connection, pdu)
@@ -247,10 +249,15 @@
                 return True
             return self._dispatch(connection, pdu)
         self.command_numbers()  # updates MaxCmdSN in the window, which bounds the accepted CmdSN
-        place, ready = self.window.arrive(pdu.words[1], (connection, pdu))
-        if place is Place.REPEATED and connection.agreed.recovery:
+        place, ready = self.window.receive(pdu.words[1], (connection, pdu))
+        if place is ArrivalResult.REPEATED and connection.agreed.recovery_level:
             self._resend_status(connection, pdu)
-        if place is Place.NEXT and not ready and len(self.connections) == 1 and not self.agreed.recovery:
+        if (
+            place is ArrivalResult.NEXT
+            and not ready
+            and len(self.connections) == 1
+            and not self.agreed.recovery_level
+        ):
             # A single connection at level 0 delivers in order, so the missing command will never arrive.
             raise PduError(PduError.PROTOCOL, "gap in CmdSN on a single connection", pdu)
         stays_open = True
@@ -308,10 +315,10 @@
 
     def _receive_nop_out(self, connection: Connection, pdu: Pdu) -> None:
         """Records the answer to a ping of the target, or answers a ping of the initiator."""
-        if pdu.words[0] != NONE:  # the answer to a ping of the target
+        if pdu.words[0] != RESERVED_TAG:  # the answer to a ping of the target
             connection.unanswered_pings.discard(pdu.words[0])
-        if pdu.tag != NONE:
-            words = [NONE, 0, 0, 0, 0, 0, 0]
+        if pdu.tag != RESERVED_TAG:
+            words = [RESERVED_TAG, 0, 0, 0, 0, 0, 0]
             data = pdu.data[: connection.agreed.send_segment]
             connection.send(Pdu(Op.NOP_IN, lun=pdu.lun, tag=pdu.tag, words=words, data=data), status=True)
 
@@ -322,7 +329,7 @@
 
         A request, and its answer, may be split over several PDUs.
         """
-        if pdu.words[0] != NONE:  # the initiator requests the rest of a long answer
+        if pdu.words[0] != RESERVED_TAG:  # the initiator requests the rest of a long answer
             rest = self._unsent_text.pop(pdu.words[0], None)
             if rest is None or pdu.data:
                 raise PduError(PduError.PROTOCOL, "unknown target transfer tag in a text request", pdu)
@@ -345,7 +352,7 @@
             )
             return
         try:
-            pairs = parse(text)
+            pairs = parse_text(text)
         except NegotiationError as error:
             raise PduError(PduError.PROTOCOL, str(error), pdu) from None
         answers: list[tuple[str, str]] = []
@@ -353,7 +360,7 @@
         for key, value in pairs:
             if key == "SendTargets":
                 answers += self._visible_targets(connection, value)
-        responder = Responder(self.front.config.wishes, leading=False)
+        responder = Responder(self.front.config.target_preferences, leading=False)
         answers += [
             (key, value)
             for key, value in responder.answer(negotiable)
@@ -364,19 +371,19 @@
             and ("MaxRecvDataSegmentLength", "Reject") not in answers
         ):
             connection.agreed = self.runner.agreed_with_send_segment(
-                connection, responder.agreed.send_segment
+                connection, responder.parameters.send_segment
             )
         self._send_text(connection, pdu, pack_text(answers))
 
     def _next_transfer_tag(self) -> int:
         """Returns a new target transfer tag for a text exchange."""
-        self._last_transfer_tag = (self._last_transfer_tag + 1) % NONE
+        self._last_transfer_tag = (self._last_transfer_tag + 1) % RESERVED_TAG
         return self._last_transfer_tag
 
     def _send_text(self, connection: Connection, pdu: Pdu, text: bytes) -> None:
         """Sends as much of a text as fits one PDU, and keeps the rest for the initiator to request."""
         segment, rest = text[: connection.agreed.send_segment], text[connection.agreed.send_segment :]
-        tag = NONE
+        tag = RESERVED_TAG
         if rest:
             tag = self._next_transfer_tag()
             self._unsent_text = {tag: rest}  # one exchange at a time (11.10.2)
@@ -421,7 +428,7 @@
         if reason > 2:
             connection.reject(pdu, PduError.FIELD)
             return True
-        if reason == 2 and self.agreed.recovery < 2:
+        if reason == 2 and self.agreed.recovery_level < 2:
             response = 2
         elif logged_out is None and not (
             reason == 2 and any(task.connection is None for task in self.tasks.values())
@@ -484,7 +491,7 @@
                 if function in (TARGET_WARM_RESET, TARGET_COLD_RESET)
                 else [lun or 0]
             )
-            self.front.device.reset(self.nexus, luns, cleared=function == CLEAR_TASK_SET)
+            self.front.device.report_reset(self.nexus, luns, cleared=function == CLEAR_TASK_SET)
         connection.send(Pdu(Op.TASK_MANAGEMENT_RESPONSE, byte2=response, tag=pdu.tag), status=True)
         if function == TARGET_COLD_RESET:
             for session in list(self.front.sessions.values()):
@@ -503,13 +510,13 @@
         if task is not None and task.status is None:
             return FUNCTION_COMPLETE, [task]
         cmd_sn = pdu.words[3]
-        distance = later(cmd_sn, self.window.expected)
-        if task is None and 0 <= distance < self.window.size and cmd_sn not in self.window.held:
-            placeholder = Pdu(Op.NOP_OUT, tag=NONE, words=[NONE, cmd_sn, 0, 0, 0, 0, 0])
+        distance = serial_distance(cmd_sn, self.window.exp_cmd_sn)
+        if task is None and 0 <= distance < self.window.size and cmd_sn not in self.window.pending:
+            placeholder = Pdu(Op.NOP_OUT, tag=RESERVED_TAG, words=[RESERVED_TAG, cmd_sn, 0, 0, 0, 0, 0])
             if not self.connections:
                 return TASK_DOES_NOT_EXIST, []
             origin = next(iter(self.connections.values()))
-            for connection, ready_pdu in self.window.arrive(cmd_sn, (origin, placeholder))[1]:
+            for connection, ready_pdu in self.window.receive(cmd_sn, (origin, placeholder))[1]:
                 self._dispatch(connection, ready_pdu)
             return FUNCTION_COMPLETE, []
         return TASK_DOES_NOT_EXIST, []
@@ -521,8 +528,8 @@
             task: A task of this session.
         """
         task.aborted = True
-        if task.runner is not None:
-            task.runner.cancel()
+        if task.execution is not None:
+            task.execution.cancel()
         self.remove_task(task)
 
     def remove_task(self, task: Task) -> None:
@@ -533,6 +540,6 @@
         """
         if self.tasks.get(task.tag) is task:
             del self.tasks[task.tag]
-        self.front.buffered_bytes -= task.held
-        task.held = 0
+        self.front.buffered_bytes -= task.buffered_bytes
+        task.buffered_bytes = 0
         self._end_if_idle()
--- a/lemonridge/iscsi/task_order.py
+++ b/lemonridge/iscsi/task_order.py
@@ -64,8 +64,8 @@
         The range of blocks; for UNMAP all blocks, since its data specifies them.
     """
     opcode = cdb[0]
-    if opcode in scsi.BLOCKS:
-        first, count = scsi.span(cdb)
+    if opcode in scsi.READ_WRITE_CDB_BYTES:
+        first, count = scsi.block_range(cdb)
     elif opcode in VERIFY_AND_WRITE_SAME:
         is_short = VERIFY_AND_WRITE_SAME[opcode] == 10
         first = int.from_bytes(cdb[2:6] if is_short else cdb[2:10], "big")
--- a/tests/iscsi/test_reassignment.py
+++ b/tests/iscsi/test_reassignment.py
@@ -9,7 +9,7 @@
 
 from lemonridge.core.counters import Counters
 from lemonridge.iscsi import scsi
-from lemonridge.iscsi.keys import Agreed
+from lemonridge.iscsi.keys import NegotiatedParameters
 from lemonridge.iscsi.pdu import FINAL, Op, Pdu
 from lemonridge.iscsi.runner import TaskRunner
 from lemonridge.iscsi.task import Task
@@ -20,7 +20,7 @@
 
     async def count_responses(self, *, ended_first: bool) -> int:
         """Returns how many SCSI Responses are sent on the new connection."""
-        agreed = Agreed(recovery=2)
+        agreed = NegotiatedParameters(recovery_level=2)
         sent: list[Pdu] = []
         connection = SimpleNamespace(agreed=agreed, closed=False, send=lambda pdu, **_: sent.append(pdu))
         front = SimpleNamespace(loop=asyncio.get_running_loop(), counters=Counters())
