--- a/tests/formats/test_format_admin.py
+++ b/tests/formats/test_format_admin.py
@@ -1,11 +1,10 @@
-"""The operators' calls and their replies, byte for byte: a command line speaks to brokers of other versions.
-
-The names of the code stand in the builders below; what follows are literals. The words of states, budgets and
-reports of a fleet are tables of the encoder (`fleet/status_report.py`). Derived from names of the code, so
-that a rename needs `rename=` or a table of words, is every key of a policy (the fields of
-`policy_document.Policy`, `Plan`, `Class`, `Rules`, and of `State`, the value of a vote), of which only
-`class` has its word already. The keys of a vote on disk are the fields of `StoredVote`. All else are
-literals.
+"""Pins the operators' calls and replies byte for byte: a command line calls brokers of other versions too.
+
+The builders below use names of the code; the expected values are literals. The labels of member states,
+budgets and health reports are tables of the encoder (`fleet/status_report.py`). The keys of a policy and of a
+policy state are the field names of `policy_document.Policy`, `Plan`, `Class`, `Rules` and `PolicyState`, the
+keys of a vote on disk those of `StoredVote`, each unless its `rename=` gives another key; so renaming a field
+needs an entry in `rename=`. All other texts are literals in the code.
 """
 
 from __future__ import annotations
@@ -47,7 +46,7 @@
 
 
 @pytest.mark.parametrize(
-    ("line", "order"),
+    ("line", "expected"),
     [
         (b"ready\n", AdminRequest(call=AdminCall.READY)),
         (b"disable-server s-5be2a07c\r\n", AdminRequest(call=AdminCall.DISABLE, endpoint_id="s-5be2a07c")),
@@ -63,12 +62,12 @@
         (b'policy-force {"lost":["b2"]}\n', AdminRequest(call=AdminCall.FORCE, text='{"lost":["b2"]}')),
     ],
 )
-def test_a_line_is_its_call(line: bytes, order: AdminRequest) -> None:
-    assert parse(line) == order
+def test_call_line_is_parsed_into_request(line: bytes, expected: AdminRequest) -> None:
+    assert parse(line) == expected
 
 
-def test_every_call_has_its_word() -> None:
-    assert [one.value for one in AdminCall] == [
+def test_names_of_calls_and_phases_are_unchanged() -> None:
+    assert [call.value for call in AdminCall] == [
         "ready",
         "disable-server",
         "enable-server",
@@ -82,11 +81,11 @@
         "policy-retire",
         "policy-force",
     ]
-    assert [one.value for one in Phase] == ["serving", "draining", "handed", "stopping"]
+    assert [phase.value for phase in Phase] == ["serving", "draining", "handed", "stopping"]
 
 
 @pytest.mark.parametrize(
-    ("line", "why"),
+    ("line", "message"),
     [
         (b"", "the line is empty"),
         (b"\xff", "the line is not plain text"),
@@ -102,14 +101,14 @@
         ),
     ],
 )
-def test_a_line_that_is_no_call_has_its_words(line: bytes, why: str) -> None:
+def test_invalid_call_line_is_rejected_with_message(line: bytes, message: str) -> None:
     with pytest.raises(BadCallError) as caught:
         parse(line)
 
-    assert str(caught.value) == why
+    assert str(caught.value) == message
 
 
-def test_replies_and_lengths() -> None:
+def test_reply_lines_and_maximum_line_lengths() -> None:
     assert AdminReply(done=True).encode() == b"ACK\n"
     assert AdminReply(done=True, text="out").encode() == b"ACK out\n"
     assert AdminReply(done=False, text="zu fr\u00fch").encode() == b"NAK zu fr?h\n"
@@ -120,33 +119,37 @@
     )
 
 
-# The fleet
+# Fleet status
+
 
+def build_fleet_member() -> fleet_member.FleetMember:
+    """Builds member b1 of three.
 
-def fleet() -> fleet_member.FleetMember:
-    """Broker b1 of three: b0 is up, b2 was never heard of; a loan each way; every flaw counted."""
-    made = fleet_member.FleetMember(
+    b0 is up and nothing was received from b2. There is one loan in each direction, and a count for every
+    datagram fault.
+    """
+    member = fleet_member.FleetMember(
         MemberList(("b0", "b1", "b2"), 1), 77, 1, NOW, MemberSettings(retry_rate=5.0)
     )
-    made.record_limit_demand(9, 20.0, 3, 4.0, NOW)
-    made.record_outcome(hash_endpoint_id("s-1"), health_gossip.ObservedOutcome.CONNECT_FAILED, NOW)
-    head = datagrams.DatagramHeader(0, datagrams.MemberState.UP, 5, 1, 1, NOW // 1000)
-    said = datagrams.encode(
-        head, [datagrams.HealthReport(hash_endpoint_id("s-9"), 3, 6, 250)], made.member_list.fingerprint
+    member.record_limit_demand(9, 20.0, 3, 4.0, NOW)
+    member.record_outcome(hash_endpoint_id("s-1"), health_gossip.ObservedOutcome.CONNECT_FAILED, NOW)
+    header = datagrams.DatagramHeader(0, datagrams.MemberState.UP, 5, 1, 1, NOW // 1000)
+    datagram = datagrams.encode(
+        header, [datagrams.HealthReport(hash_endpoint_id("s-9"), 3, 6, 250)], member.member_list.fingerprint
     )
-    made.handle(NOW + 1000, (DatagramReceived(0, said),))
-    budget = made.ledger.budgets[quota_ledger.BudgetKind.LIMIT, 9]
+    member.handle(NOW + 1000, (DatagramReceived(0, datagram),))
+    budget = member.ledger.budgets[quota_ledger.BudgetKind.LIMIT, 9]
     budget.owned, budget.demand = 300_000, 400_000
     budget.loans_out[2] = [quota_ledger.LoanOut(3, 4, 50_000, NOW + 10**6)]
     budget.loans_in[0] = quota_ledger.LoanIn(5, 125_000, NOW + 10**6)
-    made.counts.clear()
-    made.counts["datagrams.taken"] = 8
+    member.counts.clear()
+    member.counts["datagrams.taken"] = 8
     for number, fault in enumerate(DatagramFault, 1):
-        made.receiver.faults[fault] = number
-    return made
+        member.receiver.faults[fault] = number
+    return member
 
 
-VIEW = (
+MEMBER_REPORT = (
     b'{"name":"b1"'
     b',"state":"joining"'
     b',"life":77'
@@ -169,7 +172,7 @@
     b'"not_taken.malformed":7,"not_taken.old":8,"not_taken.replayed":9,"not_taken.overrun":10}'
     b"}"
 )
-TABLE = (
+STATUS_TABLE = (
     "seen by             b0         b1         b2\n"
     "b1                  up    joining     absent\n"
     "  heard ms           4          -          -\n"
@@ -184,53 +187,60 @@
 )
 
 
-def test_a_view_of_the_fleet_byte_for_byte() -> None:
-    told = member_report(fleet(), NOW + 5000, {hash_endpoint_id("s-1"): "s-1"})
+def test_member_report_is_encoded_as_recorded() -> None:
+    report = member_report(build_fleet_member(), NOW + 5000, {hash_endpoint_id("s-1"): "s-1"})
 
-    assert orjson.dumps(told) == VIEW
+    assert orjson.dumps(report) == MEMBER_REPORT
 
 
-def test_every_number_between_brokers_has_its_word_in_a_view() -> None:
-    """The words are the encoder's tables; the numbers are those of the datagrams."""
-    made = fleet()
-    limit = made.ledger.budgets[quota_ledger.BudgetKind.LIMIT, 9]
-    made.ledger.budgets = {quota_ledger.BudgetKey(kind, 9): limit for kind in (1, 2, 3)}
+def test_every_number_in_datagrams_has_its_label_in_member_report() -> None:
+    """The labels are tables of the encoder; the numbers are those in the datagrams."""
+    member = build_fleet_member()
+    limit = member.ledger.budgets[quota_ledger.BudgetKind.LIMIT, 9]
+    member.ledger.budgets = {quota_ledger.BudgetKey(kind, 9): limit for kind in (1, 2, 3)}
     states = []
 
     for number in range(7):
-        made.membership.members[0].state = datagrams.MemberState(number)
-        states.append(member_report(made, NOW + 5000, {})["members"][0]["state"])
+        member.membership.members[0].state = datagrams.MemberState(number)
+        states.append(member_report(member, NOW + 5000, {})["members"][0]["state"])
     for number in range(1, 5):
-        head = datagrams.DatagramHeader(0, datagrams.MemberState.UP, 5, 1, 1 + number, NOW // 1000)
-        said = datagrams.encode(
-            head, [datagrams.HealthReport(100 + number, number, 6, 250)], made.member_list.fingerprint
+        header = datagrams.DatagramHeader(0, datagrams.MemberState.UP, 5, 1, 1 + number, NOW // 1000)
+        datagram = datagrams.encode(
+            header, [datagrams.HealthReport(100 + number, number, 6, 250)], member.member_list.fingerprint
         )
-        made.handle(NOW + 2000, (DatagramReceived(0, said),))
-    view = member_report(made, NOW + 5000, {101: "one", 102: "two", 103: "three", 104: "four"})
-    judged = [(row["node"], row["what"]) for row in view["judgements"] if row["by"] == "b0"]
+        member.handle(NOW + 2000, (DatagramReceived(0, datagram),))
+    report = member_report(member, NOW + 5000, {101: "one", 102: "two", 103: "three", 104: "four"})
+    conditions_from_b0 = [
+        (entry["node"], entry["what"]) for entry in report["judgements"] if entry["by"] == "b0"
+    ]
 
     assert states == ["absent", "joining", "up", "leaving", "suspect", "dead", "left"]
-    assert [row["kind"] for row in view["budgets"]] == ["limit", "cold", "further"]
-    assert set(judged) >= {("one", "down"), ("two", "silent"), ("three", "errors"), ("four", "cold")}
+    assert [entry["kind"] for entry in report["budgets"]] == ["limit", "cold", "further"]
+    assert set(conditions_from_b0) >= {
+        ("one", "down"),
+        ("two", "silent"),
+        ("three", "errors"),
+        ("four", "cold"),
+    }
 
 
-def test_a_view_is_shown_as_text_and_judged() -> None:
-    view = orjson.loads(VIEW)
+def test_member_report_is_formatted_as_table_and_checked_for_members_up() -> None:
+    report = orjson.loads(MEMBER_REPORT)
 
-    assert format_table([view]) == TABLE
-    assert all_members_up([view]) is False
-    for member in view["members"]:
+    assert format_table([report]) == STATUS_TABLE
+    assert all_members_up([report]) is False
+    for member in report["members"]:
         member["state"] = "joining"
-    assert all_members_up([view]) is True
+    assert all_members_up([report]) is True
 
 
-def test_fleet_status_prints_all_views(
+def test_fleet_status_prints_reports_of_all_brokers_as_json(
     monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    told = [{"name": "b0", "members": [{"name": "b1", "state": "up"}]}]
+    reports = [{"name": "b0", "members": [{"name": "b1", "state": "up"}]}]
 
     async def fetch_fleet_views(_: object) -> tuple[list[dict[str, Any]], list[str]]:
-        return told, []
+        return reports, []
 
     monkeypatch.setattr("lemonridge.net.admin_client.fetch_fleet_views", fetch_fleet_views)
 
@@ -244,10 +254,11 @@
     )
 
 
-# The policy
+# Policy calls
 
 
-def policy(limit: float = 24.0) -> policy_document.Policy:
+def build_policy(limit: float = 24.0) -> policy_document.Policy:
+    """Builds a policy with one plan, which has this limit, and one class."""
     return policy_document.Policy(
         plan=(
             policy_document.Plan(
@@ -259,13 +270,14 @@
     )
 
 
-def state() -> policy_document.PolicyState:
+def build_policy_state() -> policy_document.PolicyState:
+    """Builds a policy state with every field set."""
     return policy_document.PolicyState(
         epoch=7,
         previous_digest="0123456789abcdef",
         voters={"b0": 11, "b1": 12},
-        policy=policy(),
-        floor=policy(6.0),
+        policy=build_policy(),
+        floor=build_policy(6.0),
         author="b1",
         note="half",
         kind="voter",
@@ -273,45 +285,45 @@
     )
 
 
-POLICY = (
+POLICY_JSON = (
     b'{"class":[{"aim_ms":300.0,"name":"read","worth":5.0}],'
     b'"plan":[{"base_rate":1.0,"burst":12.0,"limit":24.0,"name":"basic","reserve":2.0,"slack":4.0,'
     b'"weight":3.0}],"rules":{"further_attempts":6.0,"max_attempts":3}}'
 )
-STATE = (
+POLICY_STATE_JSON = (
     b'{"by":"b1","epoch":7,"floor":{"class":[{"aim_ms":300.0,"name":"read","worth":5.0}],'
     b'"plan":[{"base_rate":1.0,"burst":12.0,"limit":6.0,"name":"basic","reserve":2.0,"slack":4.0,'
     b'"weight":3.0}],"rules":{"further_attempts":6.0,"max_attempts":3}},"history":["7 b1: half"],'
-    b'"kind":"voter","note":"half","policy":' + POLICY + b',"prior":"0123456789abcdef",'
+    b'"kind":"voter","note":"half","policy":' + POLICY_JSON + b',"prior":"0123456789abcdef",'
     b'"voters":{"b0":11,"b1":12}}'
 )
 
 
-def test_the_state_that_is_voted_on_byte_for_byte() -> None:
-    """Brokers compare its hash, so one byte less is another state. The keys are the fields' names."""
-    assert policy_document.encode(state()) == STATE
-    assert policy_document.decode(STATE) == state()
-    assert policy_document.digest(STATE).hex() == "7aa62f6c9314e4b7"
-    assert policy_document.parse_policy(orjson.loads(POLICY)) == policy()
+def test_policy_state_is_encoded_and_decoded_as_recorded() -> None:
+    """Brokers compare the digests of states, so a difference of one byte makes another state."""
+    assert policy_document.encode(build_policy_state()) == POLICY_STATE_JSON
+    assert policy_document.decode(POLICY_STATE_JSON) == build_policy_state()
+    assert policy_document.digest(POLICY_STATE_JSON).hex() == "7aa62f6c9314e4b7"
+    assert policy_document.parse_policy(orjson.loads(POLICY_JSON)) == build_policy()
 
 
-def test_the_votes_on_disk_byte_for_byte(tmp_path: Path) -> None:
-    """The keys are the fields' names, and so is their order: msgspec writes a map."""
-    kept = StoredVote(store_id=1, state=b"st", promised_ballot=2, accepted_ballot=3, accepted_state=b"tk")
-    body = b"\x85\xa5ident\x01\xa5state\xc4\x02st\xa8promised\x02\xa4took\x03\xa5taken\xc4\x02tk"
+def test_stored_vote_is_written_and_read_as_recorded(tmp_path: Path) -> None:
+    """msgspec encodes a vote as a map, with the keys in the order of the fields."""
+    vote = StoredVote(store_id=1, state=b"st", promised_ballot=2, accepted_ballot=3, accepted_state=b"tk")
+    record = b"\x85\xa5ident\x01\xa5state\xc4\x02st\xa8promised\x02\xa4took\x03\xa5taken\xc4\x02tk"
     store = VoteStore(str(tmp_path / "votes"))
 
-    store.write(msgspec.msgpack.encode(kept))
+    store.write(msgspec.msgpack.encode(vote))
 
     assert MAGIC == b"lemonridge votes 1\n"
     assert (tmp_path / "votes").read_bytes() == b"lemonridge votes 1\n" + bytes.fromhex(
         "9d4a43722c000000"
-    ) + body
-    assert msgspec.msgpack.decode(body, type=StoredVote) == kept
-    assert store.read() == body
+    ) + record
+    assert msgspec.msgpack.decode(record, type=StoredVote) == vote
+    assert store.read() == record
 
 
-OWN = dataclasses.replace(
+LOCAL_SETTINGS = dataclasses.replace(
     SETTINGS,
     classes=(
         RequestClass(300_000, 1_500_000, IdempotencyKind.IDEMPOTENT, DeduplicationScope.ALL, 0, False, 5.0),
@@ -322,8 +334,8 @@
 )
 
 
-async def calls(path: Path, lines: list[bytes]) -> list[bytes]:
-    """What a broker that is alone answers to calls about its policy."""
+async def policy_call_replies(path: Path, lines: list[bytes]) -> list[bytes]:
+    """Returns the replies of a broker without reachable peers to calls about its policy."""
     store = VoteStore(str(path))
     store.create()
     loop = asyncio.get_running_loop()
@@ -331,35 +343,41 @@
     peers = SimpleNamespace(
         incarnation=77, send_rollout_items=lambda items: None, configure=lambda settings: None
     )
-    decider = SimpleNamespace(recheck_lease=lambda: None)
-    here = Address("127.0.0.1", 1)
-    plan = FleetConfig(
-        names=("b0", "b1"), own_index=0, listen=here, addresses=(here, here), rollout=RolloutConfig(str(path))
+    decision_host = SimpleNamespace(recheck_lease=lambda: None)
+    address = Address("127.0.0.1", 1)
+    fleet_config = FleetConfig(
+        names=("b0", "b1"),
+        own_index=0,
+        listen=address,
+        addresses=(address, address),
+        rollout=RolloutConfig(str(path)),
+    )
+    local_policy = SimpleNamespace(settings=LOCAL_SETTINGS, plans=("basic",), classes=("read",))
+    coordinator = PolicyCoordinator(  # type: ignore
+        fleet_config, local_policy, 1, peers, decision_host, clock, Counters(), store, store.read()
     )
-    own = SimpleNamespace(settings=OWN, plans=("basic",), classes=("read",))
-    one = PolicyCoordinator(plan, own, 1, peers, decider, clock, Counters(), store, store.read())  # type: ignore
-    told = [one.act(parse(line)).encode() for line in lines]
-    one.stop()
-    return told
+    replies = [coordinator.act(parse(line)).encode() for line in lines]
+    coordinator.stop()
+    return replies
 
 
-PROPOSAL = POLICY.replace(b'"limit":24.0', b'"limit":12.0')
+PROPOSED_POLICY_JSON = POLICY_JSON.replace(b'"limit":24.0', b'"limit":12.0')
 
 
-def test_calls_about_the_policy_are_answered_byte_for_byte(tmp_path: Path) -> None:
+def test_policy_calls_are_answered_with_recorded_replies(tmp_path: Path) -> None:
     lines = [
         b"policy\n",
         b"policy-abort\n",
         b"policy-propose {}\n",
-        b'policy-propose {"policy":' + PROPOSAL + b',"note":"half","dry":true}\n',
-        b'policy-propose {"policy":' + POLICY + b',"note":"","dry":true}\n',
+        b'policy-propose {"policy":' + PROPOSED_POLICY_JSON + b',"note":"half","dry":true}\n',
+        b'policy-propose {"policy":' + POLICY_JSON + b',"note":"","dry":true}\n',
         b"policy-admit\n",
         b"policy-force {}\n",
     ]
 
-    told = asyncio.run(calls(tmp_path / "votes", lines))
+    replies = asyncio.run(policy_call_replies(tmp_path / "votes", lines))
 
-    assert told == [
+    assert replies == [
         b'ACK {"name":"b0","life":77,"epoch":0,"state":"9175db71b7f2872a","goes_by":"floor",'
         b'"fault":"","lease_ms":0,"votes":true,"voter":true,"voters":["b0","b1"],"promised":0,'
         b'"accepted":0,"under_way":null,"heard":{},"leases_out":{},"results_ended":0,"results":[],'
@@ -379,19 +397,19 @@
     ]
 
 
-def test_the_command_line_says_literal_lines(
+def test_policy_commands_send_recorded_call_lines(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    said = []
-    seen = (
+    sent_lines = []
+    policy_reply = (
         b'{"name":"b0","epoch":7,"state":"0123456789abcdef","goes_by":[7,7],"fault":"","lease_ms":5,'
         b'"votes":true,"voter":true,"under_way":{"slot":8,"mine":true,"phase":"vote","answered":[]},'
-        b'"results_ended":0,"results":[],"history":["7 b1: half"],"policy":' + POLICY + b"}"
+        b'"results_ended":0,"results":[],"history":["7 b1: half"],"policy":' + POLICY_JSON + b"}"
     )
 
     async def call(_: Address, line: str) -> str:
-        said.append(line)
-        return seen.decode() if line == "policy" else "so"
+        sent_lines.append(line)
+        return policy_reply.decode() if line == "policy" else "so"
 
     monkeypatch.setattr(policy_commands, "call", call)
     file = tmp_path / "policy.toml"
@@ -400,23 +418,23 @@
         'reserve = 2.0\nweight = 3.0\nlimit = 24.0\nburst = 12.0\nslack = 4.0\n\n[[class]]\nname = "read"\n'
         "aim_ms = 300.0\nworth = 5.0\n"
     )
-    at = "127.0.0.1:1"
+    address = "127.0.0.1:1"
 
     for arguments in (
-        ["propose", str(file), at, "--note", "half", "--dry-run"],
-        ["abort", at],
-        ["admit", at],
-        ["retire", "b2", at],
-        ["force", at, "--lost", "b2", "--note", "fire", "--accept-two-policies"],
+        ["propose", str(file), address, "--note", "half", "--dry-run"],
+        ["abort", address],
+        ["admit", address],
+        ["retire", "b2", address],
+        ["force", address, "--lost", "b2", "--note", "fire", "--accept-two-policies"],
     ):
         policy_commands.run(policy_commands.parser().parse_args(arguments))
     capsys.readouterr()
-    policy_commands.run(policy_commands.parser().parse_args(["show", at]))
+    policy_commands.run(policy_commands.parser().parse_args(["show", address]))
     shown = capsys.readouterr().out
-    policy_commands.run(policy_commands.parser().parse_args(["status", at]))
+    policy_commands.run(policy_commands.parser().parse_args(["status", address]))
     status = capsys.readouterr().out
 
-    assert [line for line in said if line != "policy"] == [
+    assert [line for line in sent_lines if line != "policy"] == [
         'policy-propose {"policy":{"plan":[{"name":"basic","base_rate":1.0,"reserve":2.0,"weight":3.0,'
         '"limit":24.0,"burst":12.0,"slack":4.0}],"class":[{"name":"read","aim_ms":300.0,"worth":5.0}],'
         '"rules":{"max_attempts":3,"further_attempts":6.0}},"note":"half","dry":true}',
--- a/tests/formats/test_format_datagrams.py
+++ b/tests/formats/test_format_datagrams.py
@@ -1,8 +1,8 @@
-"""The datagrams between brokers, byte for byte: two versions of the program speak to each other by them.
+"""Pins the datagrams between brokers byte for byte, since brokers of two versions exchange them.
 
-The names of the code stand in the builders below; what follows are literals. An item's code is its place in
-`ITEM_TYPES`, and its fields are packed in the order in which its class declares them (`__slots__`): to move a
-class or a field changes the bytes, to rename one does not.
+The builders below use names of the code; the expected values are literals. An item's code is its position in
+`ITEM_TYPES`, and its fields are packed in the order in which its class declares them (`__slots__`). Moving a
+class or a field therefore changes the bytes; renaming one does not.
 """
 
 from __future__ import annotations
@@ -14,10 +14,10 @@
 from lemonridge.net.peer_transport import KeyedDatagramSigner
 
 FINGERPRINT = 0xBEEF
-STATE_NAME = b"\x01\x23\x45\x67\x89\xab\xcd\xef"
+STATE_DIGEST = b"\x01\x23\x45\x67\x89\xab\xcd\xef"
 SIGNER = KeyedDatagramSigner(b"a secret of the fleet, fixed")
 
-HEAD = datagrams.DatagramHeader(
+HEADER = datagrams.DatagramHeader(
     sender=2,
     state=datagrams.MemberState.DRAINING,
     incarnation=0x0001020304050607,
@@ -25,13 +25,15 @@
     sequence=0x0A0B0C0D,
     sent_ms=0x10203040,
 )
-FACT = datagrams.MembershipUpdate(member_id=6, incarnation=0x0102030405060708, state_version=9, state=4)
+MEMBERSHIP_UPDATE = datagrams.MembershipUpdate(
+    member_id=6, incarnation=0x0102030405060708, state_version=9, state=4
+)
 PING = datagrams.Ping(nonce=0x1122, member_id=3)
 ITEMS = {
     "ping": PING,
     "ack": datagrams.Ack(nonce=0x3344, member_id=4),
     "ping request": datagrams.PingRequest(nonce=0x5566, member_id=5),
-    "fact": FACT,
+    "fact": MEMBERSHIP_UPDATE,
     "want": datagrams.LoanRequest(
         kind=2,
         key=0x1112131415161718,
@@ -56,31 +58,32 @@
     "judge": datagrams.HealthReport(endpoint_id=0x7172737475767778, condition=4, weight=9, age_ms=1234),
     "presence": datagrams.Heartbeat(),
     "lease question": datagrams.LeaseRequest(
-        request_id=10, low=11, high=12, target_epoch=13, digest=STATE_NAME
+        request_id=10, low=11, high=12, target_epoch=13, digest=STATE_DIGEST
     ),
     "lease": datagrams.LeaseReply(
-        request_id=14, low=15, high=16, epoch=17, digest=STATE_NAME, store_id=0x0A0B0C0D0E0F1011
+        request_id=14, low=15, high=16, epoch=17, digest=STATE_DIGEST, store_id=0x0A0B0C0D0E0F1011
     ),
     "prepare": datagrams.Prepare(slot=18, ballot=19),
     "promise": datagrams.Promise(
-        slot=20, ballot=21, accepted_ballot=22, digest=STATE_NAME, store_id=0x1213141516171819
+        slot=20, ballot=21, accepted_ballot=22, digest=STATE_DIGEST, store_id=0x1213141516171819
     ),
-    "accept": datagrams.Accept(slot=23, ballot=24, digest=STATE_NAME),
+    "accept": datagrams.Accept(slot=23, ballot=24, digest=STATE_DIGEST),
     "accepted": datagrams.AcceptReply(slot=25, ballot=26, store_id=0x1A1B1C1D1E1F2021),
     "ballot rejected": datagrams.BallotRejected(slot=27, ballot=28),
-    "check": datagrams.CheckRequest(slot=29, digest=STATE_NAME),
+    "check": datagrams.CheckRequest(slot=29, digest=STATE_DIGEST),
     "check result": datagrams.CheckReply(
-        slot=30, digest=STATE_NAME, is_accepted=1, reason=b"zu fr\xc3\xbch" + bytes(92)
+        slot=30, digest=STATE_DIGEST, is_accepted=1, reason=b"zu fr\xc3\xbch" + bytes(92)
     ),
-    "chunk question": datagrams.ChunkRequest(digest=STATE_NAME, number=31),
-    "piece": datagrams.Chunk(digest=STATE_NAME, number=32, count=33, size=5, data=b"hello" + bytes(171)),
-    "chosen": datagrams.Chosen(slot=34, digest=STATE_NAME),
+    "chunk question": datagrams.ChunkRequest(digest=STATE_DIGEST, number=31),
+    "piece": datagrams.Chunk(digest=STATE_DIGEST, number=32, count=33, size=5, data=b"hello" + bytes(171)),
+    "chosen": datagrams.Chosen(slot=34, digest=STATE_DIGEST),
 }
 
-# Version b2, state 03, the roster's mark, sender, life, round, number, time; little-endian throughout.
-HEAD_HEX = "b203efbe02000706050403020100050d0c0b0a40302010"
-# By item: the checksum, which stands before the head, then the item's code and fields.
-WIRE = {
+# Version (b2), state (03), member list fingerprint, sender, incarnation, state version, sequence number and
+# sending time. All numbers are little-endian.
+HEADER_HEX = "b203efbe02000706050403020100050d0c0b0a40302010"
+# For each item: the checksum, which precedes the header, and the item's code and fields.
+ENCODED_ITEMS = {
     "ping": ("3a4b24ca", "0122110300" + "00" * 13),
     "ack": ("c2c5120c", "0244330400"),
     "ping request": ("c98873b8", "0366550500"),
@@ -117,39 +120,39 @@
 }
 
 
-def test_every_item_that_is_known_is_pinned() -> None:
+def test_every_item_type_has_recorded_bytes() -> None:
     assert [type(item) for item in ITEMS.values()] == list(datagrams.ITEM_TYPES)
-    assert list(ITEMS) == list(WIRE)
+    assert list(ITEMS) == list(ENCODED_ITEMS)
 
 
-@pytest.mark.parametrize("what", WIRE)
-def test_an_item_is_written_and_read_byte_for_byte(what: str) -> None:
-    check, item = WIRE[what]
-    data = bytes.fromhex(check + HEAD_HEX + item)
+@pytest.mark.parametrize("name", ENCODED_ITEMS)
+def test_item_is_encoded_and_decoded_as_recorded(name: str) -> None:
+    checksum, item_hex = ENCODED_ITEMS[name]
+    data = bytes.fromhex(checksum + HEADER_HEX + item_hex)
 
-    written = datagrams.encode(HEAD, [ITEMS[what]], FINGERPRINT)
-    read = datagrams.decode(data, FINGERPRINT)
+    encoded = datagrams.encode(HEADER, [ITEMS[name]], FINGERPRINT)
+    decoded = datagrams.decode(data, FINGERPRINT)
 
-    assert written.hex() == data.hex()
-    assert (read.header, read.items) == (HEAD, (ITEMS[what],))
+    assert encoded.hex() == data.hex()
+    assert (decoded.header, decoded.items) == (HEADER, (ITEMS[name],))
 
 
-def test_a_head_alone_and_numbers_that_wrap() -> None:
-    alone = datagrams.encode(HEAD, [], FINGERPRINT)
-    wrapped = datagrams.encode(
+def test_datagrams_without_items_and_with_wrapped_numbers_are_encoded_as_recorded() -> None:
+    without_items = datagrams.encode(HEADER, [], FINGERPRINT)
+    with_wrapped_numbers = datagrams.encode(
         datagrams.DatagramHeader(2, datagrams.MemberState.UP, 7, 1, (1 << 32) + 3, (1 << 32) + 4), [], 1
     )
 
-    assert alone.hex() == "ab405155b203efbe02000706050403020100050d0c0b0a40302010"
-    assert wrapped.hex() == "3227d143b202010002000700000000000000010300000004000000"
+    assert without_items.hex() == "ab405155b203efbe02000706050403020100050d0c0b0a40302010"
+    assert with_wrapped_numbers.hex() == "3227d143b202010002000700000000000000010300000004000000"
 
 
 @pytest.mark.parametrize(
-    ("items", "told"),
+    ("items", "expected_hex"),
     [
         ([], "ab405155b203efbe02000706050403020100050d0c0b0a40302010c2e550b7604b2fb3"),
         (
-            [FACT, PING],
+            [MEMBERSHIP_UPDATE, PING],
             "ef41c6deb203efbe02000706050403020100050d0c0b0a40302010"
             "0406000807060504030201090401221103000000000000000000000000"
             "0000"
@@ -157,24 +160,24 @@
         ),
     ],
 )
-def test_the_keyed_tag_goes_behind_all_items(items: list[datagrams.Item], told: str) -> None:
-    data = bytes.fromhex(told)
+def test_keyed_tag_follows_all_items(items: list[datagrams.Item], expected_hex: str) -> None:
+    data = bytes.fromhex(expected_hex)
 
-    written = datagrams.encode(HEAD, items, FINGERPRINT, SIGNER)
-    read = datagrams.decode(data, FINGERPRINT, SIGNER)
+    encoded = datagrams.encode(HEADER, items, FINGERPRINT, SIGNER)
+    decoded = datagrams.decode(data, FINGERPRINT, SIGNER)
 
-    assert written.hex() == told
-    assert (read.header, read.items) == (HEAD, tuple(items))
+    assert encoded.hex() == expected_hex
+    assert (decoded.header, decoded.items) == (HEADER, tuple(items))
 
 
-def test_the_roster_and_the_names_of_nodes_have_the_same_numbers_at_every_broker() -> None:
+def test_member_list_fingerprint_and_endpoint_id_hash_are_unchanged() -> None:
     assert MemberList(("b0", "b1", "b2"), 1).fingerprint == 26721
     assert hash_endpoint_id("s-5be2a07c") == 5897176318865884699
 
 
-def test_the_numbers_that_stand_for_words() -> None:
-    """The numbers go between brokers; the words, in lower case, go to operators (`fleet status`)."""
-    assert {status_report.STATE_LABELS[one].upper(): one.value for one in datagrams.MemberState} == {
+def test_enum_numbers_and_their_labels_are_unchanged() -> None:
+    """Brokers exchange the numbers; operators see the labels in lower case (`fleet status`)."""
+    assert {status_report.STATE_LABELS[state].upper(): state.value for state in datagrams.MemberState} == {
         "ABSENT": 0,
         "JOINING": 1,
         "UP": 2,
@@ -183,23 +186,24 @@
         "DEAD": 5,
         "LEFT": 6,
     }
-    assert {status_report.BUDGET_LABELS[one].upper(): one.value for one in quota_ledger.BudgetKind} == {
+    assert {status_report.BUDGET_LABELS[kind].upper(): kind.value for kind in quota_ledger.BudgetKind} == {
         "LIMIT": 1,
         "COLD": 2,
         "FURTHER": 3,
     }
     assert {
-        status_report.CONDITION_LABELS[one].upper(): one.value for one in health_gossip.ReportedCondition
+        status_report.CONDITION_LABELS[condition].upper(): condition.value
+        for condition in health_gossip.ReportedCondition
     } == {
         "DOWN": 1,
         "SILENT": 2,
         "ERRORS": 3,
         "COLD": 4,
     }
-    assert [one.value for one in usage_totals.UsageKind] == [1, 2]
+    assert [kind.value for kind in usage_totals.UsageKind] == [1, 2]
 
 
-def test_limits_of_a_datagram() -> None:
+def test_sizes_and_version_of_datagrams_are_unchanged() -> None:
     assert (datagrams.DATAGRAM_MAX_BYTES, datagrams.VERSION, datagrams.TAG_BYTES, datagrams.HEADER_BYTES) == (
         256,
         0xB2,
--- a/tests/formats/test_format_handover.py
+++ b/tests/formats/test_format_handover.py
@@ -1,7 +1,8 @@
-"""What a process and its successor tell each other, byte for byte: an upgrade runs two versions at once.
+"""Pins the handover messages between a process and its successor byte for byte.
 
-The names of the code stand in the builders below; what follows are literals. Every key and word of a message
-is a literal in `operate.handover_format`.
+During an upgrade the two processes run different versions. The builders below use names of the code; the
+expected lines are literals. Every key and every fixed value of a message is a literal in
+`operate.handover_format`.
 """
 
 from __future__ import annotations
@@ -21,7 +22,8 @@
 from lemonridge.scheduling.events import Endpoint, EndpointState, LimitLevel
 
 
-def row(number: int, state: EndpointState) -> handover.HandedOverEndpoint:
+def build_endpoint(number: int, state: EndpointState) -> handover.HandedOverEndpoint:
+    """Builds the endpoint `s-NUMBER`, whose port is the number too."""
     endpoint = Endpoint(endpoint_id=f"s-{number}", shard=3, zone=1, state=state, started_us=9)
     return handover.HandedOverEndpoint(endpoint=endpoint, address=f"127.0.0.1:{number}")
 
@@ -34,14 +36,18 @@
         2**64 - 1: LimitLevel(saved=2.5, predecessor_debt=3.25, predecessor_debt_until_us=11),
         4: LimitLevel(saved=1.0),
     },
-    endpoints=(row(1, EndpointState.ACTIVE), row(2, EndpointState.DRAINING), row(3, EndpointState.REMOVED)),
+    endpoints=(
+        build_endpoint(1, EndpointState.ACTIVE),
+        build_endpoint(2, EndpointState.DRAINING),
+        build_endpoint(3, EndpointState.REMOVED),
+    ),
     start_times={"s-1": handover.StartTime(unix_us=9, broker_clock_us=8)},
     open_ids=("a", "b"),
     clock_base_us=3,
 )
-EMPTY = handover.HandoverState()
+EMPTY_STATE = handover.HandoverState()
 
-PAIRS = {
+MESSAGES_AND_LINES = {
     "take": (handover.HandoverRequested(supports_open_ids=True), b'{"v":1,"say":"take","ids":true}\n'),
     "take, no ids": (handover.HandoverRequested(), b'{"v":1,"say":"take","ids":false}\n'),
     "given": (
@@ -54,7 +60,7 @@
         b'"starts":{"s-1":[9,8]},"base_us":3,"ids":["a","b"]}\n',
     ),
     "given, empty": (
-        handover.HandoverGranted(state=EMPTY),
+        handover.HandoverGranted(state=EMPTY_STATE),
         b'{"v":1,"say":"given","out":{},"back":{},"drained_us":null,"levels":[],"owed":[],"rows":[],'
         b'"starts":{},"base_us":0}\n',
     ),
@@ -86,25 +92,25 @@
 }
 
 
-@pytest.mark.parametrize("what", PAIRS)
-def test_a_message_is_written_and_read_byte_for_byte(what: str) -> None:
-    message, line = PAIRS[what]
+@pytest.mark.parametrize("name", MESSAGES_AND_LINES)
+def test_message_is_encoded_and_decoded_as_recorded(name: str) -> None:
+    message, line = MESSAGES_AND_LINES[name]
 
-    written, read = handover_format.encode(message), handover_format.decode(line)
+    encoded, decoded = handover_format.encode(message), handover_format.decode(line)
 
-    assert written == line
-    assert read == message
+    assert encoded == line
+    assert decoded == message
 
 
-def test_an_earlier_versions_estate_without_the_later_keys_is_read() -> None:
+def test_state_of_earlier_version_without_later_keys_is_decoded() -> None:
     line = (
         b'{"v":1,"say":"given","out":{"s-1":5},"back":{"s-2":[1,4]},"drained_us":null,'
         b'"levels":[[4,1.5]],"rows":[]}\n'
     )
 
-    read = handover_format.decode(line)
+    decoded = handover_format.decode(line)
 
-    assert read == handover.HandoverGranted(
+    assert decoded == handover.HandoverGranted(
         handover.HandoverState(
             banned={"s-1": 5},
             returned={"s-2": ReturnedToService(1, 4)},
@@ -116,15 +122,19 @@
     )
 
 
-def test_the_bounds_of_messages() -> None:
+def test_version_and_bounds_of_messages_are_unchanged() -> None:
     assert (handover_format.VERSION, handover_format.LINE_MAX) == (1, 4_194_304)
     assert (handover_format.ENTRIES_MAX, handover_format.IDS_MAX) == (65_536, 65_536)
 
 
-def test_the_words_of_nodes_and_of_calls() -> None:
-    assert [handover_format.WIRE_NAME_BY_STATE[one] for one in EndpointState] == ["active", "leaving", "left"]
+def test_wire_names_of_endpoint_states_and_calls_are_unchanged() -> None:
+    assert [handover_format.WIRE_NAME_BY_STATE[state] for state in EndpointState] == [
+        "active",
+        "leaving",
+        "left",
+    ]
     assert [
-        one.value for one in (AdminCall.DISABLE, AdminCall.ENABLE, AdminCall.DRAIN, AdminCall.RESUME)
+        call.value for call in (AdminCall.DISABLE, AdminCall.ENABLE, AdminCall.DRAIN, AdminCall.RESUME)
     ] == [
         "disable-server",
         "enable-server",
@@ -133,11 +143,15 @@
     ]
 
 
-class Host:
-    """A broker that hands over STATE and obeys whatever is passed on."""
+class HandoverHostStandin:
+    """A stand-in for the broker that hands over STATE and acknowledges every forwarded call.
+
+    Attributes:
+        applied: The forwarded calls.
+    """
 
     def __init__(self) -> None:
-        self.obeyed: list[AdminRequest] = []
+        self.applied: list[AdminRequest] = []
 
     def export_state(self) -> handover.HandoverState:
         return STATE
@@ -149,19 +163,22 @@
         pass
 
     def apply(self, request: AdminRequest) -> AdminReply:
-        self.obeyed.append(request)
+        self.applied.append(request)
         return AdminReply(True)
 
 
-async def exchange(folder: Path) -> list[bytes]:
-    """What a process answers over its socket to literal lines of a successor, one connection each."""
+async def replies_to_successors(folder: Path) -> list[bytes]:
+    """Returns the lines that a process sends over its socket in reply to literal lines of successors.
+
+    Every successor has its own connection.
+    """
     open_ids, counters = OpenIds(), Counters()
     open_ids.open("request-1")
     clock = Clock(asyncio.get_running_loop())
-    one = ProcessHandover(str(folder), "n/1", Host(), clock, counters, open_ids)
-    await one.listen()
+    process_handover = ProcessHandover(str(folder), "n/1", HandoverHostStandin(), clock, counters, open_ids)
+    await process_handover.listen()
     answers = []
-    path = str(folder / "n_1.handover")  # the socket's name is what both versions meet by
+    path = str(folder / "n_1.handover")  # both versions must use the same socket name
     try:
         reader, writer = await asyncio.open_unix_connection(path)
         writer.write(b'{"v":1,"say":"done","number":1}\n')
@@ -185,12 +202,12 @@
         answers.append(await first.readline())
         first_writer.close()
     finally:
-        one.stop()
+        process_handover.stop()
     return answers
 
 
-def test_a_process_answers_its_successor_byte_for_byte(tmp_path: Path) -> None:
-    answers = asyncio.run(asyncio.wait_for(exchange(tmp_path), 10))
+def test_process_replies_to_successors_with_recorded_lines(tmp_path: Path) -> None:
+    answers = asyncio.run(asyncio.wait_for(replies_to_successors(tmp_path), 10))
 
     assert answers == [
         b'{"v":1,"say":"no","why":"nothing was asked for"}\n',
@@ -207,25 +224,29 @@
     ]
 
 
-async def ask(folder: Path) -> tuple[bytes, handover.HandoverState | None]:
-    """What a successor says first to a process that answers with literal bytes, and what it makes of them."""
-    heard = []
+async def request_state(folder: Path) -> tuple[bytes, handover.HandoverState | None]:
+    """Runs a successor against a process that replies with a literal line.
+
+    Returns:
+        The first line that the successor sends, and the state that it decodes from the reply.
+    """
+    received_lines = []
 
-    async def answer(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        heard.append(await reader.readline())
-        writer.write(PAIRS["given"][1])
+    async def reply(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        received_lines.append(await reader.readline())
+        writer.write(MESSAGES_AND_LINES["given"][1])
 
-    server = await asyncio.start_unix_server(answer, str(folder / "n1.handover"))
+    server = await asyncio.start_unix_server(reply, str(folder / "n1.handover"))
     clock = Clock(asyncio.get_running_loop())
-    one = ProcessHandover(str(folder), "n1", Host(), clock, Counters(), OpenIds())
-    state = await one.take_over()
-    one.stop()
+    process_handover = ProcessHandover(str(folder), "n1", HandoverHostStandin(), clock, Counters(), OpenIds())
+    state = await process_handover.take_over()
+    process_handover.stop()
     server.close()
-    return heard[0], state
+    return received_lines[0], state
 
 
-def test_a_successor_asks_byte_for_byte(tmp_path: Path) -> None:
-    heard, state = asyncio.run(asyncio.wait_for(ask(tmp_path), 10))
+def test_successor_sends_recorded_request_and_decodes_state(tmp_path: Path) -> None:
+    request_line, state = asyncio.run(asyncio.wait_for(request_state(tmp_path), 10))
 
-    assert heard == b'{"v":1,"say":"take","ids":true}\n'
+    assert request_line == b'{"v":1,"say":"take","ids":true}\n'
     assert state == STATE
--- a/tests/formats/test_format_operator_file.py
+++ b/tests/formats/test_format_operator_file.py
@@ -1,8 +1,9 @@
-"""The operator's file: every key that it may hold, the printed schema, and what is said of a wrong key.
+"""Pins the operator's file: every allowed key, the printed schema, and the error messages for wrong keys.
 
-Every key is derived from a field in `lemonridge/config/operator_schema.py`: a rename of one needs `rename=`.
-The names under `$defs` and the titles are derived from the names of the structs, the descriptions from their
-docstrings: a rename of a struct needs its old name there, or it shows in the text that the command prints.
+Every key is the name of a field in `lemonridge/config/operator_schema.py` unless `rename=` gives another key,
+so renaming a field needs an entry in `rename=`. The names under `$defs` and the titles are the names of the
+structs, and the descriptions are their docstrings, so renaming a struct or changing a docstring changes the
+printed schema.
 """
 
 from __future__ import annotations
@@ -24,7 +25,7 @@
 
 ROOT = Path(__file__).resolve().parents[2]
 
-# Every key once, none of them at its default.
+# Contains every key, and no key has its default value.
 ALL_KEYS = """\
 [iscsi]
 listen = "127.0.0.1:3260"
@@ -170,8 +171,8 @@
 own_secret = "twelve others or more"
 """
 
-# All paths of the schema's keys, sorted; `[]` is an element of a list.
-PATHS = """\
+# The paths of all keys of the schema, sorted; `[]` means an element of a list.
+KEY_PATHS = """\
 classes
 classes.read
 classes.read.aim_ms
@@ -282,7 +283,7 @@
 target[].initiators
 target[].name
 """
-PARTS = [
+TABLE_NAMES = [
     "ClassTable",
     "ClassesTable",
     "EtcdTable",
@@ -304,89 +305,94 @@
 SCHEMA_SHA256 = "0d02f9d8567ff55d9ca865606f81e817cf4b22b4a1dab4b73912133e71d130b6"
 
 
-def printed() -> str:
-    """What `lemonridge schema` prints."""
-    out = io.StringIO()
-    with contextlib.redirect_stdout(out):
+def printed_schema() -> str:
+    """Returns the output of `lemonridge schema`."""
+    output = io.StringIO()
+    with contextlib.redirect_stdout(output):
         main(["schema"])
-    return out.getvalue()
+    return output.getvalue()
 
 
-def key_paths(node: dict[str, Any], parts: dict[str, Any], before: str = "") -> set[str]:
-    """The paths of the keys that a part of a JSON Schema names."""
+def schema_key_paths(node: dict[str, Any], definitions: dict[str, Any], prefix: str = "") -> set[str]:
+    """Returns the paths of the keys in a node of a JSON Schema; `definitions` is its `$defs`."""
     if "$ref" in node:
-        return key_paths(parts[node["$ref"].removeprefix("#/$defs/")], parts, before)
-    found = set[str]()
-    for one in node.get("anyOf", ()):
-        found |= key_paths(one, parts, before)
+        return schema_key_paths(definitions[node["$ref"].removeprefix("#/$defs/")], definitions, prefix)
+    paths = set[str]()
+    for alternative in node.get("anyOf", ()):
+        paths |= schema_key_paths(alternative, definitions, prefix)
     if isinstance(node.get("items"), dict):
-        found |= key_paths(node["items"], parts, before + "[]")
+        paths |= schema_key_paths(node["items"], definitions, prefix + "[]")
     for key, value in node.get("properties", {}).items():
-        path = f"{before}.{key}" if before else key
-        found |= {path} | key_paths(value, parts, path)
-    return found
+        path = f"{prefix}.{key}" if prefix else key
+        paths |= {path} | schema_key_paths(value, definitions, path)
+    return paths
 
 
-def paths_of(values: Any, before: str = "") -> set[str]:
-    """The paths of the keys of a parsed file."""
-    found = set[str]()
+def file_key_paths(values: Any, prefix: str = "") -> set[str]:
+    """Returns the paths of the keys in a parsed file."""
+    paths = set[str]()
     if isinstance(values, list):
-        return found.union(*(paths_of(one, before + "[]") for one in values))
+        return paths.union(*(file_key_paths(value, prefix + "[]") for value in values))
     if isinstance(values, dict):
         for key, value in values.items():
-            path = f"{before}.{key}" if before else key
-            found |= {path} | paths_of(value, path)
-    return found
+            path = f"{prefix}.{key}" if prefix else key
+            paths |= {path} | file_key_paths(value, path)
+    return paths
 
 
-def changed(path: str, value: Any) -> dict[str, Any]:
-    """The file of all keys with one more, or another value, at a path; a number is a place in a list."""
+def file_with(path: str, value: Any) -> dict[str, Any]:
+    """Returns the file with all keys after the key at a path was set to a value.
+
+    A number in the path is an index in a list.
+    """
     values: Any = tomllib.loads(ALL_KEYS)
-    at, (*tables, key) = values, path.split(".")
-    for name in tables:
-        at = at[int(name)] if name.isdigit() else at[name]
-    at[key] = value
+    table, (*parents, key) = values, path.split(".")
+    for parent in parents:
+        table = table[int(parent)] if parent.isdigit() else table[parent]
+    table[key] = value
     return dict(values)
 
 
-class TheSchema(unittest.TestCase):
-    def test_the_printed_text_is_the_same(self) -> None:
-        self.assertEqual(hashlib.sha256(printed().encode()).hexdigest(), SCHEMA_SHA256)
+class PrintedSchemaTest(unittest.TestCase):
+    def test_printed_schema_is_unchanged(self) -> None:
+        self.assertEqual(hashlib.sha256(printed_schema().encode()).hexdigest(), SCHEMA_SHA256)
 
-    def test_its_keys_are_the_same(self) -> None:
-        told = json.loads(printed())
-        self.assertEqual(sorted(key_paths(told, told["$defs"])), PATHS.split())
+    def test_keys_of_schema_are_unchanged(self) -> None:
+        schema = json.loads(printed_schema())
+        self.assertEqual(sorted(schema_key_paths(schema, schema["$defs"])), KEY_PATHS.split())
 
-    def test_its_parts_have_the_same_names(self) -> None:
-        told = json.loads(printed())
-        self.assertEqual(sorted(told["$defs"]), PARTS)
-        self.assertEqual([part["title"] for _, part in sorted(told["$defs"].items())], PARTS)
-        self.assertEqual(told["anyOf"], [{"$ref": "#/$defs/OperatorFile"}, {"$ref": "#/$defs/FleetFile"}])
-        self.assertEqual(told["$schema"], "https://json-schema.org/draft/2020-12/schema")
+    def test_names_of_tables_in_schema_are_unchanged(self) -> None:
+        schema = json.loads(printed_schema())
+        self.assertEqual(sorted(schema["$defs"]), TABLE_NAMES)
+        self.assertEqual(
+            [definition["title"] for _, definition in sorted(schema["$defs"].items())], TABLE_NAMES
+        )
+        self.assertEqual(schema["anyOf"], [{"$ref": "#/$defs/OperatorFile"}, {"$ref": "#/$defs/FleetFile"}])
+        self.assertEqual(schema["$schema"], "https://json-schema.org/draft/2020-12/schema")
 
 
-class TheFile(unittest.TestCase):
-    def test_the_literal_file_has_every_key(self) -> None:
-        self.assertEqual(sorted(paths_of(tomllib.loads(ALL_KEYS))), PATHS.split())
+class OperatorFileTest(unittest.TestCase):
+    def test_example_file_has_every_key_of_schema(self) -> None:
+        self.assertEqual(sorted(file_key_paths(tomllib.loads(ALL_KEYS))), KEY_PATHS.split())
 
-    def test_every_key_is_accepted_and_comes_back_alike(self) -> None:
+    def test_every_key_is_accepted_and_encoded_unchanged(self) -> None:
         values = tomllib.loads(ALL_KEYS)
-        again = json.loads(msgspec.json.encode(convert(OperatorFile, values)))
-        for row in again["lun"]:  # what is not set there is none
-            for key in [key for key, value in row.items() if value in (None, [])]:
-                del row[key]
-        self.assertEqual(again, values)
+        encoded = json.loads(msgspec.json.encode(convert(OperatorFile, values)))
+        for lun in encoded["lun"]:  # optional keys that the file does not set
+            for key in [key for key, value in lun.items() if value in (None, [])]:
+                del lun[key]
+        self.assertEqual(encoded, values)
 
-    def test_the_fleet_may_stand_alone(self) -> None:
+    def test_file_with_fleet_table_alone_is_accepted(self) -> None:
         values = {"fleet": tomllib.loads(ALL_KEYS)["fleet"]}
         self.assertEqual(json.loads(msgspec.json.encode(convert(FleetFile, values))), values)
 
-    def test_the_file_of_secrets_is_accepted(self) -> None:
+    def test_secrets_file_is_accepted(self) -> None:
         values = tomllib.loads(SECRETS)
         self.assertEqual(json.loads(msgspec.json.encode(convert(SecretsFile, values))), values)
 
-    def test_a_wrong_key_or_value_is_named_by_its_path(self) -> None:
-        for path, value, words in (
+    def test_wrong_key_or_value_is_named_by_its_path(self) -> None:
+        for path, value, message in (
             ("odd", 1, "unknown key odd"),
             ("iscsi.odd", 1, "unknown key iscsi.odd"),
             ("target.0.odd", 1, "unknown key target[0].odd"),
@@ -401,24 +407,24 @@
             ("node.0.shard", "1", "node[0].shard: expected int, got str"),
         ):
             with self.subTest(path=path), self.assertRaises(ConfigError) as caught:
-                convert(OperatorFile, changed(path, value))
-            self.assertEqual(str(caught.exception), words)
+                convert(OperatorFile, file_with(path, value))
+            self.assertEqual(str(caught.exception), message)
         with self.assertRaises(ConfigError) as caught:
             convert(SecretsFile, {"account": [{"name": "portal", "odd": 1}]}, "secrets")
         self.assertEqual(str(caught.exception), "unknown key secrets.account[0].odd")
 
 
-class TheDeployedFiles(unittest.TestCase):
-    def test_each_is_read(self) -> None:
-        for name, kind in (("iscsi", OperatorFile), ("extents", OperatorFile), ("fleet", FleetFile)):
+class DeployedFilesTest(unittest.TestCase):
+    def test_each_operator_file_in_deploy_is_accepted(self) -> None:
+        for name, schema in (("iscsi", OperatorFile), ("extents", OperatorFile), ("fleet", FleetFile)):
             with self.subTest(name=name):
-                convert(kind, tomllib.loads((ROOT / f"deploy/{name}.toml").read_text()))
+                convert(schema, tomllib.loads((ROOT / f"deploy/{name}.toml").read_text()))
 
-    def test_the_platforms_file_has_its_keys(self) -> None:
+    def test_tables_of_platform_file_are_unchanged(self) -> None:
         values = tomllib.loads((ROOT / "deploy/balancer.toml").read_text())
         self.assertEqual(list(values), ["build", "run", "sim", "policy", "node", "packages"])
 
-    def test_no_file_is_left_out(self) -> None:
+    def test_deploy_contains_no_further_files(self) -> None:
         self.assertEqual(
             sorted(file.name for file in (ROOT / "deploy").glob("*.toml")),
             ["balancer.toml", "extents.toml", "fleet.toml", "iscsi.toml"],
--- a/tests/formats/test_format_settings.py
+++ b/tests/formats/test_format_settings.py
@@ -1,10 +1,10 @@
-"""The settings and the platform's file, key by key: they come from other programs than this one.
+"""Pins the keys of the settings and of the platform's file, which other programs write.
 
-The names of the code stand in the builders and in the expected values below; the facts are literals. Derived
-from a name of the code are only the three keys of the file that a variable goes before: a running program
-compares `name`, `listen` and `discovery` with the fields of `PlatformConfig` that have the same names
-(`getattr` in `platform.load`), and the variables are these keys in capitals. The words of `classes.group` and
-of an endpoint's state are values of `DeduplicationScope` and `EndpointState`, not names.
+The expected values below use names of the code; the input is literal. Only three keys of the file are also
+names in the code: `name`, `listen` and `discovery`, which environment variables override. On a reload,
+`platform.load` reads the fields of `PlatformConfig` with these names by `getattr`, and the names of the
+variables are these keys in upper case. The values of `classes.group` and of an endpoint's state are values of
+`DeduplicationScope` and `EndpointState`, not names of members.
 """
 
 from __future__ import annotations
@@ -56,7 +56,7 @@
  "load-info": {"source": "piggyback", "names": ["cpu", "inflight", "busy_reqs"]}}
 """)
 
-SAFE, KEYED, ONCE = (
+IDEMPOTENT, WITH_KEY, NOT_IDEMPOTENT = (
     IdempotencyKind.IDEMPOTENT,
     IdempotencyKind.WITH_IDEMPOTENCY_KEY,
     IdempotencyKind.NOT_IDEMPOTENT,
@@ -67,7 +67,7 @@
         RequestClass(
             latency_objective_us=300001,
             deadline_us=2500001,
-            idempotency=SAFE,
+            idempotency=IDEMPOTENT,
             deduplication_scope=DeduplicationScope.ALL,
             deduplication_window_us=0,
             sequential=False,
@@ -76,15 +76,15 @@
         RequestClass(
             latency_objective_us=300002,
             deadline_us=2500002,
-            idempotency=KEYED,
+            idempotency=WITH_KEY,
             deduplication_scope=DeduplicationScope.ALL,
             deduplication_window_us=5000002,
             sequential=True,
             priority_weight=3.5,
         ),
-        RequestClass(300003, 2500003, KEYED, DeduplicationScope.ZONE, 5000003, False, 0.0),
-        RequestClass(300004, 2500004, KEYED, DeduplicationScope.SHARD, 5000004, False, 0.0),
-        RequestClass(300005, 2500005, ONCE, DeduplicationScope.ALL, 0, False, 4.5),
+        RequestClass(300003, 2500003, WITH_KEY, DeduplicationScope.ZONE, 5000003, False, 0.0),
+        RequestClass(300004, 2500004, WITH_KEY, DeduplicationScope.SHARD, 5000004, False, 0.0),
+        RequestClass(300005, 2500005, NOT_IDEMPOTENT, DeduplicationScope.ALL, 0, False, 4.5),
     ),
     plans=(
         VolumePlan(base_rate=12.5, reserve=13.5, weight=1.5, limit=14.5, burst=15.5, slack=16.5),
@@ -115,45 +115,45 @@
 )
 
 
-def test_every_key_comes_to_its_field() -> None:
+def test_every_key_of_settings_is_parsed_into_its_field() -> None:
     assert asdict(scheduler_settings.parse_settings(FACTS)) == asdict(SETTINGS)
 
 
-def test_what_may_be_left_out_is_none() -> None:
+def test_missing_optional_keys_are_zero_or_false() -> None:
     facts = copy.deepcopy(FACTS)
-    for table, needed in (
+    for table, required_keys in (
         ("family-info", ()),
         ("limits", ("max-attempts",)),
         ("rules", ("cold-share", "ramp-time-us", "fall-us", "drain-grace-us")),
     ):
-        facts[table] = {key: facts[table][key] for key in needed}
+        facts[table] = {key: facts[table][key] for key in required_keys}
     facts["discovery"] = "push"
     del facts["clients"]
 
-    read = scheduler_settings.parse_settings(facts)
+    settings = scheduler_settings.parse_settings(facts)
 
     assert (
-        read.polls_endpoint_list,
-        read.reports_peer_usage,
-        read.may_cancel,
-        read.clients_mark_retries,
+        settings.polls_endpoint_list,
+        settings.reports_peer_usage,
+        settings.may_cancel,
+        settings.clients_mark_retries,
     ) == (False,) * 4
     assert (
-        read.largest_request_units,
-        read.mean_request_units,
-        read.slow_start_units,
-        read.overload_multiple,
+        settings.largest_request_units,
+        settings.mean_request_units,
+        settings.slow_start_units,
+        settings.overload_multiple,
     ) == (0, 0, 0, 0)
     assert (
-        read.usage_meter_period_us,
-        read.max_backoff_us,
-        read.poll_within_us,
-        read.retry_budget_window_us,
+        settings.usage_meter_period_us,
+        settings.max_backoff_us,
+        settings.poll_within_us,
+        settings.retry_budget_window_us,
     ) == (0, 0, 0, 0)
-    assert (read.retry_budget_floor, read.retry_budget_ratio, read.key_quarantine_us) == (0, 0, 0)
+    assert (settings.retry_budget_floor, settings.retry_budget_ratio, settings.key_quarantine_us) == (0, 0, 0)
 
 
-def test_advice_to_come_back_needs_its_leave() -> None:
+def test_maximum_backoff_is_zero_without_permission_for_retry_after() -> None:
     facts = copy.deepcopy(FACTS)
     facts["limits"]["retry-after"] = False
 
@@ -161,7 +161,7 @@
 
 
 @pytest.mark.parametrize(
-    ("table", "key", "words"),
+    ("table", "key", "message"),
     [
         (None, "fleet-size", "settings lack the number 'facts.fleet-size'"),
         (None, "tick-us", "settings lack the number 'facts.tick-us'"),
@@ -177,18 +177,18 @@
         ("rules", "drain-grace-us", "settings lack the number 'rules.drain-grace-us'"),
     ],
 )
-def test_what_is_lacking_is_named(table: str | None, key: str, words: str) -> None:
+def test_missing_key_of_settings_is_named(table: str | None, key: str, message: str) -> None:
     facts = copy.deepcopy(FACTS)
     del (facts[table] if table else facts)[key]
 
     with pytest.raises(scheduler_settings.SettingsError) as caught:
         scheduler_settings.parse_settings(facts)
 
-    assert str(caught.value) == words
+    assert str(caught.value) == message
 
 
 @pytest.mark.parametrize(
-    ("key", "value", "words"),
+    ("key", "value", "message"),
     [
         ("aim-us", None, "settings lack the number 'classes.aim-us'"),
         ("deadline-us", True, "settings lack the number 'classes.deadline-us'"),
@@ -197,18 +197,18 @@
         ("group", "row", "settings lack a known 'classes.group'"),
     ],
 )
-def test_what_is_wrong_with_a_class_is_named(key: str, value: object, words: str) -> None:
+def test_invalid_value_of_class_is_named(key: str, value: object, message: str) -> None:
     facts = copy.deepcopy(FACTS)
     facts["classes"][1][key] = value
 
     with pytest.raises(scheduler_settings.SettingsError) as caught:
         scheduler_settings.parse_settings(facts)
 
-    assert str(caught.value) == words
+    assert str(caught.value) == message
 
 
 @pytest.mark.parametrize(
-    ("report", "field"),
+    ("load_info", "field"),
     [
         ({"source": "piggyback", "names": ["cpu", "inflight", "busy_reqs"]}, "inflight"),
         ({"source": "piggyback", "names": ["busy_reqs"]}, "busy_reqs"),
@@ -217,18 +217,18 @@
         (None, ""),
     ],
 )
-def test_the_field_that_says_what_a_node_holds(report: object, field: str) -> None:
-    assert scheduler_settings.in_flight_field({"load-info": report}) == field
+def test_field_of_load_reports_with_in_flight_requests(load_info: object, field: str) -> None:
+    assert scheduler_settings.in_flight_field({"load-info": load_info}) == field
 
 
-def test_names_of_rows() -> None:
+def test_names_of_classes_and_plans_are_in_order_of_settings() -> None:
     assert scheduler_settings.entry_names(FACTS, "classes") == ("read", "write", "zoned", "celled", "order")
     assert scheduler_settings.entry_names(FACTS, "grades") == ("priority", "bare")
 
 
 # The platform's file
 
-TOLD: dict[str, Any] = {
+PLATFORM_FILE: dict[str, Any] = {
     "name": "n1",
     "listen": "127.0.0.1:8001",
     "discovery": "[::1]:8002",
@@ -242,25 +242,27 @@
 }
 
 
-def write(folder: Path, told: dict[str, Any]) -> str:
+def write_config(folder: Path, values: dict[str, Any]) -> str:
+    """Writes the platform's file into a folder and returns its path."""
     path = folder / "config.json"
-    path.write_text(json.dumps(told))
+    path.write_text(json.dumps(values))
     return str(path)
 
 
-def at(port: int, host: str = "127.0.0.1") -> Address:
+def address(port: int, host: str = "127.0.0.1") -> Address:
+    """Returns an address, by default on loopback."""
     return Address(host=host, port=port)
 
 
-def test_every_key_of_the_file_comes_to_its_field(tmp_path: Path) -> None:
-    path = write(tmp_path, TOLD)
+def test_every_key_of_platform_file_is_parsed_into_its_field(tmp_path: Path) -> None:
+    path = write_config(tmp_path, PLATFORM_FILE)
 
-    read = platform.load({"ROUTER_CONFIG": path})
+    config = platform.load({"ROUTER_CONFIG": path})
 
-    assert read == platform.PlatformConfig(
+    assert config == platform.PlatformConfig(
         name="n1",
-        listen=at(8001),
-        discovery=at(8002, "::1"),
+        listen=address(8001),
+        discovery=address(8002, "::1"),
         seed=0x8C1F30D27A5BE964,
         settings=SETTINGS,
         classes=("read", "write", "zoned", "celled", "order"),
@@ -275,12 +277,12 @@
         in_flight_field="inflight",
         cached_endpoint_list={"nodes": []},
         file_values={"name": "n1", "listen": "127.0.0.1:8001", "discovery": "[::1]:8002"},
-        admin=at(8003),
+        admin=address(8003),
         fleet=FleetConfig(
             names=("0", "1", "2"),
             own_index=1,
-            listen=at(8004),
-            addresses=(at(8005), at(8004), at(8006)),
+            listen=address(8004),
+            addresses=(address(8005), address(8004), address(8006)),
             datagram_bytes_per_s=8192.0,
             clock_error_us=50000,
             secret=b"",
@@ -294,9 +296,9 @@
     )
 
 
-def test_variables_go_before_the_file(tmp_path: Path) -> None:
+def test_environment_variables_override_platform_file(tmp_path: Path) -> None:
     environment = {
-        "ROUTER_CONFIG": write(tmp_path, TOLD),
+        "ROUTER_CONFIG": write_config(tmp_path, PLATFORM_FILE),
         "ROUTER_NAME": "n2",
         "ROUTER_LISTEN": "127.0.0.2:9001",
         "ROUTER_DISCOVERY": "127.0.0.2:9002",
@@ -304,37 +306,44 @@
         "ROUTER_PASSED_SOCKET": "5",
     }
 
-    read = platform.load(environment)
+    config = platform.load(environment)
 
-    assert (read.name, read.listen) == ("n2", at(9001, "127.0.0.2"))
-    assert (read.discovery, read.admin) == (at(9002, "127.0.0.2"), at(9003, "127.0.0.2"))
-    assert read.inherited_fd == 5
-    assert read.file_values == {"name": "n1", "listen": "127.0.0.1:8001", "discovery": "[::1]:8002"}
-    assert platform.read_file_content(environment) == read.file_content
+    assert (config.name, config.listen) == ("n2", address(9001, "127.0.0.2"))
+    assert (config.discovery, config.admin) == (address(9002, "127.0.0.2"), address(9003, "127.0.0.2"))
+    assert config.inherited_fd == 5
+    assert config.file_values == {"name": "n1", "listen": "127.0.0.1:8001", "discovery": "[::1]:8002"}
+    assert platform.read_file_content(environment) == config.file_content
 
 
-def test_what_a_running_program_keeps_and_what_the_file_changes(tmp_path: Path) -> None:
-    """The keys are compared with the fields of the same names: a rename of a field needs its key."""
-    path = write(tmp_path, TOLD)
+def test_reload_keeps_overridden_values_until_the_key_in_the_file_changes(tmp_path: Path) -> None:
+    """The file's keys are compared with the fields of the same names; a renamed field must keep its key."""
+    path = write_config(tmp_path, PLATFORM_FILE)
     environment = {
         "ROUTER_CONFIG": path,
         "ROUTER_NAME": "n2",
         "ROUTER_LISTEN": "127.0.0.2:9001",
         "ROUTER_DISCOVERY": "127.0.0.2:9002",
     }
-    before = platform.load(environment)
+    at_start = platform.load(environment)
 
-    same = platform.load(environment, before)
-    write(tmp_path, {**TOLD, "discovery": "127.0.0.3:9002", "limits": {}})
-    changed = platform.load(environment, before)
+    reloaded = platform.load(environment, at_start)
+    write_config(tmp_path, {**PLATFORM_FILE, "discovery": "127.0.0.3:9002", "limits": {}})
+    reloaded_from_changed_file = platform.load(environment, at_start)
 
-    assert (same.name, same.listen, same.discovery) == ("n2", at(9001, "127.0.0.2"), at(9002, "127.0.0.2"))
-    assert (changed.name, changed.discovery) == ("n2", at(9002, "127.0.0.3"))
-    assert (changed.sockets, changed.memory_bytes) == (1024, 201326592)
+    assert (reloaded.name, reloaded.listen, reloaded.discovery) == (
+        "n2",
+        address(9001, "127.0.0.2"),
+        address(9002, "127.0.0.2"),
+    )
+    assert (reloaded_from_changed_file.name, reloaded_from_changed_file.discovery) == (
+        "n2",
+        address(9002, "127.0.0.3"),
+    )
+    assert (reloaded_from_changed_file.sockets, reloaded_from_changed_file.memory_bytes) == (1024, 201326592)
 
 
 @pytest.mark.parametrize(
-    ("change", "words"),
+    ("change", "message"),
     [
         ({"name": None}, "neither ROUTER_NAME nor 'name' is set"),
         ({"listen": None}, "neither ROUTER_LISTEN nor 'listen' is set"),
@@ -347,37 +356,37 @@
         ({"settings": {}}, "settings lack the table 'rules'"),
     ],
 )
-def test_what_is_wrong_with_the_file_is_named(tmp_path: Path, change: dict[str, Any], words: str) -> None:
-    path = write(tmp_path, {**TOLD, **change})
+def test_invalid_key_of_platform_file_is_named(tmp_path: Path, change: dict[str, Any], message: str) -> None:
+    path = write_config(tmp_path, {**PLATFORM_FILE, **change})
 
     with pytest.raises(ConfigError) as caught:
         platform.load({"ROUTER_CONFIG": path})
 
-    assert str(caught.value) == words
+    assert str(caught.value) == message
 
 
 @pytest.mark.parametrize(
-    ("table", "key", "words"),
+    ("table", "key", "message"),
     [
         ("limits", "connect-timeout-us", "settings lack the number 'limits.connect-timeout-us'"),
         ("limits", "keepalive-us", "settings lack the number 'limits.keepalive-us'"),
         ("family-info", "class-writes", "settings lack the list 'family-info.class-writes'"),
     ],
 )
-def test_what_a_broker_needs_of_the_settings_is_named(
-    tmp_path: Path, table: str, key: str, words: str
+def test_missing_key_of_settings_in_platform_file_is_named(
+    tmp_path: Path, table: str, key: str, message: str
 ) -> None:
-    told = copy.deepcopy(TOLD)
-    del told["settings"][table][key]
+    values = copy.deepcopy(PLATFORM_FILE)
+    del values["settings"][table][key]
 
     with pytest.raises(ConfigError) as caught:
-        platform.load({"ROUTER_CONFIG": write(tmp_path, told)})
+        platform.load({"ROUTER_CONFIG": write_config(tmp_path, values)})
 
-    assert str(caught.value) == words
+    assert str(caught.value) == message
 
 
-def test_peers_need_the_settings_leave(tmp_path: Path) -> None:
-    told = copy.deepcopy(TOLD)
-    told["settings"]["limits"]["peers"] = False
+def test_peers_are_ignored_without_permission_in_settings(tmp_path: Path) -> None:
+    values = copy.deepcopy(PLATFORM_FILE)
+    values["settings"]["limits"]["peers"] = False
 
-    assert platform.load({"ROUTER_CONFIG": write(tmp_path, told)}).fleet is None
+    assert platform.load({"ROUTER_CONFIG": write_config(tmp_path, values)}).fleet is None
--- a/tests/formats/test_format_votes.py
+++ b/tests/formats/test_format_votes.py
@@ -1,7 +1,7 @@
-"""The votes on disk and the documents that are voted on, byte by byte.
+"""Pins the votes on disk and the documents that are voted on byte for byte.
 
-The bytes here were written by brokers before; a broker that cannot read them has lost its votes, and brokers
-that write others do not agree on what a state is called.
+Brokers of earlier versions have written these bytes. A broker that cannot read them has lost its votes, and
+brokers that encode a state differently do not agree on its digest.
 """
 
 from __future__ import annotations
@@ -24,8 +24,8 @@
 from lemonridge.rollout.vote_log import StoredVote
 
 
-def policy() -> Policy:
-    """A policy in which no two figures of a row are alike."""
+def build_policy() -> Policy:
+    """Builds a policy in which the numbers that an entry sets all differ."""
     return Policy(
         plan=(
             Plan(
@@ -41,21 +41,21 @@
     )
 
 
-def least() -> Policy:
-    """The floor of it."""
+def build_floor() -> Policy:
+    """Builds the floor of that policy."""
     return Policy(
         plan=(Plan(name="standard", limit=30),), classes=(Class(name="read", latency_objective_ms=300),)
     )
 
 
-def full_state() -> PolicyState:
-    """A state with every field set."""
+def build_full_state() -> PolicyState:
+    """Builds a state with every field set."""
     return PolicyState(
         epoch=7,
         previous_digest="0011223344556677",
         voters={"b": 5, "a": 9},
-        policy=policy(),
-        floor=least(),
+        policy=build_policy(),
+        floor=build_floor(),
         author="a",
         note="half",
         kind="voter",
@@ -63,30 +63,36 @@
     )
 
 
-def small_state() -> PolicyState:
-    """A state with every default."""
-    one = Policy(plan=(Plan(name="p"),), classes=(Class(name="r", latency_objective_ms=1),))
-    return PolicyState(epoch=0, previous_digest="", voters={"a": 0}, policy=one, floor=one)
+def build_minimal_state() -> PolicyState:
+    """Builds a state with the default values of all optional fields."""
+    policy = Policy(plan=(Plan(name="p"),), classes=(Class(name="r", latency_objective_ms=1),))
+    return PolicyState(epoch=0, previous_digest="", voters={"a": 0}, policy=policy, floor=policy)
 
 
-def vote() -> StoredVote:
-    """A record with every field set."""
+def build_vote() -> StoredVote:
+    """Builds a record with every field set."""
     return StoredVote(0x0102030405060708, b"state", 0x0301, 0x0202, b"taken")
 
 
-def first_record() -> StoredVote:
-    """What the first store of a fleet holds."""
+def build_first_record() -> StoredVote:
+    """Builds the record of the first store in a new fleet."""
     return StoredVote(0, b"")
 
 
-def broker(kept: bytes | None) -> RolloutMember:
-    """Broker `a` of two, whose files say the small state."""
-    return RolloutMember(0, ("a", "b"), 1, small_state(), kept, 0x0102030405060708, lambda policy: None, 1, 0)
+def build_member(record: bytes | None) -> RolloutMember:
+    """Builds member `a` of two, whose own files give the minimal state.
+
+    Args:
+        record: The record in its vote store; None: there is no store.
+    """
+    return RolloutMember(
+        0, ("a", "b"), 1, build_minimal_state(), record, 0x0102030405060708, lambda policy: None, 1, 0
+    )
 
 
-# Every key is derived from a field's name (`PolicyState`, `Policy`, `Plan`, `Class`, `Rules`), but for
-# "class", which `Policy` renames already: a rename of a field needs `rename=`. No class's name is in the
-# bytes.
+# Every key is the name of a field of `PolicyState`, `Policy`, `Plan`, `Class` or `Rules`, unless the struct's
+# `rename=` gives another key; so renaming a field needs an entry in `rename=`. The bytes contain no names of
+# structs.
 FULL_STATE = (
     b'{"by":"a","epoch":7,'
     b'"floor":{"class":[{"aim_ms":300.0,"name":"read","worth":1.0}],'
@@ -102,7 +108,7 @@
     b'"rules":{"further_attempts":4.0,"max_attempts":3}},'
     b'"prior":"0011223344556677","voters":{"a":9,"b":5}}'
 )
-SMALL_STATE = (
+MINIMAL_STATE = (
     b'{"by":"","epoch":0,'
     b'"floor":{"class":[{"aim_ms":1.0,"name":"r","worth":1.0}],'
     b'"plan":[{"base_rate":0.0,"burst":0.0,"limit":0.0,"name":"p","reserve":0.0,"slack":0.0,"weight":1.0}],'
@@ -113,17 +119,17 @@
     b'"rules":{"further_attempts":0.0,"max_attempts":4}},'
     b'"prior":"","voters":{"a":0}}'
 )
-SMALL_NAME = "e258d634e4699336"
+MINIMAL_STATE_DIGEST = "e258d634e4699336"
 
-# MessagePack. The keys and their order are those of `StoredVote`'s fields: a rename of a field needs
-# `rename=`.
+# MessagePack. The keys are in the order of the fields of `StoredVote` and have their names, unless `rename=`
+# gives another key; so renaming a field needs an entry in `rename=`.
 VOTE = (
     b"\x85\xa5ident\xcf\x01\x02\x03\x04\x05\x06\x07\x08\xa5state\xc4\x05state"
     b"\xa8promised\xcd\x03\x01\xa4took\xcd\x02\x02\xa5taken\xc4\x05taken"
 )
-FIRST = b"\x85\xa5ident\x00\xa5state\xc4\x00\xa8promised\x00\xa4took\x00\xa5taken\xc4\x00"
+FIRST_RECORD = b"\x85\xa5ident\x00\xa5state\xc4\x00\xa8promised\x00\xa4took\x00\xa5taken\xc4\x00"
 VOTE_FILE = b"lemonridge votes 1\n\xa3/~\xd9>\x00\x00\x00" + VOTE
-FIRST_FILE = b"lemonridge votes 1\n\xd9\x90\x16\xe6(\x00\x00\x00" + FIRST
+FIRST_RECORD_FILE = b"lemonridge votes 1\n\xd9\x90\x16\xe6(\x00\x00\x00" + FIRST_RECORD
 
 POLICY_TOML = """\
 [rules]
@@ -158,7 +164,7 @@
 aim_ms = 400.5
 worth = 1.0
 """
-# What operators propose, and what they are shown of the policy in force; keys by the fields' names.
+# The policy as operators propose it and as they see the one in force, with the same keys.
 POLICY_VALUES = {
     "plan": [
         {
@@ -188,39 +194,49 @@
 }
 
 
-class TheDocument(unittest.TestCase):
-    def test_a_state_is_written_so(self) -> None:
-        self.assertEqual(policy_document.encode(full_state()), FULL_STATE)
-        self.assertEqual(policy_document.encode(small_state()), SMALL_STATE)
+class PolicyDocumentTest(unittest.TestCase):
+    def test_state_is_encoded_as_recorded(self) -> None:
+        self.assertEqual(policy_document.encode(build_full_state()), FULL_STATE)
+        self.assertEqual(policy_document.encode(build_minimal_state()), MINIMAL_STATE)
 
-    def test_a_state_of_before_is_read(self) -> None:
-        self.assertEqual(policy_document.decode(FULL_STATE), full_state())
-        self.assertEqual(policy_document.decode(SMALL_STATE), small_state())
+    def test_recorded_state_is_decoded(self) -> None:
+        self.assertEqual(policy_document.decode(FULL_STATE), build_full_state())
+        self.assertEqual(policy_document.decode(MINIMAL_STATE), build_minimal_state())
 
-    def test_a_state_is_called_by_eight_bytes(self) -> None:
-        self.assertEqual(policy_document.digest(SMALL_STATE).hex(), SMALL_NAME)
+    def test_state_is_identified_by_eight_byte_digest(self) -> None:
+        self.assertEqual(policy_document.digest(MINIMAL_STATE).hex(), MINIMAL_STATE_DIGEST)
         self.assertEqual(
-            policy_document.next_state(small_state(), policy(), "a", "n").previous_digest, SMALL_NAME
+            policy_document.next_state(build_minimal_state(), build_policy(), "a", "n").previous_digest,
+            MINIMAL_STATE_DIGEST,
         )
 
-    def test_every_kind_of_a_state_is_read(self) -> None:
+    def test_every_kind_of_state_is_decoded(self) -> None:
         for kind in ("policy", "voter", "emergency"):
-            data = SMALL_STATE.replace(b'"kind":"policy"', f'"kind":"{kind}"'.encode())
+            data = MINIMAL_STATE.replace(b'"kind":"policy"', f'"kind":"{kind}"'.encode())
             self.assertEqual(policy_document.decode(data).kind, kind)
 
-    def test_the_lines_of_the_history_and_the_kinds_are_written_so(self) -> None:
-        changed = policy_document.next_state(small_state(), policy(), "a", "half")
-        let_in = policy_document.state_with_voter(changed, "b", 5, "b")
-        again = policy_document.state_with_voter(let_in, "b", 6, "b")
-        left = policy_document.state_without_voter(again, "b", "a")
-        alone = policy_document.emergency_state(left, 65536, {"a": 0}, "a", "fire")
+    def test_kinds_and_history_lines_of_changes_are_unchanged(self) -> None:
+        after_change = policy_document.next_state(build_minimal_state(), build_policy(), "a", "half")
+        after_admission = policy_document.state_with_voter(after_change, "b", 5, "b")
+        after_second_admission = policy_document.state_with_voter(after_admission, "b", 6, "b")
+        after_retirement = policy_document.state_without_voter(after_second_admission, "b", "a")
+        after_emergency = policy_document.emergency_state(after_retirement, 65536, {"a": 0}, "a", "fire")
 
         self.assertEqual(
-            [one.kind for one in (changed, let_in, again, left, alone)],
+            [
+                state.kind
+                for state in (
+                    after_change,
+                    after_admission,
+                    after_second_admission,
+                    after_retirement,
+                    after_emergency,
+                )
+            ],
             ["policy", "voter", "voter", "voter", "emergency"],
         )
         self.assertEqual(
-            alone.history,
+            after_emergency.history,
             (
                 "1 a: half",
                 "2 b: b votes from now on",
@@ -230,20 +246,20 @@
             ),
         )
 
-    def test_an_unknown_key_is_refused_by_its_name(self) -> None:
+    def test_unknown_key_is_rejected_by_name(self) -> None:
         with self.assertRaises(PolicyError) as caught:
-            policy_document.decode(SMALL_STATE.replace(b'"by":""', b'"by":"","odd":1'))
+            policy_document.decode(MINIMAL_STATE.replace(b'"by":""', b'"by":"","odd":1'))
         self.assertEqual(str(caught.exception), "Object contains unknown field `odd`")
 
-    def test_the_operators_policy_is_written_and_read_so(self) -> None:
-        self.assertEqual(to_toml(policy()), POLICY_TOML)
-        self.assertEqual(policy_document.parse_policy(POLICY_VALUES), policy())
-        self.assertEqual(msgspec.json.decode(msgspec.json.encode(policy())), POLICY_VALUES)
+    def test_operator_policy_is_written_and_parsed_as_recorded(self) -> None:
+        self.assertEqual(to_toml(build_policy()), POLICY_TOML)
+        self.assertEqual(policy_document.parse_policy(POLICY_VALUES), build_policy())
+        self.assertEqual(msgspec.json.decode(msgspec.json.encode(build_policy())), POLICY_VALUES)
 
-    def test_differences_name_the_keys(self) -> None:
-        before = Policy(plan=(Plan(name="standard"),), classes=policy().classes)
+    def test_difference_of_policies_names_changed_keys(self) -> None:
+        previous = Policy(plan=(Plan(name="standard"),), classes=build_policy().classes)
         self.assertEqual(
-            policy_document.difference(before, policy()),
+            policy_document.difference(previous, build_policy()),
             [
                 "plan basic: new",
                 "plan standard: base_rate 0 -> 60",
@@ -258,93 +274,94 @@
         )
 
 
-class TheVote(unittest.TestCase):
-    def test_a_record_is_written_so(self) -> None:
-        self.assertEqual(msgspec.msgpack.encode(vote()), VOTE)
-        self.assertEqual(msgspec.msgpack.encode(first_record()), FIRST)
+class StoredVoteTest(unittest.TestCase):
+    def test_vote_is_encoded_as_recorded(self) -> None:
+        self.assertEqual(msgspec.msgpack.encode(build_vote()), VOTE)
+        self.assertEqual(msgspec.msgpack.encode(build_first_record()), FIRST_RECORD)
 
-    def test_a_record_of_before_is_read(self) -> None:
-        self.assertEqual(msgspec.msgpack.decode(VOTE, type=StoredVote), vote())
-        self.assertEqual(msgspec.msgpack.decode(FIRST, type=StoredVote), first_record())
+    def test_recorded_vote_is_decoded(self) -> None:
+        self.assertEqual(msgspec.msgpack.decode(VOTE, type=StoredVote), build_vote())
+        self.assertEqual(msgspec.msgpack.decode(FIRST_RECORD, type=StoredVote), build_first_record())
         self.assertEqual(
-            msgspec.msgpack.decode(b"\x82\xa5ident\x00\xa5state\xc4\x00", type=StoredVote), first_record()
+            msgspec.msgpack.decode(b"\x82\xa5ident\x00\xa5state\xc4\x00", type=StoredVote),
+            build_first_record(),
         )
 
-    def test_a_new_store_keeps_its_identity_and_the_state(self) -> None:
-        told = broker(None).take_actions()
-        self.assertEqual(len(SMALL_STATE), 0x01F9)
+    def test_member_without_record_persists_store_id_and_state(self) -> None:
+        actions = build_member(None).take_actions()
+        self.assertEqual(len(MINIMAL_STATE), 0x01F9)
         self.assertEqual(
-            told,
+            actions,
             [
                 PersistVote(
                     b"\x85\xa5ident\xcf\x01\x02\x03\x04\x05\x06\x07\x08\xa5state\xc5\x01\xf9"
-                    + SMALL_STATE
+                    + MINIMAL_STATE
                     + b"\xa8promised\x00\xa4took\x00\xa5taken\xc4\x00"
                 )
             ],
         )
 
-    def test_a_promise_is_kept_so(self) -> None:
-        one = broker(FIRST)
-        one.handle(1, 1, Prepare(1, 0x0301), 0)
+    def test_promise_is_persisted_as_recorded(self) -> None:
+        member = build_member(FIRST_RECORD)
+        member.handle(1, 1, Prepare(1, 0x0301), 0)
         self.assertEqual(
-            one.take_actions()[0],
+            member.take_actions()[0],
             PersistVote(
                 b"\x85\xa5ident\x00\xa5state\xc5\x01\xf9"
-                + SMALL_STATE
+                + MINIMAL_STATE
                 + b"\xa8promised\xcd\x03\x01\xa4took\x00\xa5taken\xc4\x00"
             ),
         )
 
-    def test_a_broker_goes_on_from_a_vote_of_before(self) -> None:
+    def test_member_continues_from_recorded_vote(self) -> None:
         size = len(FULL_STATE).to_bytes(2, "big")
-        kept = (
+        record = (
             b"\x85\xa5ident\x09\xa5state\xc5\x01\xf9"
-            + SMALL_STATE
+            + MINIMAL_STATE
             + b"\xa8promised\xcd\x03\x01\xa4took\xcd\x02\x01\xa5taken\xc5"
             + size
             + FULL_STATE
         )
 
-        one = broker(kept)
+        member = build_member(record)
 
-        self.assertEqual((one.log.store_id, one.log.acceptor.slot), (9, 1))
+        self.assertEqual((member.log.store_id, member.log.acceptor.slot), (9, 1))
         self.assertEqual(
-            (one.log.acceptor.promised_ballot, one.log.acceptor.accepted_ballot), (0x0301, 0x0201)
+            (member.log.acceptor.promised_ballot, member.log.acceptor.accepted_ballot), (0x0301, 0x0201)
         )
-        self.assertEqual(one.log.documents[one.log.acceptor.accepted_value], FULL_STATE)
-        self.assertEqual(one.state, small_state())
-        self.assertEqual(one.take_actions(), [])  # nothing is written anew
+        self.assertEqual(member.log.documents[member.log.acceptor.accepted_value], FULL_STATE)
+        self.assertEqual(member.state, build_minimal_state())
+        self.assertEqual(member.take_actions(), [])  # the loaded record is not written again
 
 
-class TheStore(unittest.TestCase):
+class VoteStoreTest(unittest.TestCase):
     def setUp(self) -> None:
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
         self.path = Path(folder.name) / "votes"
         self.store = VoteStore(str(self.path))
 
-    def test_a_file_is_written_so(self) -> None:
+    def test_store_file_is_written_as_recorded(self) -> None:
         self.store.create()
-        self.assertEqual(self.path.read_bytes(), FIRST_FILE)
+        self.assertEqual(self.path.read_bytes(), FIRST_RECORD_FILE)
         self.store.write(VOTE)
         self.assertEqual(self.path.read_bytes(), VOTE_FILE)
-        self.assertEqual([one.name for one in self.path.parent.iterdir()], ["votes"])
+        self.assertEqual([file.name for file in self.path.parent.iterdir()], ["votes"])
 
-    def test_a_file_of_before_is_read(self) -> None:
-        for file, record in ((FIRST_FILE, FIRST), (VOTE_FILE, VOTE)):
+    def test_recorded_store_file_is_read(self) -> None:
+        for file, record in ((FIRST_RECORD_FILE, FIRST_RECORD), (VOTE_FILE, VOTE)):
             self.path.write_bytes(file)
             self.assertEqual(self.store.read(), record)
 
-    def test_the_lock_lies_beside_it(self) -> None:
+    def test_lock_file_is_created_next_to_store(self) -> None:
         self.store.lock()
-        self.assertEqual([one.name for one in self.path.parent.iterdir()], ["votes.lock"])
+        self.assertEqual([file.name for file in self.path.parent.iterdir()], ["votes.lock"])
 
-    def test_another_header_or_checksum_is_refused(self) -> None:
-        for file, words in (
+    def test_store_with_wrong_header_or_checksum_is_rejected(self) -> None:
+        for file, message in (
             (VOTE_FILE.replace(b"votes 1", b"votes 2"), "is no store of votes"),
             (VOTE_FILE[:-1] + b"N", "is damaged"),
         ):
             self.path.write_bytes(file)
-            with self.assertRaisesRegex(VoteStoreError, words):
+            with self.assertRaisesRegex(VoteStoreError, message):
                 self.store.read()
