--- a/tests/lab/test_lab.py
+++ b/tests/lab/test_lab.py
@@ -1,4 +1,4 @@
-"""The model: against closed forms, the same to the byte, and each trouble felt."""
+"""Tests of the model (closed forms, reproducibility, effects of troubles) and of other tools of the lab."""
 
 from __future__ import annotations
 
@@ -43,20 +43,24 @@
 
 
 def scenario(**changes: object) -> Scenario:
-    held = spec.load(str(SMOKE)).scenario
-    return read_scenario(spec.vary({**held, "troubles": [], "seconds": 6}, changes))
+    """Returns the scenario of the smoke experiment for 6 seconds and without troubles, with these changes."""
+    values = spec.load(str(SMOKE)).scenario
+    return read_scenario(spec.vary({**values, "troubles": [], "seconds": 6}, changes))
 
 
-# Against closed forms, with no broker before the node
+# Closed forms of queueing theory, for a node without a broker
 
 
-def sojourn(cores: int, load: float, law: str, jobs: int = 60_000) -> float:
-    """The mean time of a job at a node, in parts of its mean work: Poisson arrivals, an endless queue."""
+def mean_sojourn_time(cores: int, load: float, law: str, jobs: int = 60_000) -> float:
+    """Returns the mean time of a job at a node, in multiples of the mean work of a job.
+
+    Jobs arrive in a Poisson process, and the queue is long enough to count as unbounded.
+    """
     env, streams = simpy.Environment(), Streams(7)
-    row = ClassSpec(name="x", share=1, work_ms=1, aim_ms=1, deadline_ms=1, law=law, spread=0.8)
+    class_spec = ClassSpec(name="x", share=1, work_ms=1, aim_ms=1, deadline_ms=1, law=law, spread=0.8)
 
-    def after(delay: float, what: object) -> None:
-        env.timeout(delay).callbacks.append(lambda _: what())  # type: ignore[operator]
+    def after(delay: float, callback: object) -> None:
+        env.timeout(delay).callbacks.append(lambda _: callback())  # type: ignore[operator]
 
     node = Node("n", 0, 0, NodeSpec(count=1, cores=cores, queue=100_000), 1.0, after)
     node.bind(lambda: env.now)
@@ -66,8 +70,8 @@
     def arrive() -> None:
         if len(times) + node.held < jobs:
             after(arrivals.exponential() / (load * cores), arrive)
-            began = env.now
-            node.offer(env.now, Work(work(row, draws), lambda: times.append(env.now - began)))
+            arrived_at = env.now
+            node.offer(env.now, Work(work(class_spec, draws), lambda: times.append(env.now - arrived_at)))
 
     arrive()
     env.run()
@@ -75,68 +79,78 @@
 
 
 def erlang_c(cores: int, load: float) -> float:
-    """The chance that a job waits in M/M/c (Erlang, 1917)."""
-    offered = load * cores
-    top = offered**cores / factorial(cores) / (1 - load)
-    return top / (sum(offered**k / factorial(k) for k in range(cores)) + top)
+    """Returns the probability that a job waits in M/M/c (Erlang, 1917)."""
+    offered_load = load * cores
+    waiting_term = offered_load**cores / factorial(cores) / (1 - load)
+    return waiting_term / (sum(offered_load**k / factorial(k) for k in range(cores)) + waiting_term)
 
 
 @pytest.mark.parametrize("load", [0.3, 0.6, 0.8])
-def test_one_core_is_m_m_1(load: float) -> None:
-    assert sojourn(1, load, "exponential") == pytest.approx(1 / (1 - load), rel=0.07)
+def test_node_with_one_core_matches_m_m_1(load: float) -> None:
+    assert mean_sojourn_time(1, load, "exponential") == pytest.approx(1 / (1 - load), rel=0.07)
 
 
 @pytest.mark.parametrize(("cores", "load"), [(2, 0.5), (4, 0.8), (8, 0.9)])
-def test_several_cores_are_m_m_c(cores: int, load: float) -> None:
-    want = 1 + erlang_c(cores, load) / (cores * (1 - load))
-    assert sojourn(cores, load, "exponential") == pytest.approx(want, rel=0.07)
+def test_node_with_several_cores_matches_m_m_c(cores: int, load: float) -> None:
+    expected = 1 + erlang_c(cores, load) / (cores * (1 - load))
+    assert mean_sojourn_time(cores, load, "exponential") == pytest.approx(expected, rel=0.07)
 
 
-@pytest.mark.parametrize(("law", "second"), [("fixed", 1.0), ("lognormal", exp(0.64))])
-def test_other_laws_are_m_g_1(law: str, second: float) -> None:
-    """Pollaczek and Khinchine, with the second moment of the work."""
+@pytest.mark.parametrize(("law", "second_moment"), [("fixed", 1.0), ("lognormal", exp(0.64))])
+def test_node_with_other_laws_of_work_matches_m_g_1(law: str, second_moment: float) -> None:
+    """The Pollaczek-Khinchine formula, with the second moment of the work."""
     load = 0.7
-    assert sojourn(1, load, law) == pytest.approx(1 + load * second / (2 * (1 - load)), rel=0.08)
+    assert mean_sojourn_time(1, load, law) == pytest.approx(
+        1 + load * second_moment / (2 * (1 - load)), rel=0.08
+    )
 
 
-# The same to the byte
+# Reproducibility
 
 
-def test_a_seed_gives_one_outcome_and_another_seed_another() -> None:
-    first, again, other = (World(scenario(), seed).run() for seed in (3, 3, 4))
-    assert first.figures() == again.figures() and first.digest() == again.digest() != other.digest()
+def test_same_seed_gives_same_outcome_and_other_seed_another() -> None:
+    first, repeated, other_seed = (World(scenario(), seed).run() for seed in (3, 3, 4))
+    assert (
+        first.figures() == repeated.figures() and first.digest() == repeated.digest() != other_seed.digest()
+    )
 
 
-def test_what_clients_ask_for_does_not_depend_on_what_decides() -> None:
-    asked = [World(scenario(policy=policy), 5).run().asked_units for policy in ("module", "random", "least")]
-    assert asked[0] == asked[1] == asked[2] and sum(asked[0].values()) > 500
+def test_units_asked_by_clients_do_not_depend_on_policy() -> None:
+    asked_units = [
+        World(scenario(policy=policy), 5).run().asked_units for policy in ("module", "random", "least")
+    ]
+    assert asked_units[0] == asked_units[1] == asked_units[2] and sum(asked_units[0].values()) > 500
 
 
-def test_runs_over_processes_resume_and_name_the_dead(tmp_path: Path) -> None:
+def test_runs_in_several_processes_are_resumed_and_failed_runs_are_named(tmp_path: Path) -> None:
     text = SMOKE.read_text().replace("seconds = 8", "seconds = 2").replace("[0.5, 0.9]", "[0.5]")
-    file, out, told = tmp_path / "e.toml", tmp_path / "out", list[str]()
-    file.write_text(text)
-    first, died = asyncio.run(runs.run_all(str(file), 3, out, None, told.append))
-    assert (len(first), died) == (4, []) and runs.broken(first) == 0
-    kept = sorted(out.glob("*.json"))
-    kept[1].unlink()
-    again, _ = asyncio.run(runs.run_all(str(file), 1, out, None, told.append))
-    assert runs.digest(again) == runs.digest(first) and len(sorted(out.glob("*.json"))) == 4
-    alone = [runs.one(str(file), index, None)["digest"] for index in range(4)]
-    assert alone == [result["digest"] for result in first]
-    other, _ = asyncio.run(runs.run_all(str(file), 2, out, 9, told.append))
-    assert runs.digest(other) != runs.digest(first)
-    kept[0].unlink()
+    experiment_file, folder, progress_lines = tmp_path / "e.toml", tmp_path / "out", list[str]()
+    experiment_file.write_text(text)
+    first, failed_runs = asyncio.run(
+        runs.run_all(str(experiment_file), 3, folder, None, progress_lines.append)
+    )
+    assert (len(first), failed_runs) == (4, []) and runs.broken(first) == 0
+    result_files = sorted(folder.glob("*.json"))
+    result_files[1].unlink()
+    resumed, _ = asyncio.run(runs.run_all(str(experiment_file), 1, folder, None, progress_lines.append))
+    assert runs.digest(resumed) == runs.digest(first) and len(sorted(folder.glob("*.json"))) == 4
+    digests_in_one_process = [runs.one(str(experiment_file), index, None)["digest"] for index in range(4)]
+    assert digests_in_one_process == [result["digest"] for result in first]
+    with_other_seeds, _ = asyncio.run(runs.run_all(str(experiment_file), 2, folder, 9, progress_lines.append))
+    assert runs.digest(with_other_seeds) != runs.digest(first)
+    result_files[0].unlink()
     with mock.patch.object(sys, "executable", "/bin/false"):
-        left, died = asyncio.run(runs.run_all(str(file), 2, out, None, told.append))
-    assert len(left) == 3 and died == ["policy=module load=0.5 seed=1"]
+        completed, failed_runs = asyncio.run(
+            runs.run_all(str(experiment_file), 2, folder, None, progress_lines.append)
+        )
+    assert len(completed) == 3 and failed_runs == ["policy=module load=0.5 seed=1"]
     figures = paired(first[:2], [{**result, "levels": first[0]["levels"]} for result in first[2:]], "service")
     assert figures["pairs"] == 2 and figures["low"] <= figures["mean"] <= figures["high"]
     plot(first, "load", "service", str(tmp_path / "p.svg"), by="policy")
     assert (tmp_path / "p.svg").read_text().startswith("<?xml")
 
 
-# Each trouble is felt
+# Effects of troubles
 
 
 TROUBLES = {
@@ -153,42 +167,45 @@
 
 
 @pytest.mark.parametrize("kind", TROUBLES)
-def test_a_trouble_costs_service(kind: str) -> None:
-    calm = World(scenario(), 2).run().figures()
+def test_trouble_reduces_service(kind: str) -> None:
+    without_trouble = World(scenario(), 2).run().figures()
     trouble = {"kind": kind, "at_s": 1, "for_s": 3, **TROUBLES[kind]}
-    out = World(scenario(troubles=[trouble]), 2).run()
-    assert out.troubles == {kind: 1}
-    assert out.figures()["service"] < calm["service"] - 0.01
-    assert out.figures()["over_limit"] == out.figures()["fallen"] == 0
+    outcome = World(scenario(troubles=[trouble]), 2).run()
+    assert outcome.troubles == {kind: 1}
+    assert outcome.figures()["service"] < without_trouble["service"] - 0.01
+    assert outcome.figures()["over_limit"] == outcome.figures()["fallen"] == 0
 
 
-def test_a_blackout_of_the_register_hides_deaths() -> None:
+def test_blackout_of_register_hides_deaths_from_brokers() -> None:
     deaths = {"kind": "deaths", "at_s": 1, "for_s": 4, "share": 0.4}
-    dark = {"kind": "blackout", "at_s": 0.5, "for_s": 5}
-    seen, hidden = (World(scenario(troubles=troubles), 2) for troubles in ([deaths], [dark, deaths]))
-    seen.run()
-    hidden.run()
-    condition = EndpointState.ACTIVE
+    blackout = {"kind": "blackout", "at_s": 0.5, "for_s": 5}
+    without_blackout, with_blackout = (
+        World(scenario(troubles=troubles), 2) for troubles in ([deaths], [blackout, deaths])
+    )
+    without_blackout.run()
+    with_blackout.run()
+    active = EndpointState.ACTIVE
     assert any(
-        node.state is not condition for node in seen.brokers[0].scheduler.endpoint_list.endpoints.values()
-    ) or len(seen.brokers[0].scheduler.endpoint_list.endpoints) <= len(
-        hidden.brokers[0].scheduler.endpoint_list.endpoints
+        node.state is not active
+        for node in without_blackout.brokers[0].scheduler.endpoint_list.endpoints.values()
+    ) or len(without_blackout.brokers[0].scheduler.endpoint_list.endpoints) <= len(
+        with_blackout.brokers[0].scheduler.endpoint_list.endpoints
     )
 
 
-def test_a_cold_node_falls_under_what_a_warm_one_bears() -> None:
-    """Sent at once, as a baseline does it, and not by the module."""
+def test_cold_node_fails_under_baseline_and_not_under_module() -> None:
+    """A warm node bears the load. A baseline sends it to the cold node at once; the module does not."""
     trouble = {"kind": "deaths", "at_s": 1, "for_s": 1, "share": 0.3}
     changes = {"troubles": [trouble], "load": 0.9, "nodes.ramp_s": 17, "nodes.cold_share": 0.1, "retries": 3}
     assert World(scenario(policy="random", **changes), 1).run().figures()["fallen"] > 0
     assert World(scenario(policy="module", **changes), 1).run().figures()["fallen"] == 0
 
 
-# Bad files, and the rest
+# Invalid files, and other tools of the lab
 
 
 @pytest.mark.parametrize(
-    ("old", "new", "word"),
+    ("old", "new", "expected_text"),
     [
         ("brokers = 4", "broker = 4", "unknown key scenario.broker"),
         ("share = 0.7\nwork", "share = 0.9\nwork", "classes"),
@@ -201,48 +218,60 @@
         ("count = 10", "count = 100000", "too many"),
     ],
 )
-def test_a_bad_file_is_refused_by_its_key(old: str, new: str, word: str | None, tmp_path: Path) -> None:
+def test_invalid_experiment_file_is_rejected_with_name_of_key(
+    old: str, new: str, expected_text: str | None, tmp_path: Path
+) -> None:
     text = SMOKE.read_text()
     assert old in text
-    file = tmp_path / "e.toml"
-    file.write_text(text.replace(old, new, 1))
-    if word is None:
-        spec.load(str(file))
+    experiment_file = tmp_path / "e.toml"
+    experiment_file.write_text(text.replace(old, new, 1))
+    if expected_text is None:
+        spec.load(str(experiment_file))
         return
     with pytest.raises(ConfigError) as caught:
-        spec.load(str(file))
-    assert word in str(caught.value) and "\n" not in str(caught.value)
+        spec.load(str(experiment_file))
+    assert expected_text in str(caught.value) and "\n" not in str(caught.value)
 
 
-def test_the_baselines_pick_by_their_rules() -> None:
+def test_baselines_choose_endpoints_by_their_rules() -> None:
     settings = World(scenario(), 1).settings
     entries = tuple(Endpoint(f"n{n}", 0, 0, EndpointState.ACTIVE, 0) for n in range(4))
-    for rule, want in (("round-robin", {1}), ("least", {1}), ("two-choices", None), ("random", None)):
-        held = Baseline(settings, 1, rule)
-        held.handle(0, [EndpointsChanged(EndpointListUpdate.SNAPSHOT, entries)])
+    for rule, expected_counts in (
+        ("round-robin", {1}),
+        ("least", {1}),
+        ("two-choices", None),
+        ("random", None),
+    ):
+        baseline = Baseline(settings, 1, rule)
+        baseline.handle(0, [EndpointsChanged(EndpointListUpdate.SNAPSHOT, entries)])
         arrivals = [RequestArrived(f"r{n}", 0, 0, 10**6, None, 0, 0, 1.0, 1) for n in range(4)]
-        sends = [one.endpoint_id for one in held.handle(1, arrivals) if isinstance(one, Send)]
+        sends = [action.endpoint_id for action in baseline.handle(1, arrivals) if isinstance(action, Send)]
         assert len(sends) == 4
-        if want is not None:
-            assert {sends.count(f"n{n}") for n in range(4)} == want
-    refused = held.handle(
+        if expected_counts is not None:
+            assert {sends.count(f"n{n}") for n in range(4)} == expected_counts
+    actions = baseline.handle(
         2, [AttemptEnded("r0", 0, sends[0], AttemptResult.RESET, 1, False, None, None, None)]
     )
-    assert [type(one) for one in refused] == [Send]
+    assert [type(action) for action in actions] == [Send]
 
 
-def test_the_cost_of_a_decision_is_measured() -> None:
+def test_measured_cost_of_decision_is_positive() -> None:
     assert cost_us(8, 1, requests=500) > 0
 
 
-class Slow:
-    """A target that answers at once, but for a stall."""
+class StallingClient:
+    """A stand-in for a client whose target answers at once, except during a stall.
+
+    Attributes:
+        now: Returns the time of the event loop, in seconds.
+        stall: Begin and end of the stall on this clock.
+    """
 
     def __init__(self) -> None:
         self.now = asyncio.get_running_loop().time
         self.stall = (0.0, 0.0)
 
-    async def run(self, text: bytes, lun: int, data: bytes, read: int) -> tuple[int, bytes]:
+    async def run(self, cdb: bytes, lun: int, data: bytes, read_length: int) -> tuple[int, bytes]:
         start, end = self.stall
         if start <= self.now() < end:
             await asyncio.sleep(end - self.now())
@@ -251,44 +280,44 @@
     async def close(self) -> None: ...
 
 
-def test_a_stalled_server_shows_in_the_tail() -> None:
-    """Commands that were due in the stall count from when they were due: a fifth of all, not one."""
+def test_stall_of_server_shows_in_latency_percentiles() -> None:
+    """Latency counts from when a command was due, so a stall shows in a fifth of all commands, not in one."""
 
-    async def whole() -> load.Tally:
-        slow = Slow()
-        began = slow.now()
-        slow.stall = (began + 0.5, began + 0.9)
-        with mock.patch("lemonridge.lab.load.iscsi.Client", lambda *_: slow):
+    async def run_load() -> load.Tally:
+        client = StallingClient()
+        began_at = client.now()
+        client.stall = (began_at + 0.5, began_at + 0.9)
+        with mock.patch("lemonridge.lab.load.iscsi.Client", lambda *_: client):
             return await load.run(load.Plan(1, "t", 300, 2.0, seed=4))
 
-    tally = asyncio.run(whole())
+    tally = asyncio.run(run_load())
     assert tally.served == tally.due > 400
-    held = tally.times["read"]
-    assert held.get_value_at_percentile(70) < 150_000 and held.get_value_at_percentile(90) > 100_000
-    assert held.get_value_at_percentile(99) > 300_000
+    latencies = tally.times["read"]
+    assert latencies.get_value_at_percentile(70) < 150_000 and latencies.get_value_at_percentile(90) > 100_000
+    assert latencies.get_value_at_percentile(99) > 300_000
 
 
-def test_past_the_bound_on_what_is_out_commands_are_counted_and_not_sent() -> None:
-    async def whole() -> load.Tally:
-        slow = Slow()
-        slow.stall = (0.0, slow.now() + 1.0)
-        with mock.patch("lemonridge.lab.load.iscsi.Client", lambda *_: slow):
+def test_commands_above_outstanding_bound_are_counted_and_not_sent() -> None:
+    async def run_load() -> load.Tally:
+        client = StallingClient()
+        client.stall = (0.0, client.now() + 1.0)
+        with mock.patch("lemonridge.lab.load.iscsi.Client", lambda *_: client):
             return await load.run(load.Plan(1, "t", 400, 0.5, arrivals="bursty", outstanding=20))
 
-    tally = asyncio.run(whole())
+    tally = asyncio.run(run_load())
     assert tally.unsent > 20 and tally.served == tally.due - tally.unsent
 
 
-def test_the_demo_shows_a_node_that_dies_and_comes_back() -> None:
-    said: list[str] = []
-    told = asyncio.run(demo.run(4.0, said.append))
-    assert told["lost"] == 0 and int(str(told["after_return"])) > 0 and int(str(told["refused"])) > 0
-    assert int(str(told["served"])) * 2 > int(str(told["due"])) > 400
-    assert any("dies" in text for text in said) and any("cold" in text for text in said)
+def test_demo_reports_node_that_dies_and_returns_cold() -> None:
+    lines: list[str] = []
+    summary = asyncio.run(demo.run(4.0, lines.append))
+    assert summary["lost"] == 0 and int(str(summary["after_return"])) > 0 and int(str(summary["refused"])) > 0
+    assert int(str(summary["served"])) * 2 > int(str(summary["due"])) > 400
+    assert any("dies" in line for line in lines) and any("cold" in line for line in lines)
 
 
-def test_a_broker_of_the_model_is_woken_when_its_module_asks_for_it() -> None:
-    """The wait was counted from another zero than the module's clock: no timer ever came."""
+def test_modelled_broker_is_woken_when_its_timer_is_due() -> None:
+    """Guards against a wait counted from another origin than the scheduler's clock: no timer fired."""
     world = World(
         read_scenario(
             {
@@ -304,39 +333,44 @@
         ),
         1,
     )
-    seen: list[tuple[int, list[Event]]] = []
+    handled: list[tuple[int, list[Event]]] = []
 
-    class Asks:
+    class SchedulerWithTimer:
         def handle(self, now_us: int, events: list[Event]) -> list[Action]:
-            seen.append((now_us, list(events)))
-            return [SetTimer(now_us + 5000)] if len(seen) == 1 else []
+            handled.append((now_us, list(events)))
+            return [SetTimer(now_us + 5000)] if len(handled) == 1 else []
 
-    world.brokers[0].scheduler = Asks()  # type: ignore[assignment]
+    world.brokers[0].scheduler = SchedulerWithTimer()  # type: ignore[assignment]
     world.brokers[0].tell(ClientDisconnected("nobody"))
     world.env.run(until=20_000)
-    assert [type(event) for _, events in seen for event in events] == [ClientDisconnected, TimerFired]
-    assert seen[1][0] - seen[0][0] <= 7000
+    assert [type(event) for _, events in handled for event in events] == [ClientDisconnected, TimerFired]
+    assert handled[1][0] - handled[0][0] <= 7000
+
 
+def test_messages_between_brokers_use_more_of_limits_with_demand_at_one_broker() -> None:
+    """Without messages the brokers have equal shares: a third of the limit and the saved-up units are used.
 
-def test_messages_use_more_of_limits_whose_demand_is_at_one_broker() -> None:
-    """On even slices a third and what was saved up; never more than is allowed and asked for."""
-    made = runs.load(str(ROOT / "lab" / "fleet.toml"))
-    used = []
+    With or without messages, never more is used than is allowed and demanded.
+    """
+    experiment = runs.load(str(ROOT / "lab" / "fleet.toml"))
+    limits_used = []
     for peers in (False, True):
-        told = spec.vary(made.scenario, {"peers": peers, "seconds": 10, "nodes.count": 5, "volumes": 12})
-        figures = World(read_scenario(told), 3).run().figures()
-        used.append(figures["limits_used"])
+        values = spec.vary(
+            experiment.scenario, {"peers": peers, "seconds": 10, "nodes.count": 5, "volumes": 12}
+        )
+        figures = World(read_scenario(values), 3).run().figures()
+        limits_used.append(figures["limits_used"])
         assert 0 < figures["cold_used"] < 2.5 and not figures["over_limit"] and not figures["fallen"]
-    assert 0.3 < used[0] < used[1] - 0.05 < 1
+    assert 0.3 < limits_used[0] < limits_used[1] - 0.05 < 1
 
 
-def test_a_port_that_is_kept_is_for_the_program_that_names_it() -> None:
-    """A rig chooses its brokers' ports before they start; others ask the system for ports meanwhile."""
-    with kept_port() as kept:
-        address = kept.getsockname()
-        with socket.socket() as other, pytest.raises(OSError, match="in use"):
-            other.bind(address)
-        for _ in range(2):  # and for its next start
+def test_reserved_port_can_be_bound_only_with_address_reuse() -> None:
+    """A rig chooses its brokers' ports before they start; other programs ask for free ports meanwhile."""
+    with kept_port() as reserved:
+        address = reserved.getsockname()
+        with socket.socket() as other_socket, pytest.raises(OSError, match="in use"):
+            other_socket.bind(address)
+        for _ in range(2):  # the second time as after a restart
             with socket.create_server(address) as listener, socket.create_connection(address) as client:
                 listener.accept()[0].close()
                 assert client.recv(1) == b""
--- a/tests/lab/test_policy_checker.py
+++ b/tests/lab/test_policy_checker.py
@@ -1,4 +1,4 @@
-"""The checker of the policy's drill."""
+"""Tests of the checker of the policy drill."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 Scene = Callable[[Rig], Awaitable[None]]
 
 
-class PolicyChecker(unittest.TestCase):
+class PolicyCheckerTest(unittest.TestCase):
     def test_reported_outcomes_are_compared_with_the_final_states(self) -> None:
-        ends = [{"name": "a", "epoch": 2, "state": "x", "history": ["1 a: one", "2 a: two"]}] * 2
-        told = [
+        final_reports = [{"name": "a", "epoch": 2, "state": "x", "history": ["1 a: one", "2 a: two"]}] * 2
+        proposals = [
             Proposed(note, 1, 0, 0, True, end=end, reported_at=1, epoch=epoch)
             for note, end, epoch in (("one", "in force", 1), ("two", "nowhere", 0), ("three", "in force", 2))
         ]
-        found = check([], told, ends, {}, 1, (), 1, 1, 1)
-        self.assertEqual((found.half_changes, found.lost_changes), (1, 1))
-        found = check([], [], [*ends, {**ends[0], "state": "y"}], {}, 1, (), 1, 1, 1)
-        self.assertEqual(found.half_changes, 1)
+        findings = check([], proposals, final_reports, {}, 1, (), 1, 1, 1)
+        self.assertEqual((findings.half_changes, findings.lost_changes), (1, 1))
+        findings = check([], [], [*final_reports, {**final_reports[0], "state": "y"}], {}, 1, (), 1, 1, 1)
+        self.assertEqual(findings.half_changes, 1)
