--- a/lemonridge/coordination/action_queue.py
+++ b/lemonridge/coordination/action_queue.py
@@ -84,7 +84,7 @@
             self._run()
             return
         if not self._write_failed:
-            log.error("vote could not be written, messages to peers are delayed", extra={"error": str(error)})
+            log.error("vote not written, messages to peers wait for it", extra={"error": str(error)})
         self._write_failed = True
         if not (self._actions and isinstance(self._actions[0], PersistVote)):
             self._actions.appendleft(action)
--- a/lemonridge/iscsi/initiator.py
+++ b/lemonridge/iscsi/initiator.py
@@ -131,7 +131,7 @@
         ahs = b""
         if isinstance(route, Route):
             if not session.checks_versions:
-                log.error("node does not support extent versions", extra={"node": attempt.endpoint_id})
+                log.error("node does not check versions", extra={"node": attempt.endpoint_id})
                 raise ConnectFailedError
             ahs = versions.pack_ahs(route.piece.extent_first, route.piece.version)
         attempt.begin()  # the command may run from here on: there is no await between this and the write
--- a/lemonridge/net/process_handover.py
+++ b/lemonridge/net/process_handover.py
@@ -112,9 +112,7 @@
             while True:
                 self._handle(await self.read())
         except (EOFError, OSError, BadMessageError, ValueError) as error:
-            log.info(
-                "connection to the other process ended", extra={"error": f"{type(error).__name__}: {error}"}
-            )
+            log.info("other process gone", extra={"error": f"{type(error).__name__}: {error}"})
         finally:
             self._open_ids.forget_remote(self)
             self.close()
