--- a/tests/integration/test_extents_live.py
+++ b/tests/integration/test_extents_live.py
@@ -222,7 +222,7 @@
             versions.EXTENT_VERSION_KEY,
             "X-org.lemonridge.Other",
         )  # of the stand-in's side only
-        self.addCleanup(setattr, versions, "KEY", key)
+        self.addCleanup(setattr, versions, "EXTENT_VERSION_KEY", key)
         await other.start()
         self.etcd.put("/t/nodes/n1", other.row())
         await self.program.line(f":{other.port}/")
