--- a/lemonridge/cli/drill_commands.py
+++ b/lemonridge/cli/drill_commands.py
@@ -83,9 +83,9 @@
         not options.calm,
         options.mutation or "",
     )
-    faults = schedule.read(options.schedule) if options.schedule else fleet.plan(drill_options)
+    faults = schedule.read_schedule(options.schedule) if options.schedule else fleet.plan(drill_options)
     if options.write_schedule:
-        Path(options.write_schedule).write_text(schedule.write(faults))
+        Path(options.write_schedule).write_text(schedule.format_schedule(faults))
         return 0
     try:
         figures, findings, _ = asyncio.run(fleet.run(drill_options, faults))
--- a/lemonridge/cli/lab_commands.py
+++ b/lemonridge/cli/lab_commands.py
@@ -77,7 +77,7 @@
     from lemonridge.lab.model import runs
 
     if options.part == "one":
-        print(orjson.dumps(runs.one(options.file, options.index, options.seed_base)).decode())
+        print(orjson.dumps(runs.run_one(options.file, options.index, options.seed_base)).decode())
         return 0
     if options.part == "run":
         return _lab_run(options)
@@ -87,7 +87,7 @@
 
     if options.part == "compare":
         try:
-            figures = report.paired(
+            figures = report.paired_difference(
                 runs.read_results(options.before), runs.read_results(options.after), options.figure
             )
         except (ValueError, KeyError) as error:
@@ -122,7 +122,7 @@
                 {**result["levels"], "seed": result["seed"], **result["figures"], "cpu_us": result["cpu_us"]}
             )
         )
-    broken_rules = runs.broken(results)
+    broken_rules = runs.count_violations(results)
     print(
         format_figures(
             {
--- a/lemonridge/cli/load_commands.py
+++ b/lemonridge/cli/load_commands.py
@@ -48,8 +48,8 @@
     from lemonridge.lab.load import iscsi as load_generator
     from lemonridge.lab.load.openloop import Tally
 
-    def plan(port: int) -> load_generator.Plan:
-        return load_generator.Plan(
+    def plan(port: int) -> load_generator.LoadPlan:
+        return load_generator.LoadPlan(
             port,
             options.iqn,
             options.rate,
@@ -87,8 +87,8 @@
     if not 10 <= options.deadline_ms <= 60_000:
         raise ConfigError("load: --deadline-ms must be from 10 to 60000")
 
-    def plan(front_port: int) -> load_generator.Plan:
-        return load_generator.Plan(
+    def plan(front_port: int) -> load_generator.LoadPlan:
+        return load_generator.LoadPlan(
             front_port,
             options.rate,
             options.seconds,
@@ -101,11 +101,11 @@
     async def run() -> tuple[Tally, dict[str, int]]:
         if port:
             return await load_generator.run(plan(port), print), {}
-        async with load_generator.standing(
+        async with load_generator.running_broker(
             options.serve_standins, deadline_ms=options.deadline_ms, seed=options.seed
         ) as (program, front_port, _):
             tally = await load_generator.run(plan(front_port), print)
-        return tally, program.counts
+        return tally, program.counters
 
     try:
         tally, counts = asyncio.run(run())
--- a/lemonridge/lab/checkers/extents.py
+++ b/lemonridge/lab/checkers/extents.py
@@ -12,20 +12,20 @@
 from collections.abc import Iterable, Mapping, Sequence
 from dataclasses import dataclass, field
 
-from lemonridge.lab.standins.mover import Owned
-from lemonridge.lab.standins.node import BLOCK, Key, Ran
+from lemonridge.lab.standins.mover import Ownership
+from lemonridge.lab.standins.node import BLOCK_BYTES, ExecutedCommand, ExtentKey
 
 STAMP = struct.Struct(">QQ")
 
 
 def stamp(ident: int, block: int) -> bytes:
     """A block's content: the write's number and the block's, over and over."""
-    return STAMP.pack(ident, block) * (BLOCK // STAMP.size)
+    return STAMP.pack(ident, block) * (BLOCK_BYTES // STAMP.size)
 
 
 def read_stamp(data: bytes, block: int) -> int:
     """The write that a block's content comes from; 0 where nothing was written, -1 for spoilt content."""
-    if data == bytes(BLOCK):
+    if data == bytes(BLOCK_BYTES):
         return 0
     ident, where = STAMP.unpack_from(data)
     return int(ident) if where == block and data == stamp(ident, block) else -1
@@ -38,10 +38,11 @@
 
 def stamps(data: bytes, first: int, blocks: int) -> tuple[int, ...]:
     """What a read of some blocks found, block by block; -1 throughout if it is of another length."""
-    if len(data) != blocks * BLOCK:
+    if len(data) != blocks * BLOCK_BYTES:
         return (-1,) * blocks
     return tuple(
-        read_stamp(data[place * BLOCK : (place + 1) * BLOCK], first + place) for place in range(blocks)
+        read_stamp(data[place * BLOCK_BYTES : (place + 1) * BLOCK_BYTES], first + place)
+        for place in range(blocks)
     )
 
 
@@ -81,8 +82,8 @@
 
 
 def check(
-    logs: Iterable[Ran],
-    ledger: Mapping[Key, Sequence[Owned]],
+    logs: Iterable[ExecutedCommand],
+    ledger: Mapping[ExtentKey, Sequence[Ownership]],
     asked: Iterable[Asked],
     final: Mapping[tuple[int, int], int],
 ) -> Findings:
@@ -95,12 +96,12 @@
         if (owner.node, owner.version) != (ran.node, ran.version):
             found.misdirected_writes += 1
             found.note(
-                f"write at {ran.node} of block {ran.first} under {ran.extent} version {ran.version}, "
+                f"write at {ran.node} of block {ran.first_block} under {ran.extent} version {ran.version}, "
                 f"tick {ran.tick}, but {owner}"
             )
             continue
         for place, data in enumerate(ran.data):
-            block = ran.first + place
+            block = ran.first_block + place
             history.setdefault((ran.extent[0], block), []).append((ran.tick, read_stamp(data, block)))
     for one in asked:
         for place in range(one.blocks):
--- a/lemonridge/lab/checkers/fleet.py
+++ b/lemonridge/lab/checkers/fleet.py
@@ -95,7 +95,7 @@
         surplus: connections on which bytes arrived that answer nothing.
     """
     found = Findings(cold_overloads=overloads)
-    ordered = sorted(attempts, key=lambda one: one.at)
+    ordered = sorted(attempts, key=lambda one: one.received_at)
     _check_limits(found, ordered, limits)
     _check_attempts(found, ordered, retry_limit)
     _check_drains(found, ordered, health_updates)
@@ -109,15 +109,17 @@
     first: set[str] = set()
     for one in ordered:
         limit = limits.get(one.volume)
-        if limit is None or one.ident in first:
+        if limit is None or one.request_id in first:
             continue
-        first.add(one.ident)
-        tokens, at = buckets.get(one.volume, (limit.burst, one.at))
-        tokens = min(limit.burst, tokens + limit.rate * (one.at - at)) - one.units
-        buckets[one.volume] = tokens, one.at
+        first.add(one.request_id)
+        tokens, at = buckets.get(one.volume, (limit.burst, one.received_at))
+        tokens = min(limit.burst, tokens + limit.rate * (one.received_at - at)) - one.units
+        buckets[one.volume] = tokens, one.received_at
         if tokens < -limit.overdraft:
             found.limit_excess += 1
-            found.note(f"limit of volume {one.volume} passed: {tokens:.1f} at {one.at:.3f} by {one.broker}")
+            found.note(
+                f"limit of volume {one.volume} passed: {tokens:.1f} at {one.received_at:.3f} by {one.broker}"
+            )
 
 
 def _check_attempts(found: Findings, ordered: Sequence[ReceivedAttempt], retry_limit: Limit | None) -> None:
@@ -125,16 +127,18 @@
     made: dict[str, int] = defaultdict(int)
     tokens, at = (retry_limit.burst if retry_limit else 0.0), 0.0
     for one in ordered:
-        made[one.ident] += 1
-        if made[one.ident] > ATTEMPTS_MAX:
+        made[one.request_id] += 1
+        if made[one.request_id] > ATTEMPTS_MAX:
             found.budget_excess += 1
-            found.note(f"{one.ident} was sent {made[one.ident]} times")
-        if retry_limit is not None and made[one.ident] > 1:
-            refilled = tokens + retry_limit.rate * (one.at - at) if at else tokens
-            tokens, at = min(retry_limit.burst, refilled) - 1.0, one.at
+            found.note(f"{one.request_id} was sent {made[one.request_id]} times")
+        if retry_limit is not None and made[one.request_id] > 1:
+            refilled = tokens + retry_limit.rate * (one.received_at - at) if at else tokens
+            tokens, at = min(retry_limit.burst, refilled) - 1.0, one.received_at
             if tokens < -retry_limit.overdraft:
                 found.budget_excess += 1
-                found.note(f"limit of retries passed: {tokens:.1f} at {one.at:.3f} by broker {one.broker}")
+                found.note(
+                    f"limit of retries passed: {tokens:.1f} at {one.received_at:.3f} by broker {one.broker}"
+                )
 
 
 def _check_drains(
@@ -148,7 +152,7 @@
     draining_since: dict[tuple[int, str], float] = {}
     for one in ordered:
         rows = updates.get(one.broker, [])
-        while applied.get(one.broker, 0) < len(rows) and rows[applied[one.broker]][0] <= one.at:
+        while applied.get(one.broker, 0) < len(rows) and rows[applied[one.broker]][0] <= one.received_at:
             at, node, health = rows[applied[one.broker]]
             applied[one.broker] += 1
             if health == "up":
@@ -156,11 +160,11 @@
             else:
                 draining_since.setdefault((one.broker, node), at)
         since = draining_since.get((one.broker, one.node))
-        if since is not None and one.at > since + DRAIN_S:
+        if since is not None and one.received_at > since + DRAIN_S:
             found.late_sends += 1
             found.note(
-                f"{one.node} received {one.ident} of broker {one.broker} {one.at - since:.3f} s after its "
-                "drain was announced"
+                f"{one.node} received {one.request_id} of broker {one.broker} "
+                f"{one.received_at - since:.3f} s after its drain was announced"
             )
 
 
@@ -177,7 +181,7 @@
     for one in requests:
         if one.wrong or one.surplus:
             found.double_answers += 1
-            found.note(f"{one.ident} got {'a wrong answer' if one.wrong else 'more than one answer'}")
+            found.note(f"{one.request_id} got {'a wrong answer' if one.wrong else 'more than one answer'}")
         late = one.ended_at > one.deadline_at + GRACE_S
         if one.end not in (RequestEnd.NO_ANSWER, RequestEnd.CONNECTION_LOST) and not late:
             continue
@@ -187,12 +191,14 @@
         ):
             continue
         found.unanswered += 1
-        found.note(f"{one.ident} of broker {one.broker}, due {one.due_at:.3f}, {one.end} {one.ended_at:.3f}")
+        found.note(
+            f"{one.request_id} of broker {one.broker}, due {one.due_at:.3f}, {one.end} {one.ended_at:.3f}"
+        )
 
 
 def used_rate(attempts: Iterable[ReceivedAttempt], volume: int, begin: float, end: float) -> float:
     """Units a second of a volume's first attempts between two times."""
-    return sum(one.units for one in _first_attempts(attempts, volume) if begin <= one.at < end) / (
+    return sum(one.units for one in _first_attempts(attempts, volume) if begin <= one.received_at < end) / (
         end - begin
     )
 
@@ -210,7 +216,7 @@
 
     The whole time where it never has.
     """
-    rows = sorted((one.at, one.units) for one in _first_attempts(attempts, volume))
+    rows = sorted((one.received_at, one.units) for one in _first_attempts(attempts, volume))
     at = begin
     while at + window_s <= end:
         if sum(units for when, units in rows if at <= when < at + window_s) >= rate * window_s:
@@ -221,7 +227,7 @@
 
 def _first_attempts(attempts: Iterable[ReceivedAttempt], volume: int) -> list[ReceivedAttempt]:
     first: dict[str, ReceivedAttempt] = {}
-    for one in sorted(attempts, key=lambda one: one.at):
+    for one in sorted(attempts, key=lambda one: one.received_at):
         if one.volume == volume:
-            first.setdefault(one.ident, one)
+            first.setdefault(one.request_id, one)
     return list(first.values())
--- a/lemonridge/lab/checkers/policy.py
+++ b/lemonridge/lab/checkers/policy.py
@@ -75,11 +75,11 @@
     `lease_s` the longest that one outlives the decision of the next, the error of clocks included.
     """
     found = Findings()
-    ordered = sorted(came, key=lambda one: one.begun)
+    ordered = sorted(came, key=lambda one: one.head_received_at)
     _mixed(found, ordered)
     _stale(found, ordered, proposed, lease_s)
     _changes(found, proposed, ends)
-    _limits(found, sorted(came, key=lambda one: one.at), limits, floor, volumes, burst, slack)
+    _limits(found, sorted(came, key=lambda one: one.received_at), limits, floor, volumes, burst, slack)
     return found
 
 
@@ -90,14 +90,14 @@
         interval = epochs(one.epoch)
         if interval is None:
             continue
-        while waiting and waiting[0][0] < one.begun - CLOCK_TOLERANCE_S:
+        while waiting and waiting[0][0] < one.head_received_at - CLOCK_TOLERANCE_S:
             newest = max(newest, waiting.pop(0)[1])
-        waiting.append((one.begun, interval[0]))
+        waiting.append((one.head_received_at, interval[0]))
         if interval[1] < newest:
             found.mixed_epochs += 1
             found.note(
-                f"{one.ident} of broker {one.broker} came by epoch {one.epoch} at {one.begun:.3f}, "
-                f"after one by {newest}"
+                f"{one.request_id} of broker {one.broker} came by epoch {one.epoch} "
+                f"at {one.head_received_at:.3f}, after one by {newest}"
             )
 
 
@@ -108,14 +108,14 @@
     known = sorted((one.reported_at + lease_s, one.epoch) for one in proposed if one.end == "in force")
     least, place = 0, 0
     for one in ordered:
-        while place < len(known) and known[place][0] < one.begun:
+        while place < len(known) and known[place][0] < one.head_received_at:
             least, place = max(least, known[place][1]), place + 1
         interval = epochs(one.epoch)
         if interval is not None and interval[1] < least:
             found.stale_serving += 1
             found.note(
-                f"{one.ident} of broker {one.broker} came by epoch {one.epoch} at {one.begun:.3f}, "
-                f"long after {least} was decided"
+                f"{one.request_id} of broker {one.broker} came by epoch {one.epoch} "
+                f"at {one.head_received_at:.3f}, long after {least} was decided"
             )
 
 
@@ -155,8 +155,8 @@
     for one in ordered:
         interval = epochs(one.epoch)
         for epoch in range(interval[0], interval[1] + 1) if interval else ():
-            span = spans.setdefault(epoch, [one.begun, one.at])
-            span[1] = max(span[1], one.at)
+            span = spans.setdefault(epoch, [one.head_received_at, one.received_at])
+            span[1] = max(span[1], one.received_at)
     most = max([floor, *limits.values()])
 
     def rate(begin: float, end: float) -> float:
@@ -170,16 +170,16 @@
     buckets: dict[int, tuple[float, float]] = {}
     first: set[str] = set()
     for one in ordered:
-        if one.volume not in volumes or one.ident in first:
+        if one.volume not in volumes or one.request_id in first:
             continue
-        first.add(one.ident)
-        level, at = buckets.get(one.volume, (burst, one.at))
-        now = rate(at, one.at)
-        level = min(burst, level + now * (one.at - at)) - one.units
-        buckets[one.volume] = level, one.at
+        first.add(one.request_id)
+        level, at = buckets.get(one.volume, (burst, one.received_at))
+        now = rate(at, one.received_at)
+        level = min(burst, level + now * (one.received_at - at)) - one.units
+        buckets[one.volume] = level, one.received_at
         if level < -(slack + now * ON_SOCKETS_S) - 1e-9:
             found.limit_excess += 1
             found.note(
-                f"limit of volume {one.volume} passed: {level:.1f} at {one.at:.3f} by {one.broker}, "
+                f"limit of volume {one.volume} passed: {level:.1f} at {one.received_at:.3f} by {one.broker}, "
                 f"epoch {one.epoch}"
             )
--- a/lemonridge/lab/checkers/soak.py
+++ b/lemonridge/lab/checkers/soak.py
@@ -64,17 +64,17 @@
     """Every broken rule of a run."""
     found = Findings()
     by_request: dict[str, list[SoakAttempt]] = defaultdict(list)
-    for attempt in sorted(record.attempts, key=lambda one: one.begun_at):
-        by_request[attempt.ident].append(attempt)
+    for attempt in sorted(record.attempts, key=lambda one: one.started_at):
+        by_request[attempt.request_id].append(attempt)
     for request in record.requests.values():
-        attempts = by_request.get(request.ident, [])
+        attempts = by_request.get(request.request_id, [])
         _lost(request, attempts, found)
         _repeated(request, attempts, found)
         _passed_on(record, request, attempts, found)
     for attempt in record.attempts:
         for told_at, over_at in record.drains.get(attempt.node, ()):
-            if told_at + GRACE_S + SLACK_S < record.earliest(attempt.begun_at) < over_at:
-                late_s = attempt.begun_at - told_at
+            if told_at + GRACE_S + SLACK_S < record.earliest_time(attempt.started_at) < over_at:
+                late_s = attempt.started_at - told_at
                 found.add("late_drain", f"{attempt.node} {late_s:.3f} s after it was told")
     _cold(record, limits, found)
     _limited(record, by_request, limits, found)
@@ -84,65 +84,69 @@
 
 
 def _lost(request: SoakRequest, attempts: list[SoakAttempt], found: Findings) -> None:
-    if request.left_at is not None or not request.sent_at:
+    if request.disconnected_at is not None or not request.sent_at:
         return
-    due_at = max(request.sent_at + request.deadline_s, request.turn_at) + GRACE_S + SLACK_S
+    due_at = max(request.sent_at + request.deadline_s, request.previous_answered_at) + GRACE_S + SLACK_S
     if request.status:
         if request.ended_at is not None and request.ended_at > due_at:
             late_s = request.ended_at - due_at
-            what = f"{request.ident} of {request.deadline_s} s got {request.status}"
+            what = f"{request.request_id} of {request.deadline_s} s got {request.status}"
             found.add(
-                "lost", f"{what} {late_s:.3f} s late, attempts {len(attempts)}, behind {request.behind}"
+                "lost", f"{what} {late_s:.3f} s late, attempts {len(attempts)}, behind {request.is_pipelined}"
             )
         return
     if request.killed:
         if request.late_at_kill and (attempts or request.ended_at is None):
-            found.add("lost", f"{request.ident} was found by SIGKILL")
+            found.add("lost", f"{request.request_id} was found by SIGKILL")
         return
     waited_s = 0.0 if request.ended_at is None else request.ended_at - request.sent_at
-    read = not request.behind and waited_s > READ_S
+    read = not request.is_pipelined and waited_s > READ_S
     if attempts or read or request.ended_at is None:
-        found.add("lost", f"{request.ident} has no answer, at its node: {len(attempts)}")
+        found.add("lost", f"{request.request_id} has no answer, at its node: {len(attempts)}")
 
 
 def _repeated(request: SoakRequest, attempts: list[SoakAttempt], found: Findings) -> None:
-    whole = [one for one in attempts if one.whole_at is not None]
+    whole = [one for one in attempts if one.received_at is not None]
     if len(whole) > 4:
-        found.add("duplicate", f"{request.ident} had {len(whole)} attempts")
+        found.add("duplicate", f"{request.request_id} had {len(whole)} attempts")
     for before, after in zip(whole, whole[1:], strict=False):
-        if before.over_at is None or before.over_at > (after.whole_at or 0.0) + SLACK_S:
-            found.add("duplicate", f"{request.ident} was out twice at once")
+        if before.ended_at is None or before.ended_at > (after.received_at or 0.0) + SLACK_S:
+            found.add("duplicate", f"{request.request_id} was out twice at once")
     ran = [one for one in whole if not one.never_ran]
     refused = request.status in (429, 503)
     keyed, once = request.cls.semantics == "by_key", request.cls.semantics == "once"
     if refused and ran and (once or (keyed and request.cls.group != "all")):
-        found.add("bad_refusals", f"{request.ident} of {request.cls.name} may have run")
+        found.add("bad_refusals", f"{request.request_id} of {request.cls.name} may have run")
     for further in ran[1:]:
         first = ran[0]
-        assert further.whole_at is not None
+        assert further.received_at is not None
         away = {"cell": further.shard != first.shard, "zone": further.zone != first.zone}
-        late = further.whole_at - first.begun_at > request.cls.window_s + SLACK_S
+        late = further.received_at - first.started_at > request.cls.window_s + SLACK_S
         if once or (keyed and (late or away.get(request.cls.group, False))):
-            found.add("duplicate", f"{request.ident} of {request.cls.name} may have run twice")
+            found.add("duplicate", f"{request.request_id} of {request.cls.name} may have run twice")
 
 
 def _passed_on(
     record: SoakRecord, request: SoakRequest, attempts: list[SoakAttempt], found: Findings
 ) -> None:
     for attempt in attempts:
-        begun_at = record.earliest(attempt.begun_at)
+        begun_at = record.earliest_time(attempt.started_at)
         left_s = request.sent_at + request.deadline_s - begun_at
-        if attempt.told_ms / 1000 > max(0.0, left_s) + HOLD_UP_S + SLACK_S:
-            found.add("deadline_over", f"{request.ident} told {attempt.told_ms} ms of {left_s * 1000:.0f}")
-        if request.left_at is not None and begun_at > request.left_at + LEAVE_S + SLACK_S:
-            found.add("sent_after_leave", f"{request.ident} {begun_at - request.left_at:.3f} s after")
+        if attempt.deadline_ms / 1000 > max(0.0, left_s) + HOLD_UP_S + SLACK_S:
+            found.add(
+                "deadline_over", f"{request.request_id} told {attempt.deadline_ms} ms of {left_s * 1000:.0f}"
+            )
+        if request.disconnected_at is not None and begun_at > request.disconnected_at + LEAVE_S + SLACK_S:
+            found.add(
+                "sent_after_leave", f"{request.request_id} {begun_at - request.disconnected_at:.3f} s after"
+            )
 
 
 def _cold(record: SoakRecord, limits: SoakLimits, found: Findings) -> None:
     """STANDING: N + 2 x root of N + 2, under 30 N + 3 x root of N + 3, in the second after a start."""
     by_node: dict[str, list[SoakAttempt]] = defaultdict(list)
     for attempt in record.attempts:
-        if attempt.ident in record.requests:
+        if attempt.request_id in record.requests:
             by_node[attempt.node].append(attempt)
     power = max((_power(record, node, came, limits) for node, came in by_node.items()), default=0.0)
     allowed = max(
@@ -155,8 +159,8 @@
             begins_at = told_at + HOLD_UP_S  # before, the broker knew of no start
             if begins_at > started_at + 1.0:
                 continue  # it is no longer as cold as that
-            within = [one for one in by_node[node] if begins_at <= one.begun_at < begins_at + 1.0]
-            work = sum(record.requests[one.ident].units for one in within) / limits.mean_request_units
+            within = [one for one in by_node[node] if begins_at <= one.started_at < begins_at + 1.0]
+            work = sum(record.requests[one.request_id].units for one in within) / limits.mean_request_units
             if work > top:
                 found.add("cold_overloads", f"{node} got the work of {work:.1f}, allowed {top:.1f}")
 
@@ -167,10 +171,10 @@
     """
     done: list[tuple[float, float]] = []
     for one in came:
-        if one.served and one.over_at is not None:
-            at = one.over_at
+        if one.served and one.ended_at is not None:
+            at = one.ended_at
             if not any(start <= at < start + limits.ramp_s for start, _ in record.starts.get(node, ())):
-                done.append((at, record.requests[one.ident].units / limits.mean_request_units))
+                done.append((at, record.requests[one.request_id].units / limits.mean_request_units))
     recent: deque[tuple[float, float]] = deque()
     work = most = 0.0
     for at, units in sorted(done):
@@ -191,7 +195,9 @@
     """WIRE, rule 5: what came of each volume that has a limit, over every stretch of time."""
     came: dict[int, list[tuple[float, int]]] = defaultdict(list)
     for request in record.requests.values():
-        whole = [one.whole_at for one in by_request.get(request.ident, ()) if one.whole_at is not None]
+        whole = [
+            one.received_at for one in by_request.get(request.request_id, ()) if one.received_at is not None
+        ]
         if request.limited and whole:
             came[request.volume].append((min(whole), request.units))
     for volume, rows in came.items():
--- a/lemonridge/lab/conform/data.py
+++ b/lemonridge/lab/conform/data.py
@@ -147,14 +147,14 @@
         ) -> None:
             """At recovery level 0 a breach ends the session; nothing of the write runs."""
             peer = await context.session(InitialR2T="Yes", ImmediateData="No", ErrorRecoveryLevel="0")
-            before = len(context.node.begun) if context.node else 0
+            before = len(context.node.command_start_times) if context.node else 0
             tag = peer.command(write10(0, 512), data=bytes(512), along=0)
             pdu = await _ask(peer, tag)
             peer.out(tag, pdu.words[0] + shift, data_sn, offset, bytes(length), final)
             await peer.rejected(0x04)
             await peer.ended()
             if context.node:
-                same(len(context.node.begun), before, "commands at the node")
+                same(len(context.node.command_start_times), before, "commands at the node")
 
 
 _broken()
@@ -198,12 +198,12 @@
     """The command ends by its deadline and never ran."""
     context.ours()
     peer = await context.session(InitialR2T="Yes", ImmediateData="No", ErrorRecoveryLevel="0")
-    before = len(context.ours().begun)
+    before = len(context.ours().command_start_times)
     tag = peer.command(write10(0, 512), data=bytes(512), along=0)
     await _ask(peer, tag)
     response = await peer.get(Op.SCSI_RESPONSE)
     same((response.byte3, response.data[4]), (2, 0x0B), "status and sense key")
-    same(len(context.ours().begun), before)
+    same(len(context.ours().command_start_times), before)
 
 
 # Reads
@@ -360,14 +360,14 @@
             """
             node = context.ours()
             peer = await _level(context, level)
-            before, first = len(node.begun), peer.exp_stat_sn
+            before, first = len(node.command_start_times), peer.exp_stat_sn
             tag = peer.command(write10(0, 512), data=b"A" * 512)
             status = await peer.get(Op.SCSI_RESPONSE)
             peer.exp_stat_sn, peer.cmd_sn = first, peer.cmd_sn - 1
             peer.command(write10(0, 512), data=b"A" * 512, tag=tag)
             again = await peer.get(Op.SCSI_RESPONSE)
             same((again.words[1], again.tag, again.byte3), (status.words[1], tag, status.byte3))
-            same(len(node.begun), before + 1, "runs at the node")
+            same(len(node.command_start_times), before + 1, "runs at the node")
 
         @case(f"recover.command-again-in-work.level-{level}", "7.2.1")
         async def _(context: CaseContext, level: str = level) -> None:
@@ -375,13 +375,13 @@
             node.delay_s = lambda: 0.1
             try:
                 peer = await _level(context, level)
-                before = len(node.begun)
+                before = len(node.command_start_times)
                 tag = peer.command(read10(0, 512), read=512)
                 peer.cmd_sn -= 1
                 peer.command(read10(0, 512), read=512, tag=tag)
                 same((await peer.finish(tag))[0].byte3, 0)
                 await peer.silence()
-                same(len(node.begun), before + 1, "runs at the node")
+                same(len(node.command_start_times), before + 1, "runs at the node")
             finally:
                 node.delay_s = lambda: 0.0
 
@@ -472,14 +472,14 @@
     node.delay_s = lambda: 0.15
     try:
         peer = await _level(context, "2")
-        before = len(node.begun)
+        before = len(node.command_start_times)
         tag = peer.command(read10(0, 512), read=512)
         await peer.writer.drain()
         await asyncio.sleep(0.05)
         peer = await _again(context, peer)
         same(await _reassign(peer, tag), 0)
         response, data = await peer.finish(tag)
-        same((response.byte3, len(data), len(node.begun)), (0, 512, before + 1))
+        same((response.byte3, len(data), len(node.command_start_times)), (0, 512, before + 1))
     finally:
         node.delay_s = lambda: 0.0
 
--- a/lemonridge/lab/conform/suite.py
+++ b/lemonridge/lab/conform/suite.py
@@ -21,7 +21,7 @@
     SkipError,
 )
 from lemonridge.lab.conform.peer import CaseError
-from lemonridge.lab.program import running
+from lemonridge.lab.program import running_program
 from lemonridge.lab.standins.etcd import Etcd
 from lemonridge.lab.standins.mover import Mover
 from lemonridge.lab.standins.node import ExtentNode
@@ -117,16 +117,16 @@
     if target is not None:
         return await _each(chosen, seed, lambda: CaseContext(*target, STORE), done)
     ticks = Ticks()
-    node = ExtentNode("n0", 0, ticks, Random(seed), plain=True)
+    node = ExtentNode("n0", 0, ticks, Random(seed), accepts_unversioned=True)
     await node.start()
     mover = Mover([node], Etcd(), "/", ticks, Random(seed))
     for lun in (0, 1, 300):
-        mover.lay(lun, 1, BLOCKS)
+        mover.create_lun(lun, 1, BLOCKS)
     text = CONFIG.format(
         store=STORE, guarded=GUARDED, mutual=MUTUAL, private=PRIVATE, folder="{folder}", port=node.port
     )
     try:
-        async with running(text, secrets=SECRETS, stop=proxy is None) as (_, port):
+        async with running_program(text, secrets=SECRETS, stop=proxy is None) as (_, port):
             if proxy is not None:
                 port = await proxy(port)
             return await _each(chosen, seed, lambda: CaseContext("127.0.0.1", port, STORE, node), done)
--- a/lemonridge/lab/demo.py
+++ b/lemonridge/lab/demo.py
@@ -11,7 +11,7 @@
 from lemonridge.lab.conform.cases import STORE
 from lemonridge.lab.load import iscsi as load
 from lemonridge.lab.measure.iscsi import CONFIG
-from lemonridge.lab.program import running
+from lemonridge.lab.program import running_program
 from lemonridge.lab.standins.etcd import Etcd
 from lemonridge.lab.standins.mover import Mover
 from lemonridge.lab.standins.node import ExtentNode
@@ -36,10 +36,10 @@
     return f'{head}{luns}[etcd]\nendpoint = "127.0.0.1:{port}"\nprefix = "{PREFIX}"\n'
 
 
-async def run(seconds: float, say: Callable[[str], None]) -> dict[str, object]:
+async def run(seconds: float, progress: Callable[[str], None]) -> dict[str, object]:
     """The summary's figures."""
     ticks = Ticks()
-    nodes = [ExtentNode(f"n{n}", n, ticks, Random(n), plain=True) for n in range(NODES)]
+    nodes = [ExtentNode(f"n{n}", n, ticks, Random(n), accepts_unversioned=True) for n in range(NODES)]
     draw = Random(7)
     etcd = await Etcd().start()
     mover = Mover(nodes, etcd, PREFIX, ticks, Random(0))
@@ -47,30 +47,32 @@
         await node.start()
         node.delay_s = lambda: draw.expovariate(1 / 0.004)
         mover.nodes = [node]
-        mover.lay(lun, 1, BLOCKS)
-    etcd.txn({f"{PREFIX}nodes/{node.name}": node.row() for node in nodes})
+        mover.create_lun(lun, 1, BLOCKS)
+    etcd.transact({f"{PREFIX}nodes/{node.name}": node.etcd_entry() for node in nodes})
     victim = nodes[1]
     try:
-        async with running(_config(etcd.port)) as (program, port):
-            say(f"a broker on 127.0.0.1:{port} before {NODES} stand-in nodes; {RATE:g} commands a second")
-            plan = load.Plan(port, STORE, RATE, seconds, luns=tuple(range(NODES)), blocks=BLOCKS)
-            busy = asyncio.create_task(load.run(plan, say))
+        async with running_program(_config(etcd.port)) as (program, port):
+            progress(
+                f"a broker on 127.0.0.1:{port} before {NODES} stand-in nodes; {RATE:g} commands a second"
+            )
+            plan = load.LoadPlan(port, STORE, RATE, seconds, luns=tuple(range(NODES)), blocks=BLOCKS)
+            busy = asyncio.create_task(load.run(plan, progress))
             await asyncio.sleep(seconds * 0.4)
             victim.kill()
-            say("node n1 dies: its commands are refused at once, the other nodes' go on")
+            progress("node n1 dies: its commands are refused at once, the other nodes' go on")
             await asyncio.sleep(seconds * 0.2)
             await victim.start()
-            etcd.put(f"{PREFIX}nodes/n1", {**victim.row(), "started_ms": int(time.time() * 1000)})
-            say("node n1 is back, cold: it gets little at first, more as it warms")
-            back = len(victim.begun)
+            etcd.put(f"{PREFIX}nodes/n1", {**victim.etcd_entry(), "started_ms": int(time.time() * 1000)})
+            progress("node n1 is back, cold: it gets little at first, more as it warms")
+            back = len(victim.command_start_times)
             tally = await busy
-            warmed = len(victim.begun) - back
+            warmed = len(victim.command_start_times) - back
     finally:
         for node in nodes:
             if node.alive:
                 node.kill()
         await etcd.stop()
-    counts = program.counts
+    counts = program.counters
     return {
         "demo": "iscsi",
         **tally.figures(),
--- a/lemonridge/lab/drills/extents.py
+++ b/lemonridge/lab/drills/extents.py
@@ -13,12 +13,12 @@
 from random import Random
 
 from lemonridge.lab.checkers.extents import Asked, Findings, check, end_of, stamped, stamps
-from lemonridge.lab.links.drains import Drains
+from lemonridge.lab.links.drains import DrainMonitor
 from lemonridge.lab.load.initiator import Initiator, cdb
-from lemonridge.lab.program import Program, running
+from lemonridge.lab.program import Program, running_program
 from lemonridge.lab.standins.etcd import Etcd, Events
 from lemonridge.lab.standins.mover import Mover
-from lemonridge.lab.standins.node import BLOCK, ExtentNode
+from lemonridge.lab.standins.node import BLOCK_BYTES, ExtentNode
 from lemonridge.lab.ticks import Ticks
 
 PREFIX = "/drill/"
@@ -90,15 +90,20 @@
         seed = options.seed
         self.random = {name: Random(f"{seed}/{name}") for name in ("lay", "load", "move", "fault", "news")}
         self.etcd = Etcd()
-        self.etcd.chunk = 4096
+        self.etcd.chunk_bytes = 4096
         self.nodes = [
             ExtentNode(
-                f"n{n}", n, self.ticks, self.random["fault"], options.checked, plain=not options.mapped
+                f"n{n}",
+                n,
+                self.ticks,
+                self.random["fault"],
+                options.checked,
+                accepts_unversioned=not options.mapped,
             )
             for n in range(NODES)
         ]
         self.mover = Mover(self.nodes, self.etcd, PREFIX, self.ticks, self.random["lay"])
-        self.drains = Drains(self.etcd, PREFIX)
+        self.drains = DrainMonitor(self.etcd, PREFIX)
         self.writes = 0
 
     async def run(self) -> tuple[dict[str, object], Findings]:
@@ -109,11 +114,13 @@
         rows = {}
         for lun in range(LUNS):
             length = EXTENTS * LENGTH // self.options.extents
-            rows.update(self.mover.lay(lun, self.options.extents, length))
-        self.etcd.txn({**rows, **{f"{PREFIX}nodes/{node.name}": node.row() for node in self.nodes}})
+            rows.update(self.mover.create_lun(lun, self.options.extents, length))
+        self.etcd.transact(
+            {**rows, **{f"{PREFIX}nodes/{node.name}": node.etcd_entry() for node in self.nodes}}
+        )
         text = CONFIG.format(deadline=int(DEADLINE_S * 1000), port=self.etcd.port, prefix=PREFIX)
         text += "".join(self._lun(lun) for lun in range(LUNS))
-        async with running(text, heard=self.drains.heard) as (program, port):
+        async with running_program(text, on_log_line=self.drains.on_log_line) as (program, port):
             await self._loaded(program)
             initiators = [await Initiator(port).start() for _ in range(INITIATORS)]
             began, cpu = asyncio.get_running_loop().time(), program.cpu_s
@@ -121,7 +128,7 @@
             took = asyncio.get_running_loop().time() - began
             cpu = program.cpu_s - cpu
             final = await self._final(initiators[0])
-            doubled = sum(count - 1 for one in initiators for count in one.answers.values())
+            doubled = sum(count - 1 for one in initiators for count in one.answer_counts.values())
             for one in initiators:
                 one.close()
         for node in self.nodes:
@@ -129,20 +136,20 @@
                 node.kill()
         await self.etcd.stop()
         logs = [line for node in self.nodes for line in node.log]
-        found = check(logs, self.mover.ledger, self.tally.asked, final)
-        return self._figures(found, program.counts, doubled, took, cpu), found
+        found = check(logs, self.mover.ownership_log, self.tally.asked, final)
+        return self._figures(found, program.counters, doubled, took, cpu), found
 
     def _lun(self, lun: int) -> str:
-        where = 'extents = "map"' if self.options.mapped else f"shard = {self.mover.owner[lun, 0].shard}"
+        where = 'extents = "map"' if self.options.mapped else f"shard = {self.mover.owners[lun, 0].shard}"
         return LUN.format(lun=lun, where=where)
 
     async def _loaded(self, program: Program) -> None:
         """Until the program has its map: before it, everything is refused, which proves nothing."""
         event = "map replaced" if self.options.mapped else "endpoint listed"
         taken = asyncio.Event()
-        program.heard.append(lambda _, pairs: taken.set() if pairs.get("event") == event else None)
+        program.log_listeners.append(lambda _, pairs: taken.set() if pairs.get("event") == event else None)
         async with asyncio.timeout_at(asyncio.get_running_loop().time() + 10):
-            while not taken.is_set() and not any(event in line for line in program.last):
+            while not taken.is_set() and not any(event in line for line in program.last_log_lines):
                 await asyncio.sleep(0.01)
 
     # The day
@@ -150,7 +157,7 @@
     async def _day(self, initiators: list[Initiator], until: float) -> None:
         work = [asyncio.create_task(self._moves(until))] if self.options.move_every_s else []
         if self.options.faults:
-            self.etcd.mangle = self._mangle
+            self.etcd.plan_delivery = self._mangle
             work += [asyncio.create_task(self._deaths(until)), asyncio.create_task(self._news(until))]
         size = LUNS * EXTENTS * LENGTH // LANES
         lanes = [
@@ -158,7 +165,7 @@
             for lane in range(LANES)
         ]
         await asyncio.gather(*work, *lanes)
-        self.etcd.mangle = lambda revision, events: [(0.0, events)]
+        self.etcd.plan_delivery = lambda revision, events: [(0.0, events)]
 
     async def _lane(self, initiator: Initiator, start: int, size: int, until: float) -> None:
         """One command after another on blocks of its own, so that each write has a place in their history."""
@@ -180,7 +187,9 @@
             data = stamped(ident, first, length)
             tag = initiator.command(cdb(0x2A, first, len(data)), data=data, lun=lun)
         else:
-            tag = initiator.command(cdb(0x28, first, length * BLOCK), read=length * BLOCK, lun=lun)
+            tag = initiator.command(
+                cdb(0x28, first, length * BLOCK_BYTES), read=length * BLOCK_BYTES, lun=lun
+            )
         try:
             async with asyncio.timeout_at(began + DEADLINE_S + GRACE_S):
                 status, data, _ = await initiator.answer(tag)
@@ -204,8 +213,8 @@
         loop, random, every = asyncio.get_running_loop(), self.random["move"], self.options.move_every_s
         while loop.time() < until:
             await asyncio.sleep(every * random.uniform(0.5, 1.0))
-            key = random.choice(list(self.mover.owner))
-            source = self.mover.owner[key]
+            key = random.choice(list(self.mover.owners))
+            source = self.mover.owners[key]
             copy_s = random.uniform(0, 0.004)
             if not await self.mover.move(key, random.choice(self.nodes), copy_s):
                 continue
@@ -237,9 +246,9 @@
             await asyncio.sleep(random.uniform(0.5, 1.5))
             kind = random.random()
             if kind < 0.4:
-                self.etcd.cut()
+                self.etcd.break_watches()
             elif kind < 0.6:
-                self.etcd.cut()
+                self.etcd.break_watches()
                 self.etcd.compact()
             elif kind < 0.8:
                 self.etcd.silent = True
@@ -254,10 +263,10 @@
             node = random.choice(self.nodes)
             if random.random() < 0.6:
                 node.kill()
-                await node.settled()
+                await node.notify_fences()
                 await asyncio.sleep(random.uniform(0.1, 0.4))
                 await node.start()
-                self.etcd.put(f"{PREFIX}nodes/{node.name}", node.row())
+                self.etcd.put(f"{PREFIX}nodes/{node.name}", node.etcd_entry())
             else:
                 await self.drains.drain(node)
 
@@ -269,7 +278,7 @@
         for lun in range(LUNS):
             for first in range(0, EXTENTS * LENGTH, LENGTH):
                 for _ in range(100):
-                    status, data, _ = await initiator.read(first, LENGTH * BLOCK, lun)
+                    status, data, _ = await initiator.read(first, LENGTH * BLOCK_BYTES, lun)
                     if status == 0:
                         break
                     await asyncio.sleep(0.1)
@@ -301,7 +310,7 @@
             "cpu_us": round(cpu / max(1, len(asked)) * 1e6),
             "run_twice": found.run_twice,
             "refused_ran": found.refused_ran,
-            "late_work": self.drains.late,
+            "late_work": self.drains.violations,
             "misdirected_writes": found.misdirected_writes,
             "wrong_reads": found.wrong_reads,
             "lost_writes": found.lost_writes,
--- a/lemonridge/lab/drills/fleet.py
+++ b/lemonridge/lab/drills/fleet.py
@@ -10,9 +10,9 @@
 from dataclasses import dataclass
 
 from lemonridge.lab.checkers.fleet import Findings, Limit, check, recovery_ms, used_rate
-from lemonridge.lab.links.schedule import Schedule, draw
+from lemonridge.lab.links.schedule import Schedule, draw_schedule
 from lemonridge.lab.load.fleet import Clients, VolumeTraffic
-from lemonridge.lab.rig import Rig, Site, standing
+from lemonridge.lab.rig import FleetHarness, SiteSettings, running_fleet
 
 NODES = 3
 HOT = 2  # the volume whose demand sits at one of its brokers
@@ -35,7 +35,7 @@
     mutant: str = ""  # a fault planted in every broker
 
 
-def askers(brokers: int, site: Site, seconds: float, calm_s: float) -> list[VolumeTraffic]:
+def askers(brokers: int, site: SiteSettings, seconds: float, calm_s: float) -> list[VolumeTraffic]:
     """The volumes: limited ones that flood and move, and others that ask steadily."""
     hosts = min(HOSTS, brokers)
     full = site.limit / (1 + site.largest_request_units) * 2  # requests a second that fill a limit
@@ -82,7 +82,7 @@
             "brisk",
             hosts,
             shards,
-            lambda t: site.brisk * (2.5 if t % 7 < 3.2 else 1.5) / 1.5,
+            lambda t: site.high_limit * (2.5 if t % 7 < 3.2 else 1.5) / 1.5,
             lambda t: one[1] if t % 7 >= 3.2 or int(t * 1000) % 5 < 3 else one[-1],
             site.largest_request_units,
         ),
@@ -115,47 +115,56 @@
 def plan(options: Options) -> Schedule:
     """The faults of a seed, or none."""
     if options.faults:
-        return draw(options.seed, options.seconds, options.brokers, NODES)
+        return draw_schedule(options.seed, options.seconds, options.brokers, NODES)
     return Schedule(
         brokers=options.brokers, nodes=NODES, seconds=options.seconds, calm_s=min(5.0, options.seconds / 2)
     )
 
 
 async def run(
-    options: Options, schedule: Schedule | None = None, site: Site | None = None
-) -> tuple[dict[str, object], Findings, Rig]:
+    options: Options, schedule: Schedule | None = None, site: SiteSettings | None = None
+) -> tuple[dict[str, object], Findings, FleetHarness]:
     """One run: the figures of the last line, what was broken, and the rig as it ended."""
-    site, schedule = site or Site(further=FURTHER if options.peers else 0.0), schedule or plan(options)
+    site, schedule = (
+        site or SiteSettings(retries_per_s=FURTHER if options.peers else 0.0),
+        schedule or plan(options),
+    )
     module = ("lemonridge.cli.mutant", f"fleet-fault={options.mutant}") if options.mutant else ("lemonridge",)
-    async with standing(schedule.brokers, NODES, options.seed, site, options.peers, module=module) as rig:
+    async with running_fleet(
+        schedule.brokers, NODES, options.seed, site, options.peers, module=module
+    ) as rig:
         clients = Clients([one.port for one in rig.brokers], options.seed, site.deadline_ms)
         await asyncio.gather(
             clients.run(askers(schedule.brokers, site, schedule.seconds, schedule.calm_s), schedule.seconds),
-            rig.play(schedule),
+            rig.run_schedule(schedule),
         )
         await rig.stop()
         return *judge(options, schedule, rig, clients, site), rig
 
 
 def judge(
-    options: Options, schedule: Schedule, rig: Rig, clients: Clients, site: Site
+    options: Options, schedule: Schedule, rig: FleetHarness, clients: Clients, site: SiteSettings
 ) -> tuple[dict[str, object], Findings]:
     """The figures, from what nodes and clients saw."""
-    came = [one for node in rig.nodes for one in node.came]
-    limit = Limit(site.limit, site.burst, site.slack)
-    further = Limit(site.further, max(site.further, schedule.brokers), 1.0) if site.further else None
-    brisk = Limit(site.brisk, site.burst, site.slack)
+    came = [one for node in rig.nodes for one in node.received]
+    limit = Limit(site.limit, site.burst, site.limit_slack)
+    further = (
+        Limit(site.retries_per_s, max(site.retries_per_s, schedule.brokers), 1.0)
+        if site.retries_per_s
+        else None
+    )
+    brisk = Limit(site.high_limit, site.burst, site.limit_slack)
     found = check(
         came,
         clients.requests,
         {1: limit, HOT: limit, 3: limit, 4: limit, 5: brisk},
         further,
-        {one.number: one.discovery.told for one in rig.brokers},
-        {one.number: one.down for one in rig.brokers},
-        sum(node.falls for node in rig.nodes),
+        {one.number: one.discovery.written_entries for one in rig.brokers},
+        {one.number: one.outages for one in rig.brokers},
+        sum(node.overloads for node in rig.nodes),
         clients.surplus,
     )
-    calm, end = rig.begun + schedule.calm_s, rig.begun + schedule.seconds
+    calm, end = rig.load_started_at + schedule.calm_s, rig.load_started_at + schedule.seconds
     healed = recovery_ms(came, HOT, calm, end, AT_ONE * site.limit)
     share = min(used_rate(came, volume, calm + SETTLE_S, end) / site.limit for volume in (1, HOT))
     figures: dict[str, object] = {
@@ -166,7 +175,7 @@
         "served": sum(one.end == "served" for one in clients.requests),
         "splits": rig.splits,
         "kills": sum(one.kills for one in rig.brokers),
-        "stops": sum(one.stops for one in rig.brokers),
+        "stops": sum(one.pauses for one in rig.brokers),
         "limit_excess": found.limit_excess,
         "cold_overloads": found.cold_overloads,
         "budget_excess": found.budget_excess,
--- a/lemonridge/lab/drills/iscsi.py
+++ b/lemonridge/lab/drills/iscsi.py
@@ -16,13 +16,13 @@
 
 from lemonridge.lab.checkers.extents import Asked, Findings, check, end_of, stamped, stamps
 from lemonridge.lab.conform.cases import ACCOUNT, GUARDED, SECRET, SECRETS, STORE
-from lemonridge.lab.links.drains import Drains
-from lemonridge.lab.load.client import Client, CommandLostError, Link
+from lemonridge.lab.links.drains import DrainMonitor
+from lemonridge.lab.load.client import Client, CommandLostError, FaultyLink
 from lemonridge.lab.load.initiator import cdb
-from lemonridge.lab.program import running
+from lemonridge.lab.program import running_program
 from lemonridge.lab.standins.etcd import Etcd
 from lemonridge.lab.standins.mover import Mover
-from lemonridge.lab.standins.node import BLOCK, ExtentNode
+from lemonridge.lab.standins.node import BLOCK_BYTES, ExtentNode
 from lemonridge.lab.ticks import Ticks
 
 PREFIX, BLOCKS, CLIENTS, LANES = "/drill/", 2048, 6, 3
@@ -91,11 +91,14 @@
         self.options, self.ticks, self.tally = options, Ticks(), Tally()
         self.random = {name: Random(f"{options.seed}/{name}") for name in ("load", "link", "node", "client")}
         self.etcd = Etcd()
-        self.etcd.chunk = 4096
-        self.nodes = [ExtentNode(f"n{n}", n, self.ticks, self.random["node"], plain=True) for n in range(2)]
+        self.etcd.chunk_bytes = 4096
+        self.nodes = [
+            ExtentNode(f"n{n}", n, self.ticks, self.random["node"], accepts_unversioned=True)
+            for n in range(2)
+        ]
         self.mover = Mover(self.nodes, self.etcd, PREFIX, self.ticks, Random(0))
-        self.link = Link(self.random["link"])
-        self.drains = Drains(self.etcd, PREFIX)
+        self.link = FaultyLink(self.random["link"])
+        self.drains = DrainMonitor(self.etcd, PREFIX)
         self.writes = 0
 
     async def run(self) -> tuple[dict[str, object], Findings]:
@@ -105,8 +108,8 @@
         await self.etcd.start()
         for lun, node in enumerate(self.nodes):
             self.mover.random = _Only(node)  # type: ignore[assignment]
-            self.mover.lay(lun, 1, BLOCKS)
-        self.etcd.txn({f"{PREFIX}nodes/{node.name}": node.row() for node in self.nodes})
+            self.mover.create_lun(lun, 1, BLOCKS)
+        self.etcd.transact({f"{PREFIX}nodes/{node.name}": node.etcd_entry() for node in self.nodes})
         text = CONFIG.format(
             store=STORE,
             guarded=GUARDED,
@@ -115,8 +118,11 @@
             prefix=PREFIX,
             deadline=int(DEADLINE_S * 1000),
         )
-        async with running(text, secrets=SECRETS, heard=self.drains.heard) as (program, port):
-            self.link.behind = port
+        async with running_program(text, secrets=SECRETS, on_log_line=self.drains.on_log_line) as (
+            program,
+            port,
+        ):
+            self.link.upstream_port = port
             await self.link.start()
             clients = [self._client(number) for number in range(CLIENTS)]
             until = asyncio.get_running_loop().time() + self.options.seconds
@@ -130,8 +136,8 @@
                 node.kill()
         await self.etcd.stop()
         logs = [line for node in self.nodes for line in node.log]
-        found = check(logs, self.mover.ledger, self.tally.asked, final)
-        return self._figures(found, program.counts, clients), found
+        found = check(logs, self.mover.ownership_log, self.tally.asked, final)
+        return self._figures(found, program.counters, clients), found
 
     def _client(self, number: int) -> Client:
         random = self.random["client"]
@@ -161,7 +167,7 @@
             for lane in range(LANES)
         ]
         await asyncio.gather(self._cuts(until), self._deaths(until), self._flood(until), *lanes)
-        self.link.calm()
+        self.link.stop_faults()
 
     async def _lane(self, client: Client, lane: int, until: float) -> None:
         """One command after another on blocks of its own."""
@@ -180,11 +186,11 @@
             self.writes += 1
             ident = self.writes
             data = stamped(ident, first, length)
-        text = cdb(0x2A if writes else 0x28, first, length * BLOCK)
+        text = cdb(0x2A if writes else 0x28, first, length * BLOCK_BYTES)
         begun = self.ticks()
         try:
-            async with asyncio.timeout_at(loop.time() + DEADLINE_S + GRACE_S + client.patience_s):
-                status, found = await client.run(text, lun, data, 0 if writes else length * BLOCK)
+            async with asyncio.timeout_at(loop.time() + DEADLINE_S + GRACE_S + client.recovery_timeout_s):
+                status, found = await client.run(text, lun, data, 0 if writes else length * BLOCK_BYTES)
         except CommandLostError:  # its session was lost with it: what it did is not known
             self.tally.lost += 1
             self.tally.asked.append(Asked(begun, self.ticks(), lun, first, length, ident, "failed"))
@@ -202,8 +208,8 @@
         loop, random = asyncio.get_running_loop(), self.random["link"]
         while loop.time() < until:
             await asyncio.sleep(random.uniform(0.05, 0.25))
-            self.link.cut_soon()
-            self.link.flip_soon()
+            self.link.schedule_cut()
+            self.link.schedule_bit_flip()
 
     async def _deaths(self, until: float) -> None:
         """Nodes are killed, fall silent and drain, one after the other."""
@@ -215,14 +221,14 @@
                 node.kill()
                 await asyncio.sleep(random.uniform(0.05, 0.3))
                 await node.start()
-                self.etcd.put(f"{PREFIX}nodes/{node.name}", node.row())
+                self.etcd.put(f"{PREFIX}nodes/{node.name}", node.etcd_entry())
             elif kind < 0.7:
                 node.silent = True
                 await asyncio.sleep(random.uniform(0.1, 0.5))
                 node.kill()  # what it swallowed is gone with it
                 node.silent = False
                 await node.start()
-                self.etcd.put(f"{PREFIX}nodes/{node.name}", node.row())
+                self.etcd.put(f"{PREFIX}nodes/{node.name}", node.etcd_entry())
             else:
                 await self.drains.drain(node)
 
@@ -248,8 +254,8 @@
 
     async def _final(self, port: int) -> dict[tuple[int, int], int]:
         """Read every block back over a connection that nobody spoils."""
-        link = Link(Random(0))
-        link.behind = port
+        link = FaultyLink(Random(0))
+        link.upstream_port = port
         await link.start()
         client = Client(
             link,
@@ -266,7 +272,9 @@
             for first in range(0, BLOCKS, 128):
                 found = b""
                 for _ in range(200):
-                    status, found = await client.run(cdb(0x28, first, 128 * BLOCK), lun, b"", 128 * BLOCK)
+                    status, found = await client.run(
+                        cdb(0x28, first, 128 * BLOCK_BYTES), lun, b"", 128 * BLOCK_BYTES
+                    )
                     if status == 0:
                         break
                     await asyncio.sleep(0.05)
@@ -286,8 +294,8 @@
             "commands": len(asked) + self.tally.unanswered,
             **ends,
             "lost": self.tally.lost,
-            "cut": self.link.cut,
-            "flipped": self.link.flipped,
+            "cut": self.link.cut_connections,
+            "flipped": self.link.flipped_bits,
             "recovered": sum(client.recovered for client in clients),
             "sessions": sum(client.sessions for client in clients),
             "reassigned": counts.get("tasks.reassigned", 0),
@@ -295,11 +303,11 @@
             "snacks": counts.get("snacks", 0),
             "flooded": self.tally.flooded,
             "refused_ran": found.refused_ran,
-            "late_work": self.drains.late,
+            "late_work": self.drains.violations,
             "run_twice": found.run_twice,
             "wrong_data": found.wrong_reads + found.misdirected_writes,
             "lost_writes": found.lost_writes,
-            "double_answers": sum(client.doubled for client in clients),
+            "double_answers": sum(client.duplicate_answers for client in clients),
             "unanswered": self.tally.unanswered,
         }
 
--- a/lemonridge/lab/drills/policy.py
+++ b/lemonridge/lab/drills/policy.py
@@ -17,10 +17,10 @@
 from lemonridge.config.address import Address
 from lemonridge.lab.checkers import fleet as rules
 from lemonridge.lab.checkers.policy import Findings, Proposed, check, epochs
-from lemonridge.lab.links.datagrams import Stretch
+from lemonridge.lab.links.datagrams import LinkFaults
 from lemonridge.lab.links.schedule import Fault
 from lemonridge.lab.load.fleet import Clients, VolumeTraffic
-from lemonridge.lab.rig import Broker, Rig, Site, standing
+from lemonridge.lab.rig import Broker, FleetHarness, SiteSettings, running_fleet
 from lemonridge.net.admin_client import CallError, call
 from lemonridge.rollout.policy_document import Policy
 
@@ -56,7 +56,7 @@
 class Drill:
     """One run."""
 
-    def __init__(self, options: Options, rig: Rig) -> None:
+    def __init__(self, options: Options, rig: FleetHarness) -> None:
         self.options, self.rig = options, rig
         self.random, self.chaos = Random(f"{options.seed}/changes"), Random(f"{options.seed}/faults")
         self.proposed: list[Proposed] = []
@@ -116,8 +116,8 @@
 
     def _up_s(self) -> float:
         """For how long all processes have run."""
-        ends = [end for one in self.rig.brokers for _, end in one.down]
-        return 0.0 if self.busy else self.now() - max(ends, default=self.rig.begun)
+        ends = [end for one in self.rig.brokers for _, end in one.outages]
+        return 0.0 if self.busy else self.now() - max(ends, default=self.rig.load_started_at)
 
     async def _faults(self) -> bool:
         """Whether a broker is not there, or says that it cannot decide by the policy that is in force."""
@@ -128,10 +128,10 @@
 
     def _can_answer_check(self, broker: Broker) -> bool:
         """Whether the one that may have to reject is up, and what lies between it and a proposer whole."""
-        one, other = self.rig.site.short, broker.number
+        one, other = self.rig.site.short_deadline_broker, broker.number
         pairs = [(one, other), (other, one)] if one != other else []
-        stretches = self.rig.network.stretches
-        return one not in self.busy and all(stretches[pair] == Stretch() for pair in pairs)
+        stretches = self.rig.network.links
+        return one not in self.busy and all(stretches[pair] == LinkFaults() for pair in pairs)
 
     async def _propose(self, note: str, wild: bool) -> None:
         """A change; of the wild ones some cannot be decided by at one broker, and some proposers die."""
@@ -189,7 +189,7 @@
 
     async def ask(self, broker: Broker, line: str) -> str:
         """An admin call of a broker; CallError where it is down or rejects it."""
-        return await call(Address("127.0.0.1", broker.admin), line)
+        return await call(Address("127.0.0.1", broker.admin_port), line)
 
     async def seen(self, broker: Broker) -> dict[str, Any]:
         """A broker's report; each epoch's limit is noted on the way."""
@@ -231,7 +231,7 @@
                 await self.restart(broker, away)
             else:
                 self.busy.add(broker.number)
-                await self.rig.pause(broker, away)
+                await self.rig.pause_broker(broker, away)
                 self.busy.discard(broker.number)
 
     async def restart(self, broker: Broker, down_s: float) -> None:
@@ -240,7 +240,7 @@
         wiped = lost < 0.35 and self.rig.now() - self._wiped_s > WIPE_S
 
         def meanwhile() -> None:
-            path = self.rig.store(broker.number)
+            path = self.rig.vote_store_path(broker.number)
             if wiped and lost < 0.2:
                 path.unlink()
             elif wiped:
@@ -250,7 +250,7 @@
         self.busy.add(broker.number)
         if wiped:
             self._wiped_s, self.wipes = self.rig.now(), self.wipes + 1
-        await self.rig.restart(broker, down_s, meanwhile)
+        await self.rig.restart_broker(broker, down_s, meanwhile)
         self.busy.discard(broker.number)
 
     async def _links(self) -> None:
@@ -276,7 +276,7 @@
             if kind != "one-way":
                 pairs += [(j, i) for i, j in pairs]
             self.rig.splits += kind == "split"
-            await self.rig.link(pairs, fault)
+            await self.rig.apply_link_fault(pairs, fault)
 
     async def together(self) -> list[dict[str, Any]]:
         """All brokers' reports, once they hold one state and go by it alone, or when the time is over."""
@@ -290,7 +290,7 @@
             await asyncio.sleep(POLL_INTERVAL_S)
 
 
-def askers(brokers: int, site: Site) -> list[VolumeTraffic]:
+def askers(brokers: int, site: SiteSettings) -> list[VolumeTraffic]:
     """Two volumes that flood their limit, one at all of its brokers in turn, one moving; and steady ones."""
     hosts, shards = min(3, brokers), tuple(range(NODES))
     made = [
@@ -329,9 +329,9 @@
 
 async def run(options: Options) -> tuple[dict[str, object], Findings, rules.Findings]:
     """One run: the figures of the last line, and what was broken."""
-    site = Site(lease_ms=LEASE_MS, floor=FLOOR, short=options.brokers - 1)
+    site = SiteSettings(lease_ms=LEASE_MS, policy_floor=FLOOR, short_deadline_broker=options.brokers - 1)
     module = ("lemonridge.cli.mutant", f"fleet-fault={options.mutant}") if options.mutant else ("lemonridge",)
-    async with standing(options.brokers, NODES, options.seed, site, True, module=module) as rig:
+    async with running_fleet(options.brokers, NODES, options.seed, site, True, module=module) as rig:
         clients = Clients([one.port for one in rig.brokers], options.seed, site.deadline_ms)
         drill = Drill(options, rig)
         tasks = [clients.run(askers(options.brokers, site), options.seconds), drill.change(), drill.watch()]
@@ -340,7 +340,7 @@
         await asyncio.gather(*tasks)
         ends = await drill.together()
         await rig.stop()
-    came = [one for node in rig.nodes for one in node.came]
+    came = [one for node in rig.nodes for one in node.received]
     found = check(
         came,
         drill.proposed,
@@ -349,7 +349,7 @@
         site.limit * FLOOR,
         FLOODED,
         site.burst,
-        site.slack,
+        site.limit_slack,
         (LEASE_MS + CLOCK_MS) / 1000 + 0.3,
     )
     answers = rules.check(
@@ -358,8 +358,8 @@
         {},
         None,
         {},
-        {one.number: one.down for one in rig.brokers},
-        sum(node.falls for node in rig.nodes),
+        {one.number: one.outages for one in rig.brokers},
+        sum(node.overloads for node in rig.nodes),
         clients.surplus,
     )
     sound = [one for one in drill.proposed if one.sound]
@@ -379,7 +379,7 @@
         "wipes": drill.wipes,
         "votes": drill.votes,
         "splits": rig.splits,
-        "stops": sum(one.stops for one in rig.brokers),
+        "stops": sum(one.pauses for one in rig.brokers),
         "mixed_epochs": found.mixed_epochs,
         "half_changes": found.half_changes,
         "lost_changes": found.lost_changes,
--- a/lemonridge/lab/drills/soak.py
+++ b/lemonridge/lab/drills/soak.py
@@ -26,7 +26,7 @@
 from lemonridge.lab.checkers.soak import EARLY_S, FIGURES, GRACE_S, Findings, SoakLimits, judge
 from lemonridge.lab.program import Program, ProgramError
 from lemonridge.lab.standins.soak import SoakDiscovery, SoakNode
-from lemonridge.lab.standins.soak_record import TOLD_S, SoakClass, SoakRecord, SoakRequest
+from lemonridge.lab.standins.soak_record import ANNOUNCE_LIMIT_S, SoakClass, SoakRecord, SoakRequest
 
 SHARDS, NODES_OF_A_SHARD = 2, 2
 RATE = 120.0  # requests a second
@@ -261,7 +261,7 @@
             program.process.kill()
         elif program.process.returncode != 0:
             self.record.crashes += 1
-            print(f"ended with {program.process.returncode}:", *program.last[-12:], sep="\n")
+            print(f"ended with {program.process.returncode}:", *program.last_log_lines[-12:], sep="\n")
         self._program = None
         for _, writer in self._idle:
             writer.close()
@@ -279,9 +279,9 @@
             node = self._random.choice(self._nodes)
             what = FIXED.get(number % FIXED_EVERY) or self._random.choice(TROUBLES)
             if what == "way":
-                node.way = self._random.choice(("hang", "reset", "busy", "late", "error", "serve"))
+                node.behaviour = self._random.choice(("hang", "reset", "busy", "late", "error", "serve"))
             elif what in ("late", "reset"):
-                node.way = what
+                node.behaviour = what
             elif what == "restart":
                 await self._restart(node)
             elif what in ("drain", "back"):
@@ -301,9 +301,9 @@
         node.close()
         await asyncio.sleep(self._random.uniform(0.1, 0.6))
         await node.open()
-        node.way = "serve"
+        node.behaviour = "serve"
         started_at, born_ms = asyncio.get_running_loop().time(), time.time_ns() // 1_000_000
-        self.record.starts[node.name].append((started_at, started_at + TOLD_S))
+        self.record.starts[node.name].append((started_at, started_at + ANNOUNCE_LIMIT_S))
         for discovery in self._discoveries:
             discovery.born_ms[node.name] = born_ms
         await self._tell(node, "up", born_ms)
@@ -321,7 +321,7 @@
 
     async def _tell(self, node: SoakNode, health: str, born_ms: int = 0) -> None:
         for discovery in self._discoveries:
-            await discovery.set(node, health, born_ms or discovery.rows[node.name]["born_ms"])
+            await discovery.set(node, health, born_ms or discovery.entries[node.name]["born_ms"])
 
     # Clients
 
@@ -383,12 +383,12 @@
             self._begin(one)
         kept = True
         for number, one in enumerate((request, *(row[0] for row in further))):
-            one.behind = number > 0
-            one.turn_at = loop.time() if one.behind else 0.0
+            one.is_pipelined = number > 0
+            one.previous_answered_at = loop.time() if one.is_pipelined else 0.0
             if kept:
                 kept = await self._await(one, reader, writer)
             else:  # what ended its connection ended it too
-                one.left_at, one.ended_at = request.left_at, loop.time()
+                one.disconnected_at, one.ended_at = request.disconnected_at, loop.time()
             self._open.discard(one)
         if kept and self._program is program:
             self._idle.append((reader, writer))
@@ -397,7 +397,7 @@
 
     def _begin(self, request: SoakRequest) -> None:
         request.sent_at = asyncio.get_running_loop().time()
-        self.record.requests[request.ident] = request
+        self.record.requests[request.request_id] = request
         self._open.add(request)
 
     async def _await(
@@ -414,7 +414,7 @@
                 await reader.readexactly(length)
         except TimeoutError:
             if leaves:
-                request.left_at = loop.time()
+                request.disconnected_at = loop.time()
                 writer.transport.abort()
             return False
         except (asyncio.IncompleteReadError, ConnectionError):
@@ -443,7 +443,7 @@
             began_at = loop.time()
             await asyncio.sleep(BEAT_S)
             if loop.time() > began_at + 2 * BEAT_S:
-                self.record.held_up.append((began_at, loop.time()))
+                self.record.stalls.append((began_at, loop.time()))
 
     async def run(self) -> tuple[dict[str, object], Findings]:
         """Play, then judge; the figures of the last line and what was found."""
@@ -483,7 +483,7 @@
             "signals": self.signals,
             "requests": len(self.record.requests),
             "served": sum(one.status == 200 for one in self.record.requests.values()),
-            "judge_late_ms": int(1000 * max((b - a for a, b in self.record.held_up), default=0)),
+            "judge_late_ms": int(1000 * max((b - a for a, b in self.record.stalls), default=0)),
         }
         return figures | {name: found.counts[name] for name in FIGURES}, found
 
--- a/lemonridge/lab/links/datagrams.py
+++ b/lemonridge/lab/links/datagrams.py
@@ -17,7 +17,7 @@
 
 
 @dataclass(slots=True)
-class Stretch:
+class LinkFaults:
     """One direction between two brokers; shares from 0 to 1, times in milliseconds."""
 
     cut: bool = False
@@ -25,7 +25,7 @@
     delay_ms: tuple[float, float] = (0.0, 0.0)
     double: float = 0.0
     reorder: float = 0.0  # this share comes late by `late_ms` more, behind what was sent after it
-    late_ms: float = 30.0
+    reorder_delay_ms: float = 30.0
     corrupt: float = 0.0  # one bit is flipped, or the end is cut off
 
 
@@ -41,9 +41,9 @@
 
     def datagram_received(self, data: bytes, addr: tuple[str | Any, int]) -> None:
         if addr[1] == self._network.ports[self.owner]:
-            self._network.passed_in(self.owner, self.other, data)
+            self._network.forward(self.owner, self.other, data)
         else:
-            self._network.counts["strange"] += 1
+            self._network.counters["strange"] += 1
 
     def error_received(self, exc: Exception) -> None:
         """The broker is down, as the system tells."""
@@ -54,21 +54,23 @@
 
     def __init__(self, count: int, seed: int) -> None:
         self.count = count
-        self.stretches = {(i, j): Stretch() for i in range(count) for j in range(count) if i != j}
-        self.counts: Counter[str] = Counter()
-        self.bytes = 0
+        self.links = {(i, j): LinkFaults() for i in range(count) for j in range(count) if i != j}
+        self.counters: Counter[str] = Counter()
+        self.sent_bytes = 0
         self.ports: list[int] = []  # the brokers', once it is started
         self._random = Random(f"{seed}/network")
         self._ends: dict[tuple[int, int], _End] = {}
 
     async def start(self) -> Network:
         loop = asyncio.get_running_loop()
-        for pair in self.stretches:
+        for pair in self.links:
             _, self._ends[pair] = await loop.create_datagram_endpoint(
                 lambda pair=pair: _End(self, *pair),  # type: ignore[misc]
                 local_addr=("127.0.0.1", 0),
             )
-        self.ports = free_ports(self.count)  # after its own ends, which would else be given some of them
+        self.ports = find_free_udp_ports(
+            self.count
+        )  # after its own ends, which would else be given some of them
         return self
 
     def stop(self) -> None:
@@ -76,14 +78,14 @@
             if end.transport is not None:
                 end.transport.close()
 
-    def listen(self, number: int) -> str:
+    def listen_address(self, number: int) -> str:
         """Where a broker listens."""
         return f"127.0.0.1:{self.ports[number]}"
 
-    def told(self, number: int) -> list[str]:
+    def peer_addresses(self, number: int) -> list[str]:
         """The addresses that a broker is told, its own among them."""
         return [
-            self.listen(number) if other == number else self._address(number, other)
+            self.listen_address(number) if other == number else self._address(number, other)
             for other in range(self.count)
         ]
 
@@ -93,26 +95,26 @@
         host, port = transport.get_extra_info("sockname")[:2]
         return f"{host}:{port}"
 
-    def heal(self) -> None:
+    def clear_faults(self) -> None:
         """Every stretch is whole."""
-        for pair in self.stretches:
-            self.stretches[pair] = Stretch()
+        for pair in self.links:
+            self.links[pair] = LinkFaults()
 
-    def passed_in(self, source: int, to: int, data: bytes) -> None:
+    def forward(self, source: int, to: int, data: bytes) -> None:
         """A datagram of one broker to another: what becomes of it is drawn here."""
-        stretch, random = self.stretches[source, to], self._random
-        self.counts["sent"] += 1
-        self.bytes += len(data)
+        stretch, random = self.links[source, to], self._random
+        self.counters["sent"] += 1
+        self.sent_bytes += len(data)
         if stretch.cut or random.random() < stretch.loss:
-            self.counts["dropped"] += 1
+            self.counters["dropped"] += 1
             return
         if random.random() < stretch.corrupt:
-            self.counts["corrupted"] += 1
-            data = spoil(data, random)
+            self.counters["corrupted"] += 1
+            data = corrupt_datagram(data, random)
         for _ in range(2 if random.random() < stretch.double else 1):
             wait_ms = random.uniform(*stretch.delay_ms)
             if random.random() < stretch.reorder:
-                wait_ms += stretch.late_ms
+                wait_ms += stretch.reorder_delay_ms
             if wait_ms <= 0:
                 self._pass_on(source, to, data)
             else:
@@ -121,11 +123,11 @@
     def _pass_on(self, source: int, to: int, data: bytes) -> None:
         transport = self._ends[to, source].transport
         if transport is not None and not transport.is_closing():
-            self.counts["delivered"] += 1
+            self.counters["delivered"] += 1
             transport.sendto(data, ("127.0.0.1", self.ports[to]))
 
 
-def spoil(data: bytes, random: Random) -> bytes:
+def corrupt_datagram(data: bytes, random: Random) -> bytes:
     """One bit flipped, or the end cut off."""
     if random.random() < 0.3:
         return data[: random.randrange(len(data))]
@@ -134,7 +136,7 @@
     return bytes(made)
 
 
-def kept_port() -> socket.socket:
+def reserve_tcp_port() -> socket.socket:
     """A TCP port of loopback that the system chose, kept for a program that is yet to start.
 
     It is bound and not listened at: the system gives it to nobody else, neither to one that asks for any port
@@ -146,7 +148,7 @@
     return made
 
 
-def free_ports(count: int) -> list[int]:
+def find_free_udp_ports(count: int) -> list[int]:
     """Ports of loopback for datagrams, each another, that the system chose and no one has now."""
     with ExitStack() as held:
         probes = [held.enter_context(socket.socket(socket.AF_INET, socket.SOCK_DGRAM)) for _ in range(count)]
--- a/lemonridge/lab/links/pdus.py
+++ b/lemonridge/lab/links/pdus.py
@@ -44,12 +44,12 @@
             writer.transport.abort()
 
 
-class Link:
+class FaultyLink:
     """Listens, and passes on to `behind`."""
 
     def __init__(self, random: Random) -> None:
-        self.random, self.behind, self.port = random, 0, 0
-        self.cut = self.flipped = 0
+        self.random, self.upstream_port, self.port = random, 0, 0
+        self.cut_connections = self.flipped_bits = 0
         self._pipes: set[_Pipe] = set()
         self._calm = False
 
@@ -62,25 +62,25 @@
         for pipe in list(self._pipes):
             pipe.abort()
 
-    def cut_soon(self) -> None:
+    def schedule_cut(self) -> None:
         """Some connection ends within the next bytes, wherever in a PDU that is."""
         pipes = [pipe for pipe in self._pipes if pipe.logged_in and pipe.cut_after < 0]
         if pipes:
             self.random.choice(pipes).cut_after = self.random.choice((0, 20, 47, 49, 3000, 30000))
 
-    def cut_now(self) -> None:
+    def cut_all(self) -> None:
         """Every connection ends now."""
         for pipe in list(self._pipes):
-            self.cut += 1
+            self.cut_connections += 1
             pipe.abort()
 
-    def flip_soon(self) -> None:
+    def schedule_bit_flip(self) -> None:
         """Some digested data segment comes spoilt, either way."""
         pipes = [pipe for pipe in self._pipes if pipe.logged_in and pipe.data]
         if pipes:
             self.random.choice(pipes).flip = True
 
-    def calm(self) -> None:
+    def stop_faults(self) -> None:
         """No more of it."""
         self._calm = True
         for pipe in self._pipes:
@@ -88,7 +88,7 @@
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         try:
-            inner, outer = await asyncio.open_connection("127.0.0.1", self.behind)
+            inner, outer = await asyncio.open_connection("127.0.0.1", self.upstream_port)
         except OSError:
             writer.transport.abort()
             return
@@ -130,7 +130,7 @@
         if not pipe.flip or not pipe.data or not pdu.data or pdu.opcode in LOGINS:
             return raw
         pipe.flip = False
-        self.flipped += 1
+        self.flipped_bits += 1
         start = 48 + len(pdu.ahs) + 4 * pipe.header
         made = bytearray(raw)
         made[start + self.random.randrange(len(pdu.data))] ^= 1 << self.random.randrange(8)
@@ -145,7 +145,7 @@
             writer.write(raw)
             return True
         # The first bytes of the PDU still arrive: FIN right behind them, as RST would take them away.
-        self.cut += 1
+        self.cut_connections += 1
         writer.write(raw[: pipe.cut_after])
         for each in pipe.writers:
             each.close()
--- a/lemonridge/lab/links/schedule.py
+++ b/lemonridge/lab/links/schedule.py
@@ -18,8 +18,8 @@
 
 Share = Annotated[float, Meta(ge=0, le=1)]
 Seconds = Annotated[float, Meta(ge=0, le=3600)]
-Number = Annotated[int, Meta(ge=0, lt=256)]
-Kind = Literal[
+Index = Annotated[int, Meta(ge=0, lt=256)]
+FaultKind = Literal[
     "cut",
     "one-way",
     "split",
@@ -36,7 +36,7 @@
     "node-bad",
 ]
 GAP_S = 0.5  # between two faults of one process
-THIN: tuple[Kind, ...] = ("loss", "delay", "double", "reorder", "corrupt", "cut")
+THIN: tuple[FaultKind, ...] = ("loss", "delay", "double", "reorder", "corrupt", "cut")
 ALONE = ("kill", "stop", "late", "node-death", "node-drain", "node-bad")
 LINKS = ("cut", "one-way", "split", "loss", "delay", "double", "reorder", "corrupt")
 
@@ -51,12 +51,12 @@
     of what they run with errors.
     """
 
-    kind: Kind
+    kind: FaultKind
     at_s: Seconds
     for_s: Seconds
-    brokers: tuple[Number, ...] = ()
-    to: tuple[Number, ...] = ()
-    nodes: tuple[Number, ...] = ()
+    brokers: tuple[Index, ...] = ()
+    to: tuple[Index, ...] = ()
+    nodes: tuple[Index, ...] = ()
     share: Share = 0.0
     ms: tuple[float, float] = (0.0, 0.0)
 
@@ -79,31 +79,31 @@
             if any(node >= self.nodes for node in one.nodes):
                 raise ValueError(f"fault[{number}] names a node that is not there")
 
-    def pairs(self, one: Fault) -> list[tuple[int, int]]:
+    def affected_links(self, one: Fault) -> list[tuple[int, int]]:
         """The ordered pairs of brokers whose stretch a fault of the links meets."""
         to = one.to or tuple(n for n in range(self.brokers) if n not in one.brokers)
         there = [(i, j) for i in one.brokers for j in to if i != j]
         return there if one.kind == "one-way" else [*there, *((j, i) for i, j in there)]
 
 
-def read(path: str) -> Schedule:
+def read_schedule(path: str) -> Schedule:
     """A schedule of a TOML file; ConfigError names the key."""
     try:
-        return parse(tomllib.loads(Path(path).read_text(encoding="utf-8")))
+        return parse_schedule(tomllib.loads(Path(path).read_text(encoding="utf-8")))
     except OSError as error:
         raise ConfigError(f"cannot read {path}: {error.strerror}") from None
     except (tomllib.TOMLDecodeError, UnicodeDecodeError) as error:
         raise ConfigError(f"{path} is not TOML: {error}") from None
 
 
-def parse(values: Any) -> Schedule:
+def parse_schedule(values: Any) -> Schedule:
     try:
         return msgspec.convert(values, Schedule, strict=False)
     except msgspec.ValidationError as error:
         raise ConfigError(format_validation_error(str(error))) from None
 
 
-def write(schedule: Schedule) -> str:
+def format_schedule(schedule: Schedule) -> str:
     """The schedule as TOML, which `parse` reads back alike."""
     lines = [f"{name} = {getattr(schedule, name)}" for name in ("brokers", "nodes", "seconds", "calm_s")]
     for one in schedule.fault:
@@ -114,7 +114,7 @@
     return "\n".join(lines) + "\n"
 
 
-def draw(seed: int, seconds: float, brokers: int, nodes: int) -> Schedule:
+def draw_schedule(seed: int, seconds: float, brokers: int, nodes: int) -> Schedule:
     """Overlapping faults over all but the last part of the time: at least one split of a minority from the
     majority, one one-way cut, one stop that goes on, two kills with a restart, nodes that die and come back
     cold and one that is drained; and thinner faults of the links all the while.
@@ -128,11 +128,11 @@
         length = round(min(length, calm - 1.0), 3)
         return round(random.uniform(0.8, calm - length), 3), length
 
-    def link(kind: Kind, brokers: tuple[int, ...], shortest: float, longest: float, **more: Any) -> None:
+    def link(kind: FaultKind, brokers: tuple[int, ...], shortest: float, longest: float, **more: Any) -> None:
         at_s, for_s = times(random.uniform(shortest, longest))
         faults.append(Fault(kind=kind, brokers=brokers, at_s=at_s, for_s=for_s, **more))
 
-    def place(kind: Kind, who: str, count: int, shortest: float, longest: float, **more: Any) -> None:
+    def place(kind: FaultKind, who: str, count: int, shortest: float, longest: float, **more: Any) -> None:
         """One thing at a time for a process: it is drawn again until it finds room."""
         for _ in range(200):
             number, when = random.randrange(count), times(random.uniform(shortest, longest))
--- a/lemonridge/lab/load/client.py
+++ b/lemonridge/lab/load/client.py
@@ -29,9 +29,9 @@
     read_pdu,
     unpack_text,
 )
-from lemonridge.lab.links.pdus import DirectLink, Link
+from lemonridge.lab.links.pdus import DirectLink, FaultyLink
 
-__all__ = ["Client", "CommandLostError", "Link"]
+__all__ = ["Client", "CommandLostError", "FaultyLink"]
 
 LOGIN = FINAL | 1 << 2 | 3
 SEGMENT = 8192
@@ -245,11 +245,11 @@
 class Client:
     """A session that is made anew as often as it takes."""
 
-    patience_s = 6.0  # beyond a command's own deadline: for what recovery takes
+    recovery_timeout_s = 6.0  # beyond a command's own deadline: for what recovery takes
 
     def __init__(
         self,
-        link: Link | DirectLink,
+        link: FaultyLink | DirectLink,
         target: str,
         name: str,
         connections: int,
@@ -265,7 +265,7 @@
         self.over: set[int] = set()  # tags of commands that were answered
         self.cmd_sn, self.exp_cmd_sn, self.max_cmd_sn, self.tsih = 1, 1, 0, 0
         self.open: list[Connection] = []
-        self.recovered = self.sessions = self.doubled = 0
+        self.recovered = self.sessions = self.duplicate_answers = 0
         self.up = False
         self._tags = itertools.count(1)
         self._lock, self._room = asyncio.Lock(), asyncio.Event()
@@ -344,7 +344,7 @@
     def respond(self, connection: Connection, pdu: Pdu, fresh: bool) -> None:
         command = self.commands.get(pdu.tag)
         if command is None or command.status is not None:
-            self.doubled += fresh and pdu.tag in self.over
+            self.duplicate_answers += fresh and pdu.tag in self.over
             return
         command.status = pdu
         self.look(command)
--- a/lemonridge/lab/load/fleet.py
+++ b/lemonridge/lab/load/fleet.py
@@ -32,7 +32,7 @@
 class ClientRequest:
     """One request and what became of it; times are monotonic, in seconds."""
 
-    ident: str
+    request_id: str
     broker: int
     volume: int
     units: int
@@ -142,7 +142,7 @@
                         if is_new or (isinstance(error, asyncio.IncompleteReadError) and error.partial):
                             raise
             request.ended_at, request.end = loop.time(), _end(status)
-            request.wrong = status == 200 and body != request.ident.encode()
+            request.wrong = status == 200 and body != request.request_id.encode()
             request.surplus = connection.surplus()
             if keep and not request.surplus:
                 self._idle.setdefault(request.broker, []).append(connection)
@@ -179,17 +179,17 @@
     cls, body = ("new-write", b"w" * 64 * request.units) if writes else ("read", b"")
     shard = -1 if writes else shard
     lines = [
-        f"{'PUT' if writes else 'GET'} /{cls}/{request.volume:016x}/{int(request.ident, 16):016x}"
+        f"{'PUT' if writes else 'GET'} /{cls}/{request.volume:016x}/{int(request.request_id, 16):016x}"
         f"?units={request.units}&shard={shard} HTTP/1.1",
         "Host: app.svc",
-        f"X-Request-Id: {request.ident}",
+        f"X-Request-Id: {request.request_id}",
         f"X-Class: {cls}",
         f"X-Qos-Policy: {traffic.plan}",
         f"X-Deadline-Ms: {left_ms}",
         f"X-Placement: units={request.units},shard={shard},hosts={traffic.hosts}",
     ]
     if writes:
-        lines += [f"Idempotency-Key: {request.ident}", f"Content-Length: {len(body)}"]
+        lines += [f"Idempotency-Key: {request.request_id}", f"Content-Length: {len(body)}"]
     return "\r\n".join((*lines, "", "")).encode() + body
 
 
--- a/lemonridge/lab/load/http.py
+++ b/lemonridge/lab/load/http.py
@@ -23,11 +23,11 @@
 from lemonridge.lab.program import Program, ProgramError
 from lemonridge.lab.standins.platform import Discovery, DiskNode
 
-READY_S = 30.0  # for the first list, and for the first lease where 32 start at once
+READY_TIMEOUT_S = 30.0  # for the first list, and for the first lease where 32 start at once
 
 
 @dataclass(frozen=True, slots=True)
-class Plan:
+class LoadPlan:
     """`rate` requests a second for `seconds`; each of a class at random, of `volumes`, for a shard at random.
 
     A class is (name, writes): a write is a `PUT` with a body of `units` times 64 bytes and an idempotency
@@ -45,7 +45,7 @@
     shards: int = 2
     units: int = 2
     largest_request_units: int = 0
-    table: tuple[tuple[float, tuple[int, ...]], ...] = ()
+    volume_table: tuple[tuple[float, tuple[int, ...]], ...] = ()
     deadline_ms: int = 1500
     arrivals: str = "poisson"
     connections: int = 64
@@ -55,7 +55,7 @@
 
 
 def headers(
-    plan: Plan, number: int, cls: str, writes: bool, volume: int, shard: int, units: int
+    plan: LoadPlan, number: int, cls: str, writes: bool, volume: int, shard: int, units: int
 ) -> dict[str, str]:
     """The headers of one request; its id is new with each, as PROTOCOL asks."""
     told = {
@@ -70,7 +70,7 @@
     return told
 
 
-async def run(plan: Plan, say: Callable[[str], None] = lambda text: None) -> Tally:
+async def run(plan: LoadPlan, progress: Callable[[str], None] = lambda text: None) -> Tally:
     """Send what is due, and wait for what is out; `say` gets a line a second. Times are of served requests,
     by class; 429 and 503 are refusals (PROTOCOL's table of answers).
     """
@@ -96,7 +96,7 @@
                 tally.lost += 1
                 return
             if status == 200:
-                tally.took(cls, at, loop.time())
+                tally.record_served(cls, at, loop.time())
             elif status in (429, 503):
                 tally.refused += 1
             else:
@@ -104,26 +104,28 @@
 
         def draw(due: float, number: int) -> Coroutine[Any, Any, None]:
             cls, writes = random.choice(plan.classes)
-            volume, shard = _place(plan, random)
+            volume, shard = _draw_volume(plan, random)
             shard = -1 if writes and plan.new_objects else shard
             units = (
                 1 + random.randrange(plan.largest_request_units) if plan.largest_request_units else plan.units
             )
             return one(due, number, cls, writes, volume, shard, units)
 
-        await open_loop(tally, plan.rate, plan.arrivals, plan.seconds, plan.outstanding, random, draw, say)
+        await open_loop(
+            tally, plan.rate, plan.arrivals, plan.seconds, plan.outstanding, random, draw, progress
+        )
     return tally
 
 
-def _place(plan: Plan, random: Random) -> tuple[int, int]:
+def _draw_volume(plan: LoadPlan, random: Random) -> tuple[int, int]:
     """A volume, from 1, and its shard."""
-    if not plan.table:
+    if not plan.volume_table:
         return 1 + random.randrange(plan.volumes), random.randrange(plan.shards)
-    number = random.choices(range(len(plan.table)), [weight for weight, _ in plan.table])[0]
-    return 1 + number, random.choice(plan.table[number][1])
+    number = random.choices(range(len(plan.volume_table)), [weight for weight, _ in plan.volume_table])[0]
+    return 1 + number, random.choice(plan.volume_table[number][1])
 
 
-def facts(shards: int, deadline_ms: int) -> dict[str, Any]:
+def settings_document(shards: int, deadline_ms: int) -> dict[str, Any]:
     """The settings of a small site for the stand-ins: a read and a keyed write, each aiming at its end."""
     cls = {
         "aim-us": deadline_ms * 1000,
@@ -180,7 +182,7 @@
 
 
 @asynccontextmanager
-async def standing(
+async def running_broker(
     count: int,
     shards: int = 2,
     deadline_ms: int = 1500,
@@ -202,7 +204,7 @@
     ]
     try:
         for node in nodes:
-            await discovery.set(node.row())
+            await discovery.set(node.discovery_entry())
         with TemporaryDirectory() as folder:
             config = Path(folder) / "config.json"
             config.write_text(
@@ -213,7 +215,7 @@
                         "discovery": f"127.0.0.1:{discovery.port}",
                         "seed": f"{seed:016x}",
                         "known": {},
-                        "settings": facts(shards, deadline_ms),
+                        "settings": settings_document(shards, deadline_ms),
                         "limits": {"sockets": 1024},
                     }
                 )
@@ -221,7 +223,7 @@
             program = Program("serve", environment={"ROUTER_CONFIG": str(config)})
             try:
                 port = await program.start()
-                await ready(port)
+                await wait_until_ready(port)
                 yield program, port, nodes
                 await program.stop()
             finally:
@@ -234,10 +236,10 @@
         await discovery.stop()
 
 
-async def ready(port: int) -> None:
+async def wait_until_ready(port: int) -> None:
     """Until `GET /-/ready` answers 200; ProgramError after READY_S."""
     loop = asyncio.get_running_loop()
-    until = loop.time() + READY_S
+    until = loop.time() + READY_TIMEOUT_S
     async with aiohttp.ClientSession() as session:
         while loop.time() < until:
             try:
@@ -247,4 +249,4 @@
             except aiohttp.ClientError:
                 pass
             await asyncio.sleep(0.02)
-    raise ProgramError(f"not ready in {READY_S:g} s")
+    raise ProgramError(f"not ready in {READY_TIMEOUT_S:g} s")
--- a/lemonridge/lab/load/initiator.py
+++ b/lemonridge/lab/load/initiator.py
@@ -8,7 +8,7 @@
 
 from lemonridge.iscsi.pdu import FINAL, Op, Pdu, pack_lun, pack_text, read_pdu
 
-PATIENCE_S = 10.0  # for an answer; nothing waits this long unless the broker fails
+ANSWER_TIMEOUT_S = 10.0  # for an answer; nothing waits this long unless the broker fails
 SEGMENT = 8192
 _ports = itertools.count(1)
 
@@ -22,10 +22,10 @@
     """Sends commands and keeps what was answered, by task tag."""
 
     def __init__(self, port: int, segment: int = SEGMENT) -> None:
-        self.port, self.segment, self.tags, self.number = port, segment, 0, 0
-        self.waiting: dict[int, tuple[asyncio.Future[Pdu], bytearray, bytes]] = {}
-        self.answers: dict[int, int] = {}
-        self.other: asyncio.Queue[Pdu] = asyncio.Queue()
+        self.port, self.segment, self.last_tag, self.next_cmd_sn = port, segment, 0, 0
+        self.pending: dict[int, tuple[asyncio.Future[Pdu], bytearray, bytes]] = {}
+        self.answer_counts: dict[int, int] = {}
+        self.other_pdus: asyncio.Queue[Pdu] = asyncio.Queue()
         self.receiver: asyncio.Task[None] | None = None
         self.isid = b"\x80" + next(_ports).to_bytes(5, "big")
 
@@ -36,8 +36,8 @@
     def send(self, pdu: Pdu) -> None:
         """With the next command number."""
         if pdu.opcode != Op.DATA_OUT:
-            pdu.words[1] = self.number
-            self.number += not pdu.immediate
+            pdu.words[1] = self.next_cmd_sn
+            self.next_cmd_sn += not pdu.immediate
         self.writer.write(pdu.encode())
 
     async def login(self, flags: int = FINAL | 1 << 2 | 3, **keys: str | None) -> Pdu:
@@ -50,7 +50,7 @@
         }
         data = pack_text((key, value) for key, value in told.items() if value is not None)
         self.send(Pdu(Op.LOGIN, flags, lun=self.isid + bytes(2), tag=0, immediate=True, data=data))
-        async with asyncio.timeout(PATIENCE_S):
+        async with asyncio.timeout(ANSWER_TIMEOUT_S):
             return await read_pdu(self.reader)
 
     async def start(self) -> Initiator:
@@ -66,24 +66,24 @@
             while True:
                 pdu = await read_pdu(self.reader)
                 if pdu.opcode == Op.DATA_IN:
-                    self.waiting[pdu.tag][1].extend(pdu.data)
+                    self.pending[pdu.tag][1].extend(pdu.data)
                 elif pdu.opcode == Op.R2T:
                     self._data_out(pdu)
                 elif pdu.opcode == Op.SCSI_RESPONSE:
-                    self.answers[pdu.tag] = self.answers.get(pdu.tag, 0) + 1
-                    if not self.waiting[pdu.tag][0].done():
-                        self.waiting[pdu.tag][0].set_result(pdu)
+                    self.answer_counts[pdu.tag] = self.answer_counts.get(pdu.tag, 0) + 1
+                    if not self.pending[pdu.tag][0].done():
+                        self.pending[pdu.tag][0].set_result(pdu)
                 else:
-                    self.other.put_nowait(pdu)
+                    self.other_pdus.put_nowait(pdu)
         except (asyncio.IncompleteReadError, ConnectionError):
-            for future, _, _ in self.waiting.values():
+            for future, _, _ in self.pending.values():
                 if not future.done():
                     future.set_exception(ConnectionResetError())
-            self.other.put_nowait(Pdu(Op.ASYNC, tag=0))
+            self.other_pdus.put_nowait(Pdu(Op.ASYNC, tag=0))
 
     def _data_out(self, pdu: Pdu) -> None:
         start, length = pdu.words[5:7]
-        data = self.waiting[pdu.tag][2]
+        data = self.pending[pdu.tag][2]
         for count, at in enumerate(range(start, start + length, 8192)):
             end = min(at + 8192, start + length)
             flags = FINAL if end == start + length else 0
@@ -100,28 +100,28 @@
 
     def command(self, cdb: bytes, read: int = 0, data: bytes = b"", lun: int = 0, attribute: int = 0) -> int:
         """Send a command; the first half of a write's data goes along, up to 4096 bytes."""
-        self.tags += 1
+        self.last_tag += 1
         along = data[: min(4096, len(data) // 2)]
         words = list(struct.unpack(">4I", cdb.ljust(16, b"\0")))
         flags = FINAL | (0x40 if read else 0) | (0x20 if data else 0) | attribute
-        self.waiting[self.tags] = (asyncio.get_running_loop().create_future(), bytearray(), data)
+        self.pending[self.last_tag] = (asyncio.get_running_loop().create_future(), bytearray(), data)
         self.send(
             Pdu(
                 Op.SCSI_COMMAND,
                 flags,
                 lun=pack_lun(lun),
-                tag=self.tags,
+                tag=self.last_tag,
                 data=along,
                 words=[read or len(data), 0, 0, *words],
             )
         )
-        return self.tags
+        return self.last_tag
 
     async def answer(self, tag: int) -> tuple[int, bytes, bytes]:
         """Status, data and sense of a command."""
-        async with asyncio.timeout(PATIENCE_S):
-            pdu = await self.waiting[tag][0]
-        return pdu.byte3, bytes(self.waiting[tag][1]), pdu.data[2:]
+        async with asyncio.timeout(ANSWER_TIMEOUT_S):
+            pdu = await self.pending[tag][0]
+        return pdu.byte3, bytes(self.pending[tag][1]), pdu.data[2:]
 
     async def read(self, block: int, length: int, lun: int = 0) -> tuple[int, bytes, bytes]:
         return await self.answer(self.command(cdb(0x28, block, length), read=length, lun=lun))
@@ -131,8 +131,8 @@
 
     def forget(self, tag: int) -> None:
         """Give up a command's data; a second answer to it would still be counted."""
-        future, _, _ = self.waiting[tag]
-        self.waiting[tag] = (future, bytearray(), b"")
+        future, _, _ = self.pending[tag]
+        self.pending[tag] = (future, bytearray(), b"")
 
     def close(self) -> None:
         if self.receiver is not None:
--- a/lemonridge/lab/load/iscsi.py
+++ b/lemonridge/lab/load/iscsi.py
@@ -15,7 +15,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Plan:
+class LoadPlan:
     """What is asked for: `rate` commands a second for `seconds`, of `size` bytes, `writes` of them writes."""
 
     port: int
@@ -33,7 +33,7 @@
     seed: int = 1
 
 
-async def run(plan: Plan, say: Callable[[str], None] = lambda text: None) -> Tally:
+async def run(plan: LoadPlan, progress: Callable[[str], None] = lambda text: None) -> Tally:
     """Send what is due, and wait for what is out; `say` gets a line a second."""
     loop, random, tally = asyncio.get_running_loop(), Random(plan.seed), Tally()
     link = DirectLink(plan.port)
@@ -54,7 +54,7 @@
             tally.lost += 1
             return
         if status == 0:
-            tally.took("write" if writes else "read", at, loop.time())
+            tally.record_served("write" if writes else "read", at, loop.time())
         elif status in (0x08, 0x28):
             tally.refused += 1
         else:
@@ -65,7 +65,7 @@
         place = random.randrange(max(1, plan.blocks - plan.size // 512))
         return one(clients[number % plan.sessions], due, writes, lun, place)
 
-    await open_loop(tally, plan.rate, plan.arrivals, plan.seconds, plan.outstanding, random, draw, say)
+    await open_loop(tally, plan.rate, plan.arrivals, plan.seconds, plan.outstanding, random, draw, progress)
     for client in clients:
         await client.close()
     return tally
--- a/lemonridge/lab/load/openloop.py
+++ b/lemonridge/lab/load/openloop.py
@@ -35,7 +35,7 @@
     def __post_init__(self) -> None:
         self.times = {kind: HdrHistogram(1, HIGHEST_US, DIGITS) for kind in self.kinds}
 
-    def took(self, kind: str, due: float, now: float) -> None:
+    def record_served(self, kind: str, due: float, now: float) -> None:
         """One served, due at `due` and answered at `now`, in seconds of the loop's clock."""
         self.served += 1
         self.times[kind].record_value(min(HIGHEST_US, max(1, int((now - due) * 1e6))))
@@ -58,7 +58,7 @@
     outstanding: int,
     random: Random,
     draw: Callable[[float, int], Coroutine[Any, Any, None]],
-    say: Callable[[str], None],
+    progress: Callable[[str], None],
 ) -> None:
     """Call `draw(due, number)` at each time that is due for `seconds`, and run what it gives unless
     `outstanding` are out, when it is counted as unsent; then wait for what is out. `say` gets a line a
@@ -82,7 +82,7 @@
         task.add_done_callback(out.discard)
         if loop.time() >= told:
             told += TICK_S
-            say(
+            progress(
                 f"at {loop.time() - began:.0f} s: due {tally.due} served {tally.served} "
                 f"refused {tally.refused} failed {tally.failed} out {len(out)}"
             )
--- a/lemonridge/lab/measure/fleet_cold.py
+++ b/lemonridge/lab/measure/fleet_cold.py
@@ -7,7 +7,7 @@
 import asyncio
 
 from lemonridge.lab.load.fleet import Clients, VolumeTraffic
-from lemonridge.lab.rig import Rig, Site, standing
+from lemonridge.lab.rig import FleetHarness, SiteSettings, running_fleet
 
 BROKERS = 5
 WARM_S = 6.0  # until the endpoint dies
@@ -26,9 +26,9 @@
         Units that were asked for and sent in the slow start, times that the endpoint was overloaded, and
         bytes a second between brokers for each.
     """
-    site = Site(ramp_s=RAMP_S, unit_ms=10.0)
+    site = SiteSettings(ramp_s=RAMP_S, unit_ms=10.0)
     seconds = WARM_S + DOWN_S + RAMP_S
-    async with standing(BROKERS, 2, seed, site, peers) as rig:
+    async with running_fleet(BROKERS, 2, seed, site, peers) as rig:
         clients = Clients([one.port for one in rig.brokers], seed, site.deadline_ms)
 
         def broker(t: float) -> int:
@@ -41,18 +41,18 @@
         await asyncio.gather(clients.run([traffic], seconds), _kill_endpoint(rig))
         await rig.stop()
         node = rig.nodes[0]
-        returned_at = rig.begun + WARM_S + DOWN_S
+        returned_at = rig.load_started_at + WARM_S + DOWN_S
         return {
             "asked": sum(one.units for one in clients.requests if one.due_at >= returned_at),
             "sent": node.slow_start_units,
-            "falls": node.falls,
-            "bytes_s": rig.network.bytes / BROKERS / seconds,
+            "falls": node.overloads,
+            "bytes_s": rig.network.sent_bytes / BROKERS / seconds,
         }
 
 
-async def _kill_endpoint(rig: Rig) -> None:
+async def _kill_endpoint(rig: FleetHarness) -> None:
     await asyncio.sleep(max(0.0, WARM_S - rig.now()))
-    await rig.death(rig.nodes[0], DOWN_S)
+    await rig.kill_node(rig.nodes[0], DOWN_S)
 
 
 def figures(seeds: tuple[int, ...] = (1, 2)) -> list[dict[str, object]]:
--- a/lemonridge/lab/measure/iscsi.py
+++ b/lemonridge/lab/measure/iscsi.py
@@ -15,13 +15,13 @@
 from random import Random
 
 from lemonridge.lab.conform.cases import STORE
-from lemonridge.lab.links.pdus import DirectLink, Link
+from lemonridge.lab.links.pdus import DirectLink, FaultyLink
 from lemonridge.lab.load.client import Client, CommandLostError
 from lemonridge.lab.load.initiator import cdb
-from lemonridge.lab.program import Program, running
+from lemonridge.lab.program import Program, running_program
 from lemonridge.lab.standins.etcd import Etcd
 from lemonridge.lab.standins.mover import Mover
-from lemonridge.lab.standins.node import BLOCK, ExtentNode
+from lemonridge.lab.standins.node import BLOCK_BYTES, ExtentNode
 from lemonridge.lab.ticks import Ticks
 
 BLOCKS = 4096
@@ -85,9 +85,9 @@
 
 
 async def _node() -> ExtentNode:
-    node = ExtentNode("n0", 0, Ticks(), Random(0), plain=True)
+    node = ExtentNode("n0", 0, Ticks(), Random(0), accepts_unversioned=True)
     await node.start()
-    Mover([node], Etcd(), "/", node.ticks, Random(0)).lay(0, 1, BLOCKS)
+    Mover([node], Etcd(), "/", node.ticks, Random(0)).create_lun(0, 1, BLOCKS)
     return node
 
 
@@ -110,7 +110,7 @@
     until = loop.time() + seconds
 
     async def lane(number: int) -> None:
-        blocks = setting.size // BLOCK
+        blocks = setting.size // BLOCK_BYTES
         place, writes = number * blocks % (BLOCKS - blocks + 1), bool(number % 2)
         while loop.time() < until:
             began = loop.time()
@@ -131,7 +131,7 @@
     node = await _node()
     text = CONFIG.format(store=STORE, port=node.port, front=front)
     try:
-        async with running(text, cwd=cwd) as held:
+        async with running_program(text, cwd=cwd) as held:
             yield held
     finally:
         node.kill()
@@ -194,8 +194,8 @@
 async def _recover(level: int, rounds: int) -> float:
     """From a cut connection to the first answer after it, in s: the median of some rounds."""
     async with standing("time2wait_s = 0") as (_, port):
-        link = Link(Random(level))
-        link.behind = port
+        link = FaultyLink(Random(level))
+        link.upstream_port = port
         await link.start()
         client = Client(
             link,
@@ -210,7 +210,7 @@
         took = []
         for _ in range(rounds):
             await client.run(cdb(0x28, 0, 4096), 0, b"", 4096)
-            link.cut_now()
+            link.cut_all()
             began = asyncio.get_running_loop().time()
             await _until_served(lambda: client.run(cdb(0x28, 0, 4096), 0, b"", 4096))
             took.append(asyncio.get_running_loop().time() - began)
--- a/lemonridge/lab/measure/nodes.py
+++ b/lemonridge/lab/measure/nodes.py
@@ -97,7 +97,7 @@
     nodes, discovery = await ManyNodes(count, WORK_MS, seed).start(), CountingDiscovery()
     await discovery.start()
     for number in range(count):
-        await discovery.set(nodes.row(number))
+        await discovery.set(nodes.discovery_entry(number))
     with TemporaryDirectory() as folder:
         config = Path(folder) / "config.json"
         config.write_text(
@@ -108,7 +108,7 @@
                     "discovery": f"127.0.0.1:{discovery.port}",
                     "seed": f"{seed:016x}",
                     "known": {},
-                    "settings": http.facts(count, 1500),
+                    "settings": http.settings_document(count, 1500),
                     "limits": {"sockets": 2048},
                 }
             )
@@ -116,7 +116,7 @@
         program = Program("serve", environment={"ROUTER_CONFIG": str(config)})
         port = await program.start()
         try:
-            await http.ready(port)
+            await http.wait_until_ready(port)
             return await _measure(program, port, nodes, discovery, seconds, seed)
         finally:
             await program.stop()
@@ -131,7 +131,7 @@
     table = tuple(
         (1.0, tuple(random.randrange(nodes.count) for _ in range(SHARDS_OF_A_VOLUME))) for _ in range(VOLUMES)
     )
-    plan = http.Plan(port, RATE, seconds, table=table, new_objects=True, seed=seed)
+    plan = http.LoadPlan(port, RATE, seconds, volume_table=table, new_objects=True, seed=seed)
     cpu_s, list_bytes, connections = program.cpu_s, discovery.bytes, nodes.connections
     most = [0]
     in_use = {shard for _, own in table for shard in own}
@@ -162,7 +162,7 @@
         number = random.choice(others)
         for health in ("draining", "up"):
             await asyncio.sleep(1.0 / (CHANGES_S * nodes.count))
-            await discovery.set(nodes.row(number, health))
+            await discovery.set(nodes.discovery_entry(number, health))
 
 
 async def _watch_descriptors(pid: int, most: list[int]) -> None:
--- a/lemonridge/lab/measure/rollout_live.py
+++ b/lemonridge/lab/measure/rollout_live.py
@@ -14,7 +14,7 @@
 from lemonridge.config.address import Address
 from lemonridge.lab.drills.policy import NODES, askers
 from lemonridge.lab.load.fleet import ClientRequest, Clients
-from lemonridge.lab.rig import Rig, Site, standing
+from lemonridge.lab.rig import FleetHarness, SiteSettings, running_fleet
 from lemonridge.net.admin_client import call
 from lemonridge.rollout.policy_document import Policy
 
@@ -29,21 +29,21 @@
     """The figures of one fleet: seconds from a proposal until all go by the new policy alone, and how many
     requests of steady volumes were served in the second from it, where the run's mean is 1.
     """
-    site = Site(lease_ms=LEASE_MS)
+    site = SiteSettings(lease_ms=LEASE_MS)
     seconds = FIRST_S + CHANGES * EVERY_S
-    async with standing(brokers, NODES, seed, site) as rig:
+    async with running_fleet(brokers, NODES, seed, site) as rig:
         clients = Clients([one.port for one in rig.brokers], seed, site.deadline_ms)
         took, at = [], []
 
         async def changes() -> None:
             loop = asyncio.get_running_loop()
             for number in range(CHANGES):
-                await asyncio.sleep(max(0.0, rig.begun + FIRST_S + number * EVERY_S - loop.time()))
+                await asyncio.sleep(max(0.0, rig.load_started_at + FIRST_S + number * EVERY_S - loop.time()))
                 at.append(loop.time())
                 took.append(await _change(rig, number % brokers, 48.0 if number % 2 == 0 else 24.0))
 
         await asyncio.gather(clients.run(askers(brokers, site), seconds), changes())
-        begun, epochs = rig.begun, [(await _seen(rig, n))["epoch"] for n in range(brokers)]
+        begun, epochs = rig.load_started_at, [(await _seen(rig, n))["epoch"] for n in range(brokers)]
         await rig.stop()
     steady = [one for one in clients.requests if one.volume >= 100]
     mean = _served(steady, begun + FIRST_S, begun + seconds) / (seconds - FIRST_S)
@@ -67,12 +67,14 @@
     return sum(one.end == "served" and low <= one.due_at < high for one in asked)
 
 
-async def _seen(rig: Rig, number: int) -> dict[str, Any]:
-    told: dict[str, Any] = orjson.loads(await call(Address("127.0.0.1", rig.brokers[number].admin), "policy"))
+async def _seen(rig: FleetHarness, number: int) -> dict[str, Any]:
+    told: dict[str, Any] = orjson.loads(
+        await call(Address("127.0.0.1", rig.brokers[number].admin_port), "policy")
+    )
     return told
 
 
-async def _change(rig: Rig, number: int, limit: float) -> float:
+async def _change(rig: FleetHarness, number: int, limit: float) -> float:
     """Propose at a broker; seconds until all of them go by it alone."""
     loop = asyncio.get_running_loop()
     seen = await _seen(rig, number)
@@ -82,7 +84,7 @@
     )
     told = {"policy": msgspec.to_builtins(msgspec.structs.replace(policy, plan=rows)), "note": "bench"}
     begun = loop.time()
-    address = Address("127.0.0.1", rig.brokers[number].admin)
+    address = Address("127.0.0.1", rig.brokers[number].admin_port)
     await call(address, "policy-propose " + orjson.dumps(told).decode())
     waiting = set(range(len(rig.brokers)))
     while waiting:
--- a/lemonridge/lab/measure/validate.py
+++ b/lemonridge/lab/measure/validate.py
@@ -14,7 +14,7 @@
 
 from lemonridge.lab.load import http as load_http
 from lemonridge.lab.model.spec import ClassSpec, NodeSpec, PlanSpec, Scenario
-from lemonridge.lab.model.world import UNITS_MEAN, UNITS_TOP, World
+from lemonridge.lab.model.world import LARGEST_REQUEST_UNITS, MEAN_REQUEST_UNITS, World
 
 CORES, QUEUE, DEADLINE_MS, VOLUMES = 2, 64, 1500, 16
 # Allowed differences: the real path adds its own time to every request, a few milliseconds on loopback.
@@ -77,7 +77,7 @@
     """The same figures of the real program before stand-ins of the same parameters."""
     nodes = chosen.nodes.count
     table = tuple((volume.weight, tuple(volume.shards)) for volume in World(chosen, seed).volumes)
-    async with load_http.standing(
+    async with load_http.running_broker(
         nodes,
         shards=nodes,
         deadline_ms=DEADLINE_MS,
@@ -85,16 +85,16 @@
         cores=CORES,
         queue=QUEUE,
         work_ms=chosen.classes[0].work_ms,
-        mean_request_units=UNITS_MEAN,
+        mean_request_units=MEAN_REQUEST_UNITS,
     ) as (_, port, _):
-        plan = load_http.Plan(
+        plan = load_http.LoadPlan(
             port,
             chosen.rate(),
             chosen.seconds,
             classes=(("read", False),),
             shards=nodes,
-            largest_request_units=UNITS_TOP,
-            table=table,
+            largest_request_units=LARGEST_REQUEST_UNITS,
+            volume_table=table,
             deadline_ms=DEADLINE_MS,
             seed=seed,
         )
--- a/lemonridge/lab/model/baselines.py
+++ b/lemonridge/lab/model/baselines.py
@@ -35,7 +35,7 @@
 )
 
 
-class Decides(Protocol):
+class DecisionMaker(Protocol):
     """What the model hosts."""
 
     def handle(self, now_us: int, events: Iterable[Event]) -> list[Action]: ...
@@ -123,6 +123,6 @@
         actions.append(Reject(event.request, 0, spent) if refusable else Fail(event.request, spent))
 
 
-def make(policy: str, settings: Settings, seed: int) -> Decides:
+def make_scheduler(policy: str, settings: Settings, seed: int) -> DecisionMaker:
     """The module, or a baseline by its name."""
     return Scheduler(settings, seed) if policy == "module" else Baseline(settings, seed, policy)
--- a/lemonridge/lab/model/node.py
+++ b/lemonridge/lab/model/node.py
@@ -17,8 +17,8 @@
     """One attempt at a node: its work in microseconds at speed 1, and whom it tells of its end."""
 
     cost_us: float
-    done: Callable[[], None]
-    life: int = 0
+    on_done: Callable[[], None]
+    incarnation: int = 0
 
 
 class Node:
@@ -35,9 +35,9 @@
     ) -> None:
         self.name, self.shard, self.hall, self.spec, self.speed = name, shard, hall, spec, speed
         self._after = after
-        self.up, self.life, self.started_us = True, 0, -1.0  # started long ago
-        self.slow = 1.0  # of a gray node: times the usual work
-        self.busy, self.fell = 0, False
+        self.up, self.incarnation, self.started_us = True, 0, -1.0  # started long ago
+        self.slowdown = 1.0  # of a gray node: times the usual work
+        self.busy, self.overloaded = 0, False
         self.queue: deque[Work] = deque()
         self.paused_until = 0.0
         self._recent: deque[tuple[float, float]] = deque()  # (when, work) within the time of a fall
@@ -45,7 +45,7 @@
         self.served_us = 0.0
 
     @property
-    def held(self) -> int:
+    def active(self) -> int:
         return self.busy + len(self.queue)
 
     def warmth(self, now_us: float) -> float:
@@ -59,13 +59,13 @@
 
     def offer(self, now_us: float, work: Work) -> bool:
         """Take an attempt; False turns it away unseen."""
-        if self.held >= self.spec.cores + self.spec.queue:
+        if self.active >= self.spec.cores + self.spec.queue:
             return False
         if self.warmth(now_us) < 1.0 and self._tips(now_us, work.cost_us):
-            self.fell = True
-            self.die()
+            self.overloaded = True
+            self.kill()
             return False
-        work.life = self.life
+        work.incarnation = self.incarnation
         self.queue.append(work)
         self._next(now_us)
         return True
@@ -86,15 +86,15 @@
         while self.queue and self.busy < self.spec.cores:
             work = self.queue.popleft()
             self.busy += 1
-            took = work.cost_us * self.slow / (self.speed * self.warmth(now_us))
+            took = work.cost_us * self.slowdown / (self.speed * self.warmth(now_us))
             self.served_us += took
             self._after(took, partial(self._end, work))
 
     def _end(self, work: Work) -> None:
-        if work.life != self.life:
+        if work.incarnation != self.incarnation:
             return  # it died meanwhile
         self.busy -= 1
-        work.done()
+        work.on_done()
         self._next(self._clock())
 
     def pause(self, now_us: float, length_us: float) -> None:
@@ -102,17 +102,17 @@
         self.paused_until = now_us + length_us
         self._after(length_us, lambda: self._next(self._clock()))
 
-    def bind(self, clock: Callable[[], float]) -> None:
+    def set_clock(self, clock: Callable[[], float]) -> None:
         self._clock = clock
 
-    def die(self) -> None:
+    def kill(self) -> None:
         """What it holds is lost."""
-        self.up, self.life, self.busy = False, self.life + 1, 0
+        self.up, self.incarnation, self.busy = False, self.incarnation + 1, 0
         self.queue.clear()
         self._recent.clear()
         self._recent_us = 0.0
 
     def start(self, now_us: float) -> None:
         """Come back cold."""
-        if not self.fell:
+        if not self.overloaded:
             self.up, self.started_us = True, now_us
--- a/lemonridge/lab/model/outcome.py
+++ b/lemonridge/lab/model/outcome.py
@@ -25,7 +25,7 @@
 
 
 @dataclass(slots=True)
-class Line:
+class ClassCounts:
     """One class's counts; times in milliseconds."""
 
     asked: int = 0
@@ -46,25 +46,25 @@
 
     def __init__(self, scenario: Scenario) -> None:
         self._scenario = scenario
-        self.lines = [Line() for _ in scenario.classes]
-        self.attempts = self.wasted = self.fallen = 0
+        self.class_counts = [ClassCounts() for _ in scenario.classes]
+        self.attempts = self.wasted = self.overloaded_nodes = 0
         self.message_bytes = 0
-        self.troubles: dict[str, int] = {}
+        self.faults: dict[str, int] = {}
         self.asked_units: dict[tuple[int, int], float] = {}  # (volume, second) -> units asked for
         self.served_units: dict[tuple[int, int], float] = {}
         self._buckets: dict[int, tuple[float, float]] = {}
         self.over_limit = 0
-        self.drawn: dict[tuple[int, int], float] = {}  # (volume with a limit, second) -> units sent
+        self.sent_units: dict[tuple[int, int], float] = {}  # (volume with a limit, second) -> units sent
         self.cold_us = self.cold_could_us = 0.0  # work sent to cold nodes, and what they could do meanwhile
         self.cpu_us = 0.0
         self.decided = 0
 
-    def asked(self, request: Request, now_us: float) -> None:
-        self.lines[request.cls].asked += 1
+    def record_arrival(self, request: Request, now_us: float) -> None:
+        self.class_counts[request.cls].asked += 1
         spot = (request.volume.number, int(now_us // 1_000_000))
         self.asked_units[spot] = self.asked_units.get(spot, 0.0) + request.units
 
-    def sent(self, request: Request, number: int, node: Node, now_us: float) -> None:
+    def record_attempt(self, request: Request, number: int, node: Node, now_us: float) -> None:
         self.attempts += 1
         if node.warmth(now_us) < 1.0:
             self.cold_us += request.cost_us
@@ -72,7 +72,7 @@
         if number or not plan.limit:
             return
         spot = (request.volume.number, int(now_us // 1_000_000))
-        self.drawn[spot] = self.drawn.get(spot, 0.0) + request.units
+        self.sent_units[spot] = self.sent_units.get(spot, 0.0) + request.units
         # The limit over all brokers: a store that fills at its rate, with the slack of a largest request.
         top = max(plan.limit, 12.0)
         level, at = self._buckets.get(request.volume.number, (top, now_us))
@@ -91,24 +91,24 @@
             lasts * 1e6 * spec.cores * node.speed * (spec.slow_start_initial_fraction + warmest) / 2
         )
 
-    def served(self, request: Request, now_us: float) -> None:
-        line, row = self.lines[request.cls], self._scenario.classes[request.cls]
-        took = (now_us - request.born_us) / 1000
+    def record_served(self, request: Request, now_us: float) -> None:
+        line, row = self.class_counts[request.cls], self._scenario.classes[request.cls]
+        took = (now_us - request.first_sent_us) / 1000
         line.took_ms.append(took)
         if took <= row.aim_ms:
             line.in_time += 1
-            spot = (request.volume.number, int(request.born_us // 1_000_000))
+            spot = (request.volume.number, int(request.first_sent_us // 1_000_000))
             self.served_units[spot] = self.served_units.get(spot, 0.0) + request.units
         else:
             line.late += 1
 
-    def turned(self, request: Request, end: str) -> None:
-        line = self.lines[request.cls]
+    def record_unserved(self, request: Request, end: str) -> None:
+        line = self.class_counts[request.cls]
         setattr(line, end, getattr(line, end) + 1)
 
     def close(self, nodes: Iterable[Node], brokers: Iterable[Decided]) -> None:
         brokers = list(brokers)
-        self.fallen = sum(node.fell for node in nodes)
+        self.overloaded_nodes = sum(node.overloaded for node in nodes)
         self.cpu_us = sum(broker.cpu_s for broker in brokers) * 1e6
         self.decided = sum(broker.decided for broker in brokers)
 
@@ -130,7 +130,7 @@
         for (volume, second), asked in self.asked_units.items():
             limit = self._scenario.plans[self._plan(volume)].limit
             if limit and second >= SETTLED_S:
-                sent = self.drawn.get((volume, second), 0.0)
+                sent = self.sent_units.get((volume, second), 0.0)
                 due, used = due + min(asked, limit), used + min(asked, limit, sent)
         return used / due if due else 1.0
 
@@ -144,18 +144,19 @@
 
     def figures(self) -> dict[str, float]:
         """Everything that depends on the scenario and the seed alone."""
-        asked = sum(line.asked for line in self.lines)
+        asked = sum(line.asked for line in self.class_counts)
         rows = [
-            (line, row.priority_weight) for line, row in zip(self.lines, self._scenario.classes, strict=True)
+            (line, row.priority_weight)
+            for line, row in zip(self.class_counts, self._scenario.classes, strict=True)
         ]
         priority_weight = sum(line.asked * weight for line, weight in rows)
         in_time = sum(line.in_time * weight for line, weight in rows)
-        took = sorted(value for line in self.lines for value in line.took_ms)
+        took = sorted(value for line in self.class_counts for value in line.took_ms)
         return {
             "asked": asked,
             "service": round(in_time / priority_weight, 6) if priority_weight else 0.0,
             **{
-                name: sum(getattr(line, name) for line in self.lines)
+                name: sum(getattr(line, name) for line in self.class_counts)
                 for name in ("in_time", "late", "refused", "failed", "lost")
             },
             "attempts": self.attempts,
@@ -163,7 +164,7 @@
             "p99_ms": _part(took, 0.99),
             "reserves": round(self.reservations(), 6),
             "over_limit": self.over_limit,
-            "fallen": self.fallen,
+            "fallen": self.overloaded_nodes,
             **({"message_bytes": self.message_bytes} if self._scenario.peers else {}),
             **(
                 {
--- a/lemonridge/lab/model/report.py
+++ b/lemonridge/lab/model/report.py
@@ -13,7 +13,7 @@
     return repr(sorted(result["levels"].items())), int(result["seed"])
 
 
-def paired(
+def paired_difference(
     before: list[dict[str, Any]], after: list[dict[str, Any]], figure: str, level: float = 0.95
 ) -> dict[str, float]:
     """The mean of after less before over runs of the same levels and seed, and its confidence interval by
--- a/lemonridge/lab/model/request.py
+++ b/lemonridge/lab/model/request.py
@@ -8,14 +8,14 @@
 from lemonridge.scheduling.events import Event
 
 
-class Taker(Protocol):
+class ReceivingBroker(Protocol):
     """The broker that a request came to."""
 
     number: int
     up: bool
     open: dict[str, Request]
 
-    def tell(self, event: Event) -> None: ...
+    def add_event(self, event: Event) -> None: ...
 
 
 @dataclass(slots=True, eq=False)
@@ -37,10 +37,10 @@
     shard: int
     units: float
     cost_us: float
-    born_us: float  # of its first try
+    first_sent_us: float  # of its first try
     deadline_us: float
-    broker: Taker
-    again: int = 0
+    broker: ReceivingBroker
+    retries: int = 0
     answered: bool = False
     attempts: dict[int, str] = field(default_factory=dict)  # under way: number -> node
-    made: int = 0
+    attempts_made: int = 0
--- a/lemonridge/lab/model/runs.py
+++ b/lemonridge/lab/model/runs.py
@@ -17,7 +17,7 @@
 
 import orjson
 
-from lemonridge.lab.model.spec import Experiment, combinations, load, read_scenario, vary
+from lemonridge.lab.model.spec import Experiment, combinations, load_experiment, read_scenario, vary
 
 
 @dataclass(frozen=True, slots=True)
@@ -33,7 +33,7 @@
         return " ".join([*(f"{key}={value}" for key, value in self.levels.items()), f"seed={self.seed}"])
 
 
-def listed(experiment: Experiment) -> list[Run]:
+def list_runs(experiment: Experiment) -> list[Run]:
     """Every run; the seeds of one combination are those of every other, for paired differences."""
     runs = [
         (levels, experiment.seed_base + number)
@@ -43,12 +43,12 @@
     return [Run(index, levels, seed) for index, (levels, seed) in enumerate(runs)]
 
 
-def one(path: str, index: int, seed_base: int | None) -> dict[str, Any]:
+def run_one(path: str, index: int, seed_base: int | None) -> dict[str, Any]:
     """Run one in this process."""
     from lemonridge.lab.model.world import World
 
-    experiment = _based(load(path), seed_base)
-    run = listed(experiment)[index]
+    experiment = _based(load_experiment(path), seed_base)
+    run = list_runs(experiment)[index]
     scenario = read_scenario(vary(experiment.scenario, run.levels), "scenario")
     began = time.perf_counter()
     out = World(scenario, run.seed).run()
@@ -59,7 +59,7 @@
         "figures": out.figures(),
         "digest": out.digest(),
         "took_s": round(time.perf_counter() - began, 3),
-        "cpu_us": round(out.cpu_us / max(1, sum(line.asked for line in out.lines)), 2),
+        "cpu_us": round(out.cpu_us / max(1, sum(line.asked for line in out.class_counts)), 2),
     }
 
 
@@ -77,8 +77,8 @@
     """The results in their order, and the names of runs that died. What is in `out` already is not run
     again.
     """
-    experiment = _based(load(path), seed_base)
-    runs = listed(experiment)
+    experiment = _based(load_experiment(path), seed_base)
+    runs = list_runs(experiment)
     mark = hashlib.sha256(Path(path).read_bytes() + repr(seed_base).encode()).hexdigest()[:12]
     out.mkdir(parents=True, exist_ok=True)
     gate, died, done = asyncio.Semaphore(jobs), list[str](), 0
@@ -116,7 +116,7 @@
     return hashlib.sha256("".join(result["digest"] for result in results).encode()).hexdigest()[:16]
 
 
-def broken(results: list[dict[str, Any]]) -> int:
+def count_violations(results: list[dict[str, Any]]) -> int:
     """Broken rules of the module's runs: sends past a limit, and cold nodes pushed over."""
     return sum(
         int(result["figures"]["over_limit"]) + int(result["figures"]["fallen"])
--- a/lemonridge/lab/model/spec.py
+++ b/lemonridge/lab/model/spec.py
@@ -82,7 +82,7 @@
     cached: Share = 0.0  # of requests that cost 60% less
 
 
-class Trouble(Struct, forbid_unknown_fields=True, frozen=True, kw_only=True):
+class Fault(Struct, forbid_unknown_fields=True, frozen=True, kw_only=True):
     """Something that goes wrong from `at_s` on, for `for_s`."""
 
     kind: Literal["deaths", "deploy", "surge", "hot", "gray", "blackout", "loss", "restart", "hall", "heavy"]
@@ -116,7 +116,7 @@
     register_ms: tuple[Figure, Figure] = (500, 2500)  # until a broker hears of a change
     retries: Annotated[int, Meta(ge=0, le=5)] = 1  # of a client
     retry_ms: Figure = 300
-    troubles: list[Trouble] = field(default_factory=list)
+    troubles: list[Fault] = field(default_factory=list)
 
     def __post_init__(self) -> None:
         if self.hosts > self.brokers:
@@ -159,7 +159,7 @@
         raise ConfigError(format_validation_error(str(error), path)) from None
 
 
-def load(path: str) -> Experiment:
+def load_experiment(path: str) -> Experiment:
     """Read an experiment's file; every combination of its factors is checked before any is run."""
     try:
         values = tomllib.loads(Path(path).read_text(encoding="utf-8"))
--- a/lemonridge/lab/model/world.py
+++ b/lemonridge/lab/model/world.py
@@ -19,11 +19,11 @@
 from lemonridge.fleet.actions import SendDatagram
 from lemonridge.fleet.member_list import MemberList
 from lemonridge.fleet.scheduler_bridge import SchedulerBridge, handle_batch
-from lemonridge.lab.model.baselines import make
+from lemonridge.lab.model.baselines import make_scheduler
 from lemonridge.lab.model.node import Node, Work
 from lemonridge.lab.model.outcome import Outcome
 from lemonridge.lab.model.request import Request, Volume
-from lemonridge.lab.model.spec import ClassSpec, Scenario, Trouble
+from lemonridge.lab.model.spec import ClassSpec, Fault, Scenario
 from lemonridge.lab.model.streams import Stream, Streams
 from lemonridge.scheduling.actions import Cancel, Fail, Reject, Send, SetTimer
 from lemonridge.scheduling.events import (
@@ -51,10 +51,10 @@
     "once": IdempotencyKind.NOT_IDEMPOTENT,
 }
 CONNECT_US = 250_000.0  # until a connect to a machine that is cut off is given up
-UNITS_TOP, UNITS_MEAN = 6, 3.5
+LARGEST_REQUEST_UNITS, MEAN_REQUEST_UNITS = 6, 3.5
 
 
-def work(row: ClassSpec, draw: Stream) -> float:
+def draw_relative_work(row: ClassSpec, draw: Stream) -> float:
     """A request's work in parts of its class's mean; every law draws the same numbers."""
     normal, exponential = draw.normal(), draw.exponential()
     if row.law == "exponential":
@@ -67,12 +67,14 @@
 
     def __init__(self, world: World, number: int) -> None:
         self.world, self.number, self.up = world, number, True
-        self.scheduler = make(world.scenario.policy, world.settings, world.seed * 1009 + number)
+        self.scheduler = make_scheduler(world.scenario.policy, world.settings, world.seed * 1009 + number)
         self.open: dict[str, Request] = {}
         self.events: list[Event] = []
-        self.cpu_s, self.decided, self.life = 0.0, 0, 0
+        self.cpu_s, self.decided, self.incarnation = 0.0, 0, 0
         self._due = False
-        self.heard: list[tuple[int, bytes]] = []  # datagrams of other brokers, until the next decision
+        self.received_datagrams: list[
+            tuple[int, bytes]
+        ] = []  # datagrams of other brokers, until the next decision
         self.bridge: SchedulerBridge | None = None
 
     def begin(self) -> None:
@@ -83,35 +85,40 @@
         member_list = MemberList(tuple(map(str, range(self.world.scenario.brokers))), self.number)
         seed = self.world.seed * 31 + self.number
         self.bridge = SchedulerBridge(
-            member_list, now_us // 1000 + self.life, seed, now_us, self.world.settings
+            member_list, now_us // 1000 + self.incarnation, seed, now_us, self.world.settings
         )
         self._later()
 
-    def hear(self, source: int, data: bytes) -> None:
+    def receive_datagram(self, source: int, data: bytes) -> None:
         """A datagram of another broker."""
         if self.up:
-            self.heard.append((source, data))
-            self.tell(TimerFired())
+            self.received_datagrams.append((source, data))
+            self.add_event(TimerFired())
 
     def _later(self) -> None:
         """Come again when the bridge asks for it to; what was asked for before costs a look."""
         assert self.bridge is not None
         wait = max(0.0, float(self.bridge.next_timer_us - self.world.clock_us()))
-        self.world.after(wait, partial(self._due_now, self.life, self.bridge.next_timer_us))
+        self.world.after(wait, partial(self._due_now, self.incarnation, self.bridge.next_timer_us))
 
     def _due_now(self, life: int, at_us: int) -> None:
-        if life == self.life and self.up and self.bridge is not None and self.bridge.next_timer_us == at_us:
-            self.tell(TimerFired())
-
-    def tell(self, event: Event) -> None:
+        if (
+            life == self.incarnation
+            and self.up
+            and self.bridge is not None
+            and self.bridge.next_timer_us == at_us
+        ):
+            self.add_event(TimerFired())
+
+    def add_event(self, event: Event) -> None:
         self.events.append(event)
         if not self._due:
             self._due = True
-            life = self.life
+            life = self.incarnation
             self.world.after(float(self.world.scenario.tick_us), lambda: self._decide(life))
 
     def _decide(self, life: int) -> None:
-        if life != self.life:
+        if life != self.incarnation:
             return
         self._due = False
         events, self.events = self.events, []
@@ -120,16 +127,16 @@
         if self.bridge is None:
             actions = self.scheduler.handle(now_us, events)
         else:
-            heard, self.heard = self.heard, []
+            heard, self.received_datagrams = self.received_datagrams, []
             actions, tells = handle_batch(self.scheduler.handle, self.bridge, now_us, events, heard)
             self._later()
         for one in tells:
-            self.world.pass_on(self, one.to, one.data)
+            self.world.forward_datagram(self, one.to, one.data)
         self.cpu_s += time.perf_counter() - began
         self.decided += len(events)
         for action in actions:
             if isinstance(action, Send):
-                self.world.send(self, self.open.get(action.request), action.endpoint_id)
+                self.world.send_attempt(self, self.open.get(action.request), action.endpoint_id)
             elif isinstance(action, Reject):
                 self.world.answer(self.open.get(action.request), "refused", action.backoff_us)
             elif isinstance(action, Fail):
@@ -137,30 +144,30 @@
             elif isinstance(action, Cancel):
                 request = self.open.get(action.request)
                 if request is not None:
-                    self.world.ended(request, action.attempt, AttemptResult.CANCELLED, 0.0)
+                    self.world.end_attempt(request, action.attempt, AttemptResult.CANCELLED, 0.0)
             elif isinstance(action, SetTimer):
                 wait = max(0.0, float(action.at_us - self.world.clock_us()))
                 self.world.after(wait, partial(self._woke, life))
 
     def _woke(self, life: int) -> None:
-        if life == self.life:
-            self.tell(TimerFired())
+        if life == self.incarnation:
+            self.add_event(TimerFired())
 
     def restart(self) -> None:
         """It knows nothing any more; what it held is lost to its clients until they ask again."""
-        self.life += 1
-        self.events, self._due, self.heard = [], False, []
+        self.incarnation += 1
+        self.events, self._due, self.received_datagrams = [], False, []
         for request in list(self.open.values()):
             self.world.answer(request, "lost", 0)
         self.open.clear()
-        self.scheduler = make(
+        self.scheduler = make_scheduler(
             self.world.scenario.policy,
             self.world.settings,
-            self.world.seed * 1009 + self.number + 7919 * self.life,
+            self.world.seed * 1009 + self.number + 7919 * self.incarnation,
         )
         self.up = True
         self.begin()
-        self.tell(EndpointsChanged(EndpointListUpdate.SNAPSHOT, self.world.entries()))
+        self.add_event(EndpointsChanged(EndpointListUpdate.SNAPSHOT, self.world.endpoint_entries()))
 
 
 class World:
@@ -169,7 +176,7 @@
     def __init__(self, scenario: Scenario, seed: int) -> None:
         self.scenario, self.seed, self.streams = scenario, seed, Streams(seed)
         self.env = simpy.Environment()
-        self.out = Outcome(scenario)
+        self.outcome = Outcome(scenario)
         self.settings = self._settings()
         self._names = 0
         spec, draw = scenario.nodes, self.streams["speeds"]
@@ -186,7 +193,7 @@
             for number in range(spec.count)
         }
         for node in self.nodes.values():
-            node.bind(self.now)
+            node.set_clock(self.now)
         self.brokers = [Broker(self, number) for number in range(scenario.brokers)]
         self.volumes = self._volumes()
         self._weights: list[float] = []
@@ -229,7 +236,9 @@
             for row in s.classes
         )
         plans = tuple(
-            VolumePlan(row.rate, row.reserve, row.weight, row.limit, max(row.limit, 2.0 * UNITS_TOP), 0.0)
+            VolumePlan(
+                row.rate, row.reserve, row.weight, row.limit, max(row.limit, 2.0 * LARGEST_REQUEST_UNITS), 0.0
+            )
             for row in s.plans
         )
         return Settings(
@@ -237,8 +246,8 @@
             classes=classes,
             plans=plans,
             polls_endpoint_list=False,
-            largest_request_units=float(UNITS_TOP),
-            mean_request_units=UNITS_MEAN,
+            largest_request_units=float(LARGEST_REQUEST_UNITS),
+            mean_request_units=MEAN_REQUEST_UNITS,
             slow_start_units=s.nodes.slow_start_units,
             overload_multiple=s.nodes.overload_multiple,
             reports_peer_usage=False,
@@ -282,28 +291,28 @@
             total += volume.weight
             self._weights.append(total)
 
-    def entries(self) -> tuple[Endpoint, ...]:
+    def endpoint_entries(self) -> tuple[Endpoint, ...]:
         return tuple(self._entry(node) for node in self.nodes.values() if node.up)
 
     def _entry(self, node: Node, condition: EndpointState = EndpointState.ACTIVE) -> Endpoint:
         started = int(node.started_us) + 1_000_000_000 if node.started_us >= 0 else 0
         return Endpoint(node.name, node.shard, node.hall, condition, started)
 
-    def register(self, node: Node, condition: EndpointState) -> None:
+    def announce_endpoint(self, node: Node, condition: EndpointState) -> None:
         """Every broker hears of a change, each in its own time; in a blackout none does."""
         if self.blackout:
             return
         entry, draw = self._entry(node, condition), self.streams["register"]
         for broker in self.brokers:
             wait = draw.between(*self.scenario.register_ms) * 1000
-            self.after(wait, partial(broker.tell, EndpointsChanged(EndpointListUpdate.DELTA, (entry,))))
+            self.after(wait, partial(broker.add_event, EndpointsChanged(EndpointListUpdate.DELTA, (entry,))))
 
     # A run
 
     def run(self) -> Outcome:
         for broker in self.brokers:
             broker.begin()
-            broker.tell(EndpointsChanged(EndpointListUpdate.CACHED, self.entries()))
+            broker.add_event(EndpointsChanged(EndpointListUpdate.CACHED, self.endpoint_entries()))
         for trouble in self.scenario.troubles:
             self.after(trouble.at_s * 1e6, partial(self._trouble, trouble))
         if self.scenario.nodes.pause_every_s:
@@ -312,8 +321,8 @@
         self.after(self._gap(), self._arrive)
         longest = max(row.deadline_ms for row in self.scenario.classes)
         self.env.run(until=self.scenario.seconds * 1e6 + longest * 2000 + 2e6)
-        self.out.close(self.nodes.values(), self.brokers)
-        return self.out
+        self.outcome.close(self.nodes.values(), self.brokers)
+        return self.outcome
 
     def _gap(self) -> float:
         return self.streams["arrivals"].exponential() * 1e6 / (self.scenario.rate() * self.surge)
@@ -341,8 +350,10 @@
             place, cls = place - row.share, cls + 1
         cls = min(cls, len(self.scenario.classes) - 1)
         row = self.scenario.classes[cls]
-        units = 1.0 + draw.below(UNITS_TOP)
-        cost = row.work_ms * 1000 * work(row, draw) * units / UNITS_MEAN  # units tell of the work
+        units = 1.0 + draw.below(LARGEST_REQUEST_UNITS)
+        cost = (
+            row.work_ms * 1000 * draw_relative_work(row, draw) * units / MEAN_REQUEST_UNITS
+        )  # units tell of the work
         cached, heavy = draw.uniform() < self.scenario.nodes.cached, draw.uniform() < self.heavy
         cost *= (0.4 if cached else 1.0) * (self.heavy_times if heavy else 1.0)
         shard = -1 if row.new else volume.shards[draw.below(len(volume.shards))]
@@ -351,7 +362,7 @@
             turn = int(self.now() / (self.scenario.lead_s * 1e6)) + volume.number
             host = volume.hosts[turn % len(volume.hosts)]
         request = Request("", volume, cls, shard, units, cost, self.now(), 0.0, self.brokers[host])
-        self.out.asked(request, self.now())
+        self.outcome.record_arrival(request, self.now())
         self._ask(request)
 
     def _choose(self, place: float) -> int:
@@ -367,7 +378,7 @@
             self.answer(request, "lost", 0)
             return
         request.broker.open[request.name] = request
-        request.broker.tell(
+        request.broker.add_event(
             RequestArrived(
                 request.name,
                 request.shard,
@@ -389,63 +400,64 @@
         if not request.attempts:
             request.broker.open.pop(request.name, None)
         if end == "served":
-            self.out.served(request, self.now())
+            self.outcome.record_served(request, self.now())
             return
-        self.out.turned(request, end)
-        if request.again >= self.scenario.retries or end == "failed":
+        self.outcome.record_unserved(request, end)
+        if request.retries >= self.scenario.retries or end == "failed":
             return
         wait = max(float(backoff_us), self.scenario.retry_ms * 1000 * (1 + self.streams["retries"].uniform()))
-        after = replace(request, again=request.again + 1, answered=False, attempts={}, made=0)
+        after = replace(request, retries=request.retries + 1, answered=False, attempts={}, attempts_made=0)
         self.after(wait, lambda: self._ask(after))
 
-    def pass_on(self, source: Broker, to: int, data: bytes) -> None:
+    def forward_datagram(self, source: Broker, to: int, data: bytes) -> None:
         """A datagram between brokers: late, or lost, or cut off in the other hall."""
-        self.out.message_bytes += len(data)
+        self.outcome.message_bytes += len(data)
         draw, other = self.streams["messages"], self.brokers[to]
         lost, wait_ms = draw.uniform() < self.scenario.message_loss, draw.between(*self.scenario.message_ms)
         if lost or (self.hall and source.number % 2 != to % 2):
             return
-        self.after(wait_ms * 1000, partial(other.hear, source.number, data))
+        self.after(wait_ms * 1000, partial(other.receive_datagram, source.number, data))
 
     # Attempts
 
-    def send(self, broker: Broker, request: Request | None, name: str) -> None:
+    def send_attempt(self, broker: Broker, request: Request | None, name: str) -> None:
         if request is None:
             return
-        number = request.made
-        request.made += 1
+        number = request.attempts_made
+        request.attempts_made += 1
         request.attempts[number] = name
         node = self.nodes[name]
-        self.out.sent(request, number, node, self.now())
+        self.outcome.record_attempt(request, number, node, self.now())
         wait = self.delay()
         cut = self.hall and node.hall != broker.number % 2
         if cut:
             self.after(
-                CONNECT_US, lambda: self.ended(request, number, AttemptResult.CONNECT_FAILED, CONNECT_US)
+                CONNECT_US,
+                lambda: self.end_attempt(request, number, AttemptResult.CONNECT_FAILED, CONNECT_US),
             )
             return
         if self.streams["loss"].uniform() >= self.loss:
             self.after(wait, lambda: self._reach(request, number, node, wait))
         left = max(0.0, request.deadline_us - self.now())
-        self.after(left, lambda: self.ended(request, number, AttemptResult.TIMEOUT, left))
+        self.after(left, lambda: self.end_attempt(request, number, AttemptResult.TIMEOUT, left))
 
     def _reach(self, request: Request, number: int, node: Node, wait: float) -> None:
         began = self.now() - wait
 
         def told(result: AttemptResult) -> None:
             back = self.delay()
-            self.after(back, lambda: self.ended(request, number, result, self.now() - began))
+            self.after(back, lambda: self.end_attempt(request, number, result, self.now() - began))
 
         if not node.up:
             told(AttemptResult.CONNECT_FAILED)
             return
-        life = node.life
+        life = node.incarnation
         if not node.offer(self.now(), Work(request.cost_us, lambda: told(AttemptResult.OK))):
             told(AttemptResult.QUEUE_FULL if node.up else AttemptResult.RESET)
             return
         request.attempts[number] = f"{node.name}/{life}"
 
-    def ended(self, request: Request, number: int, result: AttemptResult, lag_us: float) -> None:
+    def end_attempt(self, request: Request, number: int, result: AttemptResult, lag_us: float) -> None:
         """An attempt's end comes to its broker, once."""
         where = request.attempts.pop(number, None)
         if where is None:
@@ -454,7 +466,7 @@
         served = result is AttemptResult.OK and not request.answered
         if served:
             self.answer(request, "served", 0)
-        broker.tell(
+        broker.add_event(
             AttemptEnded(
                 request.name,
                 number,
@@ -476,14 +488,14 @@
             for request in list(broker.open.values()):
                 for number, where in list(request.attempts.items()):
                     if where.startswith(f"{node.name}/"):
-                        told = partial(self.ended, request, number, AttemptResult.RESET, 1000.0)
+                        told = partial(self.end_attempt, request, number, AttemptResult.RESET, 1000.0)
                         self.after(self.delay(), told)
 
     # Troubles
 
-    def _trouble(self, trouble: Trouble) -> None:
+    def _trouble(self, trouble: Fault) -> None:
         span, draw = trouble.for_s * 1e6, self.streams["troubles"]
-        self.out.troubles[trouble.kind] = self.out.troubles.get(trouble.kind, 0) + 1
+        self.outcome.faults[trouble.kind] = self.outcome.faults.get(trouble.kind, 0) + 1
         if trouble.kind == "surge":
             self.surge *= trouble.times
             self.after(span, lambda: self._set("surge", self.surge / trouble.times))
@@ -510,9 +522,9 @@
             for place, node in enumerate(order[:count]):
                 self._hit(trouble, node, place / count * span, span)
 
-    def _hit(self, trouble: Trouble, node: Node, turn: float, span: float) -> None:
+    def _hit(self, trouble: Fault, node: Node, turn: float, span: float) -> None:
         if trouble.kind == "gray":
-            node.slow = trouble.times
+            node.slowdown = trouble.times
             self.after(span, lambda: setattr(node, "slow", 1.0))
         elif trouble.kind == "deaths":
             self._kill(node)
@@ -520,7 +532,7 @@
         else:  # a rolling deploy: each drains for a second, is gone, and comes back cold
 
             def drain() -> None:
-                self.register(node, EndpointState.DRAINING)
+                self.announce_endpoint(node, EndpointState.DRAINING)
                 self.after(1e6, gone)
 
             def gone() -> None:
@@ -544,12 +556,12 @@
 
     def _kill(self, node: Node) -> None:
         if node.up:
-            node.die()
+            node.kill()
             self._lost(node)
-            self.register(node, EndpointState.REMOVED)
+            self.announce_endpoint(node, EndpointState.REMOVED)
 
     def _start(self, node: Node) -> None:
         node.start(self.now())
         if node.up:
-            self.out.slow_start_began(node, self.now())
-            self.register(node, EndpointState.ACTIVE)
+            self.outcome.slow_start_began(node, self.now())
+            self.announce_endpoint(node, EndpointState.ACTIVE)
--- a/lemonridge/lab/program.py
+++ b/lemonridge/lab/program.py
@@ -12,7 +12,7 @@
 from contextlib import asynccontextmanager
 from pathlib import Path
 
-START_S, END_S = 15.0, 15.0
+START_TIMEOUT_S, STOP_TIMEOUT_S = 15.0, 15.0
 PAIR = re.compile(r'(\S+?)=("(?:[^"\\]|\\.)*"|\S*)')  # of a log line; a value with spaces is quoted
 
 
@@ -35,9 +35,9 @@
         """
         self._module = module
         self._arguments, self._cwd, self._environment = arguments, cwd, environment or {}
-        self.heard: list[Callable[[float, dict[str, str]], None]] = []
-        self.counts: dict[str, int] = {}
-        self.last: list[str] = []
+        self.log_listeners: list[Callable[[float, dict[str, str]], None]] = []
+        self.counters: dict[str, int] = {}
+        self.last_log_lines: list[str] = []
         self._listening: asyncio.Future[int] = asyncio.get_running_loop().create_future()
 
     async def start(self) -> int:
@@ -52,22 +52,22 @@
             env={**os.environ, "PYTHONDONTWRITEBYTECODE": "1", **self._environment},
         )
         self._reader = asyncio.create_task(self._read())
-        async with asyncio.timeout_at(asyncio.get_running_loop().time() + START_S):
+        async with asyncio.timeout_at(asyncio.get_running_loop().time() + START_TIMEOUT_S):
             return await self._listening
 
     async def _read(self) -> None:
         assert self.process.stderr is not None
         while text := (await self.process.stderr.readline()).decode():
-            self.last = [*self.last[-30:], text]
+            self.last_log_lines = [*self.last_log_lines[-30:], text]
             pairs = {key: value.strip('"') for key, value in PAIR.findall(text)}
-            for hear in self.heard:
+            for hear in self.log_listeners:
                 hear(asyncio.get_running_loop().time(), pairs)
             if pairs.get("event") == "counters":
-                self.counts = {name: int(value) for name, value in pairs.items() if value.isdigit()}
+                self.counters = {name: int(value) for name, value in pairs.items() if value.isdigit()}
             if pairs.get("event") == "listening" and not self._listening.done():
                 self._listening.set_result(int(pairs["address"].rpartition(":")[2]))
         if not self._listening.done():
-            self._listening.set_exception(ProgramError("".join(self.last)))
+            self._listening.set_exception(ProgramError("".join(self.last_log_lines)))
 
     @property
     def cpu_s(self) -> float:
@@ -84,24 +84,24 @@
         if self.process.returncode is None:
             self.process.send_signal(signal.SIGTERM)
         try:
-            async with asyncio.timeout_at(asyncio.get_running_loop().time() + END_S):
+            async with asyncio.timeout_at(asyncio.get_running_loop().time() + STOP_TIMEOUT_S):
                 status = await self.process.wait()
                 await self._reader
         except TimeoutError:
             self.process.kill()
-            raise ProgramError(f"it did not end in {END_S:g} s") from None
+            raise ProgramError(f"it did not end in {STOP_TIMEOUT_S:g} s") from None
         if status:
-            raise ProgramError(f"it ended with {status}: {''.join(self.last)}")
+            raise ProgramError(f"it ended with {status}: {''.join(self.last_log_lines)}")
 
 
 @asynccontextmanager
-async def running(
-    text: str,
+async def running_program(
+    config_text: str,
     *,
     secrets: str = "",
     cwd: str | None = None,
     stop: bool = True,
-    heard: Callable[[float, dict[str, str]], None] | None = None,
+    on_log_line: Callable[[float, dict[str, str]], None] | None = None,
 ) -> AsyncGenerator[tuple[Program, int], None]:
     """The program on an operator's file that holds `text`, and its port, until the block ends; then it is
     stopped, or killed where `stop` is False or the block failed.
@@ -114,10 +114,10 @@
             file.write_text(secrets)
             file.chmod(0o600)
         path = Path(folder) / "operator.toml"
-        path.write_text(text.replace("{folder}", folder))
+        path.write_text(config_text.replace("{folder}", folder))
         program = Program("serve", "--config", str(path), cwd=cwd)
-        if heard is not None:
-            program.heard.append(heard)
+        if on_log_line is not None:
+            program.log_listeners.append(on_log_line)
         try:
             yield program, await program.start()
             if stop:
--- a/lemonridge/lab/standins/cold.py
+++ b/lemonridge/lab/standins/cold.py
@@ -22,14 +22,14 @@
 class ReceivedAttempt:
     """One attempt, as its last byte came; `at` is monotonic time."""
 
-    at: float
+    received_at: float
     node: str
     broker: int
-    ident: str
+    request_id: str
     volume: int
     units: float
     epoch: str = ""  # of the policy that it was sent by, where brokers say so
-    begun: float = 0.0  # when its head had come
+    head_received_at: float = 0.0  # when its head had come
 
 
 def _bound(port: int) -> socket.socket:
@@ -41,7 +41,7 @@
 
 
 @dataclass
-class ColdNode:
+class SlowStartNode:
     """One disk node before `brokers` brokers; a unit takes `unit_ms` of a core when warm."""
 
     name: str
@@ -53,30 +53,32 @@
     slow_start_initial_fraction: float = 0.2
     ramp_s: float = 6.0
     overload_multiple: float = 2.5
-    fall_s: float = 1.0
+    overload_window_s: float = 1.0
     ports: list[int] = field(default_factory=list)
     _kept: list[socket.socket] = field(default_factory=list)  # its addresses, while it is dead
-    came: list[ReceivedAttempt] = field(default_factory=list)
-    falls: int = 0
-    turned: int = 0
-    bad: float = 0.0  # this share of what it runs ends in 500
+    received: list[ReceivedAttempt] = field(default_factory=list)
+    overloads: int = 0
+    turned_away: int = 0
+    error_share: float = 0.0  # this share of what it runs ends in 500
     seed: int = 1
     alive: bool = False
-    held: int = 0
+    active: int = 0
     slow_start_units: float = 0.0  # sent while cold
     _recent: deque[tuple[float, float]] = field(default_factory=deque)
     _recent_units: float = 0.0
     _writers: set[asyncio.StreamWriter] = field(default_factory=set)
     _random: Random = field(default_factory=Random)
-    born: float | None = None
+    cold_started_at: float | None = None
     born_ms: int = 0
 
-    async def start(self, cold: bool = False) -> ColdNode:
+    async def start(self, cold: bool = False) -> SlowStartNode:
         """Listen, at the addresses of the last life if there was one."""
-        self._random.seed(f"{self.seed}/{self.name}/{self.falls}")
-        self.born, self.born_ms = (time.monotonic(), time.time_ns() // 1_000_000) if cold else (None, 0)
+        self._random.seed(f"{self.seed}/{self.name}/{self.overloads}")
+        self.cold_started_at, self.born_ms = (
+            (time.monotonic(), time.time_ns() // 1_000_000) if cold else (None, 0)
+        )
         self._recent.clear()
-        self._recent_units, self.held, self.alive = 0.0, 0, True
+        self._recent_units, self.active, self.alive = 0.0, 0, True
         self._cores = asyncio.Semaphore(self.cores)
         bound, self._kept = self._kept or [_bound(0) for _ in range(self.brokers)], []
         self._listeners = [
@@ -97,12 +99,12 @@
         for writer in list(self._writers):
             writer.transport.abort()
 
-    def release(self) -> None:
+    def release_ports(self) -> None:
         """Give up the addresses of a node that is dead for good."""
         for one in self._kept:
             one.close()
 
-    def row(self, broker: int, health: str = "up") -> dict[str, Any]:
+    def discovery_entry(self, broker: int, health: str = "up") -> dict[str, Any]:
         """Its entry in the list that this broker is told."""
         return {
             "host": self.name,
@@ -115,16 +117,23 @@
             "born_ms": self.born_ms,
         }
 
-    def warmth(self) -> float:
+    def warm_up_fraction(self) -> float:
         """Its part of its power."""
-        if self.born is None:
+        if self.cold_started_at is None:
             return 1.0
-        done = (time.monotonic() - self.born) / self.ramp_s
+        done = (time.monotonic() - self.cold_started_at) / self.ramp_s
         return min(1.0, self.slow_start_initial_fraction + (1 - self.slow_start_initial_fraction) * done)
 
-    def bears(self) -> float:
+    def overload_threshold_units(self) -> float:
         """Units that it bears within the time of a fall, as warm as it is now."""
-        return self.overload_multiple * self.warmth() * self.cores * self.fall_s * 1000 / self.unit_ms
+        return (
+            self.overload_multiple
+            * self.warm_up_fraction()
+            * self.cores
+            * self.overload_window_s
+            * 1000
+            / self.unit_ms
+        )
 
     async def _serve(self, broker: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self._writers.add(writer)
@@ -158,31 +167,31 @@
         query = parse_qs(parts.query)
         units, shard = float(query["units"][0]), int(query["shard"][0])
         now = time.monotonic()
-        self.came.append(
+        self.received.append(
             ReceivedAttempt(
                 now, self.name, broker, ident, int(parts.path.split("/")[2], 16), units, epoch, begun
             )
         )
-        if self.warmth() < 1.0:
+        if self.warm_up_fraction() < 1.0:
             self.slow_start_units += units
             self._recent.append((now, units))
             self._recent_units += units
-            while self._recent[0][0] < now - self.fall_s:
+            while self._recent[0][0] < now - self.overload_window_s:
                 self._recent_units -= self._recent.popleft()[1]
-            if self._recent_units > self.bears():
-                self.falls += 1
+            if self._recent_units > self.overload_threshold_units():
+                self.overloads += 1
                 self.kill()
                 raise ConnectionError
-        if shard not in (-1, self.shard) or self.held >= self.cores + self.queue:
-            self.turned += 1
+        if shard not in (-1, self.shard) or self.active >= self.cores + self.queue:
+            self.turned_away += 1
             return _answer(503, b"", "X-Not-Run: 1\r\n")
-        self.held += 1
+        self.active += 1
         try:
             async with self._cores:
-                await asyncio.sleep(units * self.unit_ms / 1000 / self.warmth())
+                await asyncio.sleep(units * self.unit_ms / 1000 / self.warm_up_fraction())
         finally:
-            self.held -= 1
-        if self._random.random() < self.bad:
+            self.active -= 1
+        if self._random.random() < self.error_share:
             return _answer(500)
         return _answer(200, ident.encode())
 
--- a/lemonridge/lab/standins/etcd.py
+++ b/lemonridge/lab/standins/etcd.py
@@ -22,7 +22,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Seen:
+class ReceivedCall:
     """One call."""
 
     path: str
@@ -30,17 +30,17 @@
 
 
 Events = list[dict[str, Any]]
-Mangle = Callable[[int, Events], list[tuple[float, Events]]]  # revision, events -> (delay in s, events)
+DeliveryPlan = Callable[[int, Events], list[tuple[float, Events]]]  # revision, events -> (delay in s, events)
 
 
-class Stream:
+class WatchStream:
     """A watch: what it was created for, and what it is still to be told, in order."""
 
     def __init__(self, request: web.BaseRequest, first: bytes, end: bytes) -> None:
         self.request, self.first, self.end = request, first, end
         self.queue: asyncio.Queue[dict[str, Any] | None] = asyncio.Queue()
 
-    def tell(self, events: Events) -> None:
+    def enqueue(self, events: Events) -> None:
         if part := [event for event in events if self.first <= _key(event["kv"]["key"]) < self.end]:
             self.queue.put_nowait({"events": part})
 
@@ -57,15 +57,15 @@
     """One member, which always agrees with itself."""
 
     def __init__(self) -> None:
-        self.revision, self.compacted, self.chunk, self.port = 1, 0, CHUNK, 0
+        self.revision, self.compacted, self.chunk_bytes, self.port = 1, 0, CHUNK, 0
         self.history: dict[bytes, list[tuple[int, bytes | None]]] = {}
         self.log: list[tuple[int, Events]] = []
-        self.seen: list[Seen] = []
-        self.streams: set[Stream] = set()
-        self.held = ""  # ranges of keys that begin so wait until it is empty
-        self.mangle: Mangle = lambda revision, events: [(0.0, events)]
+        self.received_calls: list[ReceivedCall] = []
+        self.streams: set[WatchStream] = set()
+        self.blocked_prefix = ""  # ranges of keys that begin so wait until it is empty
+        self.plan_delivery: DeliveryPlan = lambda revision, events: [(0.0, events)]
         self.silent = False  # takes calls and answers none
-        self.txns = 0
+        self.transactions = 0
         self._news = asyncio.Condition()
 
     async def start(self) -> Etcd:
@@ -73,12 +73,12 @@
         return self
 
     async def stop(self) -> None:
-        self.cut()
+        self.break_watches()
         await self._runner.cleanup()
 
     # What an operator, or a mover, does
 
-    def txn(self, puts: Mapping[str, Any], deletes: Iterable[str] = ()) -> int:
+    def transact(self, puts: Mapping[str, Any], deletes: Iterable[str] = ()) -> int:
         """Set and delete keys at one revision, which is returned."""
         self.revision += 1
         events: Events = []
@@ -90,20 +90,20 @@
             self.history[key.encode()].append((self.revision, None))
             events.append({"type": "DELETE", "kv": {"key": b64(key), "mod_revision": str(self.revision)}})
         self.log.append((self.revision, events))
-        for delay, part in self.mangle(self.revision, events):
+        for delay, part in self.plan_delivery(self.revision, events):
             asyncio.get_running_loop().call_later(delay, self._tell, part)
         return self.revision
 
     def put(self, key: str, value: Any) -> None:
-        self.txn({key: value})
+        self.transact({key: value})
 
     def delete(self, key: str) -> None:
-        self.txn({}, [key])
+        self.transact({}, [key])
 
     def compact(self) -> None:
         self.compacted, self.log = self.revision, []
 
-    def cut(self) -> None:
+    def break_watches(self) -> None:
         """Break every watch."""
         for stream in self.streams:
             stream.queue.put_nowait(None)
@@ -111,7 +111,7 @@
                 stream.request.transport.abort()
         self.streams.clear()
 
-    async def until(self, test: Callable[[], bool]) -> None:
+    async def wait_until(self, test: Callable[[], bool]) -> None:
         async with self._news:
             await self._news.wait_for(test)
 
@@ -119,20 +119,22 @@
 
     def _tell(self, events: Events) -> None:
         for stream in list(self.streams):
-            stream.tell(events)
+            stream.enqueue(events)
 
     async def _serve(self, request: web.BaseRequest) -> web.StreamResponse:
         body = orjson.loads(await request.read())
-        self.seen.append(Seen(request.path, body))
+        self.received_calls.append(ReceivedCall(request.path, body))
         async with self._news:
             self._news.notify_all()
-        while self.silent or self.held and self.held.encode() in _key(body.get("key", "")):
+        while (
+            self.silent or self.blocked_prefix and self.blocked_prefix.encode() in _key(body.get("key", ""))
+        ):
             await asyncio.sleep(0.02)
         if request.path == "/v3/kv/range":
             told = self._range(body)
             return _json(told, 400 if "code" in told else 200)
         if request.path == "/v3/kv/txn":
-            self.txns += 1
+            self.transactions += 1
             answers = [{"response_range": self._range(one["request_range"])} for one in body["success"]]
             return _json(
                 {"header": {"revision": str(self.revision)}, "succeeded": True, "responses": answers}
@@ -162,7 +164,7 @@
         response = web.StreamResponse()
         response.enable_chunked_encoding()
         await response.prepare(request)
-        stream = Stream(request, _key(asked["key"]), _key(asked["range_end"]))
+        stream = WatchStream(request, _key(asked["key"]), _key(asked["range_end"]))
         start = int(asked["start_revision"])
         stream.queue.put_nowait({"created": True})
         if start <= self.compacted:
@@ -171,7 +173,7 @@
         else:
             for revision, events in self.log:
                 if revision >= start:
-                    stream.tell(events)
+                    stream.enqueue(events)
             self.streams.add(stream)
         async with self._news:
             self._news.notify_all()
@@ -181,8 +183,8 @@
                     await asyncio.sleep(0.02)
                 header = {"header": {"revision": str(self.revision)}}
                 text = orjson.dumps({"result": {**header, **result}}) + b"\n"
-                for at in range(0, len(text), self.chunk):
-                    await response.write(text[at : at + self.chunk])
+                for at in range(0, len(text), self.chunk_bytes):
+                    await response.write(text[at : at + self.chunk_bytes])
         except (ConnectionError, RuntimeError):
             pass  # the watcher has gone
         finally:
--- a/lemonridge/lab/standins/many_nodes.py
+++ b/lemonridge/lab/standins/many_nodes.py
@@ -62,7 +62,7 @@
         """How long the next request takes."""
         return self._random.expovariate(1000 / self._work_ms)
 
-    def row(self, number: int, health: str = "up") -> dict[str, Any]:
+    def discovery_entry(self, number: int, health: str = "up") -> dict[str, Any]:
         """A node's entry in discovery's list."""
         network, host = divmod(number, NODE_OF_NETWORK)
         return {
--- a/lemonridge/lab/standins/node.py
+++ b/lemonridge/lab/standins/node.py
@@ -20,31 +20,31 @@
 from lemonridge.iscsi.pdu import FINAL, NONE, Op, Pdu, pack_text, read_pdu, unpack_lun, unpack_text
 from lemonridge.lab.ticks import Ticks
 
-BLOCK = 512
+BLOCK_BYTES = 512
 SEGMENT, BURST = 32768, 65536
-Key = tuple[int, int]  # LUN, first block of an extent
+ExtentKey = tuple[int, int]  # LUN, first block of an extent
 
 
 @dataclass(slots=True)
-class Hold:
+class HeldExtent:
     """An extent that this node holds. `running` counts commands between their last check and their end."""
 
     length: int
     version: int
     fenced: bool = False
-    running: int = 0
+    running_commands: int = 0
 
 
 @dataclass(frozen=True, slots=True)
-class Ran:
+class ExecutedCommand:
     """A line of the node's own log: a command that it ran, and when its effect took place."""
 
     tick: int
     at_s: float
     node: str
-    extent: Key
+    extent: ExtentKey
     version: int
-    first: int
+    first_block: int
     data: tuple[bytes, ...]  # what was written, block by block; empty for a read
     blocks: int
 
@@ -66,24 +66,38 @@
     """One node; `checked` False switches its version checks off, which no drill may pass."""
 
     def __init__(
-        self, name: str, shard: int, ticks: Ticks, random: Random, checked: bool = True, plain: bool = False
+        self,
+        name: str,
+        shard: int,
+        ticks: Ticks,
+        random: Random,
+        checks_versions: bool = True,
+        accepts_unversioned: bool = False,
     ) -> None:
-        self.name, self.shard, self.ticks, self.random, self.checked = name, shard, ticks, random, checked
-        self.plain = plain  # takes attempts that name no version, for LUNs that never move
+        self.name, self.shard, self.ticks, self.random, self.checks_versions = (
+            name,
+            shard,
+            ticks,
+            random,
+            checks_versions,
+        )
+        self.accepts_unversioned = (
+            accepts_unversioned  # takes attempts that name no version, for LUNs that never move
+        )
         self.iqn = f"iqn.2026-12.org.lemonridge:{name}"
         self.port = 0
         self.alive = self.silent = False
         self.blocks: dict[tuple[int, int], bytes] = {}
-        self.holds: dict[Key, Hold] = {}
-        self.gave: dict[Key, Redirect] = {}
-        self.log: list[Ran] = []
-        self.begun: list[float] = []  # when each command began that was new to this node
+        self.extents: dict[ExtentKey, HeldExtent] = {}
+        self.redirects: dict[ExtentKey, Redirect] = {}
+        self.log: list[ExecutedCommand] = []
+        self.command_start_times: list[float] = []  # when each command began that was new to this node
         self.refused = 0
         self.delay_s: Callable[[], float] = lambda: 0.0
         self._connections: set[_Connection] = set()
         self._idle = asyncio.Condition()
         self._tasks: set[asyncio.Task[None]] = set()
-        self.life = 0  # rises with each kill
+        self.incarnation = 0  # rises with each kill
 
     # Its life
 
@@ -94,14 +108,14 @@
 
     def kill(self) -> None:
         """As SIGKILL does it: connections are reset, and what was in work has no further effect."""
-        self.alive, self.life = False, self.life + 1
+        self.alive, self.incarnation = False, self.incarnation + 1
         self._listener.close()
         for connection in list(self._connections):
             connection.abort()
-        for hold in self.holds.values():
-            hold.running = 0
+        for hold in self.extents.values():
+            hold.running_commands = 0
 
-    def row(self, health: str = "up") -> dict[str, Any]:
+    def etcd_entry(self, health: str = "up") -> dict[str, Any]:
         """Its key in etcd."""
         return {
             "address": f"127.0.0.1:{self.port}",
@@ -123,24 +137,24 @@
 
     # What a mover does
 
-    async def fence(self, key: Key) -> bool:
+    async def fence(self, key: ExtentKey) -> bool:
         """Run nothing new on an extent, and wait for what runs; False if the node dies meanwhile."""
-        self.holds[key].fenced = True
+        self.extents[key].fenced = True
         async with self._idle:
-            await self._idle.wait_for(lambda: not self.alive or not self.holds[key].running)
+            await self._idle.wait_for(lambda: not self.alive or not self.extents[key].running_commands)
         return self.alive
 
-    def take(self, key: Key, hold: Hold, blocks: dict[int, bytes]) -> None:
-        self.holds[key] = hold
-        self.gave.pop(key, None)
+    def add_extent(self, key: ExtentKey, hold: HeldExtent, blocks: dict[int, bytes]) -> None:
+        self.extents[key] = hold
+        self.redirects.pop(key, None)
         self.blocks.update({(key[0], block): data for block, data in blocks.items()})
 
-    def release(self, key: Key, told: Redirect) -> None:
-        del self.holds[key]
-        self.gave[key] = told
+    def remove_extent(self, key: ExtentKey, told: Redirect) -> None:
+        del self.extents[key]
+        self.redirects[key] = told
 
-    def content(self, key: Key) -> dict[int, bytes]:
-        first, hold = key[1], self.holds[key]
+    def read_extent(self, key: ExtentKey) -> dict[int, bytes]:
+        first, hold = key[1], self.extents[key]
         span = range(first, first + hold.length)
         return {block: self.blocks[key[0], block] for block in span if (key[0], block) in self.blocks}
 
@@ -149,7 +163,7 @@
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    async def settled(self) -> None:
+    async def notify_fences(self) -> None:
         """Something has ended, or the node has: fences look again."""
         async with self._idle:
             self._idle.notify_all()
@@ -159,11 +173,11 @@
     def refusal(self, work: _Work) -> Redirect | None:
         """What is told to an attempt that must not run here; None if it may."""
         key = (work.lun, work.named[0])
-        hold = self.holds.get(key)
-        if not self.checked:
+        hold = self.extents.get(key)
+        if not self.checks_versions:
             return None
         if hold is None:
-            return self.gave.get(key, Redirect())
+            return self.redirects.get(key, Redirect())
         inside = key[1] <= work.first and work.first + work.blocks <= key[1] + hold.length
         if hold.fenced or hold.version != work.named[1] or not inside:
             return Redirect(hold.version, self.shard)
@@ -224,11 +238,11 @@
     def _command(self, pdu: Pdu) -> None:
         lun, opcode = unpack_lun(pdu.lun), pdu.cdb[0]
         if lun is None or opcode not in scsi.BLOCKS:  # TEST UNIT READY and the like: no effect
-            if lun is None or not self.node.plain or not self._other(pdu, lun):
+            if lun is None or not self.node.accepts_unversioned or not self._other(pdu, lun):
                 self._status(pdu)
             return
         named = versions.unpack_ahs(pdu.ahs)
-        if named is None and self.node.plain:
+        if named is None and self.node.accepts_unversioned:
             named = (0, 1)
         if named is None:  # an attempt that names no version runs nowhere
             self._status(pdu, scsi.check(0x05, 0x24))
@@ -238,8 +252,8 @@
         if told is not None:
             self._refuse(pdu, told)
             return
-        self.node.begun.append(asyncio.get_running_loop().time())
-        if opcode in scsi.WRITES and len(work.data) < work.blocks * BLOCK:
+        self.node.command_start_times.append(asyncio.get_running_loop().time())
+        if opcode in scsi.WRITES and len(work.data) < work.blocks * BLOCK_BYTES:
             self.works[pdu.tag] = work
             self._ask(work)
         else:
@@ -250,21 +264,23 @@
         whole with the command, as the broker's sessions carry them.
         """
         opcode, cdb, blocks = pdu.cdb[0], pdu.cdb, self.node.blocks
-        top = sum(hold.length for key, hold in self.node.holds.items() if key[0] == lun)
+        top = sum(hold.length for key, hold in self.node.extents.items() if key[0] == lun)
         if opcode in (scsi.CAPACITY_10, scsi.SERVICE_IN):
-            self._data(pdu, scsi.capacity(cdb, top, BLOCK))
+            self._data(pdu, scsi.capacity(cdb, top, BLOCK_BYTES))
             return True
         first, count = int.from_bytes(cdb[2:10], "big"), int.from_bytes(cdb[10:14], "big")
         reply = scsi.Reply(scsi.Status.GOOD)
         if opcode == 0x93:
-            blocks.update(dict.fromkeys(((lun, first + place) for place in range(count)), pdu.data[:BLOCK]))
+            blocks.update(
+                dict.fromkeys(((lun, first + place) for place in range(count)), pdu.data[:BLOCK_BYTES])
+            )
         elif opcode == 0x42:
             first, count = struct.unpack(">QI", pdu.data[8:20])
             for place in range(count):
                 blocks.pop((lun, first + place), None)
         elif opcode == 0x89:
-            if blocks.get((lun, first), bytes(BLOCK)) == pdu.data[:BLOCK]:
-                blocks[lun, first] = pdu.data[BLOCK:]
+            if blocks.get((lun, first), bytes(BLOCK_BYTES)) == pdu.data[:BLOCK_BYTES]:
+                blocks[lun, first] = pdu.data[BLOCK_BYTES:]
             else:
                 reply = scsi.check(0x0E, 0x1D)  # MISCOMPARE
         else:
@@ -292,7 +308,7 @@
 
     def _ask(self, work: _Work) -> None:
         self.transfers += 1
-        length = min(BURST, work.blocks * BLOCK - len(work.data))
+        length = min(BURST, work.blocks * BLOCK_BYTES - len(work.data))
         work.asked = len(work.data) + length
         self.send(
             Pdu(
@@ -309,7 +325,7 @@
         if work is None:
             return
         work.data += pdu.data
-        if len(work.data) == work.blocks * BLOCK:
+        if len(work.data) == work.blocks * BLOCK_BYTES:
             del self.works[pdu.tag]
             self._begin(work)
         elif len(work.data) == work.asked:
@@ -321,21 +337,21 @@
         if told is not None:
             self._refuse(work.pdu, told)
             return
-        hold = self.node.holds.get((work.lun, work.named[0]))
+        hold = self.node.extents.get((work.lun, work.named[0]))
         if hold is not None:
-            hold.running += 1
-        task = asyncio.create_task(self._work(work, hold, self.node.life))
+            hold.running_commands += 1
+        task = asyncio.create_task(self._work(work, hold, self.node.incarnation))
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
-    async def _work(self, work: _Work, hold: Hold | None, life: int) -> None:
+    async def _work(self, work: _Work, hold: HeldExtent | None, life: int) -> None:
         """Run it and answer; a fence no longer waits for it, whether it ran or the session ended before."""
         try:
             found = await self._effect(work)
         finally:
-            if hold is not None and life == self.node.life:
-                hold.running -= 1
-                self.node.spawn(self.node.settled())
+            if hold is not None and life == self.node.incarnation:
+                hold.running_commands -= 1
+                self.node.spawn(self.node.notify_fences())
         await self._answer(work, found)
 
     async def _effect(self, work: _Work) -> bytes:
@@ -345,13 +361,16 @@
         await asyncio.sleep(node.delay_s())
         data: tuple[bytes, ...] = ()
         if writes:
-            data = tuple(bytes(work.data[at : at + BLOCK]) for at in range(0, work.blocks * BLOCK, BLOCK))
+            data = tuple(
+                bytes(work.data[at : at + BLOCK_BYTES])
+                for at in range(0, work.blocks * BLOCK_BYTES, BLOCK_BYTES)
+            )
             for block, part in zip(span, data, strict=True):
                 node.blocks[work.lun, block] = part
-        held = [] if writes else [node.blocks.get((work.lun, block), bytes(BLOCK)) for block in span]
+        held = [] if writes else [node.blocks.get((work.lun, block), bytes(BLOCK_BYTES)) for block in span]
         found = b"".join(held)
         node.log.append(
-            Ran(
+            ExecutedCommand(
                 node.ticks(),
                 asyncio.get_running_loop().time(),
                 node.name,
--- a/lemonridge/lab/standins/platform.py
+++ b/lemonridge/lab/standins/platform.py
@@ -54,7 +54,7 @@
     born_ms: int = 0
     port: int = 0
     served: int = 0
-    turned: int = 0
+    turned_away: int = 0
     running: int = 0
     _random: Random = field(init=False)
     _cores: asyncio.Semaphore = field(init=False)
@@ -67,7 +67,7 @@
     async def stop(self) -> None:
         await self._runner.cleanup()
 
-    def row(self, health: str = "up") -> dict[str, Any]:
+    def discovery_entry(self, health: str = "up") -> dict[str, Any]:
         """Its entry in discovery's list."""
         return {
             "host": self.name,
@@ -92,7 +92,7 @@
         units = request.query.get("units") or placement.get("units") or "1"  # a broker passes the query on
         scale = float(units) / self.mean_request_units if self.mean_request_units else 1.0
         if (shard not in (-1, self.shard)) or self.running >= self.cores + self.queue:
-            self.turned += 1
+            self.turned_away += 1
             return web.Response(status=503, headers={"X-Not-Run": "1"})
         self.running += 1
         try:
@@ -111,7 +111,7 @@
 
     def __init__(self) -> None:
         self.seq, self.port = 1, 0
-        self.rows: dict[str, dict[str, Any]] = {}
+        self.entries: dict[str, dict[str, Any]] = {}
         self._changed: deque[tuple[int, dict[str, Any]]] = deque(maxlen=256)  # older watchers: the whole list
         self._news = asyncio.Condition()
         self._closing = False
@@ -131,9 +131,9 @@
         """Add or change an entry; `health` "removed" takes it off the whole list."""
         self.seq += 1
         if row["health"] == "removed":
-            self.rows.pop(row["host"], None)
+            self.entries.pop(row["host"], None)
         else:
-            self.rows[row["host"]] = row
+            self.entries[row["host"]] = row
         self._changed.append((self.seq, row))
         async with self._news:
             self._news.notify_all()
@@ -158,9 +158,9 @@
             hosts = [row for seq, row in self._changed if seq > after]
             told = {"seq": self.seq, "whole": False, "hosts": hosts}
         else:
-            told = {"seq": self.seq, "whole": True, "hosts": list(self.rows.values())}
-        self.note(told["hosts"])
+            told = {"seq": self.seq, "whole": True, "hosts": list(self.entries.values())}
+        self.on_entries_written(told["hosts"])
         return web.Response(body=orjson.dumps(told), content_type="application/json")
 
-    def note(self, rows: list[dict[str, Any]]) -> None:
+    def on_entries_written(self, entries: list[dict[str, Any]]) -> None:
         """These rows are about to be written to a broker."""
--- a/lemonridge/lab/standins/soak.py
+++ b/lemonridge/lab/standins/soak.py
@@ -11,7 +11,7 @@
 
 import orjson
 
-from lemonridge.lab.standins.soak_record import TOLD_S, SoakAttempt, SoakRecord
+from lemonridge.lab.standins.soak_record import ANNOUNCE_LIMIT_S, SoakAttempt, SoakRecord
 
 HEADERS = re.compile(rb"^([A-Za-z-]+): *(.*?) *\r$", re.M)
 Serve = Callable[[asyncio.StreamReader, asyncio.StreamWriter], Awaitable[None]]
@@ -65,7 +65,7 @@
 
     def __init__(self, name: str, shard: int, zone: str, record: SoakRecord, random: Random) -> None:
         super().__init__()
-        self.name, self.shard, self.zone, self.way = name, shard, zone, "serve"
+        self.name, self.shard, self.zone, self.behaviour = name, shard, zone, "serve"
         self._record, self._random = record, random
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -83,15 +83,15 @@
             self._record.attempts.append(attempt)
             try:
                 await reader.readexactly(int(headers.get("content-length", "0")))
-                attempt.whole_at = loop.time()
+                attempt.received_at = loop.time()
                 await self._answer(attempt, reader, writer)
             finally:
-                attempt.over_at = loop.time()
+                attempt.ended_at = loop.time()
 
     async def _answer(
         self, attempt: SoakAttempt, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
-        way = self.way if self._random.random() < 0.7 else "serve"
+        way = self.behaviour if self._random.random() < 0.7 else "serve"
         if way in ("busy", "late"):
             attempt.never_ran = True
             if way == "late":  # a further attempt would begin long after a client has left
@@ -125,7 +125,7 @@
 
     def __init__(self, record: SoakRecord) -> None:
         super().__init__()
-        self.rows: dict[str, dict[str, Any]] = {}
+        self.entries: dict[str, dict[str, Any]] = {}
         self.silent = self.slow = False
         self._record, self._seq = record, 1
         self._versions: dict[str, int] = {}
@@ -139,10 +139,10 @@
         if drains and drains[-1][1] == float("inf"):
             drains[-1] = (drains[-1][0], now)
         if health != "up":
-            drains.append((now + TOLD_S, float("inf")))
+            drains.append((now + ANNOUNCE_LIMIT_S, float("inf")))
         self._seq += 1
         self._versions[node.name] = self._seq
-        self.rows[node.name] = {
+        self.entries[node.name] = {
             "host": node.name,
             "dial": f"127.0.0.1:{node.port}",
             "site": node.zone,
@@ -179,7 +179,7 @@
             if self.silent:
                 await reader.read(1)  # nothing more comes here, whatever is asked
                 return
-            hosts = [row for name, row in self.rows.items() if self._versions[name] > after]
+            hosts = [row for name, row in self.entries.items() if self._versions[name] > after]
             body = orjson.dumps({"seq": self._seq, "whole": watch is None, "hosts": hosts})
             writer.write(b"HTTP/1.1 200 X\r\nContent-Length: %d\r\n\r\n" % len(body))
             pieces = 8 if self.slow and hosts else 1
--- a/lemonridge/lab/standins/soak_record.py
+++ b/lemonridge/lab/standins/soak_record.py
@@ -5,8 +5,8 @@
 from collections import defaultdict
 from dataclasses import dataclass, field
 
-TOLD_S = 6.0  # whatever discovery has to tell counts as told then at the latest
-READ_AGAIN_S = 0.01  # what came while the judge was held up has been read by then
+ANNOUNCE_LIMIT_S = 6.0  # whatever discovery has to tell counts as told then at the latest
+STALL_MARGIN_S = 0.01  # what came while the judge was held up has been read by then
 
 
 @dataclass(frozen=True, slots=True)
@@ -25,18 +25,18 @@
 class SoakRequest:
     """One request as its client saw it."""
 
-    ident: str
+    request_id: str
     cls: SoakClass
     volume: int
     limited: bool
     units: int
     deadline_s: float
     sent_at: float = 0.0  # its last byte was written
-    left_at: float | None = None  # the client closed
+    disconnected_at: float | None = None  # the client closed
     ended_at: float | None = None  # its answer's last byte, or the end of its connection
     status: int = 0  # 0: no answer
-    behind: bool = False  # another request of its connection was open before it
-    turn_at: float = 0.0  # then: when that one was answered, as answers come in turn
+    is_pipelined: bool = False  # another request of its connection was open before it
+    previous_answered_at: float = 0.0  # then: when that one was answered, as answers come in turn
     killed: bool = False  # SIGKILL found it
     late_at_kill: bool = False  # and it had come more than 0.7 s after SIGTERM
 
@@ -45,14 +45,14 @@
 class SoakAttempt:
     """One attempt as its node saw it."""
 
-    ident: str
+    request_id: str
     node: str
     shard: int
     zone: str
-    begun_at: float  # its first byte
-    told_ms: int
-    whole_at: float | None = None  # its last byte
-    over_at: float | None = None  # answered, or its connection ended
+    started_at: float  # its first byte
+    deadline_ms: int
+    received_at: float | None = None  # its last byte
+    ended_at: float | None = None  # answered, or its connection ended
     never_ran: bool = False  # turned away
     served: bool = False
 
@@ -67,11 +67,11 @@
     drains: dict[str, list[tuple[float, float]]] = field(default_factory=lambda: defaultdict(list))
     starts: dict[str, list[tuple[float, float]]] = field(default_factory=lambda: defaultdict(list))
     crashes: int = 0
-    held_up: list[tuple[float, float]] = field(default_factory=list)  # from when until when the judge was
+    stalls: list[tuple[float, float]] = field(default_factory=list)  # from when until when the judge was
 
-    def earliest(self, seen_at: float) -> float:
+    def earliest_time(self, seen_at: float) -> float:
         """When what was seen then may have happened: a judge that was held up sees it late."""
-        for began_at, ended_at in self.held_up:
-            if began_at <= seen_at <= ended_at + READ_AGAIN_S:
+        for began_at, ended_at in self.stalls:
+            if began_at <= seen_at <= ended_at + STALL_MARGIN_S:
                 return began_at
         return seen_at
--- a/tests/coordination/test_vote_store.py
+++ b/tests/coordination/test_vote_store.py
@@ -12,10 +12,10 @@
 from lemonridge.config.errors import ConfigError
 from lemonridge.coordination.errors import VoteStoreError
 from lemonridge.coordination.vote_store import VoteStore, open_vote_store
-from lemonridge.lab.rig import Rig, Site
+from lemonridge.lab.rig import FleetHarness, SiteSettings
 
-SITE = Site(lease_ms=1000.0, short=2)
-Scene = Callable[[Rig], Awaitable[None]]
+SITE = SiteSettings(lease_ms=1000.0, short_deadline_broker=2)
+Scene = Callable[[FleetHarness], Awaitable[None]]
 
 
 class DamagedStores(unittest.TestCase):
--- a/tests/harness.py
+++ b/tests/harness.py
@@ -581,7 +581,7 @@
         self.program = await Program().start("serve", "--config", self.config)
         self.addAsyncCleanup(self.program.end, signal.SIGKILL)
         self.port = int((await self.program.line("event=listening")).rsplit(":", 1)[1])
-        await self.etcd.until(lambda: len(self.etcd.streams) == 2)  # nodes and plans
+        await self.etcd.wait_until(lambda: len(self.etcd.streams) == 2)  # nodes and plans
 
     async def session(self) -> Initiator:
         made = await Initiator(self.port).start()
--- a/tests/integration/test_clients_that_leave.py
+++ b/tests/integration/test_clients_that_leave.py
@@ -61,7 +61,7 @@
     async def test_nothing_begins_for_one_that_has_gone(self) -> None:
         peer = await self.peer()
         await peer.good(READ, read=4096)
-        before = len(self.node.begun)
+        before = len(self.node.command_start_times)
         self.program.process.send_signal(signal.SIGSTOP)
         peer.command(READ, read=4096)
         await peer.writer.drain()
@@ -69,4 +69,4 @@
         await pause(asyncio.get_running_loop().time() + HELD_S)
         self.program.process.send_signal(signal.SIGCONT)
         await pause(asyncio.get_running_loop().time() + 0.3)
-        self.assertEqual(len(self.node.begun), before)
+        self.assertEqual(len(self.node.command_start_times), before)
--- a/tests/integration/test_etcd_source.py
+++ b/tests/integration/test_etcd_source.py
@@ -7,13 +7,13 @@
 
 from harness import IscsiCase, Program, Target
 
-from lemonridge.lab.standins.etcd import Seen
+from lemonridge.lab.standins.etcd import ReceivedCall
 
 
 class FollowingEtcd(IscsiCase):
-    def calls(self) -> list[Seen]:
+    def calls(self) -> list[ReceivedCall]:
         """What was asked of the nodes."""
-        told = ((call, call.body.get("create_request", call.body)) for call in self.etcd.seen)
+        told = ((call, call.body.get("create_request", call.body)) for call in self.etcd.received_calls)
         return [call for call, body in told if base64.b64decode(body["key"]) == b"/lr/nodes/"]
 
     async def served_by(self, target: Target) -> None:
@@ -37,7 +37,7 @@
         self.assertEqual((await (await self.session()).read(1, 512))[0], 0x08)
 
     async def test_a_broken_watch_goes_on_where_it_was(self) -> None:
-        self.etcd.cut()
+        self.etcd.break_watches()
         other = await Target().start()
         self.etcd.put("/lr/nodes/n1", other.row(0))
         await self.program.line(f":{other.port}/")
@@ -45,14 +45,14 @@
         self.assertEqual([call.path for call in self.calls()][1:], ["/v3/watch", "/v3/watch"])
 
     async def test_after_a_compaction_the_range_is_read_again(self) -> None:
-        self.etcd.cut()
+        self.etcd.break_watches()
         other = await Target().start()
         self.etcd.put("/lr/nodes/n1", other.row(0))
         self.etcd.compact()
         await self.program.line("compacted")
         await self.program.line(f":{other.port}/")
         await self.served_by(other)
-        await self.etcd.until(lambda: "watch" in self.calls()[-1].path)
+        await self.etcd.wait_until(lambda: "watch" in self.calls()[-1].path)
         self.assertIn("range", self.calls()[-2].path)
 
     async def test_a_malformed_value_changes_nothing(self) -> None:
