--- a/tests/integration/test_extents_live.py
+++ b/tests/integration/test_extents_live.py
@@ -20,7 +20,7 @@
 from lemonridge.lab.load.initiator import Initiator, cdb
 from lemonridge.lab.standins.etcd import Etcd
 from lemonridge.lab.standins.mover import Mover
-from lemonridge.lab.standins.node import BLOCK, ExtentNode, Hold
+from lemonridge.lab.standins.node import BLOCK_BYTES, ExtentNode, HeldExtent
 from lemonridge.lab.ticks import Ticks
 
 TEXT = """
@@ -66,8 +66,8 @@
             self.addCleanup(node.kill)
         self.mover = Mover(self.nodes, self.etcd, "/t/", ticks, Random(1))
         self.mover.random = Scripted([self.nodes[n] for n in (0, 1, 2, 0)])  # type: ignore[assignment]
-        nodes = {f"/t/nodes/{one.name}": one.row() for one in self.nodes}
-        self.etcd.txn({**self.mover.lay(0, 4, 16), **nodes})
+        nodes = {f"/t/nodes/{one.name}": one.etcd_entry() for one in self.nodes}
+        self.etcd.transact({**self.mover.create_lun(0, 4, 16), **nodes})
         self.folder = tempfile.TemporaryDirectory()
         self.addCleanup(self.folder.cleanup)
         self.path = Path(self.folder.name) / "t.toml"
@@ -96,7 +96,7 @@
         return (await self.session.write(first, data))[0]
 
     async def read(self, first: int, blocks: int) -> tuple[int, bytes]:
-        return (await self.session.read(first, blocks * BLOCK))[:2]
+        return (await self.session.read(first, blocks * BLOCK_BYTES))[:2]
 
     def ran(self) -> list[tuple[str, int]]:
         """Which node ran how many blocks, in order."""
@@ -121,7 +121,7 @@
         self.assertEqual(self.ran(), [("n0", 6), ("n1", 16), ("n2", 16), ("n0", 12)])
         want = b"".join(stamp(7, block) for block in range(10, 60))
         self.assertEqual(await self.read(10, 50), (GOOD, want))
-        self.assertEqual(await self.read(0, 1), (GOOD, bytes(BLOCK)))
+        self.assertEqual(await self.read(0, 1), (GOOD, bytes(BLOCK_BYTES)))
 
     async def test_what_the_map_answers_itself(self) -> None:
         _, data, _ = await self.session.answer(self.session.command(b"\x25" + bytes(9), read=8))
@@ -129,10 +129,10 @@
         command = b"\x9e\x10" + bytes(8) + (32).to_bytes(4, "big")
         _, data, _ = await self.session.answer(self.session.command(command, read=32))
         self.assertEqual(data[:12], (63).to_bytes(8, "big") + (512).to_bytes(4, "big"))
-        status, _, sense = await self.session.read(60, 5 * BLOCK)
+        status, _, sense = await self.session.read(60, 5 * BLOCK_BYTES)
         self.assertEqual((status, sense[2:3] + sense[12:13]), (CHECK, b"\x05\x21"))
         self.assertEqual((await self.session.answer(self.session.command(cdb(0x28, 3, 0))))[0], GOOD)
-        short = self.session.command(cdb(0x2A, 0, 4 * BLOCK), data=bytes(BLOCK))
+        short = self.session.command(cdb(0x2A, 0, 4 * BLOCK_BYTES), data=bytes(BLOCK_BYTES))
         self.assertEqual((await self.session.answer(short))[0], CHECK)
         self.assertEqual((await self.session.answer(self.session.command(b"\x35" + bytes(9))))[0], GOOD)
         self.assertEqual(self.ran(), [])
@@ -153,21 +153,21 @@
 
     async def test_a_lost_refresh_is_asked_for_again_and_the_write_is_not_lost(self) -> None:
         """The node knows nothing of where the extent went, and the watch has lost the change."""
-        self.etcd.mangle = lambda revision, events: []
+        self.etcd.plan_delivery = lambda revision, events: []
         await self.move(1, 0)
-        del self.nodes[1].gave[0, 16]
+        del self.nodes[1].redirects[0, 16]
         self.assertEqual(await self.write(1, 16, 4), GOOD)
         self.assertEqual(self.ran(), [("n0", 4)])
         self.assertEqual((await self.program.counters())["refreshes.news"], 1)
 
     async def test_a_change_that_was_lost_shows_at_the_next_one(self) -> None:
-        self.etcd.mangle = lambda revision, events: []
+        self.etcd.plan_delivery = lambda revision, events: []
         await self.move(1, 0)
-        self.etcd.mangle = lambda revision, events: [(0.0, events), (0.0, events)]
+        self.etcd.plan_delivery = lambda revision, events: [(0.0, events), (0.0, events)]
         await self.move(2, 1)
         await self.program.line("etcd watch out of step")
         await self.program.line("map replaced")
-        self.assertEqual(await self.read(16, 32), (GOOD, bytes(32 * BLOCK)))
+        self.assertEqual(await self.read(16, 32), (GOOD, bytes(32 * BLOCK_BYTES)))
         self.assertEqual(sum(node.refused for node in self.nodes), 0)
 
     async def test_refused_and_failed_pieces_are_told_apart(self) -> None:
@@ -177,9 +177,9 @@
         self.assertEqual([one for one in self.ran() if one[0] == "n2"], [])  # the later piece was not begun
 
     async def test_a_fence_that_nobody_lifts_is_refused_and_never_ran(self) -> None:
-        self.nodes[1].holds[0, 16].fenced = True
+        self.nodes[1].extents[0, 16].fenced = True
         self.assertEqual(await self.write(1, 16, 4), BUSY)
-        self.assertEqual((self.ran(), await self.read(0, 4)), ([], (GOOD, bytes(4 * BLOCK))))
+        self.assertEqual((self.ran(), await self.read(0, 4)), ([], (GOOD, bytes(4 * BLOCK_BYTES))))
         self.assertIn("routes.unconfirmed=1", " ".join(await self.lines()))
 
     async def lines(self) -> list[str]:
@@ -189,7 +189,7 @@
     async def test_what_waits_for_a_dead_shard_goes_on_when_its_extent_moves(self) -> None:
         self.etcd.delete("/t/nodes/n1")
         await self.program.line("state=removed")
-        tag = self.session.command(cdb(0x28, 16, BLOCK), read=BLOCK)
+        tag = self.session.command(cdb(0x28, 16, BLOCK_BYTES), read=BLOCK_BYTES)
         while (await self.program.counters()).get("requests.taken", 0) < 1:
             await asyncio.sleep(0)
         await self.move(1, 2)
@@ -206,14 +206,14 @@
 
     async def test_a_volume_that_grows_is_told_to_its_initiators(self) -> None:
         key, node = (0, 64), self.nodes[2]
-        node.take(key, Hold(16, 1), {})
-        self.mover.owner[key] = node
+        node.add_extent(key, HeldExtent(16, 1), {})
+        self.mover.owners[key] = node
         self.mover.publish([key])
         async with asyncio.timeout(10):
-            while (told := await self.session.read(0, BLOCK))[0] == GOOD:
+            while (told := await self.session.read(0, BLOCK_BYTES))[0] == GOOD:
                 await asyncio.sleep(0.005)
         self.assertEqual((told[0], told[2][2], told[2][12:14]), (CHECK, 0x06, b"\x2a\x09"))
-        self.assertEqual(await self.read(60, 10), (GOOD, bytes(10 * BLOCK)))
+        self.assertEqual(await self.read(60, 10), (GOOD, bytes(10 * BLOCK_BYTES)))
 
     async def test_a_node_that_checks_no_versions_gets_nothing(self) -> None:
         other = self.nodes[1]
@@ -221,10 +221,10 @@
         key, versions.KEY = versions.KEY, "X-org.lemonridge.Other"  # of the stand-in's side only
         self.addCleanup(setattr, versions, "KEY", key)
         await other.start()
-        self.etcd.put("/t/nodes/n1", other.row())
+        self.etcd.put("/t/nodes/n1", other.etcd_entry())
         await self.program.line(f":{other.port}/")
         self.assertEqual(await self.write(1, 16, 4), BUSY)
-        self.assertEqual(other.begun, [])
+        self.assertEqual(other.command_start_times, [])
 
 
 class Burst(ExtentCase):
@@ -232,15 +232,15 @@
 
     async def test_a_thousand_stale_requests_cause_a_handful_of_refreshes(self) -> None:
         """Nobody tells where the extent went until the source does."""
-        self.etcd.mangle = lambda revision, events: []
+        self.etcd.plan_delivery = lambda revision, events: []
         await self.move(1, 0)
-        del self.nodes[1].gave[0, 16]
-        tags = [self.session.command(cdb(0x28, 16, BLOCK), read=BLOCK) for _ in range(1000)]
+        del self.nodes[1].redirects[0, 16]
+        tags = [self.session.command(cdb(0x28, 16, BLOCK_BYTES), read=BLOCK_BYTES) for _ in range(1000)]
         ends = [(await self.session.answer(tag))[0] for tag in tags]
         counts = await self.program.counters()
         self.assertEqual(set(ends), {GOOD})
         self.assertLessEqual(counts["refreshes"], 3, counts)
-        self.assertEqual(set(self.session.answers.values()), {1})
+        self.assertEqual(set(self.session.answer_counts.values()), {1})
 
 
 class Aging(ExtentCase):
@@ -270,7 +270,7 @@
         """Start anew while the source tells nodes and plans, and hangs with the map."""
         self.session.close()
         self.assertEqual(await self.program.end(), 0)
-        self.etcd.held = "/t/map/"
+        self.etcd.blocked_prefix = "/t/map/"
         await self.launch()
 
     async def test_a_kept_map_serves_reads_and_no_writes_until_the_source_has_spoken(self) -> None:
@@ -281,7 +281,7 @@
         await self.again()
         self.assertEqual((await self.read(0, 64))[0], GOOD)
         self.assertEqual((self.nodes[1].refused - refused, await self.write(2, 0, 4)), (0, BUSY))
-        self.etcd.held = ""
+        self.etcd.blocked_prefix = ""
         async with asyncio.timeout(10):
             while await self.write(2, 0, 4) != GOOD:
                 await asyncio.sleep(0.01)
@@ -333,8 +333,8 @@
 
     def put(self, version: int) -> None:
         rows = [
-            (0, key[1], node.holds[key].length, node.shard, node.holds[key].version)
-            for key, node in self.mover.owner.items()
+            (0, key[1], node.extents[key].length, node.shard, node.extents[key].version)
+            for key, node in self.mover.owners.items()
         ]
         made = Path(self.folder.name, "map.new")
         made.write_bytes(msgspec.json.encode({"version": version, "extents": rows}))
--- a/tests/integration/test_fleet_live.py
+++ b/tests/integration/test_fleet_live.py
@@ -16,10 +16,10 @@
 from lemonridge.lab.links.schedule import Fault, Schedule
 from lemonridge.lab.load.fleet import Clients, VolumeTraffic
 from lemonridge.lab.measure import fleet_cold
-from lemonridge.lab.rig import Rig, Site, standing
+from lemonridge.lab.rig import FleetHarness, SiteSettings, running_fleet
 from lemonridge.net.admin_client import fetch_fleet_views
 
-SITE = Site()
+SITE = SiteSettings()
 SHARDS = (0, 1)
 FULL = SITE.limit / 1.5  # requests a second that fill a limit
 
@@ -35,25 +35,25 @@
     brokers: int = 3,
     module: Callable[[int], tuple[str, ...]] = lambda n: ("lemonridge",),
     peers: bool = True,
-    beside: Callable[[Rig], Awaitable[None]] | None = None,
-) -> tuple[Rig, Findings]:
+    beside: Callable[[FleetHarness], Awaitable[None]] | None = None,
+) -> tuple[FleetHarness, Findings]:
     plan = Schedule(brokers=brokers, nodes=len(SHARDS), seconds=seconds, calm_s=seconds, fault=faults)
-    async with standing(brokers, len(SHARDS), 1, SITE, peers, module) as rig:
+    async with running_fleet(brokers, len(SHARDS), 1, SITE, peers, module) as rig:
         clients = Clients([one.port for one in rig.brokers], 1, SITE.deadline_ms)
-        tasks = [clients.run(traffic, seconds), rig.play(plan)]
+        tasks = [clients.run(traffic, seconds), rig.run_schedule(plan)]
         if beside is not None:
             tasks.append(beside(rig))  # type: ignore[arg-type]
         await asyncio.gather(*tasks)
         await rig.stop()
-    limit = Limit(SITE.limit, SITE.burst, SITE.slack)
+    limit = Limit(SITE.limit, SITE.burst, SITE.limit_slack)
     found = check(
-        [one for node in rig.nodes for one in node.came],
+        [one for node in rig.nodes for one in node.received],
         clients.requests,
         {1: limit, 2: limit},
         None,
-        {one.number: one.discovery.told for one in rig.brokers},
-        {one.number: one.down for one in rig.brokers},
-        sum(n.falls for n in rig.nodes),
+        {one.number: one.discovery.written_entries for one in rig.brokers},
+        {one.number: one.outages for one in rig.brokers},
+        sum(n.overloads for n in rig.nodes),
         clients.surplus,
     )
     return rig, found
@@ -64,9 +64,9 @@
     return await asyncio.gather(*runs)
 
 
-def share(rig: Rig, begin: float, end: float, volume: int = 1) -> float:
-    came = [one for node in rig.nodes for one in node.came]
-    return used_rate(came, volume, rig.begun + begin, rig.begun + end) / SITE.limit
+def share(rig: FleetHarness, begin: float, end: float, volume: int = 1) -> float:
+    came = [one for node in rig.nodes for one in node.received]
+    return used_rate(came, volume, rig.load_started_at + begin, rig.load_started_at + end) / SITE.limit
 
 
 class HardCases(unittest.TestCase):
@@ -98,7 +98,7 @@
         self.assertTrue(found.passed, found.notes)
         self.assertGreater(share(rig, 4.0, 7.5, 2), 0.6)
         faults = [
-            sum(one.counts[-1].get(f"fleet.not_taken.{name}", 0) for one in rig.brokers)
+            sum(one.counters[-1].get(f"fleet.not_taken.{name}", 0) for one in rig.brokers)
             for name in ("replayed", "checksum")
         ]
         self.assertTrue(all(faults), faults)
@@ -115,7 +115,7 @@
         )
         self.assertTrue(found.passed, found.notes)
         self.assertGreater(share(rig, 5.0, 8.0), 0.6)  # 1 and 2 use theirs while it is stopped
-        self.assertEqual(rig.brokers[0].counts[-1].get("loop.stopped"), 1)
+        self.assertEqual(rig.brokers[0].counters[-1].get("loop.stopped"), 1)
 
     def test_clocks_that_are_off_by_the_stated_error_and_by_ten_times_that_pass_no_limit(self) -> None:
         rig, found = asyncio.run(
@@ -129,12 +129,14 @@
         self.assertGreater(share(rig, 2.8, 4.0), 0.8)
 
     def test_a_tier_of_twelve_that_starts_at_once_spends_little_and_suspects_no_one(self) -> None:
-        async def look(rig: Rig) -> None:
+        async def look(rig: FleetHarness) -> None:
             await asyncio.sleep(1.0)
-            bytes_s = rig.network.bytes / 12 / max(1.0, rig.now())
+            bytes_s = rig.network.sent_bytes / 12 / max(1.0, rig.now())
             self.assertLess(bytes_s, 600)
             await asyncio.sleep(6.0)
-            told, silent = await fetch_fleet_views(Address("127.0.0.1", one.admin) for one in rig.brokers)
+            told, silent = await fetch_fleet_views(
+                Address("127.0.0.1", one.admin_port) for one in rig.brokers
+            )
             self.assertEqual((len(told), silent), (12, []))
             states = [m["state"] for view in told for m in view["members"]]  # type: ignore[attr-defined]
             self.assertFalse({"suspect", "dead"} & set(states), states)
@@ -143,7 +145,7 @@
         asyncio.run(play(8.0, [], brokers=12, beside=look))
 
     def test_a_rogue_sender_changes_nothing_and_is_counted(self) -> None:
-        async def attack(rig: Rig) -> None:
+        async def attack(rig: FleetHarness) -> None:
             await asyncio.sleep(2.0)
             fingerprint = MemberList(("0", "1", "2"), 0).fingerprint
             import time
@@ -162,7 +164,7 @@
                 rig.network._pass_on(1, 0, cut)  # from where a member is
             rig.network._pass_on(2, 0, told)  # one member in the name of another
             await asyncio.sleep(0.5)
-            view = (await fetch_fleet_views([Address("127.0.0.1", rig.brokers[0].admin)]))[0][0]
+            view = (await fetch_fleet_views([Address("127.0.0.1", rig.brokers[0].admin_port)]))[0][0]
             member = view["members"][0]  # type: ignore[index]
             self.assertLess(member["life"], now)
             counts = view["counters"]
@@ -200,12 +202,12 @@
         )
         for rig, found in runs:
             self.assertEqual((found.unanswered, found.late_sends), (0, 0), found.notes)
-            taken = [one.counts[-1].get("requests.taken", 0) for one in rig.brokers[2:]]
+            taken = [one.counters[-1].get("requests.taken", 0) for one in rig.brokers[2:]]
             self.assertGreater(min(taken), 1, taken)
         alone, told = (
-            [one.counts[-1].get("attempts.connect_failed", 0) for one in rig.brokers[2:]] for rig, _ in runs
+            [one.counters[-1].get("attempts.connect_failed", 0) for one in rig.brokers[2:]] for rig, _ in runs
         )
-        agreed = [one.counts[-1].get("fleet.judgements.agreed", 0) for one in runs[1][0].brokers[2:]]
+        agreed = [one.counters[-1].get("fleet.judgements.agreed", 0) for one in runs[1][0].brokers[2:]]
         self.assertGreaterEqual(min(agreed), 1, agreed)
         self.assertEqual(told, [1, 1, 1], alone)
         self.assertGreaterEqual(min(alone), 1, alone)
--- a/tests/integration/test_fleet_members.py
+++ b/tests/integration/test_fleet_members.py
@@ -10,7 +10,7 @@
 
 from lemonridge.config.address import Address
 from lemonridge.fleet.status_report import all_members_up, format_table
-from lemonridge.lab.rig import Broker, Rig, Site
+from lemonridge.lab.rig import Broker, FleetHarness, SiteSettings
 from lemonridge.net.admin_client import CallError, call, fetch_fleet_views
 
 
@@ -31,7 +31,7 @@
     async def play(self) -> tuple[list[dict], str]:
         with tempfile.TemporaryDirectory() as name:
             folder = Path(name)
-            rig = Rig(folder, 3, 1, 1, Site(further=5.0), True)
+            rig = FleetHarness(folder, 3, 1, 1, SiteSettings(retries_per_s=5.0), True)
             for n, secret in enumerate(("one secret for two", "one secret for two", "another, as long")):
                 (folder / f"key{n}").write_text(secret)
                 (folder / f"key{n}").chmod(0o600)
@@ -48,12 +48,12 @@
                 try:
                     await rig.start(lambda n: ("lemonridge",))
                     await asyncio.sleep(4.0)
-                    addresses = [Address("127.0.0.1", one.admin) for one in rig.brokers]
+                    addresses = [Address("127.0.0.1", one.admin_port) for one in rig.brokers]
                     good, bad = await fetch_fleet_views([*addresses, Address("127.0.0.1", 1)])
                     self.assertEqual((len(good), len(bad)), (3, 1))
                     with self.assertRaises(CallError):
                         await call(addresses[0], "fleeet")
                     await rig.stop()
                 finally:
-                    await rig.clear()
+                    await rig.close()
         return good, format_table(good)  # type: ignore[return-value]
--- a/tests/integration/test_iscsi.py
+++ b/tests/integration/test_iscsi.py
@@ -26,7 +26,7 @@
         tags = [session.command(cdb(0x28, block, 512), read=512) for block in range(20)]
         answers = await asyncio.gather(*(session.answer(tag) for tag in tags))
         self.assertEqual({status for status, _, _ in answers}, {0})
-        self.assertEqual(session.answers, {tag: 1 for tag in tags})
+        self.assertEqual(session.answer_counts, {tag: 1 for tag in tags})
 
     async def test_pdus_split_at_every_byte(self) -> None:
         session = await Initiator(self.port).open()
@@ -35,13 +35,13 @@
         read = Pdu(Op.SCSI_COMMAND, FINAL | 0x40, tag=1, words=[512, 0, 0, *words])
         text = read.encode() + Pdu(Op.NOP_OUT, tag=2, words=[NONE, 1, 0, 0, 0, 0, 0], data=b"ping!").encode()
         session.receiver = asyncio.create_task(session._receive())
-        session.waiting[1] = (asyncio.get_running_loop().create_future(), bytearray(), b"")
+        session.pending[1] = (asyncio.get_running_loop().create_future(), bytearray(), b"")
         for at in range(len(text)):
             session.writer.write(text[at : at + 1])
             await session.writer.drain()
             await asyncio.sleep(0)
         self.assertEqual((await session.answer(1))[0], 0)
-        self.assertEqual((await session.other.get()).data, b"ping!")
+        self.assertEqual((await session.other_pdus.get()).data, b"ping!")
 
     async def test_what_the_front_answers_itself(self) -> None:
         session = await self.session()
@@ -104,13 +104,13 @@
                     words=[reference, 0, 0, 0, 0, 0, 0],
                 )
             )
-            answer = await session.other.get()
+            answer = await session.other_pdus.get()
             self.assertEqual((answer.opcode, answer.byte2), (Op.TASK_MANAGEMENT_RESPONSE, response))
         self.target.delay = 0.0
         status, _, sense = await session.read(6, 512)  # the reset is told first
         self.assertEqual((status, sense[2], sense[12:14]), (2, 0x06, b"\x29\x03"))
         self.assertEqual((await session.read(6, 512))[0], 0)
-        self.assertNotIn(tag, session.answers)
+        self.assertNotIn(tag, session.answer_counts)
 
     async def test_beyond_the_bound_on_buffers_is_task_set_full(self) -> None:
         self.target.delay = 9.0
@@ -134,7 +134,7 @@
                 words=[NONE, 0, 0, 0, 0, 0, 0],
             )
         )
-        told = unpack_text((await session.other.get()).data)
+        told = unpack_text((await session.other_pdus.get()).data)
         self.assertEqual(
             told,
             {
@@ -144,10 +144,10 @@
             },
         )
         session.send(Pdu(Op.LOGOUT, FINAL | 2, tag=5))
-        self.assertEqual((await session.other.get()).byte2, 2)
+        self.assertEqual((await session.other_pdus.get()).byte2, 2)
         session.send(Pdu(Op.LOGOUT, FINAL, tag=6))
-        self.assertEqual((await session.other.get()).byte2, 0)
-        self.assertEqual((await session.other.get()).opcode, Op.ASYNC)  # the end of the connection
+        self.assertEqual((await session.other_pdus.get()).byte2, 0)
+        self.assertEqual((await session.other_pdus.get()).opcode, Op.ASYNC)  # the end of the connection
 
     async def test_logins_that_are_refused(self) -> None:
         full = FINAL | 1 << 2 | 3
@@ -198,12 +198,12 @@
             with self.subTest(pdu=pdu):
                 session = await self.session()
                 session.send(pdu)
-                answer = await session.other.get()
+                answer = await session.other_pdus.get()
                 self.assertEqual((answer.opcode, answer.byte2), (Op.REJECT, reason))
-                self.assertEqual((await session.other.get()).opcode, Op.ASYNC)
+                self.assertEqual((await session.other_pdus.get()).opcode, Op.ASYNC)
         session = await self.session()
         session.writer.write(struct.pack(">BBBBI", 0, 0x80, 0, 0, 0xFFFFFF) + bytes(40))
-        self.assertEqual((await session.other.get()).byte2, 0x04)
+        self.assertEqual((await session.other_pdus.get()).byte2, 0x04)
 
     async def test_the_bytes_of_a_response_are_the_rfcs(self) -> None:
         session = await Initiator(self.port).open()
@@ -229,7 +229,7 @@
         while not self.target.begun:
             await asyncio.sleep(0)
         self.program.process.send_signal(signal.SIGTERM)
-        told = await session.other.get()
+        told = await session.other_pdus.get()
         self.assertEqual((told.opcode, told.words[4] >> 24), (Op.ASYNC, 1))
         self.assertEqual((await session.answer(tag))[0], 0)
         self.assertEqual(await self.program.end(signal.SIGCONT), 0)
@@ -296,8 +296,8 @@
         session = await self.session()
         ends: dict[int, int] = {}
         await asyncio.gather(*(self.lane(session, lane, ends) for lane in range(LANES)))
-        self.assertEqual(set(session.answers.values()), {1})
-        self.assertEqual(len(session.answers), sum(ends.values()))
+        self.assertEqual(set(session.answer_counts.values()), {1})
+        self.assertEqual(len(session.answer_counts), sum(ends.values()))
         # The runs must have met what they are for: commands served, refused and failed.
         for status in (0x00, 0x08, 0x02):
             self.assertGreater(ends.get(status, 0), 50, ends)
--- a/tests/integration/test_iscsi_rude.py
+++ b/tests/integration/test_iscsi_rude.py
@@ -36,9 +36,9 @@
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
         self.folder = Path(folder.name)
-        self.node = await ExtentNode("n0", 0, Ticks(), Random(0), plain=True).start()
+        self.node = await ExtentNode("n0", 0, Ticks(), Random(0), accepts_unversioned=True).start()
         self.addCleanup(self.node.kill)
-        Mover([self.node], Etcd(), "/", self.node.ticks, Random(0)).lay(0, 1, BLOCKS)
+        Mover([self.node], Etcd(), "/", self.node.ticks, Random(0)).create_lun(0, 1, BLOCKS)
         self.program, self.port = await self.launch("a", self.node.port, self.front)
 
     async def launch(
@@ -238,5 +238,5 @@
         self.port = await self.before("another secret of")
         peer = await self.peer()
         self.assertEqual((await peer.do(READ, read=4096))[0], 0x08)
-        self.assertEqual(self.node.begun, [])
+        self.assertEqual(self.node.command_start_times, [])
         self.assertGreater((await self.program.counters())["logins.unauthenticated"], 0)
--- a/tests/integration/test_rollout_iscsi.py
+++ b/tests/integration/test_rollout_iscsi.py
@@ -15,7 +15,7 @@
 
 from lemonridge.config.address import Address
 from lemonridge.coordination.vote_store import VoteStore
-from lemonridge.lab.links.datagrams import Network, kept_port
+from lemonridge.lab.links.datagrams import Network, reserve_tcp_port
 from lemonridge.lab.standins.etcd import Etcd
 from lemonridge.net.admin_client import CallError, call
 
@@ -50,7 +50,7 @@
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
         self.folder = Path(folder.name)
-        kept = [kept_port() for _ in range(BROKERS)]
+        kept = [reserve_tcp_port() for _ in range(BROKERS)]
         self.admins = [Address("127.0.0.1", one.getsockname()[1]) for one in kept]
         for one in kept:
             self.addCleanup(one.close)
@@ -73,12 +73,12 @@
             text = text.replace(old, new)
         members = "".join(
             f'[[fleet.member]]\nname = "b{n}"\naddress = "{at}"\n'
-            for n, at in enumerate(self.network.told(number))
+            for n, at in enumerate(self.network.peer_addresses(number))
         )
         path = self.folder / f"iscsi{number}.toml"
         path.write_text(
             f'{text}\n[etcd]\nendpoint = "127.0.0.1:{self.etcd.port}"\nprefix = "/lr/"\n'
-            f'[fleet]\nname = "b{number}"\nlisten = "{self.network.listen(number)}"\n'
+            f'[fleet]\nname = "b{number}"\nlisten = "{self.network.listen_address(number)}"\n'
             f'admin = "{self.admins[number]}"\n[fleet.policy]\nstore = "{self.folder}/votes{number}"\n'
             f"lease_ms = {LEASE_MS}\n{members}"
         )
@@ -128,7 +128,7 @@
         await self.by(0, 0, 1, 2)
         before = self.limit(await self.seen(0))
         await self.programs[2].end(signal.SIGKILL)
-        for stretch in self.network.stretches.values():
+        for stretch in self.network.links.values():
             stretch.cut = True
         row = {"rate": 1000, "weight": 1, "limit": 2 * before, "burst": 2 * before}
         self.etcd.put("/lr/plans/basic", row)
@@ -146,7 +146,7 @@
             except CallError as error:
                 told = str(error)
         self.assertIn("no policy in force yet", told)  # it hears nobody, so it goes by nothing
-        for stretch in self.network.stretches.values():
+        for stretch in self.network.links.values():
             stretch.cut = False
         await self.by(1, 0, 1, 2)
 
--- a/tests/integration/test_rollout_live.py
+++ b/tests/integration/test_rollout_live.py
@@ -19,21 +19,25 @@
 from lemonridge.lab.checkers.policy import Findings, check
 from lemonridge.lab.drills import policy as drill
 from lemonridge.lab.load.fleet import Clients, VolumeTraffic
-from lemonridge.lab.rig import Rig, Site, standing
+from lemonridge.lab.rig import FleetHarness, SiteSettings, running_fleet
 from lemonridge.net.admin_client import CallError, call
 from lemonridge.rollout.lease_exchange import EMERGENCY_EPOCH_STEP
 from lemonridge.rollout.policy_document import Policy
 
-SITE = Site(lease_ms=1000.0, short=2)
-Scene = Callable[[Rig], Awaitable[None]]
+SITE = SiteSettings(lease_ms=1000.0, short_deadline_broker=2)
+Scene = Callable[[FleetHarness], Awaitable[None]]
 
 
-async def seen(rig: Rig, number: int) -> dict[str, Any]:
-    told: dict[str, Any] = orjson.loads(await call(Address("127.0.0.1", rig.brokers[number].admin), "policy"))
+async def seen(rig: FleetHarness, number: int) -> dict[str, Any]:
+    told: dict[str, Any] = orjson.loads(
+        await call(Address("127.0.0.1", rig.brokers[number].admin_port), "policy")
+    )
     return told
 
 
-async def propose(rig: Rig, number: int, limit: float = 48.0, aim_ms: float = 1000.0, note: str = "n") -> str:
+async def propose(
+    rig: FleetHarness, number: int, limit: float = 48.0, aim_ms: float = 1000.0, note: str = "n"
+) -> str:
     policy = msgspec.convert((await seen(rig, number))["policy"], Policy)
     rows = tuple(
         msgspec.structs.replace(row, limit=limit) if row.name == "basic" else row for row in policy.plan
@@ -44,7 +48,7 @@
         "note": note,
     }
     line = "policy-propose " + orjson.dumps(told).decode()
-    return await call(Address("127.0.0.1", rig.brokers[number].admin), line)
+    return await call(Address("127.0.0.1", rig.brokers[number].admin_port), line)
 
 
 async def until(true: Callable[[], Awaitable[bool]], most_s: float) -> float:
@@ -58,22 +62,22 @@
     return loop.time() - begun
 
 
-async def by(rig: Rig, number: int, epoch: int) -> bool:
+async def by(rig: FleetHarness, number: int, epoch: int) -> bool:
     return bool((await seen(rig, number))["goes_by"] == [epoch, epoch])
 
 
-async def everywhere(rig: Rig, epoch: int) -> bool:
+async def everywhere(rig: FleetHarness, epoch: int) -> bool:
     return all([await by(rig, one.number, epoch) for one in rig.brokers if one.program is not None])
 
 
-def cut(rig: Rig, number: int, whole: bool = False) -> None:
+def cut(rig: FleetHarness, number: int, whole: bool = False) -> None:
     for other in (one for one in range(len(rig.brokers)) if one != number):
         for pair in ((number, other), (other, number)):
-            rig.network.stretches[pair].cut = not whole
+            rig.network.links[pair].cut = not whole
 
 
-async def _stand(scene: Scene, seconds: float, *module: str) -> tuple[Rig, Clients]:
-    async with standing(3, 2, 1, SITE, module=module or ("lemonridge",)) as rig:
+async def _stand(scene: Scene, seconds: float, *module: str) -> tuple[FleetHarness, Clients]:
+    async with running_fleet(3, 2, 1, SITE, module=module or ("lemonridge",)) as rig:
         clients = Clients([one.port for one in rig.brokers], 1, SITE.deadline_ms)
         asker = VolumeTraffic(1, "basic", 3, (0, 1), lambda t: 60.0, lambda t: int(t * 1000) % 3)
         await until(lambda: everywhere(rig, 0), 5.0)
@@ -82,8 +86,8 @@
     return rig, clients
 
 
-def judged(rig: Rig) -> Findings:
-    came = [one for node in rig.nodes for one in node.came]
+def judged(rig: FleetHarness) -> Findings:
+    came = [one for node in rig.nodes for one in node.received]
     limits = {
         0: 24.0,
         1: 48.0,
@@ -92,13 +96,13 @@
         EMERGENCY_EPOCH_STEP + 1: 48.0,
         EMERGENCY_EPOCH_STEP + 2: 48.0,
     }
-    return check(came, [], [], limits, 6.0, (1,), SITE.burst, SITE.slack, 1.5)
+    return check(came, [], [], limits, 6.0, (1,), SITE.burst, SITE.limit_slack, 1.5)
 
 
-def play(case: unittest.TestCase, *scenes: Scene, seconds: float = 4.0) -> list[Rig]:
+def play(case: unittest.TestCase, *scenes: Scene, seconds: float = 4.0) -> list[FleetHarness]:
     """Rigs side by side, a scene each; in none may two policies be gone by, or an answer be missed."""
 
-    async def all_of() -> list[tuple[Rig, Clients]]:
+    async def all_of() -> list[tuple[FleetHarness, Clients]]:
         return await asyncio.gather(*(_stand(scene, seconds) for scene in scenes))
 
     rigs = []
@@ -106,7 +110,9 @@
         found = judged(rig)
         case.assertTrue(found.held, found.notes)
         for one in clients.requests:
-            down = any(a <= one.ended_at and one.due_at <= b + 0.05 for a, b in rig.brokers[one.broker].down)
+            down = any(
+                a <= one.ended_at and one.due_at <= b + 0.05 for a, b in rig.brokers[one.broker].outages
+            )
             case.assertTrue(one.end in ("served", "refused", "failed") or down, one)
         rigs.append(rig)
     return rigs
@@ -114,7 +120,7 @@
 
 class RolloutUnderFaults(unittest.TestCase):
     def test_a_change_is_in_force_everywhere_or_nowhere_with_a_reason_and_a_sighup_proposes(self) -> None:
-        async def scene(rig: Rig) -> None:
+        async def scene(rig: FleetHarness) -> None:
             await propose(rig, 0)
             self.assertLess(await until(lambda: everywhere(rig, 1), 2.0), 2.0)
             await propose(rig, 1, 36.0, SITE.deadline_ms - 50.0)
@@ -139,29 +145,29 @@
         play(self, scene)
 
     def test_a_dead_proposer_and_a_dead_broker_delay_a_change_for_a_bounded_time(self) -> None:
-        async def dies(rig: Rig) -> None:
+        async def dies(rig: FleetHarness) -> None:
             await propose(rig, 0)
             await asyncio.sleep(0.12)
-            await rig.restart(rig.brokers[0], 0.2)
+            await rig.restart_broker(rig.brokers[0], 0.2)
             epochs = {(await seen(rig, n))["epoch"] for n in (1, 2)}
             await until(lambda: everywhere(rig, max(epochs)), 5.0)
             self.assertEqual(len(epochs), 1)
 
-        async def down(rig: Rig) -> None:
+        async def down(rig: FleetHarness) -> None:
             gone = rig.brokers[2]
             begun = asyncio.get_running_loop().time()
             await gone.kill()
             await propose(rig, 0)
             self.assertLess(await until(lambda: everywhere(rig, 1), 3.2), 3.1)  # a lease and two seconds
             await gone.start()
-            await gone.ready()  # by then it has the policy that is in force
+            await gone.wait_until_ready()  # by then it has the policy that is in force
             self.assertTrue(await by(rig, 2, 1))
-            gone.down.append((begun, asyncio.get_running_loop().time()))
+            gone.outages.append((begun, asyncio.get_running_loop().time()))
 
         play(self, dies, down, seconds=6.0)
 
     def test_a_partitioned_broker_uses_the_floor_and_a_paused_one_nothing_old(self) -> None:
-        async def apart(rig: Rig) -> None:
+        async def apart(rig: FleetHarness) -> None:
             cut(rig, 0)
             await propose(rig, 1)
             await until(lambda: by(rig, 1, 1), 3.2)
@@ -171,8 +177,8 @@
             cut(rig, 0, whole=True)
             self.assertLess(await until(lambda: everywhere(rig, 1), 2.0), 2.0)
 
-        async def stopped(rig: Rig) -> None:
-            asleep = asyncio.create_task(rig.pause(rig.brokers[2], 3.5))
+        async def stopped(rig: FleetHarness) -> None:
+            asleep = asyncio.create_task(rig.pause_broker(rig.brokers[2], 3.5))
             await asyncio.sleep(0.1)
             await propose(rig, 0)
             await until(lambda: by(rig, 0, 1), 3.2)
@@ -180,14 +186,14 @@
             await until(lambda: everywhere(rig, 1), 2.0)
 
         rigs = play(self, apart, stopped, seconds=6.5)
-        late = [one for node in rigs[1].nodes for one in node.came if one.broker == 2]
+        late = [one for node in rigs[1].nodes for one in node.received if one.broker == 2]
         self.assertTrue(any(one.epoch == "1" for one in late))
 
     def test_a_lost_store_does_not_vote_and_a_broker_that_cannot_write_is_silent_to_peers(self) -> None:
-        async def lost(rig: Rig) -> None:
+        async def lost(rig: FleetHarness) -> None:
             await propose(rig, 0)
             await until(lambda: everywhere(rig, 1), 2.0)
-            await rig.restart(rig.brokers[1], 0.1, lambda: rig.store(1).unlink())
+            await rig.restart_broker(rig.brokers[1], 0.1, lambda: rig.vote_store_path(1).unlink())
             self.assertFalse((await seen(rig, 1))["votes"] and (await seen(rig, 1))["epoch"] < 2)
 
             async def votes() -> bool:
@@ -196,8 +202,8 @@
             await until(votes, 5.0)
             await until(lambda: everywhere(rig, 2), 3.0)
 
-        async def full(rig: Rig) -> None:
-            blocked = rig.store(1).with_name(rig.store(1).name + ".part")
+        async def full(rig: FleetHarness) -> None:
+            blocked = rig.vote_store_path(1).with_name(rig.vote_store_path(1).name + ".part")
             blocked.mkdir()  # no file can be written beside the store
             await propose(rig, 0)
             await until(lambda: by(rig, 0, 1), 3.5)  # the two others decide
@@ -214,8 +220,8 @@
             with redirect_stdout(StringIO()) as out:
                 return main.main(["policy", *words]), out.getvalue()
 
-        async def scene(rig: Rig) -> None:
-            at = [f"127.0.0.1:{one.admin}" for one in rig.brokers]
+        async def scene(rig: FleetHarness) -> None:
+            at = [f"127.0.0.1:{one.admin_port}" for one in rig.brokers]
             file = rig.folder / "new.toml"
             file.write_text((await asyncio.to_thread(run, "show", at[0]))[1].replace("24.0", "48.0"))
             self.assertEqual((await asyncio.to_thread(run, "check", str(file)))[0], 0)
@@ -241,8 +247,8 @@
         async def ask(*words: str) -> tuple[int, str]:
             return await asyncio.to_thread(run, *words)
 
-        async def scene(rig: Rig) -> None:
-            at = [f"127.0.0.1:{one.admin}" for one in rig.brokers]
+        async def scene(rig: FleetHarness) -> None:
+            at = [f"127.0.0.1:{one.admin_port}" for one in rig.brokers]
             program = rig.brokers[0].program
             assert program is not None
 
@@ -250,7 +256,7 @@
                 if line.get("event") == "policy epoch forced by an emergency call":
                     told.append(line)
 
-            program.heard.append(hear)
+            program.log_listeners.append(hear)
             self.assertEqual(
                 await ask("retire", "b2", at[0], "--wait", "4"),
                 (0, "epoch 1 is proposed\nin force, epoch 1\n"),
@@ -282,8 +288,8 @@
             await until(lambda: by(rig, 0, EMERGENCY_EPOCH_STEP + 1), 3.0)
             for one in rig.brokers[1:]:
                 await one.start()
-                await one.ready()
-                one.down.append((begun, asyncio.get_running_loop().time()))
+                await one.wait_until_ready()
+                one.outages.append((begun, asyncio.get_running_loop().time()))
             await until(lambda: everywhere(rig, EMERGENCY_EPOCH_STEP + 1), 3.0)
             self.assertEqual((await ask("admit", at[1], "--wait", "4"))[0], 0)
             self.assertEqual((await seen(rig, 0))["voters"], ["b0", "b1"])
@@ -302,13 +308,13 @@
         self.assertTrue(drill.held(figures, found, answers), (figures, found.notes, answers.notes))
 
     def test_the_checker_finds_faults_planted_in_processes(self) -> None:
-        async def apart(rig: Rig) -> None:
+        async def apart(rig: FleetHarness) -> None:
             """One is cut off as the others change the policy (see `RolloutUnderFaults`)."""
             cut(rig, 0)
             await propose(rig, 1)
             await asyncio.sleep(2.5)
 
-        async def both() -> list[tuple[Rig, Clients]]:
+        async def both() -> list[tuple[FleetHarness, Clients]]:
             return await asyncio.gather(
                 *(
                     _stand(apart, 3.0, "lemonridge.cli.mutant", f"fleet-fault={fault}")
--- a/tests/integration/test_start_announcement.py
+++ b/tests/integration/test_start_announcement.py
@@ -9,7 +9,7 @@
 
 from harness import ROOT, Program
 
-from lemonridge.lab.links.datagrams import free_ports
+from lemonridge.lab.links.datagrams import find_free_udp_ports
 
 
 class OperatorsAddress(unittest.IsolatedAsyncioTestCase):
@@ -34,7 +34,7 @@
     async def test_a_broker_whose_operators_address_is_taken_accepts_no_client(self) -> None:
         """Guards against `event=listening` before the operators' address is open."""
         with socket.create_server(("127.0.0.1", 0)) as taken:
-            program = await self.start(taken.getsockname()[1], free_ports(2))
+            program = await self.start(taken.getsockname()[1], find_free_udp_ports(2))
             self.assertEqual(await program.process.wait(), 2)
             await program.reader
         log = "".join(program.lines)
--- a/tests/lab/test_fleet_checker.py
+++ b/tests/lab/test_fleet_checker.py
@@ -88,22 +88,22 @@
 class Schedules(unittest.TestCase):
     def test_what_is_drawn_has_what_a_drill_must_have_and_can_be_read_back(self) -> None:
         for seed in range(40):
-            made = schedule.draw(seed, 20.0, 5, 3)
+            made = schedule.draw_schedule(seed, 20.0, 5, 3)
             kinds = [one.kind for one in made.fault]
             self.assertGreaterEqual(kinds.count("kill"), 2)
             due = {"split", "one-way", "stop", "node-death", "node-drain", "node-bad"}
             self.assertTrue(due <= set(kinds))
             split = next(one for one in made.fault if one.kind == "split")
             self.assertLess(len(split.brokers), 5 / 2)
-            self.assertEqual(schedule.parse(tomllib.loads(schedule.write(made))), made)
-            self.assertEqual(schedule.draw(seed, 20.0, 5, 3), made)
+            self.assertEqual(schedule.parse_schedule(tomllib.loads(schedule.format_schedule(made))), made)
+            self.assertEqual(schedule.draw_schedule(seed, 20.0, 5, 3), made)
 
     def test_a_one_way_cut_has_one_way_and_others_both(self) -> None:
-        made = schedule.draw(1, 20.0, 5, 3)
+        made = schedule.draw_schedule(1, 20.0, 5, 3)
         one = schedule.Fault(kind="one-way", at_s=0, for_s=1, brokers=(1,), to=(2,))
-        self.assertEqual(made.pairs(one), [(1, 2)])
+        self.assertEqual(made.affected_links(one), [(1, 2)])
         split = schedule.Fault(kind="split", at_s=0, for_s=1, brokers=(0, 1))
-        self.assertEqual(len(made.pairs(split)), 12)
+        self.assertEqual(len(made.affected_links(split)), 12)
 
     def test_what_is_wrong_is_named(self) -> None:
         good = "brokers = 3\nnodes = 1\nseconds = 10\ncalm_s = 8\n"
@@ -114,5 +114,5 @@
             ('[[fault]]\nkind = "rain"\nat_s = 1\nfor_s = 1', "fault[0].kind"),
         ):
             with self.assertRaises(ConfigError) as caught:
-                schedule.parse(tomllib.loads(good + more))
+                schedule.parse_schedule(tomllib.loads(good + more))
             self.assertIn(words, str(caught.exception))
--- a/tests/lab/test_lab.py
+++ b/tests/lab/test_lab.py
@@ -14,16 +14,16 @@
 
 from lemonridge.config.errors import ConfigError
 from lemonridge.lab import demo
-from lemonridge.lab.links.datagrams import kept_port
+from lemonridge.lab.links.datagrams import reserve_tcp_port
 from lemonridge.lab.load import iscsi as load
 from lemonridge.lab.measure.decisions import cost_us
 from lemonridge.lab.model import runs, spec
 from lemonridge.lab.model.baselines import Baseline
 from lemonridge.lab.model.node import Node, Work
-from lemonridge.lab.model.report import paired, plot
+from lemonridge.lab.model.report import paired_difference, plot
 from lemonridge.lab.model.spec import ClassSpec, NodeSpec, Scenario, read_scenario
 from lemonridge.lab.model.streams import Streams
-from lemonridge.lab.model.world import World, work
+from lemonridge.lab.model.world import World, draw_relative_work
 from lemonridge.scheduling.actions import Action, Send, SetTimer
 from lemonridge.scheduling.events import (
     AttemptEnded,
@@ -43,7 +43,7 @@
 
 
 def scenario(**changes: object) -> Scenario:
-    held = spec.load(str(SMOKE)).scenario
+    held = spec.load_experiment(str(SMOKE)).scenario
     return read_scenario(spec.vary({**held, "troubles": [], "seconds": 6}, changes))
 
 
@@ -59,15 +59,15 @@
         env.timeout(delay).callbacks.append(lambda _: what())  # type: ignore[operator]
 
     node = Node("n", 0, 0, NodeSpec(count=1, cores=cores, queue=100_000), 1.0, after)
-    node.bind(lambda: env.now)
+    node.set_clock(lambda: env.now)
     times: list[float] = []
     arrivals, draws = streams["arrivals"], streams["work"]
 
     def arrive() -> None:
-        if len(times) + node.held < jobs:
+        if len(times) + node.active < jobs:
             after(arrivals.exponential() / (load * cores), arrive)
             began = env.now
-            node.offer(env.now, Work(work(row, draws), lambda: times.append(env.now - began)))
+            node.offer(env.now, Work(draw_relative_work(row, draws), lambda: times.append(env.now - began)))
 
     arrive()
     env.run()
@@ -117,12 +117,12 @@
     file, out, told = tmp_path / "e.toml", tmp_path / "out", list[str]()
     file.write_text(text)
     first, died = asyncio.run(runs.run_all(str(file), 3, out, None, told.append))
-    assert (len(first), died) == (4, []) and runs.broken(first) == 0
+    assert (len(first), died) == (4, []) and runs.count_violations(first) == 0
     kept = sorted(out.glob("*.json"))
     kept[1].unlink()
     again, _ = asyncio.run(runs.run_all(str(file), 1, out, None, told.append))
     assert runs.digest(again) == runs.digest(first) and len(sorted(out.glob("*.json"))) == 4
-    alone = [runs.one(str(file), index, None)["digest"] for index in range(4)]
+    alone = [runs.run_one(str(file), index, None)["digest"] for index in range(4)]
     assert alone == [result["digest"] for result in first]
     other, _ = asyncio.run(runs.run_all(str(file), 2, out, 9, told.append))
     assert runs.digest(other) != runs.digest(first)
@@ -130,7 +130,9 @@
     with mock.patch.object(sys, "executable", "/bin/false"):
         left, died = asyncio.run(runs.run_all(str(file), 2, out, None, told.append))
     assert len(left) == 3 and died == ["policy=module load=0.5 seed=1"]
-    figures = paired(first[:2], [{**result, "levels": first[0]["levels"]} for result in first[2:]], "service")
+    figures = paired_difference(
+        first[:2], [{**result, "levels": first[0]["levels"]} for result in first[2:]], "service"
+    )
     assert figures["pairs"] == 2 and figures["low"] <= figures["mean"] <= figures["high"]
     plot(first, "load", "service", str(tmp_path / "p.svg"), by="policy")
     assert (tmp_path / "p.svg").read_text().startswith("<?xml")
@@ -157,7 +159,7 @@
     calm = World(scenario(), 2).run().figures()
     trouble = {"kind": kind, "at_s": 1, "for_s": 3, **TROUBLES[kind]}
     out = World(scenario(troubles=[trouble]), 2).run()
-    assert out.troubles == {kind: 1}
+    assert out.faults == {kind: 1}
     assert out.figures()["service"] < calm["service"] - 0.01
     assert out.figures()["over_limit"] == out.figures()["fallen"] == 0
 
@@ -207,10 +209,10 @@
     file = tmp_path / "e.toml"
     file.write_text(text.replace(old, new, 1))
     if word is None:
-        spec.load(str(file))
+        spec.load_experiment(str(file))
         return
     with pytest.raises(ConfigError) as caught:
-        spec.load(str(file))
+        spec.load_experiment(str(file))
     assert word in str(caught.value) and "\n" not in str(caught.value)
 
 
@@ -259,7 +261,7 @@
         began = slow.now()
         slow.stall = (began + 0.5, began + 0.9)
         with mock.patch("lemonridge.lab.load.iscsi.Client", lambda *_: slow):
-            return await load.run(load.Plan(1, "t", 300, 2.0, seed=4))
+            return await load.run(load.LoadPlan(1, "t", 300, 2.0, seed=4))
 
     tally = asyncio.run(whole())
     assert tally.served == tally.due > 400
@@ -273,7 +275,7 @@
         slow = Slow()
         slow.stall = (0.0, slow.now() + 1.0)
         with mock.patch("lemonridge.lab.load.iscsi.Client", lambda *_: slow):
-            return await load.run(load.Plan(1, "t", 400, 0.5, arrivals="bursty", outstanding=20))
+            return await load.run(load.LoadPlan(1, "t", 400, 0.5, arrivals="bursty", outstanding=20))
 
     tally = asyncio.run(whole())
     assert tally.unsent > 20 and tally.served == tally.due - tally.unsent
@@ -312,7 +314,7 @@
             return [SetTimer(now_us + 5000)] if len(seen) == 1 else []
 
     world.brokers[0].scheduler = Asks()  # type: ignore[assignment]
-    world.brokers[0].tell(ClientDisconnected("nobody"))
+    world.brokers[0].add_event(ClientDisconnected("nobody"))
     world.env.run(until=20_000)
     assert [type(event) for _, events in seen for event in events] == [ClientDisconnected, TimerFired]
     assert seen[1][0] - seen[0][0] <= 7000
@@ -320,7 +322,7 @@
 
 def test_messages_use_more_of_limits_whose_demand_is_at_one_broker() -> None:
     """On even slices a third and what was saved up; never more than is allowed and asked for."""
-    made = runs.load(str(ROOT / "lab" / "fleet.toml"))
+    made = runs.load_experiment(str(ROOT / "lab" / "fleet.toml"))
     used = []
     for peers in (False, True):
         told = spec.vary(made.scenario, {"peers": peers, "seconds": 10, "nodes.count": 5, "volumes": 12})
@@ -332,7 +334,7 @@
 
 def test_a_port_that_is_kept_is_for_the_program_that_names_it() -> None:
     """A rig chooses its brokers' ports before they start; others ask the system for ports meanwhile."""
-    with kept_port() as kept:
+    with reserve_tcp_port() as kept:
         address = kept.getsockname()
         with socket.socket() as other, pytest.raises(OSError, match="in use"):
             other.bind(address)
--- a/tests/lab/test_policy_checker.py
+++ b/tests/lab/test_policy_checker.py
@@ -6,10 +6,10 @@
 from collections.abc import Awaitable, Callable
 
 from lemonridge.lab.checkers.policy import Proposed, check
-from lemonridge.lab.rig import Rig, Site
+from lemonridge.lab.rig import FleetHarness, SiteSettings
 
-SITE = Site(lease_ms=1000.0, short=2)
-Scene = Callable[[Rig], Awaitable[None]]
+SITE = SiteSettings(lease_ms=1000.0, short_deadline_broker=2)
+Scene = Callable[[FleetHarness], Awaitable[None]]
 
 
 class PolicyChecker(unittest.TestCase):
