--- a/lemonridge/lab/links/__init__.py
+++ b/lemonridge/lab/links/__init__.py
@@ -1,1 +1,1 @@
-"""Stretches of network and other things that go wrong: cuts, flipped bits, lost datagrams, drains."""
+"""Fault injection: cut connections, flipped bits, lost datagrams, drains, and schedules of faults."""
--- a/lemonridge/lab/links/schedule.py
+++ b/lemonridge/lab/links/schedule.py
@@ -1,6 +1,6 @@
-"""What goes wrong in a fleet, and when: a schedule, drawn from a seed or read from TOML by this schema.
+"""The schedule of faults of a fleet drill: drawn from a seed, or read from TOML by this schema.
 
-A schedule that was drawn can be written as TOML and played again: with its seed it is all that a drill needs.
+A drawn schedule can be written as TOML and run again: a drill needs only a schedule and its seed.
 """
 
 from __future__ import annotations
@@ -35,20 +35,28 @@
     "node-drain",
     "node-bad",
 ]
-GAP_S = 0.5  # between two faults of one process
-THIN: tuple[FaultKind, ...] = ("loss", "delay", "double", "reorder", "corrupt", "cut")
-ALONE = ("kill", "stop", "late", "node-death", "node-drain", "node-bad")
-LINKS = ("cut", "one-way", "split", "loss", "delay", "double", "reorder", "corrupt")
+MIN_GAP_S = 0.5  # between two faults of one process
+# Link faults that are drawn for the whole time, in addition to the other faults.
+BACKGROUND_KINDS: tuple[FaultKind, ...] = ("loss", "delay", "double", "reorder", "corrupt", "cut")
+# Faults of a process, which never overlap another one of the same process.
+EXCLUSIVE_KINDS = ("kill", "stop", "late", "node-death", "node-drain", "node-bad")
+LINK_KINDS = ("cut", "one-way", "split", "loss", "delay", "double", "reorder", "corrupt")
 
 
 class Fault(Struct, forbid_unknown_fields=True, frozen=True, kw_only=True):
-    """Something that is wrong from `at_s` on, for `for_s`.
-
-    `brokers` are those that it meets: of a cut, loss and the like every stretch between one of them and one
-    of `to` (all others, where that is empty); `one-way` only from the first to the second. A broker that is
-    killed starts again under its name when the time is over, one that is stopped goes on, one that is late
-    starts only then. `nodes` are the disk nodes that die and come back cold, are drained, or answer a `share`
-    of what they run with errors.
+    """One fault, which lasts from `at_s` for `for_s` seconds.
+
+    Attributes:
+        kind: Kind of fault. At the end of the time a killed broker is restarted under its name, a stopped
+            broker is resumed and a late broker is started; a dead node restarts cold.
+        at_s: Start, in seconds from the start of the load.
+        for_s: Duration in seconds.
+        brokers: Indexes of the affected brokers. A link fault affects the links between these and `to`, in
+            both directions; `one-way` affects only the direction from `brokers` to `to`.
+        to: Indexes of the brokers at the other end of the links; empty for all others.
+        nodes: Indexes of the disk nodes that die, are drained, or answer with errors.
+        share: Fraction of the affected datagrams, or of a node's requests that fail.
+        ms: Shortest and longest delay of datagrams, in milliseconds.
     """
 
     kind: FaultKind
@@ -62,7 +70,15 @@
 
 
 class Schedule(Struct, forbid_unknown_fields=True, frozen=True, kw_only=True):
-    """All of a drill's faults; by `calm_s` every one of them is over."""
+    """All faults of a drill.
+
+    Attributes:
+        brokers: Number of brokers.
+        nodes: Number of disk nodes.
+        seconds: Duration of the load.
+        calm_s: Time by which every fault has ended, in seconds from the start of the load.
+        fault: The faults.
+    """
 
     brokers: Annotated[int, Meta(ge=2, le=64)]
     nodes: Annotated[int, Meta(ge=1, le=64)]
@@ -71,23 +87,27 @@
     fault: tuple[Fault, ...] = ()
 
     def __post_init__(self) -> None:
-        for number, one in enumerate(self.fault):
-            if one.at_s + one.for_s > self.calm_s + 1e-9:
+        for number, fault in enumerate(self.fault):
+            if fault.at_s + fault.for_s > self.calm_s + 1e-9:
                 raise ValueError(f"fault[{number}] goes on past calm_s")
-            if any(broker >= self.brokers for broker in (*one.brokers, *one.to)):
+            if any(broker >= self.brokers for broker in (*fault.brokers, *fault.to)):
                 raise ValueError(f"fault[{number}] names a broker that is not there")
-            if any(node >= self.nodes for node in one.nodes):
+            if any(node >= self.nodes for node in fault.nodes):
                 raise ValueError(f"fault[{number}] names a node that is not there")
 
-    def affected_links(self, one: Fault) -> list[tuple[int, int]]:
-        """The ordered pairs of brokers whose stretch a fault of the links meets."""
-        to = one.to or tuple(n for n in range(self.brokers) if n not in one.brokers)
-        there = [(i, j) for i in one.brokers for j in to if i != j]
-        return there if one.kind == "one-way" else [*there, *((j, i) for i, j in there)]
+    def affected_links(self, fault: Fault) -> list[tuple[int, int]]:
+        """Returns the links that a link fault affects, as (source, destination) indexes of brokers."""
+        destinations = fault.to or tuple(n for n in range(self.brokers) if n not in fault.brokers)
+        outgoing = [(i, j) for i in fault.brokers for j in destinations if i != j]
+        return outgoing if fault.kind == "one-way" else [*outgoing, *((j, i) for i, j in outgoing)]
 
 
 def read_schedule(path: str) -> Schedule:
-    """A schedule of a TOML file; ConfigError names the key."""
+    """Reads a schedule from a TOML file.
+
+    Raises:
+        ConfigError: The file cannot be read or is invalid; the message names the key.
+    """
     try:
         return parse_schedule(tomllib.loads(Path(path).read_text(encoding="utf-8")))
     except OSError as error:
@@ -97,6 +117,11 @@
 
 
 def parse_schedule(values: Any) -> Schedule:
+    """Returns the schedule of a parsed TOML document.
+
+    Raises:
+        ConfigError: The document does not match the schema; the message names the key.
+    """
     try:
         return msgspec.convert(values, Schedule, strict=False)
     except msgspec.ValidationError as error:
@@ -104,67 +129,88 @@
 
 
 def format_schedule(schedule: Schedule) -> str:
-    """The schedule as TOML, which `parse` reads back alike."""
+    """Returns a schedule as TOML; `parse_schedule` reads an equal schedule from it."""
     lines = [f"{name} = {getattr(schedule, name)}" for name in ("brokers", "nodes", "seconds", "calm_s")]
-    for one in schedule.fault:
-        lines += ["", "[[fault]]", f'kind = "{one.kind}"']
+    for fault in schedule.fault:
+        lines += ["", "[[fault]]", f'kind = "{fault.kind}"']
         for name in ("at_s", "for_s", "brokers", "to", "nodes", "share", "ms"):
-            value = getattr(one, name)
+            value = getattr(fault, name)
             lines.append(f"{name} = {list(value) if isinstance(value, tuple) else value}")
     return "\n".join(lines) + "\n"
 
 
 def draw_schedule(seed: int, seconds: float, brokers: int, nodes: int) -> Schedule:
-    """Overlapping faults over all but the last part of the time: at least one split of a minority from the
-    majority, one one-way cut, one stop that goes on, two kills with a restart, nodes that die and come back
-    cold and one that is drained; and thinner faults of the links all the while.
+    """Draws a schedule of overlapping faults; the last part of the time is free of faults.
+
+    For each 20 seconds, and at least once, it contains a split of a minority of the brokers from the
+    majority, a one-way cut, a broker that is stopped and resumed, two kills with restarts, a node that dies
+    and restarts cold, a node that is drained and one that returns errors, and one link fault of each of
+    BACKGROUND_KINDS.
+
+    Args:
+        seed: Seed of the draws.
+        seconds: Duration of the load.
+        brokers: Number of brokers.
+        nodes: Number of disk nodes; a single node is never drained.
     """
     random = Random(f"{seed}/schedule")
-    calm = max(4.0, seconds - max(8.0, seconds * 0.3))
-    everyone, small = list(range(brokers)), max(1, (brokers - 1) // 2)
+    calm_s = max(4.0, seconds - max(8.0, seconds * 0.3))
+    all_brokers, minority_size = list(range(brokers)), max(1, (brokers - 1) // 2)
     faults: list[Fault] = []
 
-    def times(length: float) -> tuple[float, float]:
-        length = round(min(length, calm - 1.0), 3)
-        return round(random.uniform(0.8, calm - length), 3), length
+    def draw_times(length: float) -> tuple[float, float]:
+        length = round(min(length, calm_s - 1.0), 3)
+        return round(random.uniform(0.8, calm_s - length), 3), length
 
-    def link(kind: FaultKind, brokers: tuple[int, ...], shortest: float, longest: float, **more: Any) -> None:
-        at_s, for_s = times(random.uniform(shortest, longest))
+    def add_link_fault(
+        kind: FaultKind, brokers: tuple[int, ...], shortest: float, longest: float, **more: Any
+    ) -> None:
+        at_s, for_s = draw_times(random.uniform(shortest, longest))
         faults.append(Fault(kind=kind, brokers=brokers, at_s=at_s, for_s=for_s, **more))
 
-    def place(kind: FaultKind, who: str, count: int, shortest: float, longest: float, **more: Any) -> None:
-        """One thing at a time for a process: it is drawn again until it finds room."""
+    def add_exclusive_fault(
+        kind: FaultKind, targets_field: str, count: int, shortest: float, longest: float, **more: Any
+    ) -> None:
+        """Adds a fault that overlaps no other exclusive fault of its process, in up to 200 attempts."""
         for _ in range(200):
-            number, when = random.randrange(count), times(random.uniform(shortest, longest))
+            target, times = random.randrange(count), draw_times(random.uniform(shortest, longest))
             if not any(
-                one.at_s - GAP_S < when[0] + when[1] and when[0] < one.at_s + one.for_s + GAP_S
-                for one in faults
-                if number in getattr(one, who) and one.kind in ALONE
+                fault.at_s - MIN_GAP_S < times[0] + times[1]
+                and times[0] < fault.at_s + fault.for_s + MIN_GAP_S
+                for fault in faults
+                if target in getattr(fault, targets_field) and fault.kind in EXCLUSIVE_KINDS
             ):
                 break
-        there: dict[str, Any] = {who: (number,), **more}
-        faults.append(Fault(kind=kind, at_s=when[0], for_s=when[1], **there))
+        fields: dict[str, Any] = {targets_field: (target,), **more}
+        faults.append(Fault(kind=kind, at_s=times[0], for_s=times[1], **fields))
 
     for _ in range(max(1, int(seconds // 20))):
-        place("stop", "brokers", brokers, 1.0, 3.0)
-        place("kill", "brokers", brokers, 0.1, 2.0)
-        place("kill", "brokers", brokers, 0.1, 2.0)
-        place("node-death", "nodes", nodes, 0.5, 1.5)
+        add_exclusive_fault("stop", "brokers", brokers, 1.0, 3.0)
+        add_exclusive_fault("kill", "brokers", brokers, 0.1, 2.0)
+        add_exclusive_fault("kill", "brokers", brokers, 0.1, 2.0)
+        add_exclusive_fault("node-death", "nodes", nodes, 0.5, 1.5)
         if nodes > 1:
-            place("node-drain", "nodes", nodes, 1.0, 2.5)
-        place("node-bad", "nodes", nodes, 3.0, 6.0, share=0.5)
-        minority = tuple(sorted(random.sample(everyone, small)))
-        link("split", minority, 1.5, 4.0)
-        one, other = random.sample(everyone, 2)
-        link("one-way", (one,), 1.0, 3.0, to=(other,))
-        for kind in THIN:
-            some = tuple(sorted(random.sample(everyone, random.randrange(1, brokers))))
-            late = round(1.0 + random.choice((20.0, 100.0, 900.0, 2500.0)) * random.random(), 1)
-            link(kind, some, 1.0, calm / 2, share=round(random.uniform(0.05, 0.5), 3), ms=(1.0, late))
+            add_exclusive_fault("node-drain", "nodes", nodes, 1.0, 2.5)
+        add_exclusive_fault("node-bad", "nodes", nodes, 3.0, 6.0, share=0.5)
+        minority = tuple(sorted(random.sample(all_brokers, minority_size)))
+        add_link_fault("split", minority, 1.5, 4.0)
+        source, destination = random.sample(all_brokers, 2)
+        add_link_fault("one-way", (source,), 1.0, 3.0, to=(destination,))
+        for kind in BACKGROUND_KINDS:
+            affected = tuple(sorted(random.sample(all_brokers, random.randrange(1, brokers))))
+            longest_delay_ms = round(1.0 + random.choice((20.0, 100.0, 900.0, 2500.0)) * random.random(), 1)
+            add_link_fault(
+                kind,
+                affected,
+                1.0,
+                calm_s / 2,
+                share=round(random.uniform(0.05, 0.5), 3),
+                ms=(1.0, longest_delay_ms),
+            )
     return Schedule(
         brokers=brokers,
         nodes=nodes,
         seconds=seconds,
-        calm_s=calm,
-        fault=tuple(sorted(faults, key=lambda one: one.at_s)),
+        calm_s=calm_s,
+        fault=tuple(sorted(faults, key=lambda fault: fault.at_s)),
     )
--- a/lemonridge/lab/load/fleet.py
+++ b/lemonridge/lab/load/fleet.py
@@ -176,14 +176,14 @@
 
 def _encode(request: ClientRequest, traffic: VolumeTraffic, writes: bool, shard: int, left_ms: int) -> bytes:
     """The request's bytes, as the platform's protocol has them."""
-    cls, body = ("new-write", b"w" * 64 * request.units) if writes else ("read", b"")
+    class_name, body = ("new-write", b"w" * 64 * request.units) if writes else ("read", b"")
     shard = -1 if writes else shard
     lines = [
-        f"{'PUT' if writes else 'GET'} /{cls}/{request.volume:016x}/{int(request.request_id, 16):016x}"
+        f"{'PUT' if writes else 'GET'} /{class_name}/{request.volume:016x}/{int(request.request_id, 16):016x}"
         f"?units={request.units}&shard={shard} HTTP/1.1",
         "Host: app.svc",
         f"X-Request-Id: {request.request_id}",
-        f"X-Class: {cls}",
+        f"X-Class: {class_name}",
         f"X-Qos-Policy: {traffic.plan}",
         f"X-Deadline-Ms: {left_ms}",
         f"X-Placement: units={request.units},shard={shard},hosts={traffic.hosts}",
--- a/lemonridge/lab/load/http.py
+++ b/lemonridge/lab/load/http.py
@@ -54,11 +54,11 @@
     seed: int = 1
 
 
-def headers(
+def build_headers(
     plan: LoadPlan, number: int, cls: str, writes: bool, volume: int, shard: int, units: int
 ) -> dict[str, str]:
     """The headers of one request; its id is new with each, as PROTOCOL asks."""
-    told = {
+    request_headers = {
         "X-Request-Id": f"{plan.seed & 0xFFFFFFFF:08x}{number:08x}",
         "X-Class": cls,
         "X-Qos-Policy": plan.plan,
@@ -66,8 +66,8 @@
         "X-Placement": f"units={units},shard={shard},hosts=1",
     }
     if writes:
-        told["Idempotency-Key"] = f"{volume:x}-{number:x}"
-    return told
+        request_headers["Idempotency-Key"] = f"{volume:x}-{number:x}"
+    return request_headers
 
 
 async def run(plan: LoadPlan, progress: Callable[[str], None] = lambda text: None) -> Tally:
@@ -80,23 +80,23 @@
     patience_s = plan.deadline_ms / 1000 + 1.0  # what a client would wait, and a second more
     async with aiohttp.ClientSession(f"http://127.0.0.1:{plan.port}", connector=connector) as session:
 
-        async def one(
-            at: float, number: int, cls: str, writes: bool, volume: int, shard: int, units: int
+        async def send_request(
+            due: float, number: int, cls: str, writes: bool, volume: int, shard: int, units: int
         ) -> None:
             path = f"/{cls}/{volume:016x}/{number:016x}?units={units}"
             body = b"w" * (64 * units) if writes else None
             try:
-                async with asyncio.timeout_at(at + patience_s):
-                    told = headers(plan, number, cls, writes, volume, shard, units)
+                async with asyncio.timeout_at(due + patience_s):
+                    request_headers = build_headers(plan, number, cls, writes, volume, shard, units)
                     method = "PUT" if writes else "GET"
-                    async with session.request(method, path, data=body, headers=told) as got:
-                        await got.read()
-                        status = got.status
+                    async with session.request(method, path, data=body, headers=request_headers) as response:
+                        await response.read()
+                        status = response.status
             except (aiohttp.ClientError, TimeoutError):
                 tally.lost += 1
                 return
             if status == 200:
-                tally.record_served(cls, at, loop.time())
+                tally.record_served(cls, due, loop.time())
             elif status in (429, 503):
                 tally.refused += 1
             else:
@@ -109,7 +109,7 @@
             units = (
                 1 + random.randrange(plan.largest_request_units) if plan.largest_request_units else plan.units
             )
-            return one(due, number, cls, writes, volume, shard, units)
+            return send_request(due, number, cls, writes, volume, shard, units)
 
         await open_loop(
             tally, plan.rate, plan.arrivals, plan.seconds, plan.outstanding, random, draw, progress
@@ -127,7 +127,7 @@
 
 def settings_document(shards: int, deadline_ms: int) -> dict[str, Any]:
     """The settings of a small site for the stand-ins: a read and a keyed write, each aiming at its end."""
-    cls = {
+    class_defaults = {
         "aim-us": deadline_ms * 1000,
         "deadline-us": deadline_ms * 1000,
         "gain": 2.0,
@@ -139,8 +139,8 @@
         "tick-us": 2000,
         "azs": ["hall-a"],
         "classes": [
-            {**cls, "group": "all", "name": "read", "semantics": "repeatable"},
-            {**cls, "group": "cell", "name": "new-write", "semantics": "by_key"},
+            {**class_defaults, "group": "all", "name": "read", "semantics": "repeatable"},
+            {**class_defaults, "group": "cell", "name": "new-write", "semantics": "by_key"},
         ],
         "grades": [
             {
@@ -239,12 +239,12 @@
 async def wait_until_ready(port: int) -> None:
     """Until `GET /-/ready` answers 200; ProgramError after READY_S."""
     loop = asyncio.get_running_loop()
-    until = loop.time() + READY_TIMEOUT_S
+    give_up_at = loop.time() + READY_TIMEOUT_S
     async with aiohttp.ClientSession() as session:
-        while loop.time() < until:
+        while loop.time() < give_up_at:
             try:
-                async with session.get(f"http://127.0.0.1:{port}/-/ready") as got:
-                    if got.status == 200:
+                async with session.get(f"http://127.0.0.1:{port}/-/ready") as response:
+                    if response.status == 200:
                         return
             except aiohttp.ClientError:
                 pass
--- a/lemonridge/lab/load/initiator.py
+++ b/lemonridge/lab/load/initiator.py
@@ -9,8 +9,8 @@
 from lemonridge.iscsi.pdu import FINAL, Op, Pdu, pack_lun, pack_text, read_pdu
 
 ANSWER_TIMEOUT_S = 10.0  # for an answer; nothing waits this long unless the broker fails
-SEGMENT = 8192
-_ports = itertools.count(1)
+SEGMENT_BYTES = 8192
+_isids = itertools.count(1)
 
 
 def cdb(opcode: int, block: int, length: int) -> bytes:
@@ -21,13 +21,13 @@
 class Initiator:
     """Sends commands and keeps what was answered, by task tag."""
 
-    def __init__(self, port: int, segment: int = SEGMENT) -> None:
+    def __init__(self, port: int, segment: int = SEGMENT_BYTES) -> None:
         self.port, self.segment, self.last_tag, self.next_cmd_sn = port, segment, 0, 0
         self.pending: dict[int, tuple[asyncio.Future[Pdu], bytearray, bytes]] = {}
         self.answer_counts: dict[int, int] = {}
         self.other_pdus: asyncio.Queue[Pdu] = asyncio.Queue()
         self.receiver: asyncio.Task[None] | None = None
-        self.isid = b"\x80" + next(_ports).to_bytes(5, "big")
+        self.isid = b"\x80" + next(_isids).to_bytes(5, "big")
 
     async def open(self) -> Initiator:
         self.reader, self.writer = await asyncio.open_connection("127.0.0.1", self.port)
@@ -41,14 +41,14 @@
         self.writer.write(pdu.encode())
 
     async def login(self, flags: int = FINAL | 1 << 2 | 3, **keys: str | None) -> Pdu:
-        told: dict[str, str | None] = {
+        login_keys: dict[str, str | None] = {
             "InitiatorName": "iqn.2026-12.org.lemonridge:test",
             "TargetName": "iqn.2026-12.org.lemonridge:store",
             "SessionType": "Normal",
             "MaxRecvDataSegmentLength": str(self.segment),
             **keys,
         }
-        data = pack_text((key, value) for key, value in told.items() if value is not None)
+        data = pack_text((key, value) for key, value in login_keys.items() if value is not None)
         self.send(Pdu(Op.LOGIN, flags, lun=self.isid + bytes(2), tag=0, immediate=True, data=data))
         async with asyncio.timeout(ANSWER_TIMEOUT_S):
             return await read_pdu(self.reader)
@@ -84,8 +84,8 @@
     def _data_out(self, pdu: Pdu) -> None:
         start, length = pdu.words[5:7]
         data = self.pending[pdu.tag][2]
-        for count, at in enumerate(range(start, start + length, 8192)):
-            end = min(at + 8192, start + length)
+        for data_sn, offset in enumerate(range(start, start + length, 8192)):
+            end = min(offset + 8192, start + length)
             flags = FINAL if end == start + length else 0
             self.send(
                 Pdu(
@@ -93,15 +93,15 @@
                     flags,
                     lun=pdu.lun,
                     tag=pdu.tag,
-                    data=data[at:end],
-                    words=[pdu.words[0], 0, 0, 0, count, at, 0],
+                    data=data[offset:end],
+                    words=[pdu.words[0], 0, 0, 0, data_sn, offset, 0],
                 )
             )
 
     def command(self, cdb: bytes, read: int = 0, data: bytes = b"", lun: int = 0, attribute: int = 0) -> int:
         """Send a command; the first half of a write's data goes along, up to 4096 bytes."""
         self.last_tag += 1
-        along = data[: min(4096, len(data) // 2)]
+        immediate_data = data[: min(4096, len(data) // 2)]
         words = list(struct.unpack(">4I", cdb.ljust(16, b"\0")))
         flags = FINAL | (0x40 if read else 0) | (0x20 if data else 0) | attribute
         self.pending[self.last_tag] = (asyncio.get_running_loop().create_future(), bytearray(), data)
@@ -111,7 +111,7 @@
                 flags,
                 lun=pack_lun(lun),
                 tag=self.last_tag,
-                data=along,
+                data=immediate_data,
                 words=[read or len(data), 0, 0, *words],
             )
         )
--- a/lemonridge/lab/load/iscsi.py
+++ b/lemonridge/lab/load/iscsi.py
@@ -33,28 +33,30 @@
     seed: int = 1
 
 
-async def run(plan: LoadPlan, progress: Callable[[str], None] = lambda text: None) -> Tally:
+async def run(plan: LoadPlan, progress: Callable[[str], None] = lambda command_block: None) -> Tally:
     """Send what is due, and wait for what is out; `say` gets a line a second."""
     loop, random, tally = asyncio.get_running_loop(), Random(plan.seed), Tally()
     link = DirectLink(plan.port)
-    none = {"HeaderDigest": "None", "DataDigest": "None"}
+    no_digests = {"HeaderDigest": "None", "DataDigest": "None"}
     name = "iqn.2026-12.org.lemonridge:load"
     clients = [
-        Client(link, plan.target, f"{name}-{number}", 1, 0, Random(number), None, none)
+        Client(link, plan.target, f"{name}-{number}", 1, 0, Random(number), None, no_digests)
         for number in range(plan.sessions)
     ]
     data = bytes(plan.size)
 
-    async def one(client: Client, at: float, writes: bool, lun: int, place: int) -> None:
-        text = cdb(0x2A if writes else 0x28, place, plan.size)
+    async def send_command(client: Client, due: float, writes: bool, lun: int, first_block: int) -> None:
+        command_block = cdb(0x2A if writes else 0x28, first_block, plan.size)
         try:
-            async with asyncio.timeout_at(at + plan.patience_s):
-                status, _ = await client.run(text, lun, data if writes else b"", 0 if writes else plan.size)
+            async with asyncio.timeout_at(due + plan.patience_s):
+                status, _ = await client.run(
+                    command_block, lun, data if writes else b"", 0 if writes else plan.size
+                )
         except (CommandLostError, TimeoutError):
             tally.lost += 1
             return
         if status == 0:
-            tally.record_served("write" if writes else "read", at, loop.time())
+            tally.record_served("write" if writes else "read", due, loop.time())
         elif status in (0x08, 0x28):
             tally.refused += 1
         else:
@@ -62,8 +64,8 @@
 
     def draw(due: float, number: int) -> Coroutine[Any, Any, None]:
         writes, lun = random.random() < plan.writes, random.choice(plan.luns)
-        place = random.randrange(max(1, plan.blocks - plan.size // 512))
-        return one(clients[number % plan.sessions], due, writes, lun, place)
+        first_block = random.randrange(max(1, plan.blocks - plan.size // 512))
+        return send_command(clients[number % plan.sessions], due, writes, lun, first_block)
 
     await open_loop(tally, plan.rate, plan.arrivals, plan.seconds, plan.outstanding, random, draw, progress)
     for client in clients:
--- a/lemonridge/lab/load/openloop.py
+++ b/lemonridge/lab/load/openloop.py
@@ -15,8 +15,8 @@
 
 from hdrh.histogram import HdrHistogram
 
-HIGHEST_US, DIGITS = 60_000_000, 3
-TICK_S = 1.0
+MAX_LATENCY_US, SIGNIFICANT_DIGITS = 60_000_000, 3
+PROGRESS_INTERVAL_S = 1.0
 
 
 @dataclass
@@ -33,21 +33,23 @@
     times: dict[str, Any] = field(init=False)
 
     def __post_init__(self) -> None:
-        self.times = {kind: HdrHistogram(1, HIGHEST_US, DIGITS) for kind in self.kinds}
+        self.times = {kind: HdrHistogram(1, MAX_LATENCY_US, SIGNIFICANT_DIGITS) for kind in self.kinds}
 
     def record_served(self, kind: str, due: float, now: float) -> None:
         """One served, due at `due` and answered at `now`, in seconds of the loop's clock."""
         self.served += 1
-        self.times[kind].record_value(min(HIGHEST_US, max(1, int((now - due) * 1e6))))
+        self.times[kind].record_value(min(MAX_LATENCY_US, max(1, int((now - due) * 1e6))))
 
     def figures(self) -> dict[str, object]:
-        told: dict[str, object] = {
+        values: dict[str, object] = {
             name: getattr(self, name) for name in ("due", "served", "refused", "failed", "lost", "unsent")
         }
-        for kind, held in self.times.items():
-            for part in (50, 99, 99.9):
-                told[f"{kind}_p{part:g}_ms"] = round(held.get_value_at_percentile(part) / 1000, 2)
-        return told
+        for kind, histogram in self.times.items():
+            for percentile in (50, 99, 99.9):
+                values[f"{kind}_p{percentile:g}_ms"] = round(
+                    histogram.get_value_at_percentile(percentile) / 1000, 2
+                )
+        return values
 
 
 async def open_loop(
@@ -66,40 +68,44 @@
 
     `draw` makes its draws whether or not its request is sent, so that the day is the same.
     """
-    loop, next_gap, out = asyncio.get_running_loop(), gaps(rate, arrivals, random), set[asyncio.Task[None]]()
+    loop, next_gap, tasks = (
+        asyncio.get_running_loop(),
+        arrival_gaps(rate, arrivals, random),
+        set[asyncio.Task[None]](),
+    )
     due = began = loop.time()
-    told = began + TICK_S
+    next_progress_at = began + PROGRESS_INTERVAL_S
     while (due := due + next_gap()) < began + seconds:
         await asyncio.sleep(max(0.0, due - loop.time()))
         tally.due += 1
-        sending = draw(due, tally.due)
-        if len(out) >= outstanding:
-            sending.close()
+        request = draw(due, tally.due)
+        if len(tasks) >= outstanding:
+            request.close()
             tally.unsent += 1
             continue
-        task = asyncio.create_task(sending)
-        out.add(task)
-        task.add_done_callback(out.discard)
-        if loop.time() >= told:
-            told += TICK_S
+        task = asyncio.create_task(request)
+        tasks.add(task)
+        task.add_done_callback(tasks.discard)
+        if loop.time() >= next_progress_at:
+            next_progress_at += PROGRESS_INTERVAL_S
             progress(
                 f"at {loop.time() - began:.0f} s: due {tally.due} served {tally.served} "
-                f"refused {tally.refused} failed {tally.failed} out {len(out)}"
+                f"refused {tally.refused} failed {tally.failed} out {len(tasks)}"
             )
-    if out:
-        await asyncio.wait(out)
+    if tasks:
+        await asyncio.wait(tasks)
 
 
-def gaps(rate: float, arrivals: str, random: Random) -> Callable[[], float]:
+def arrival_gaps(rate: float, arrivals: str, random: Random) -> Callable[[], float]:
     """The time from one arrival to the next, in seconds: `poisson`, `even`, or `bursty` (twenty at once)."""
     if arrivals == "even":
         return lambda: 1 / rate
     if arrivals == "bursty":
-        left = [0]
+        remaining = [0]
 
         def gap() -> float:
-            left[0] = left[0] - 1 if left[0] else 19
-            return 0.0 if left[0] else random.expovariate(rate / 20)
+            remaining[0] = remaining[0] - 1 if remaining[0] else 19
+            return 0.0 if remaining[0] else random.expovariate(rate / 20)
 
         return gap
     return lambda: random.expovariate(rate)
--- a/lemonridge/lab/model/baselines.py
+++ b/lemonridge/lab/model/baselines.py
@@ -25,7 +25,7 @@
 )
 from lemonridge.scheduling.settings import IdempotencyKind, Settings
 
-UNRUN = frozenset(
+NOT_EXECUTED = frozenset(
     (
         AttemptResult.QUEUE_FULL,
         AttemptResult.CONNECT_FAILED,
@@ -49,78 +49,84 @@
         self._nodes: dict[str, Endpoint] = {}
         self._shards: dict[int, list[str]] = {}
         self._all: list[str] = []
-        self._out: dict[str, int] = {}
-        self._turn = 0
-        self._open: dict[str, tuple[RequestArrived, int, bool]] = {}  # attempts made, whether it may have run
+        self._outstanding: dict[str, int] = {}
+        self._turns = 0
+        self._requests: dict[
+            str, tuple[RequestArrived, int, bool]
+        ] = {}  # attempts made, whether it may have run
 
     def handle(self, now_us: int, events: Iterable[Event]) -> list[Action]:
         actions: list[Action] = []
         for event in events:
             if isinstance(event, RequestArrived):
-                self._open[event.request] = (event, 0, False)
+                self._requests[event.request] = (event, 0, False)
                 self._send(event.request, actions)
             elif isinstance(event, AttemptEnded):
-                self._ended(event, now_us, actions)
+                self._on_attempt_ended(event, now_us, actions)
             elif isinstance(event, EndpointsChanged):
-                self._listed(event)
+                self._update_endpoints(event)
             elif isinstance(event, ClientDisconnected):
-                self._open.pop(event.request, None)
+                self._requests.pop(event.request, None)
         return actions
 
-    def _listed(self, event: EndpointsChanged) -> None:
+    def _update_endpoints(self, event: EndpointsChanged) -> None:
         if event.kind is not EndpointListUpdate.DELTA:
             self._nodes = {}
         for entry in event.entries:
             self._nodes[entry.endpoint_id] = entry
-        usable = [one for one in self._nodes.values() if one.state is EndpointState.ACTIVE]
-        self._all, self._shards = [one.endpoint_id for one in usable], {}
-        for one in usable:
-            self._shards.setdefault(one.shard, []).append(one.endpoint_id)
+        usable = [endpoint for endpoint in self._nodes.values() if endpoint.state is EndpointState.ACTIVE]
+        self._all, self._shards = [endpoint.endpoint_id for endpoint in usable], {}
+        for endpoint in usable:
+            self._shards.setdefault(endpoint.shard, []).append(endpoint.endpoint_id)
 
     def _pick(self, shard: int) -> str | None:
         nodes = self._all if shard < 0 else self._shards.get(shard, [])
         if not nodes:
             return None
         if self._rule == "round-robin":
-            self._turn += 1
-            return nodes[self._turn % len(nodes)]
+            self._turns += 1
+            return nodes[self._turns % len(nodes)]
         if self._rule == "least":
-            return min(nodes, key=lambda node: self._out.get(node, 0))
+            return min(nodes, key=lambda node: self._outstanding.get(node, 0))
         if self._rule == "two-choices":
             pair = (self._random.choice(nodes), self._random.choice(nodes))
-            return min(pair, key=lambda node: self._out.get(node, 0))
+            return min(pair, key=lambda node: self._outstanding.get(node, 0))
         return self._random.choice(nodes)
 
     def _send(self, request: str, actions: list[Action]) -> None:
-        event, made, ran = self._open[request]
-        node = self._pick(event.shard)
+        arrived, attempts_made, may_have_run = self._requests[request]
+        node = self._pick(arrived.shard)
         if node is None:
             actions.append(Reject(request, 0, RejectReason.OBJECTIVE_MISSED))
-            del self._open[request]
+            del self._requests[request]
             return
-        self._open[request] = (event, made + 1, ran)
-        self._out[node] = self._out.get(node, 0) + 1
+        self._requests[request] = (arrived, attempts_made + 1, may_have_run)
+        self._outstanding[node] = self._outstanding.get(node, 0) + 1
         actions.append(Send(request, node))
 
-    def _ended(self, event: AttemptEnded, now_us: int, actions: list[Action]) -> None:
-        self._out[event.endpoint_id] = self._out.get(event.endpoint_id, 1) - 1
-        held = self._open.get(event.request)
-        if held is None:
+    def _on_attempt_ended(self, event: AttemptEnded, now_us: int, actions: list[Action]) -> None:
+        self._outstanding[event.endpoint_id] = self._outstanding.get(event.endpoint_id, 1) - 1
+        state = self._requests.get(event.request)
+        if state is None:
             return
-        arrived, made, ran = held
+        arrived, attempts_made, may_have_run = state
         if event.finished:
-            del self._open[event.request]
+            del self._requests[event.request]
             return
-        ran = ran or event.result not in UNRUN
-        self._open[event.request] = (arrived, made, ran)
-        safe = self._settings.classes[arrived.cls].idempotency is IdempotencyKind.IDEMPOTENT
-        if made < self._settings.max_attempts and now_us < arrived.deadline_us and (safe or not ran):
+        may_have_run = may_have_run or event.result not in NOT_EXECUTED
+        self._requests[event.request] = (arrived, attempts_made, may_have_run)
+        is_idempotent = self._settings.classes[arrived.cls].idempotency is IdempotencyKind.IDEMPOTENT
+        if (
+            attempts_made < self._settings.max_attempts
+            and now_us < arrived.deadline_us
+            and (is_idempotent or not may_have_run)
+        ):
             self._send(event.request, actions)
             return
-        del self._open[event.request]
-        spent = RejectReason.ATTEMPTS_EXHAUSTED
-        refusable = safe or not ran
-        actions.append(Reject(event.request, 0, spent) if refusable else Fail(event.request, spent))
+        del self._requests[event.request]
+        reason = RejectReason.ATTEMPTS_EXHAUSTED
+        may_reject = is_idempotent or not may_have_run
+        actions.append(Reject(event.request, 0, reason) if may_reject else Fail(event.request, reason))
 
 
 def make_scheduler(policy: str, settings: Settings, seed: int) -> DecisionMaker:
--- a/lemonridge/lab/model/outcome.py
+++ b/lemonridge/lab/model/outcome.py
@@ -14,14 +14,14 @@
 from lemonridge.lab.model.spec import Scenario
 
 
-class Decided(Protocol):
+class BrokerCost(Protocol):
     """A broker, as its cost is counted."""
 
     cpu_s: float
     decided: int
 
 
-SETTLED_S = 3  # of a run's start, in which no use of limits is counted
+LIMIT_WARM_UP_S = 3  # of a run's start, in which no use of limits is counted
 
 
 @dataclass(slots=True)
@@ -34,11 +34,11 @@
     refused: int = 0
     failed: int = 0
     lost: int = 0
-    took_ms: list[float] = field(default_factory=list)
+    latencies_ms: list[float] = field(default_factory=list)
 
 
-def _part(ordered: list[float], part: float) -> float:
-    return round(ordered[int(len(ordered) * part)], 3) if ordered else 0.0
+def _quantile(ordered: list[float], fraction: float) -> float:
+    return round(ordered[int(len(ordered) * fraction)], 3) if ordered else 0.0
 
 
 class Outcome:
@@ -55,58 +55,60 @@
         self._buckets: dict[int, tuple[float, float]] = {}
         self.over_limit = 0
         self.sent_units: dict[tuple[int, int], float] = {}  # (volume with a limit, second) -> units sent
-        self.cold_us = self.cold_could_us = 0.0  # work sent to cold nodes, and what they could do meanwhile
+        self.cold_work_us = self.cold_capacity_us = (
+            0.0  # work sent to cold nodes, and what they could do meanwhile
+        )
         self.cpu_us = 0.0
         self.decided = 0
 
     def record_arrival(self, request: Request, now_us: float) -> None:
         self.class_counts[request.cls].asked += 1
-        spot = (request.volume.number, int(now_us // 1_000_000))
-        self.asked_units[spot] = self.asked_units.get(spot, 0.0) + request.units
+        volume_second = (request.volume.number, int(now_us // 1_000_000))
+        self.asked_units[volume_second] = self.asked_units.get(volume_second, 0.0) + request.units
 
     def record_attempt(self, request: Request, number: int, node: Node, now_us: float) -> None:
         self.attempts += 1
-        if node.warmth(now_us) < 1.0:
-            self.cold_us += request.cost_us
+        if node.warm_up_fraction(now_us) < 1.0:
+            self.cold_work_us += request.cost_us
         plan = self._scenario.plans[request.volume.plan]
         if number or not plan.limit:
             return
-        spot = (request.volume.number, int(now_us // 1_000_000))
-        self.sent_units[spot] = self.sent_units.get(spot, 0.0) + request.units
+        volume_second = (request.volume.number, int(now_us // 1_000_000))
+        self.sent_units[volume_second] = self.sent_units.get(volume_second, 0.0) + request.units
         # The limit over all brokers: a store that fills at its rate, with the slack of a largest request.
-        top = max(plan.limit, 12.0)
-        level, at = self._buckets.get(request.volume.number, (top, now_us))
-        level = min(top, level + plan.limit * (now_us - at) / 1e6) - request.units
+        capacity = max(plan.limit, 12.0)
+        level, at = self._buckets.get(request.volume.number, (capacity, now_us))
+        level = min(capacity, level + plan.limit * (now_us - at) / 1e6) - request.units
         self._buckets[request.volume.number] = (level, now_us)
         self.over_limit += level < -max(6.0, plan.limit * 0.1)
 
     def slow_start_began(self, node: Node, now_us: float) -> None:
         """A cold spell began; what the node can do in it, as far as it lies within the run."""
         spec = node.spec
-        lasts = max(0.0, min(spec.ramp_s, self._scenario.seconds - now_us / 1e6))
+        duration_s = max(0.0, min(spec.ramp_s, self._scenario.seconds - now_us / 1e6))
         warmest = spec.slow_start_initial_fraction + (1 - spec.slow_start_initial_fraction) * (
-            lasts / spec.ramp_s if spec.ramp_s else 1.0
+            duration_s / spec.ramp_s if spec.ramp_s else 1.0
         )
-        self.cold_could_us += (
-            lasts * 1e6 * spec.cores * node.speed * (spec.slow_start_initial_fraction + warmest) / 2
+        self.cold_capacity_us += (
+            duration_s * 1e6 * spec.cores * node.speed * (spec.slow_start_initial_fraction + warmest) / 2
         )
 
     def record_served(self, request: Request, now_us: float) -> None:
-        line, row = self.class_counts[request.cls], self._scenario.classes[request.cls]
-        took = (now_us - request.first_sent_us) / 1000
-        line.took_ms.append(took)
-        if took <= row.aim_ms:
-            line.in_time += 1
-            spot = (request.volume.number, int(request.first_sent_us // 1_000_000))
-            self.served_units[spot] = self.served_units.get(spot, 0.0) + request.units
+        counts, class_spec = self.class_counts[request.cls], self._scenario.classes[request.cls]
+        latency_ms = (now_us - request.first_sent_us) / 1000
+        counts.latencies_ms.append(latency_ms)
+        if latency_ms <= class_spec.aim_ms:
+            counts.in_time += 1
+            volume_second = (request.volume.number, int(request.first_sent_us // 1_000_000))
+            self.served_units[volume_second] = self.served_units.get(volume_second, 0.0) + request.units
         else:
-            line.late += 1
+            counts.late += 1
 
-    def record_unserved(self, request: Request, end: str) -> None:
-        line = self.class_counts[request.cls]
-        setattr(line, end, getattr(line, end) + 1)
+    def record_unserved(self, request: Request, result: str) -> None:
+        counts = self.class_counts[request.cls]
+        setattr(counts, result, getattr(counts, result) + 1)
 
-    def close(self, nodes: Iterable[Node], brokers: Iterable[Decided]) -> None:
+    def close(self, nodes: Iterable[Node], brokers: Iterable[BrokerCost]) -> None:
         brokers = list(brokers)
         self.overloaded_nodes = sum(node.overloaded for node in nodes)
         self.cpu_us = sum(broker.cpu_s for broker in brokers) * 1e6
@@ -116,52 +118,52 @@
         """The part of what was asked for within the reserves that was served in time; 1 where none is
         held.
         """
-        due = met = 0.0
+        due = served = 0.0
         for (volume, second), asked in self.asked_units.items():
-            plan = self._scenario.plans[self._plan(volume)]
-            wanted = min(asked, plan.reserve)
-            due += wanted
-            met += min(wanted, self.served_units.get((volume, second), 0.0))
-        return met / due if due else 1.0
+            plan = self._scenario.plans[self._plan_index(volume)]
+            reserved = min(asked, plan.reserve)
+            due += reserved
+            served += min(reserved, self.served_units.get((volume, second), 0.0))
+        return served / due if due else 1.0
 
     def limits_used(self) -> float:
         """The part that was sent of what limits allowed and was asked for, each volume's second by itself."""
-        due = used = 0.0
+        allowed = used = 0.0
         for (volume, second), asked in self.asked_units.items():
-            limit = self._scenario.plans[self._plan(volume)].limit
-            if limit and second >= SETTLED_S:
+            limit = self._scenario.plans[self._plan_index(volume)].limit
+            if limit and second >= LIMIT_WARM_UP_S:
                 sent = self.sent_units.get((volume, second), 0.0)
-                due, used = due + min(asked, limit), used + min(asked, limit, sent)
-        return used / due if due else 1.0
-
-    def _plan(self, volume: int) -> int:
-        place, total = (volume + 0.5) / self._scenario.volumes, 0.0
-        for index, row in enumerate(self._scenario.plans):
-            total += row.share
-            if place <= total + 1e-9:
+                allowed, used = allowed + min(asked, limit), used + min(asked, limit, sent)
+        return used / allowed if allowed else 1.0
+
+    def _plan_index(self, volume: int) -> int:
+        position, total = (volume + 0.5) / self._scenario.volumes, 0.0
+        for index, plan in enumerate(self._scenario.plans):
+            total += plan.share
+            if position <= total + 1e-9:
                 return index
         return len(self._scenario.plans) - 1
 
     def figures(self) -> dict[str, float]:
         """Everything that depends on the scenario and the seed alone."""
-        asked = sum(line.asked for line in self.class_counts)
-        rows = [
-            (line, row.priority_weight)
-            for line, row in zip(self.class_counts, self._scenario.classes, strict=True)
+        asked = sum(counts.asked for counts in self.class_counts)
+        weighted_counts = [
+            (counts, class_spec.priority_weight)
+            for counts, class_spec in zip(self.class_counts, self._scenario.classes, strict=True)
         ]
-        priority_weight = sum(line.asked * weight for line, weight in rows)
-        in_time = sum(line.in_time * weight for line, weight in rows)
-        took = sorted(value for line in self.class_counts for value in line.took_ms)
+        priority_weight = sum(counts.asked * weight for counts, weight in weighted_counts)
+        in_time = sum(counts.in_time * weight for counts, weight in weighted_counts)
+        latencies = sorted(value for counts in self.class_counts for value in counts.latencies_ms)
         return {
             "asked": asked,
             "service": round(in_time / priority_weight, 6) if priority_weight else 0.0,
             **{
-                name: sum(getattr(line, name) for line in self.class_counts)
+                name: sum(getattr(counts, name) for counts in self.class_counts)
                 for name in ("in_time", "late", "refused", "failed", "lost")
             },
             "attempts": self.attempts,
-            "p50_ms": _part(took, 0.5),
-            "p99_ms": _part(took, 0.99),
+            "p50_ms": _quantile(latencies, 0.5),
+            "p99_ms": _quantile(latencies, 0.99),
             "reserves": round(self.reservations(), 6),
             "over_limit": self.over_limit,
             "fallen": self.overloaded_nodes,
@@ -169,7 +171,9 @@
             **(
                 {
                     "limits_used": round(self.limits_used(), 4),
-                    "cold_used": round(self.cold_us / self.cold_could_us, 4) if self.cold_could_us else 0.0,
+                    "cold_used": round(self.cold_work_us / self.cold_capacity_us, 4)
+                    if self.cold_capacity_us
+                    else 0.0,
                 }
                 if self._scenario.lead
                 else {}
--- a/lemonridge/lab/model/runs.py
+++ b/lemonridge/lab/model/runs.py
@@ -47,23 +47,23 @@
     """Run one in this process."""
     from lemonridge.lab.model.world import World
 
-    experiment = _based(load_experiment(path), seed_base)
+    experiment = _with_seed_base(load_experiment(path), seed_base)
     run = list_runs(experiment)[index]
     scenario = read_scenario(vary(experiment.scenario, run.levels), "scenario")
-    began = time.perf_counter()
-    out = World(scenario, run.seed).run()
+    started_at = time.perf_counter()
+    outcome = World(scenario, run.seed).run()
     return {
         "levels": run.levels,
         "seed": run.seed,
         "policy": scenario.policy,
-        "figures": out.figures(),
-        "digest": out.digest(),
-        "took_s": round(time.perf_counter() - began, 3),
-        "cpu_us": round(out.cpu_us / max(1, sum(line.asked for line in out.class_counts)), 2),
+        "figures": outcome.figures(),
+        "digest": outcome.digest(),
+        "took_s": round(time.perf_counter() - started_at, 3),
+        "cpu_us": round(outcome.cpu_us / max(1, sum(line.asked for line in outcome.class_counts)), 2),
     }
 
 
-def _based(experiment: Experiment, seed_base: int | None) -> Experiment:
+def _with_seed_base(experiment: Experiment, seed_base: int | None) -> Experiment:
     if seed_base is None:
         return experiment
     return Experiment(
@@ -77,38 +77,38 @@
     """The results in their order, and the names of runs that died. What is in `out` already is not run
     again.
     """
-    experiment = _based(load_experiment(path), seed_base)
+    experiment = _with_seed_base(load_experiment(path), seed_base)
     runs = list_runs(experiment)
-    mark = hashlib.sha256(Path(path).read_bytes() + repr(seed_base).encode()).hexdigest()[:12]
+    experiment_id = hashlib.sha256(Path(path).read_bytes() + repr(seed_base).encode()).hexdigest()[:12]
     out.mkdir(parents=True, exist_ok=True)
-    gate, died, done = asyncio.Semaphore(jobs), list[str](), 0
+    slots, died, done = asyncio.Semaphore(jobs), list[str](), 0
 
-    async def work(run: Run) -> dict[str, Any] | None:
+    async def run_process(run: Run) -> dict[str, Any] | None:
         nonlocal done
-        file = out / f"{mark}-{run.index:05}.json"
+        file = out / f"{experiment_id}-{run.index:05}.json"
         if not file.exists():
-            async with gate:
+            async with slots:
                 command = [sys.executable, "-m", "lemonridge", "lab", "one", path, str(run.index)]
                 if seed_base is not None:
                     command += ["--seed-base", str(seed_base)]
                 process = await asyncio.create_subprocess_exec(
                     *command, stdout=asyncio.subprocess.PIPE, stderr=asyncio.subprocess.PIPE
                 )
-                told, error = await process.communicate()
+                output, error = await process.communicate()
                 if process.returncode:
                     died.append(run.name)
                     lines = error.decode(errors="replace").strip().splitlines() or ["no word"]
                     progress(f"died ({process.returncode}): {run.name}: {lines[-1]}")
                     return None
-                part = file.with_suffix(".part")
-                part.write_bytes(told)
-                part.rename(file)
+                partial = file.with_suffix(".part")
+                partial.write_bytes(output)
+                partial.rename(file)
         done += 1
         result: dict[str, Any] = orjson.loads(file.read_bytes())
         progress(f"{done} of {len(runs)}: {run.name}: service {result['figures']['service']:.4f}")
         return result
 
-    results = await asyncio.gather(*(work(run) for run in runs))
+    results = await asyncio.gather(*(run_process(run) for run in runs))
     return [result for result in results if result is not None], died
 
 
--- a/lemonridge/lab/model/spec.py
+++ b/lemonridge/lab/model/spec.py
@@ -16,7 +16,7 @@
 
 Share = Annotated[float, Meta(ge=0, le=1)]
 Positive = Annotated[float, Meta(gt=0, lt=1e9)]
-Figure = Annotated[float, Meta(ge=0, lt=1e9)]
+NonNegative = Annotated[float, Meta(ge=0, lt=1e9)]
 Count = Annotated[int, Meta(ge=1, le=100_000)]
 REQUESTS_MAX = 20_000_000  # of one run: past it the file is refused rather than the memory filled
 
@@ -35,7 +35,7 @@
     work_ms: Positive
     aim_ms: Positive
     deadline_ms: Positive
-    priority_weight: Figure = 1.0
+    priority_weight: NonNegative = 1.0
     semantics: Literal["safe", "keyed", "once"] = "safe"
     new: bool = False  # may go to any node
     law: Literal["lognormal", "exponential", "fixed"] = "lognormal"  # of the work
@@ -48,9 +48,9 @@
     name: str
     share: Share
     rate: Positive
-    reserve: Figure = 0.0
-    weight: Figure = 1.0
-    limit: Figure = 0.0
+    reserve: NonNegative = 0.0
+    weight: NonNegative = 1.0
+    limit: NonNegative = 0.0
 
 
 class NodeSpec(
@@ -73,12 +73,12 @@
     slowest: Positive = 0.85
     fastest: Positive = 1.7
     slow_start_initial_fraction: Annotated[float, Meta(gt=0, le=1)] = 0.2
-    ramp_s: Figure = 17
+    ramp_s: NonNegative = 17
     overload_multiple: Positive = 2.5
     fall_s: Positive = 1.0
-    slow_start_units: Figure = 8.0
-    pause_every_s: Figure = 0  # 0: it never pauses
-    pause_ms: Figure = 20
+    slow_start_units: NonNegative = 8.0
+    pause_every_s: NonNegative = 0  # 0: it never pauses
+    pause_ms: NonNegative = 20
     cached: Share = 0.0  # of requests that cost 60% less
 
 
@@ -86,7 +86,7 @@
     """Something that goes wrong from `at_s` on, for `for_s`."""
 
     kind: Literal["deaths", "deploy", "surge", "hot", "gray", "blackout", "loss", "restart", "hall", "heavy"]
-    at_s: Figure
+    at_s: NonNegative
     for_s: Positive
     share: Share = 0.25  # of the nodes, brokers, volumes or requests that it meets
     times: Positive = 2.0  # of a surge, of hot volumes' traffic, of gray nodes' and heavy requests' work
@@ -108,14 +108,14 @@
     hosts: Count = 2  # brokers that a volume works through
     lead: Share = 0.0  # part of its requests that come through one of them, the next after `lead_s`
     lead_s: Positive = 10.0
-    delay_ms: tuple[Figure, Figure] = (0.2, 1.4)  # one way
+    delay_ms: tuple[NonNegative, NonNegative] = (0.2, 1.4)  # one way
     loss: Share = 0.0
     peers: bool = False  # brokers speak to each other
-    message_ms: tuple[Figure, Figure] = (1.4, 35)  # one way, between brokers
+    message_ms: tuple[NonNegative, NonNegative] = (1.4, 35)  # one way, between brokers
     message_loss: Share = 0.0
-    register_ms: tuple[Figure, Figure] = (500, 2500)  # until a broker hears of a change
+    register_ms: tuple[NonNegative, NonNegative] = (500, 2500)  # until a broker hears of a change
     retries: Annotated[int, Meta(ge=0, le=5)] = 1  # of a client
-    retry_ms: Figure = 300
+    retry_ms: NonNegative = 300
     troubles: list[Fault] = field(default_factory=list)
 
     def __post_init__(self) -> None:
@@ -123,9 +123,9 @@
             raise ValueError("hosts: a volume cannot work through more brokers than there are")
         if self.nodes.replicas > self.nodes.count or self.nodes.slowest > self.nodes.fastest:
             raise ValueError("nodes: replicas or speeds are impossible")
-        for name, rows in (("classes", self.classes), ("plans", self.plans)):
-            if not 0.999 < sum(row.share for row in rows) < 1.001:
-                raise ValueError(f"{name}: the shares add up to {sum(row.share for row in rows):g}, not 1")
+        for name, specs in (("classes", self.classes), ("plans", self.plans)):
+            if not 0.999 < sum(spec.share for spec in specs) < 1.001:
+                raise ValueError(f"{name}: the shares add up to {sum(spec.share for spec in specs):g}, not 1")
         if self.rate() * self.seconds > REQUESTS_MAX:
             raise ValueError(f"seconds: {self.rate() * self.seconds:.0f} requests are too many for one run")
 
@@ -163,16 +163,16 @@
     """Read an experiment's file; every combination of its factors is checked before any is run."""
     try:
         values = tomllib.loads(Path(path).read_text(encoding="utf-8"))
-        made = msgspec.convert(values, Experiment)
+        experiment = msgspec.convert(values, Experiment)
     except OSError as error:
         raise ConfigError(f"cannot read {path}: {error.strerror}") from None
     except (tomllib.TOMLDecodeError, UnicodeDecodeError) as error:
         raise ConfigError(f"{path} is not TOML: {error}") from None
     except msgspec.ValidationError as error:
         raise ConfigError(format_validation_error(str(error))) from None
-    for levels in combinations(made):
-        read_scenario(vary(made.scenario, levels), "scenario")
-    return made
+    for levels in combinations(experiment):
+        read_scenario(vary(experiment.scenario, levels), "scenario")
+    return experiment
 
 
 def combinations(experiment: Experiment) -> list[dict[str, Any]]:
@@ -185,11 +185,11 @@
 
 def vary(scenario: dict[str, Any], levels: dict[str, Any]) -> dict[str, Any]:
     """A scenario with some keys, given by their paths, set to other values."""
-    made = msgspec.json.decode(msgspec.json.encode(scenario))
+    varied = msgspec.json.decode(msgspec.json.encode(scenario))
     for path, level in levels.items():
         *tables, key = path.split(".")
-        table = made
+        table = varied
         for name in tables:
             table = table.setdefault(name, {})
         table[key] = level
-    return dict(made)
+    return dict(varied)
--- a/lemonridge/lab/model/streams.py
+++ b/lemonridge/lab/model/streams.py
@@ -10,7 +10,7 @@
 
 import numpy as np
 
-BLOCK = 4096
+BLOCK_SIZE = 4096
 
 
 class Stream:
@@ -27,7 +27,7 @@
     def uniform(self) -> float:
         """From 0 to 1."""
         if not self._uniform:
-            self._uniform = self.generator.random(BLOCK).tolist()
+            self._uniform = self.generator.random(BLOCK_SIZE).tolist()
         return self._uniform.pop()
 
     def between(self, low: float, high: float) -> float:
@@ -36,12 +36,12 @@
     def exponential(self) -> float:
         """With mean 1."""
         if not self._exponential:
-            self._exponential = self.generator.standard_exponential(BLOCK).tolist()
+            self._exponential = self.generator.standard_exponential(BLOCK_SIZE).tolist()
         return self._exponential.pop()
 
     def normal(self) -> float:
         if not self._normal:
-            self._normal = self.generator.standard_normal(BLOCK).tolist()
+            self._normal = self.generator.standard_normal(BLOCK_SIZE).tolist()
         return self._normal.pop()
 
     def below(self, count: int) -> int:
@@ -53,9 +53,9 @@
 
     def __init__(self, seed: int) -> None:
         self._seed = seed
-        self._held: dict[str, Stream] = {}
+        self._streams: dict[str, Stream] = {}
 
     def __getitem__(self, name: str) -> Stream:
-        if name not in self._held:
-            self._held[name] = Stream(self._seed, name)
-        return self._held[name]
+        if name not in self._streams:
+            self._streams[name] = Stream(self._seed, name)
+        return self._streams[name]
--- a/lemonridge/lab/model/world.py
+++ b/lemonridge/lab/model/world.py
@@ -54,12 +54,14 @@
 LARGEST_REQUEST_UNITS, MEAN_REQUEST_UNITS = 6, 3.5
 
 
-def draw_relative_work(row: ClassSpec, draw: Stream) -> float:
+def draw_relative_work(class_spec: ClassSpec, draw: Stream) -> float:
     """A request's work in parts of its class's mean; every law draws the same numbers."""
     normal, exponential = draw.normal(), draw.exponential()
-    if row.law == "exponential":
+    if class_spec.law == "exponential":
         return exponential
-    return exp(row.spread * normal - row.spread**2 / 2) if row.law == "lognormal" else 1.0
+    return (
+        exp(class_spec.spread * normal - class_spec.spread**2 / 2) if class_spec.law == "lognormal" else 1.0
+    )
 
 
 class Broker:
@@ -71,13 +73,13 @@
         self.open: dict[str, Request] = {}
         self.events: list[Event] = []
         self.cpu_s, self.decided, self.incarnation = 0.0, 0, 0
-        self._due = False
+        self._decision_scheduled = False
         self.received_datagrams: list[
             tuple[int, bytes]
         ] = []  # datagrams of other brokers, until the next decision
         self.bridge: SchedulerBridge | None = None
 
-    def begin(self) -> None:
+    def start_messages(self) -> None:
         """Speak to the other brokers, where the scenario says so."""
         if not self.world.scenario.peers or self.world.scenario.brokers < 2:
             return
@@ -87,7 +89,7 @@
         self.bridge = SchedulerBridge(
             member_list, now_us // 1000 + self.incarnation, seed, now_us, self.world.settings
         )
-        self._later()
+        self._schedule_bridge_timer()
 
     def receive_datagram(self, source: int, data: bytes) -> None:
         """A datagram of another broker."""
@@ -95,15 +97,15 @@
             self.received_datagrams.append((source, data))
             self.add_event(TimerFired())
 
-    def _later(self) -> None:
+    def _schedule_bridge_timer(self) -> None:
         """Come again when the bridge asks for it to; what was asked for before costs a look."""
         assert self.bridge is not None
         wait = max(0.0, float(self.bridge.next_timer_us - self.world.clock_us()))
-        self.world.after(wait, partial(self._due_now, self.incarnation, self.bridge.next_timer_us))
+        self.world.after(wait, partial(self._on_bridge_timer, self.incarnation, self.bridge.next_timer_us))
 
-    def _due_now(self, life: int, at_us: int) -> None:
+    def _on_bridge_timer(self, incarnation: int, at_us: int) -> None:
         if (
-            life == self.incarnation
+            incarnation == self.incarnation
             and self.up
             and self.bridge is not None
             and self.bridge.next_timer_us == at_us
@@ -112,27 +114,27 @@
 
     def add_event(self, event: Event) -> None:
         self.events.append(event)
-        if not self._due:
-            self._due = True
-            life = self.incarnation
-            self.world.after(float(self.world.scenario.tick_us), lambda: self._decide(life))
+        if not self._decision_scheduled:
+            self._decision_scheduled = True
+            incarnation = self.incarnation
+            self.world.after(float(self.world.scenario.tick_us), lambda: self._decide(incarnation))
 
-    def _decide(self, life: int) -> None:
-        if life != self.incarnation:
+    def _decide(self, incarnation: int) -> None:
+        if incarnation != self.incarnation:
             return
-        self._due = False
+        self._decision_scheduled = False
         events, self.events = self.events, []
-        began = time.perf_counter()
-        now_us, tells = self.world.clock_us(), list[SendDatagram]()
+        started_at = time.perf_counter()
+        now_us, outgoing = self.world.clock_us(), list[SendDatagram]()
         if self.bridge is None:
             actions = self.scheduler.handle(now_us, events)
         else:
-            heard, self.received_datagrams = self.received_datagrams, []
-            actions, tells = handle_batch(self.scheduler.handle, self.bridge, now_us, events, heard)
-            self._later()
-        for one in tells:
-            self.world.forward_datagram(self, one.to, one.data)
-        self.cpu_s += time.perf_counter() - began
+            incoming, self.received_datagrams = self.received_datagrams, []
+            actions, outgoing = handle_batch(self.scheduler.handle, self.bridge, now_us, events, incoming)
+            self._schedule_bridge_timer()
+        for datagram in outgoing:
+            self.world.forward_datagram(self, datagram.to, datagram.data)
+        self.cpu_s += time.perf_counter() - started_at
         self.decided += len(events)
         for action in actions:
             if isinstance(action, Send):
@@ -147,16 +149,16 @@
                     self.world.end_attempt(request, action.attempt, AttemptResult.CANCELLED, 0.0)
             elif isinstance(action, SetTimer):
                 wait = max(0.0, float(action.at_us - self.world.clock_us()))
-                self.world.after(wait, partial(self._woke, life))
+                self.world.after(wait, partial(self._on_timer, incarnation))
 
-    def _woke(self, life: int) -> None:
-        if life == self.incarnation:
+    def _on_timer(self, incarnation: int) -> None:
+        if incarnation == self.incarnation:
             self.add_event(TimerFired())
 
     def restart(self) -> None:
         """It knows nothing any more; what it held is lost to its clients until they ask again."""
         self.incarnation += 1
-        self.events, self._due, self.received_datagrams = [], False, []
+        self.events, self._decision_scheduled, self.received_datagrams = [], False, []
         for request in list(self.open.values()):
             self.world.answer(request, "lost", 0)
         self.open.clear()
@@ -166,7 +168,7 @@
             self.world.seed * 1009 + self.number + 7919 * self.incarnation,
         )
         self.up = True
-        self.begin()
+        self.start_messages()
         self.add_event(EndpointsChanged(EndpointListUpdate.SNAPSHOT, self.world.endpoint_entries()))
 
 
@@ -178,7 +180,7 @@
         self.env = simpy.Environment()
         self.outcome = Outcome(scenario)
         self.settings = self._settings()
-        self._names = 0
+        self._last_request_number = 0
         spec, draw = scenario.nodes, self.streams["speeds"]
         self.shards = spec.count // spec.replicas
         self.nodes = {
@@ -196,10 +198,10 @@
             node.set_clock(self.now)
         self.brokers = [Broker(self, number) for number in range(scenario.brokers)]
         self.volumes = self._volumes()
-        self._weights: list[float] = []
+        self._cumulative_weights: list[float] = []
         self.surge, self.heavy, self.loss, self.blackout, self.hall = 1.0, 0.0, scenario.loss, False, False
         self.heavy_times = 1.0
-        self._weigh()
+        self._update_weights()
 
     # Time
 
@@ -210,10 +212,10 @@
         """The brokers' clock: the module wants whole microseconds past 0."""
         return int(self.env.now) + 1_000_000_000
 
-    def after(self, delay_us: float, what: Callable[[], None]) -> None:
+    def after(self, delay_us: float, callback: Callable[[], None]) -> None:
         event = self.env.timeout(delay_us)
         assert event.callbacks is not None
-        event.callbacks.append(lambda _: what())
+        event.callbacks.append(lambda _: callback())
 
     def delay(self) -> float:
         low, high = self.scenario.delay_ms
@@ -222,44 +224,49 @@
     # What there is
 
     def _settings(self) -> Settings:
-        s = self.scenario
+        scenario = self.scenario
         classes = tuple(
             RequestClass(
-                int(row.aim_ms * 1000),
-                int(row.deadline_ms * 1000),
-                SEMANTICS[row.semantics],
+                int(spec.aim_ms * 1000),
+                int(spec.deadline_ms * 1000),
+                SEMANTICS[spec.semantics],
                 DeduplicationScope.ALL,
                 3_000_000,
                 False,
-                row.priority_weight,
+                spec.priority_weight,
             )
-            for row in s.classes
+            for spec in scenario.classes
         )
         plans = tuple(
             VolumePlan(
-                row.rate, row.reserve, row.weight, row.limit, max(row.limit, 2.0 * LARGEST_REQUEST_UNITS), 0.0
+                spec.rate,
+                spec.reserve,
+                spec.weight,
+                spec.limit,
+                max(spec.limit, 2.0 * LARGEST_REQUEST_UNITS),
+                0.0,
             )
-            for row in s.plans
+            for spec in scenario.plans
         )
         return Settings(
-            hosts=s.brokers,
+            hosts=scenario.brokers,
             classes=classes,
             plans=plans,
             polls_endpoint_list=False,
             largest_request_units=float(LARGEST_REQUEST_UNITS),
             mean_request_units=MEAN_REQUEST_UNITS,
-            slow_start_units=s.nodes.slow_start_units,
-            overload_multiple=s.nodes.overload_multiple,
+            slow_start_units=scenario.nodes.slow_start_units,
+            overload_multiple=scenario.nodes.overload_multiple,
             reports_peer_usage=False,
             usage_meter_period_us=0,
             max_attempts=4,
             may_cancel=True,
             max_backoff_us=500_000,
-            tick_us=s.tick_us,
+            tick_us=scenario.tick_us,
             poll_within_us=0,
-            slow_start_initial_fraction=s.nodes.slow_start_initial_fraction,
-            slow_start_ramp_us=int(s.nodes.ramp_s * 1e6),
-            overload_window_us=int(s.nodes.fall_s * 1e6),
+            slow_start_initial_fraction=scenario.nodes.slow_start_initial_fraction,
+            slow_start_ramp_us=int(scenario.nodes.ramp_s * 1e6),
+            overload_window_us=int(scenario.nodes.fall_s * 1e6),
             drain_grace_us=500_000,
             retry_budget_window_us=0,
             retry_budget_floor=0.0,
@@ -284,12 +291,12 @@
             made.append(Volume(number, plan, shards, hosts, plans[plan].rate * draw.between(0.5, 1.5)))
         return made
 
-    def _weigh(self) -> None:
+    def _update_weights(self) -> None:
         """The running sum of the volumes' parts of the traffic."""
-        total, self._weights = 0.0, []
+        total, self._cumulative_weights = 0.0, []
         for volume in self.volumes:
             total += volume.weight
-            self._weights.append(total)
+            self._cumulative_weights.append(total)
 
     def endpoint_entries(self) -> tuple[Endpoint, ...]:
         return tuple(self._entry(node) for node in self.nodes.values() if node.up)
@@ -311,15 +318,15 @@
 
     def run(self) -> Outcome:
         for broker in self.brokers:
-            broker.begin()
+            broker.start_messages()
             broker.add_event(EndpointsChanged(EndpointListUpdate.CACHED, self.endpoint_entries()))
-        for trouble in self.scenario.troubles:
-            self.after(trouble.at_s * 1e6, partial(self._trouble, trouble))
+        for fault in self.scenario.troubles:
+            self.after(fault.at_s * 1e6, partial(self._inject_fault, fault))
         if self.scenario.nodes.pause_every_s:
             for node in self.nodes.values():
                 self._pause(node)
         self.after(self._gap(), self._arrive)
-        longest = max(row.deadline_ms for row in self.scenario.classes)
+        longest = max(class_spec.deadline_ms for class_spec in self.scenario.classes)
         self.env.run(until=self.scenario.seconds * 1e6 + longest * 2000 + 2e6)
         self.outcome.close(self.nodes.values(), self.brokers)
         return self.outcome
@@ -342,38 +349,41 @@
             return
         self.after(self._gap(), self._arrive)
         draw = self.streams["requests"]
-        volume = self.volumes[self._choose(draw.uniform())]
-        place, cls = draw.uniform(), 0
-        for row in self.scenario.classes:
-            if place < row.share:
+        volume = self.volumes[self._volume_index(draw.uniform())]
+        position, cls = draw.uniform(), 0
+        for class_spec in self.scenario.classes:
+            if position < class_spec.share:
                 break
-            place, cls = place - row.share, cls + 1
+            position, cls = position - class_spec.share, cls + 1
         cls = min(cls, len(self.scenario.classes) - 1)
-        row = self.scenario.classes[cls]
+        class_spec = self.scenario.classes[cls]
         units = 1.0 + draw.below(LARGEST_REQUEST_UNITS)
         cost = (
-            row.work_ms * 1000 * draw_relative_work(row, draw) * units / MEAN_REQUEST_UNITS
+            class_spec.work_ms * 1000 * draw_relative_work(class_spec, draw) * units / MEAN_REQUEST_UNITS
         )  # units tell of the work
         cached, heavy = draw.uniform() < self.scenario.nodes.cached, draw.uniform() < self.heavy
         cost *= (0.4 if cached else 1.0) * (self.heavy_times if heavy else 1.0)
-        shard = -1 if row.new else volume.shards[draw.below(len(volume.shards))]
+        shard = -1 if class_spec.new else volume.shards[draw.below(len(volume.shards))]
         host = volume.hosts[draw.below(len(volume.hosts))]
         if self.scenario.lead and self.streams["leads"].uniform() < self.scenario.lead:
             turn = int(self.now() / (self.scenario.lead_s * 1e6)) + volume.number
             host = volume.hosts[turn % len(volume.hosts)]
         request = Request("", volume, cls, shard, units, cost, self.now(), 0.0, self.brokers[host])
         self.outcome.record_arrival(request, self.now())
-        self._ask(request)
+        self._send_try(request)
 
-    def _choose(self, place: float) -> int:
-        return min(bisect_right(self._weights, place * self._weights[-1]), len(self._weights) - 1)
+    def _volume_index(self, position: float) -> int:
+        return min(
+            bisect_right(self._cumulative_weights, position * self._cumulative_weights[-1]),
+            len(self._cumulative_weights) - 1,
+        )
 
-    def _ask(self, request: Request) -> None:
+    def _send_try(self, request: Request) -> None:
         """A try of a client at its broker."""
-        self._names += 1
-        request.name = f"r{self._names}"
-        row = self.scenario.classes[request.cls]
-        request.deadline_us = self.now() + row.deadline_ms * 1000
+        self._last_request_number += 1
+        request.name = f"r{self._last_request_number}"
+        class_spec = self.scenario.classes[request.cls]
+        request.deadline_us = self.now() + class_spec.deadline_ms * 1000
         if not request.broker.up:
             self.answer(request, "lost", 0)
             return
@@ -392,31 +402,31 @@
             )
         )
 
-    def answer(self, request: Request | None, end: str, backoff_us: int) -> None:
+    def answer(self, request: Request | None, result: str, backoff_us: int) -> None:
         """A client's final answer to one try; it may try again."""
         if request is None or request.answered:
             return
         request.answered = True
         if not request.attempts:
             request.broker.open.pop(request.name, None)
-        if end == "served":
+        if result == "served":
             self.outcome.record_served(request, self.now())
             return
-        self.outcome.record_unserved(request, end)
-        if request.retries >= self.scenario.retries or end == "failed":
+        self.outcome.record_unserved(request, result)
+        if request.retries >= self.scenario.retries or result == "failed":
             return
         wait = max(float(backoff_us), self.scenario.retry_ms * 1000 * (1 + self.streams["retries"].uniform()))
-        after = replace(request, retries=request.retries + 1, answered=False, attempts={}, attempts_made=0)
-        self.after(wait, lambda: self._ask(after))
+        retry = replace(request, retries=request.retries + 1, answered=False, attempts={}, attempts_made=0)
+        self.after(wait, lambda: self._send_try(retry))
 
-    def forward_datagram(self, source: Broker, to: int, data: bytes) -> None:
+    def forward_datagram(self, source: Broker, destination: int, data: bytes) -> None:
         """A datagram between brokers: late, or lost, or cut off in the other hall."""
         self.outcome.message_bytes += len(data)
-        draw, other = self.streams["messages"], self.brokers[to]
+        draw, receiver = self.streams["messages"], self.brokers[destination]
         lost, wait_ms = draw.uniform() < self.scenario.message_loss, draw.between(*self.scenario.message_ms)
-        if lost or (self.hall and source.number % 2 != to % 2):
+        if lost or (self.hall and source.number % 2 != destination % 2):
             return
-        self.after(wait_ms * 1000, partial(other.receive_datagram, source.number, data))
+        self.after(wait_ms * 1000, partial(receiver.receive_datagram, source.number, data))
 
     # Attempts
 
@@ -429,38 +439,40 @@
         node = self.nodes[name]
         self.outcome.record_attempt(request, number, node, self.now())
         wait = self.delay()
-        cut = self.hall and node.hall != broker.number % 2
-        if cut:
+        is_cut_off = self.hall and node.hall != broker.number % 2
+        if is_cut_off:
             self.after(
                 CONNECT_US,
                 lambda: self.end_attempt(request, number, AttemptResult.CONNECT_FAILED, CONNECT_US),
             )
             return
         if self.streams["loss"].uniform() >= self.loss:
-            self.after(wait, lambda: self._reach(request, number, node, wait))
+            self.after(wait, lambda: self._arrive_at_node(request, number, node, wait))
         left = max(0.0, request.deadline_us - self.now())
         self.after(left, lambda: self.end_attempt(request, number, AttemptResult.TIMEOUT, left))
 
-    def _reach(self, request: Request, number: int, node: Node, wait: float) -> None:
-        began = self.now() - wait
+    def _arrive_at_node(self, request: Request, number: int, node: Node, wait: float) -> None:
+        sent_at = self.now() - wait
 
-        def told(result: AttemptResult) -> None:
-            back = self.delay()
-            self.after(back, lambda: self.end_attempt(request, number, result, self.now() - began))
+        def report(result: AttemptResult) -> None:
+            response_delay = self.delay()
+            self.after(
+                response_delay, lambda: self.end_attempt(request, number, result, self.now() - sent_at)
+            )
 
         if not node.up:
-            told(AttemptResult.CONNECT_FAILED)
+            report(AttemptResult.CONNECT_FAILED)
             return
-        life = node.incarnation
-        if not node.offer(self.now(), Work(request.cost_us, lambda: told(AttemptResult.OK))):
-            told(AttemptResult.QUEUE_FULL if node.up else AttemptResult.RESET)
+        incarnation = node.incarnation
+        if not node.offer(self.now(), Work(request.cost_us, lambda: report(AttemptResult.OK))):
+            report(AttemptResult.QUEUE_FULL if node.up else AttemptResult.RESET)
             return
-        request.attempts[number] = f"{node.name}/{life}"
+        request.attempts[number] = f"{node.name}/{incarnation}"
 
     def end_attempt(self, request: Request, number: int, result: AttemptResult, lag_us: float) -> None:
         """An attempt's end comes to its broker, once."""
-        where = request.attempts.pop(number, None)
-        if where is None:
+        node_incarnation = request.attempts.pop(number, None)
+        if node_incarnation is None:
             return
         broker = request.broker
         served = result is AttemptResult.OK and not request.answered
@@ -470,7 +482,7 @@
             AttemptEnded(
                 request.name,
                 number,
-                where.partition("/")[0],
+                node_incarnation.partition("/")[0],
                 result,
                 int(lag_us),
                 request.answered,
@@ -482,53 +494,53 @@
         if request.answered and not request.attempts:
             broker.open.pop(request.name, None)
 
-    def _lost(self, node: Node) -> None:
+    def _reset_attempts(self, node: Node) -> None:
         """A node dies: the attempts that it held are reset."""
         for broker in self.brokers:
             for request in list(broker.open.values()):
-                for number, where in list(request.attempts.items()):
-                    if where.startswith(f"{node.name}/"):
-                        told = partial(self.end_attempt, request, number, AttemptResult.RESET, 1000.0)
-                        self.after(self.delay(), told)
+                for number, node_incarnation in list(request.attempts.items()):
+                    if node_incarnation.startswith(f"{node.name}/"):
+                        end = partial(self.end_attempt, request, number, AttemptResult.RESET, 1000.0)
+                        self.after(self.delay(), end)
 
     # Troubles
 
-    def _trouble(self, trouble: Fault) -> None:
-        span, draw = trouble.for_s * 1e6, self.streams["troubles"]
-        self.outcome.faults[trouble.kind] = self.outcome.faults.get(trouble.kind, 0) + 1
-        if trouble.kind == "surge":
-            self.surge *= trouble.times
-            self.after(span, lambda: self._set("surge", self.surge / trouble.times))
-        elif trouble.kind == "heavy":
-            self.heavy, self.heavy_times = trouble.share, trouble.times
-            self.after(span, lambda: self._set("heavy", 0.0))
-        elif trouble.kind == "loss":
-            self.loss = trouble.share
-            self.after(span, lambda: self._set("loss", self.scenario.loss))
-        elif trouble.kind in ("blackout", "hall"):
-            self._set(trouble.kind, True)
-            self.after(span, lambda: self._set(trouble.kind, False))
-        elif trouble.kind == "hot":
-            hot = self.volumes[: max(1, int(len(self.volumes) * trouble.share))]
-            self._heat(hot, trouble.times)
-            self.after(span, lambda: self._heat(hot, 1 / trouble.times))
-        elif trouble.kind == "restart":
-            for broker in self.brokers[: max(1, int(len(self.brokers) * trouble.share))]:
-                self._down(broker)
+    def _inject_fault(self, fault: Fault) -> None:
+        span, draw = fault.for_s * 1e6, self.streams["troubles"]
+        self.outcome.faults[fault.kind] = self.outcome.faults.get(fault.kind, 0) + 1
+        if fault.kind == "surge":
+            self.surge *= fault.times
+            self.after(span, lambda: self._set_attribute("surge", self.surge / fault.times))
+        elif fault.kind == "heavy":
+            self.heavy, self.heavy_times = fault.share, fault.times
+            self.after(span, lambda: self._set_attribute("heavy", 0.0))
+        elif fault.kind == "loss":
+            self.loss = fault.share
+            self.after(span, lambda: self._set_attribute("loss", self.scenario.loss))
+        elif fault.kind in ("blackout", "hall"):
+            self._set_attribute(fault.kind, True)
+            self.after(span, lambda: self._set_attribute(fault.kind, False))
+        elif fault.kind == "hot":
+            hot = self.volumes[: max(1, int(len(self.volumes) * fault.share))]
+            self._scale_weights(hot, fault.times)
+            self.after(span, lambda: self._scale_weights(hot, 1 / fault.times))
+        elif fault.kind == "restart":
+            for broker in self.brokers[: max(1, int(len(self.brokers) * fault.share))]:
+                self._stop_broker(broker)
                 self.after(span, broker.restart)
         else:
-            count = max(1, int(len(self.nodes) * trouble.share))
+            count = max(1, int(len(self.nodes) * fault.share))
             order = sorted(self.nodes.values(), key=lambda node: (draw.uniform(), node.name))
             for place, node in enumerate(order[:count]):
-                self._hit(trouble, node, place / count * span, span)
-
-    def _hit(self, trouble: Fault, node: Node, turn: float, span: float) -> None:
-        if trouble.kind == "gray":
-            node.slowdown = trouble.times
-            self.after(span, lambda: setattr(node, "slow", 1.0))
-        elif trouble.kind == "deaths":
-            self._kill(node)
-            self.after(span, lambda: self._start(node))
+                self._fault_node(fault, node, place / count * span, span)
+
+    def _fault_node(self, fault: Fault, node: Node, drain_delay: float, span: float) -> None:
+        if fault.kind == "gray":
+            node.slowdown = fault.times
+            self.after(span, lambda: setattr(node, "slowdown", 1.0))
+        elif fault.kind == "deaths":
+            self._kill_node(node)
+            self.after(span, lambda: self._start_node(node))
         else:  # a rolling deploy: each drains for a second, is gone, and comes back cold
 
             def drain() -> None:
@@ -536,31 +548,31 @@
                 self.after(1e6, gone)
 
             def gone() -> None:
-                self._kill(node)
-                self.after(2e6, lambda: self._start(node))
+                self._kill_node(node)
+                self.after(2e6, lambda: self._start_node(node))
 
-            self.after(turn, drain)
+            self.after(drain_delay, drain)
 
-    def _set(self, name: str, value: object) -> None:
+    def _set_attribute(self, name: str, value: object) -> None:
         setattr(self, name, value)
 
-    def _heat(self, volumes: list[Volume], times: float) -> None:
+    def _scale_weights(self, volumes: list[Volume], times: float) -> None:
         for volume in volumes:
             volume.weight *= times
-        self._weigh()
+        self._update_weights()
 
-    def _down(self, broker: Broker) -> None:
+    def _stop_broker(self, broker: Broker) -> None:
         broker.up = False
         for request in list(broker.open.values()):
             self.answer(request, "lost", 0)
 
-    def _kill(self, node: Node) -> None:
+    def _kill_node(self, node: Node) -> None:
         if node.up:
             node.kill()
-            self._lost(node)
+            self._reset_attempts(node)
             self.announce_endpoint(node, EndpointState.REMOVED)
 
-    def _start(self, node: Node) -> None:
+    def _start_node(self, node: Node) -> None:
         node.start(self.now())
         if node.up:
             self.outcome.slow_start_began(node, self.now())
--- a/lemonridge/lab/standins/__init__.py
+++ b/lemonridge/lab/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins for what the broker talks to: disk nodes, discovery, etcd, and the mover of extents."""
+"""Stand-ins for the broker's peers: disk nodes, discovery, etcd, and the mover of extents."""
--- a/lemonridge/lab/standins/mover.py
+++ b/lemonridge/lab/standins/mover.py
@@ -1,6 +1,6 @@
-"""Hands extents from node to node: copy, fence, hand over, release, and tell etcd last.
+"""Moves extents between nodes: fence, copy, hand over, release, and finally publish in etcd.
 
-The ledger is the truth of who owned what; the drill's checker holds the nodes' logs against it.
+The ownership log records which node owned each extent; the drill's checker compares the nodes' logs with it.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Ownership:
-    """From this tick on `node` owns the extent under `version`."""
+    """`node` owns an extent at `version` from this tick on."""
 
     tick: int
     node: str
@@ -28,7 +28,19 @@
 
 
 class Mover:
-    """Moves one extent at a time; the map's version rises by one with each."""
+    """Moves extents between nodes.
+
+    Attributes:
+        nodes: Nodes that new extents are placed on.
+        etcd: Server that the extent map is published in.
+        prefix: Prefix of the keys in etcd.
+        ticks: The drill's counter of events.
+        random: Source of the random placement.
+        ownership_log: Owners of each extent, in order.
+        owners: Current owner of each extent.
+        version: Version of the published map, which rises by one with each publication.
+        moves: Number of completed moves.
+    """
 
     def __init__(
         self, nodes: Sequence[ExtentNode], etcd: Etcd, prefix: str, ticks: Ticks, random: Random
@@ -40,50 +52,67 @@
         self.moves = 0
 
     def create_lun(self, lun: int, count: int, length: int) -> dict[str, Any]:
-        """Lay out a LUN in `count` extents of `length` blocks over the nodes; its keys for etcd."""
-        rows: dict[str, Any] = {}
+        """Creates a LUN of `count` extents of `length` blocks each, placed on random nodes.
+
+        Returns:
+            The keys and values to store in etcd, including the map's version.
+        """
+        entries: dict[str, Any] = {}
         for number in range(count):
             key, node = (lun, number * length), self.random.choice(self.nodes)
             node.add_extent(key, HeldExtent(length, 1), {})
             self.owners[key] = node
             self.ownership_log[key] = [Ownership(self.ticks(), node.name, 1)]
-            rows.update(self._row(key))
-        return {**rows, self.prefix + VERSION_KEY: {"version": self.version}}
+            entries.update(self._etcd_entry(key))
+        return {**entries, self.prefix + VERSION_KEY: {"version": self.version}}
 
-    def _row(self, key: ExtentKey) -> dict[str, Any]:
+    def _etcd_entry(self, key: ExtentKey) -> dict[str, Any]:
         node = self.owners[key]
-        hold = node.extents[key]
-        value = {"blocks": hold.length, "shard": node.shard, "version": hold.version}
+        extent = node.extents[key]
+        value = {"blocks": extent.length, "shard": node.shard, "version": extent.version}
         return {self.prefix + extent_key(*key): value}
 
-    async def move(self, key: ExtentKey, to: ExtentNode, copy_s: float = 0.0, publish: bool = True) -> bool:
-        """One hand-over; False if a node died on the way, and then nothing has moved."""
+    async def move(
+        self, key: ExtentKey, target: ExtentNode, copy_s: float = 0.0, publish: bool = True
+    ) -> bool:
+        """Moves an extent to another node.
+
+        Args:
+            key: The extent.
+            target: The new owner.
+            copy_s: Duration of the copy, in seconds.
+            publish: Whether to publish the new owner in etcd.
+
+        Returns:
+            Whether the extent was moved. False if `target` already owns it or if a node has died; nothing
+            has changed then.
+        """
         source = self.owners[key]
-        if source is to or not source.alive or not to.alive:
+        if source is target or not source.alive or not target.alive:
             return False
-        hold = source.extents[key]
+        extent = source.extents[key]
         if not await source.fence(key):
-            hold.fenced = False
+            extent.fenced = False
             return False
         await asyncio.sleep(copy_s)
-        if not source.alive or not to.alive:
-            hold.fenced = False
+        if not source.alive or not target.alive:
+            extent.fenced = False
             return False
-        version = hold.version + 1
-        to.add_extent(key, HeldExtent(hold.length, version), source.read_extent(key))
-        self.ownership_log[key].append(Ownership(self.ticks(), to.name, version))
-        await asyncio.sleep(copy_s / 4)  # here both claim it, and the old one is fenced
-        source.remove_extent(key, Redirect(version, to.shard))
-        self.owners[key] = to
+        version = extent.version + 1
+        target.add_extent(key, HeldExtent(extent.length, version), source.read_extent(key))
+        self.ownership_log[key].append(Ownership(self.ticks(), target.name, version))
+        await asyncio.sleep(copy_s / 4)  # both nodes hold the extent, which is fenced on the source
+        source.remove_extent(key, Redirect(version, target.shard))
+        self.owners[key] = target
         self.moves += 1
         if publish:
             self.publish([key])
         return True
 
     def publish(self, keys: Sequence[ExtentKey]) -> None:
-        """Tell etcd: the extents and the map's next version in one transaction."""
+        """Writes the owners of extents and the map's next version to etcd in one transaction."""
         self.version += 1
-        rows: dict[str, Any] = {}
+        entries: dict[str, Any] = {}
         for key in keys:
-            rows.update(self._row(key))
-        self.etcd.transact({**rows, self.prefix + VERSION_KEY: {"version": self.version}})
+            entries.update(self._etcd_entry(key))
+        self.etcd.transact({**entries, self.prefix + VERSION_KEY: {"version": self.version}})
--- a/lemonridge/lab/ticks.py
+++ b/lemonridge/lab/ticks.py
@@ -1,4 +1,4 @@
-"""One order for everything that a drill sees: a count that never stands still."""
+"""A counter that gives all events of a drill one total order."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class Ticks:
-    """Numbers events in the order in which they happen in the drill's one event loop."""
+    """Numbers events in the order in which they occur in the drill's event loop, from 1."""
 
     def __init__(self) -> None:
         self._count = itertools.count(1)
