--- a/lemonridge/lab/__init__.py
+++ b/lemonridge/lab/__init__.py
@@ -1,7 +1,9 @@
-"""Stand-ins, faults and checkers: what operators drill with, and what the tests start the program between.
+"""Tools for drills, measurements and tests: stand-ins, fault injection, load generators and checkers.
 
-Nothing here is loaded by `serve`. Everything binds to loopback, on ports that the system chooses. The rooms:
-`standins` (what the broker talks to), `links` (faults between them), `load` (clients), `drills`, `checkers`
-(their judges), `measure`, `conform` (cases by a protocol's sections) and `model` (virtual time). `program`
-starts the real program, `command` is the command line of all of it.
+`serve` loads nothing of this package. All servers listen on loopback, on ports that the system chooses.
+
+Packages: `standins` (the broker's peers), `links` (faults between them), `load` (clients), `drills` (fault
+drills), `checkers` (the drills' checks), `measure` (measurements), `conform` (protocol conformance, by
+sections of a standard) and `model` (a simulation in virtual time). `program` runs the real program, `rig` a
+fleet of them; `lemonridge.cli` has the commands.
 """
--- a/lemonridge/lab/demo.py
+++ b/lemonridge/lab/demo.py
@@ -1,4 +1,4 @@
-"""`lemonridge demo`: the broker at work for twenty seconds, with a node that dies and comes back cold."""
+"""`lemonridge demo`: a broker under load, while one of its nodes fails and restarts cold."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 def _config(port: int) -> str:
-    """Three LUNs, one on each node's shard, and the nodes in etcd."""
+    """Returns the operator's file: three LUNs, one on each node's shard, and the nodes in etcd."""
     head = CONFIG.format(store=STORE, port=0, front="").partition("[[lun]]")[0]
     for default, value in (
         ("cold_units = 1000000", "cold_units = 8"),
@@ -37,7 +37,15 @@
 
 
 async def run(seconds: float, progress: Callable[[str], None]) -> dict[str, object]:
-    """The summary's figures."""
+    """Runs the demo.
+
+    Args:
+        seconds: Duration of the load.
+        progress: Called with lines of text about the events of the demo.
+
+    Returns:
+        The figures of the summary.
+    """
     ticks = Ticks()
     nodes = [ExtentNode(f"n{n}", n, ticks, Random(n), accepts_unversioned=True) for n in range(NODES)]
     random = Random(7)
@@ -52,18 +60,16 @@
     victim = nodes[1]
     try:
         async with running_program(_config(etcd.port)) as (program, port):
-            progress(
-                f"a broker on 127.0.0.1:{port} before {NODES} stand-in nodes; {RATE:g} commands a second"
-            )
+            progress(f"broker on 127.0.0.1:{port} with {NODES} stand-in nodes; {RATE:g} commands per second")
             plan = load.LoadPlan(port, STORE, RATE, seconds, luns=tuple(range(NODES)), blocks=BLOCKS)
             load_task = asyncio.create_task(load.run(plan, progress))
             await asyncio.sleep(seconds * 0.4)
             victim.kill()
-            progress("node n1 dies: its commands are refused at once, the other nodes' go on")
+            progress("node n1 fails: its commands are refused at once, those of other nodes are not affected")
             await asyncio.sleep(seconds * 0.2)
             await victim.start()
             etcd.put(f"{PREFIX}nodes/n1", {**victim.etcd_entry(), "started_ms": int(time.time() * 1000)})
-            progress("node n1 is back, cold: it gets little at first, more as it warms")
+            progress("node n1 has restarted cold: its load starts low and rises during its slow start")
             commands_at_return = len(victim.command_start_times)
             tally = await load_task
             commands_after_return = len(victim.command_start_times) - commands_at_return
@@ -83,14 +89,15 @@
 
 
 def main(seconds: float) -> dict[str, object]:
-    """Run it, and say in words what the broker did."""
+    """Runs the demo, prints a summary and returns its figures."""
     figures = asyncio.run(run(seconds, lambda text: print(text, file=sys.stderr)))
     print(
-        f"{figures['served']} of {figures['due']} commands were served, {figures['refused']} refused at once and "
-        f"{figures['failed']} failed (they may have run when their node died)."
+        f"{figures['served']} of {figures['due']} commands were served, "
+        f"{figures['refused']} were refused at once and "
+        f"{figures['failed']} failed (they may have run before their node failed)."
     )
     print(
         f"Reads took {figures['read_p50_ms']} ms in the median and {figures['read_p99_ms']} ms at the 99th "
-        f"percentile; {figures['after_return']} commands went to n1 after its return."
+        f"percentile; n1 received {figures['after_return']} commands after its restart."
     )
     return figures
--- a/lemonridge/lab/links/datagrams.py
+++ b/lemonridge/lab/links/datagrams.py
@@ -1,7 +1,7 @@
 """A simulated network between brokers: one link with its own faults per ordered pair of brokers.
 
-Broker i is given, as the address of broker j, a socket of this network that no other broker uses. A datagram
-that i sends there and that the link does not drop is sent on to j from the socket that j knows as i's address.
+Broker i is given, as the address of broker j, a socket of this network that no other broker uses. If i sends
+a datagram there and the link does not drop it, j receives it from the socket that j knows as i's address.
 Each broker thus sees each peer at one address, and each direction can be cut, delayed, duplicated, reordered,
 corrupted or made lossy by itself.
 """
@@ -67,7 +67,8 @@
     Attributes:
         count: Number of brokers.
         links: Faults of each link, by the indexes of its source and its destination.
-        counters: Numbers of datagrams: sent, dropped, corrupted, delivered, and strange (from an unknown port).
+        counters: Numbers of datagrams that were sent, dropped, corrupted, delivered, or strange (from an
+            unknown port).
         sent_bytes: Bytes that brokers have sent.
         ports: UDP ports of the brokers, by index; set by `start`.
     """
--- a/lemonridge/lab/load/__init__.py
+++ b/lemonridge/lab/load/__init__.py
@@ -1,1 +1,1 @@
-"""Clients that ask: open-loop generators and the initiators beneath them."""
+"""Load generators: open-loop generators for both fronts, and the iSCSI initiators that they use."""
--- a/lemonridge/lab/load/client.py
+++ b/lemonridge/lab/load/client.py
@@ -1,8 +1,8 @@
-"""An initiator that recovers as its session's level has it (RFC 7143, chapter 7): the stand-in for a good
-driver.
+"""An iSCSI initiator with error recovery (RFC 7143, chapter 7), as a stand-in for a correct driver.
 
-Level 0 and 1: a lost connection ends the session, and what it had is lost. Level 1: spoilt PDUs are asked for
-again. Level 2: a lost connection is made anew, and its commands are reassigned.
+At ErrorRecoveryLevel 0 and 1, a lost connection ends the session and its commands are lost. From level 1 on,
+the initiator requests corrupt PDUs again. At level 2, it replaces a lost connection and reassigns its
+commands.
 """
 
 from __future__ import annotations
@@ -35,33 +35,48 @@
 
 LOGIN_FLAGS = FINAL | 1 << 2 | 3
 SEGMENT_BYTES = 8192
-ANSWER_TIMEOUT_S = 6.0  # for a login or a reassignment
+ANSWER_TIMEOUT_S = 6.0  # for the response to a task management request
 _isids = itertools.count(1000)
 
 
 class CommandLostError(Exception):
-    """The session ended under a command: what it did is not known."""
+    """The session ended while a command was open; whether the command ran is unknown."""
 
 
 class LoginFailedError(Exception):
-    """A login that was refused or broke off."""
+    """A login was rejected, or its connection ended."""
 
 
 @dataclass(eq=False)
 class Command:
-    """A command under way."""
+    """An open command.
+
+    Attributes:
+        pdu: The SCSI command PDU.
+        data: Data to write.
+        expected_bytes: Number of bytes to read.
+        done: Set to the status and the data read when the command is complete.
+        connection: Connection that the command is assigned to.
+        data_segments: Received data segments, by DataSN.
+        status: The SCSI response, once received.
+        was_recovered: Whether the command needed recovery that has not been counted yet.
+    """
 
     pdu: Pdu
     data: bytes
     expected_bytes: int
     done: asyncio.Future[tuple[int, bytes]]
     connection: Connection | None = None
-    data_segments: dict[int, bytes] = field(default_factory=dict)  # by DataSN
+    data_segments: dict[int, bytes] = field(default_factory=dict)
     status: Pdu | None = None
-    was_recovered: bool = False  # something of it was recovered
+    was_recovered: bool = False
 
     def finish(self) -> bool:
-        """Whether all is there: the status, and every Data-In that it counts."""
+        """Completes the command if its status and all Data-In PDUs that the status counts have arrived.
+
+        Returns:
+            Whether the command is complete.
+        """
         if self.status is None or len(self.data_segments) < self.status.words[4]:
             return False
         if not self.done.done():
@@ -72,33 +87,57 @@
 
 
 class Connection:
-    """One connection of a client's session."""
+    """One connection of a client's session.
+
+    Attributes:
+        client: The client.
+        cid: CID of the connection.
+        exp_stat_sn: Next expected StatSN.
+        header_digest: Whether PDUs have header digests.
+        data_digest: Whether PDUs have data digests.
+        alive: Whether the connection is logged in and open.
+        statuses: Received StatSNs that are not acknowledged yet.
+        incomplete: Commands whose status has arrived before all of their data, by StatSN.
+        task: Task that receives PDUs.
+        pending_answers: Futures of task management responses, by task tag.
+    """
 
     def __init__(self, client: Client, cid: int) -> None:
         self.client, self.cid = client, cid
         self.exp_stat_sn, self.header_digest, self.data_digest = 0, False, False
         self.alive = False
-        self.statuses: set[int] = set()  # StatSNs that came after one that is not acknowledged yet
-        self.incomplete: dict[int, Command] = {}  # by StatSN: their data are missing, so they wait
+        self.statuses: set[int] = set()
+        self.incomplete: dict[int, Command] = {}
         self.task: asyncio.Task[None] | None = None
         self.pending_answers: dict[int, asyncio.Future[Pdu]] = {}
 
     async def open(self, tsih: int) -> int:
-        """Connect and log in; the session's TSIH."""
+        """Connects and logs in.
+
+        Args:
+            tsih: TSIH of the session to join; 0 for a new session.
+
+        Returns:
+            The session's TSIH.
+
+        Raises:
+            LoginFailedError: The login failed.
+            OSError: The connection failed.
+        """
         client = self.client
         self.reader, self.writer = await asyncio.open_connection("127.0.0.1", client.link.port)
         try:
             answer = await self._login(tsih)
         except (asyncio.IncompleteReadError, ConnectionError, PduError):
             self.writer.transport.abort()
-            raise LoginFailedError("broken off") from None
+            raise LoginFailedError("the connection ended during the login") from None
         keys = unpack_text(answer.data)
         self.header_digest, self.data_digest = (
             keys.get("HeaderDigest") == "CRC32C",
             keys.get("DataDigest") == "CRC32C",
         )
         if "ErrorRecoveryLevel" in keys and int(keys["ErrorRecoveryLevel"]) != client.level:
-            raise LoginFailedError(f"level {keys['ErrorRecoveryLevel']}")
+            raise LoginFailedError(f"unexpected ErrorRecoveryLevel {keys['ErrorRecoveryLevel']}")
         self.alive = True
         self.task = asyncio.create_task(self._receive())
         return int.from_bytes(answer.lun[6:], "big")
@@ -146,6 +185,7 @@
         return answer
 
     def send(self, pdu: Pdu) -> None:
+        """Sends a PDU with the current ExpStatSN, unless the connection is closing."""
         pdu.words[2] = self.exp_stat_sn
         if not self.writer.is_closing():
             self.writer.write(pdu.encode(self.header_digest, self.data_digest))
@@ -171,7 +211,7 @@
         self.client.on_connection_lost(self)
 
     def _request_retransmission(self, pdu: Pdu) -> None:
-        """A PDU whose data came spoilt is asked for again (7.2, 7.3)."""
+        """Requests a PDU again whose data segment is corrupt (7.2, 7.3)."""
         if pdu.opcode == Op.DATA_IN:
             command = self.client.commands.get(pdu.tag)
             if command is not None:
@@ -184,6 +224,7 @@
         self.send(Pdu(Op.SNACK, FINAL | kind, tag=tag, words=[NONE, 0, 0, 0, 0, first, run]))
 
     def handle_pdu(self, pdu: Pdu) -> None:
+        """Handles a received PDU."""
         client = self.client
         client.update_window(pdu.words[2], pdu.words[3])
         if pdu.opcode == Op.DATA_IN:
@@ -212,8 +253,9 @@
             self.pending_answers[pdu.tag].set_result(pdu)
 
     def _record_stat_sn(self, stat_sn: int) -> bool:
-        """Note a StatSN; whether it is new. What lies between is asked for by `_missed` as it comes
-        spoilt.
+        """Records a received StatSN and returns whether it is new.
+
+        Gaps need no action here: `_request_retransmission` requests each PDU that arrives corrupt.
         """
         if later(stat_sn, self.exp_stat_sn) < 0 or stat_sn in self.statuses:
             return False
@@ -222,23 +264,31 @@
         return True
 
     def acknowledge(self) -> None:
-        """Count on the StatSNs that are complete: a target forgets the data of what was acknowledged, and
-        they could not be asked for again (11.16).
+        """Advances ExpStatSN past all complete statuses.
+
+        A status whose data are missing is not acknowledged: the target discards the data of acknowledged
+        commands, so that they could not be requested again (11.16).
         """
         while self.exp_stat_sn in self.statuses and self.exp_stat_sn not in self.incomplete:
             self.statuses.discard(self.exp_stat_sn)
             self.exp_stat_sn = (self.exp_stat_sn + 1) % (1 << 32)
 
     def hold_status(self, stat_sn: int, command: Command) -> None:
-        """Hold a status back until its command has all of its data."""
+        """Delays the acknowledgement of a status until its command has all of its data."""
         self.incomplete[stat_sn] = command
 
     def release_status(self, command: Command) -> None:
-        """Acknowledge the status of a command that has all of its data now."""
+        """Allows the acknowledgement of a command's status, now that its data are complete."""
         self.incomplete = {stat_sn: held for stat_sn, held in self.incomplete.items() if held is not command}
         self.acknowledge()
 
     async def request(self, pdu: Pdu) -> Pdu:
+        """Sends a request and returns the response with the same task tag.
+
+        Raises:
+            LoginFailedError: The connection ended before the response.
+            TimeoutError: No response arrived within ANSWER_TIMEOUT_S.
+        """
         answer: asyncio.Future[Pdu] = asyncio.get_running_loop().create_future()
         self.pending_answers[pdu.tag] = answer
         try:
@@ -250,9 +300,32 @@
 
 
 class Client:
-    """A session that is made anew as often as it takes."""
-
-    recovery_timeout_s = 6.0  # beyond a command's own deadline: for what recovery takes
+    """An iSCSI session that is reopened whenever it is lost.
+
+    Attributes:
+        link: Link to the broker, or the broker itself.
+        target: Name of the target.
+        name: Name of the initiator.
+        level: ErrorRecoveryLevel of the session.
+        connections: Number of connections of the session.
+        random: Source of the random choices.
+        account: CHAP name and secret, or None for no authentication.
+        keys: Additional login keys.
+        isid: ISID of the session.
+        commands: Open commands, by task tag.
+        answered_tags: Tags of commands that have ended.
+        cmd_sn: Next CmdSN.
+        exp_cmd_sn: Latest ExpCmdSN of the target.
+        max_cmd_sn: Latest MaxCmdSN of the target.
+        tsih: TSIH of the session.
+        active_connections: Connections of the current session.
+        recovered: Number of commands that were completed after recovery.
+        sessions: Number of sessions so far.
+        duplicate_answers: Number of additional responses to commands that had ended.
+        logged_in: Whether the session is open.
+    """
+
+    recovery_timeout_s = 6.0  # time for recovery, beyond a command's own deadline
 
     def __init__(
         self,
@@ -269,7 +342,7 @@
         self.connections, self.random, self.account, self.keys = connections, random, account, keys
         self.isid = b"\x80" + next(_isids).to_bytes(5, "big")
         self.commands: dict[int, Command] = {}
-        self.answered_tags: set[int] = set()  # tags of commands that were answered
+        self.answered_tags: set[int] = set()
         self.cmd_sn, self.exp_cmd_sn, self.max_cmd_sn, self.tsih = 1, 1, 0, 0
         self.active_connections: list[Connection] = []
         self.recovered = self.sessions = self.duplicate_answers = 0
@@ -279,10 +352,23 @@
         self._reconnecting: set[asyncio.Task[None]] = set()
         self._closed = False
 
-    # A command
+    # Commands
 
     async def run(self, cdb: bytes, lun: int, data: bytes, read: int) -> tuple[int, bytes]:
-        """Status and data of one command; CommandLostError if its session ended under it."""
+        """Runs one command.
+
+        Args:
+            cdb: The CDB.
+            lun: The LUN.
+            data: Data to write.
+            read: Number of bytes to read.
+
+        Returns:
+            The SCSI status and the data read.
+
+        Raises:
+            CommandLostError: The session ended before the response.
+        """
         while True:
             await self._ensure_session()
             if later(self.cmd_sn, self.max_cmd_sn) <= 0 and self.logged_in and (alive := self._alive()):
@@ -324,6 +410,7 @@
         return [connection for connection in self.active_connections if connection.alive]
 
     def update_window(self, exp_cmd_sn: int, max_cmd_sn: int) -> None:
+        """Updates the command window from a PDU's ExpCmdSN and MaxCmdSN."""
         if later(exp_cmd_sn, self.exp_cmd_sn) > 0:
             self.exp_cmd_sn = exp_cmd_sn
         if later(max_cmd_sn, self.max_cmd_sn) > 0:
@@ -331,6 +418,7 @@
             self._window_opened.set()
 
     def data_out(self, connection: Connection, pdu: Pdu) -> None:
+        """Sends the data that an R2T requests."""
         command = self.commands.get(pdu.tag)
         if command is None:
             return
@@ -349,6 +437,7 @@
             )
 
     def on_response(self, connection: Connection, pdu: Pdu, is_new: bool) -> None:
+        """Records the status of a command, or counts a duplicate response."""
         command = self.commands.get(pdu.tag)
         if command is None or command.status is not None:
             self.duplicate_answers += is_new and pdu.tag in self.answered_tags
@@ -357,6 +446,7 @@
         self.finish_if_complete(command)
 
     def finish_if_complete(self, command: Command) -> None:
+        """Completes a command whose status and data have arrived, and counts its recovery."""
         if not command.finish():
             return
         if command.connection is not None:
@@ -366,8 +456,9 @@
             self.recovered += 1
 
     def on_reject(self, connection: Connection, pdu: Pdu) -> None:
-        """A command that came spoilt is sent again under its number; lost data are asked for by the
-        target.
+        """Sends a command again, with the same CmdSN, that the target rejected as corrupt.
+
+        The target itself requests corrupt Data-Out PDUs again.
         """
         tag = int.from_bytes(pdu.data[16:20], "big")
         command = self.commands.get(tag)
@@ -379,7 +470,7 @@
     # Sessions
 
     async def _ensure_session(self) -> None:
-        """A session with a connection, made if there is none."""
+        """Waits for a session with an open connection, and opens one if there is none."""
         async with self._lock:
             while not self.logged_in or not self._alive():
                 if self._reconnecting:
@@ -388,7 +479,7 @@
                 await self._open_session()
 
     async def _open_session(self) -> None:
-        """A new session: what the old one had is lost."""
+        """Opens a new session; the commands of the old one are lost."""
         self._fail_commands()
         self.logged_in, self.active_connections = False, []
         self.cmd_sn = self.exp_cmd_sn = self.random.choice((1, 0xFFFFFFF0))
@@ -411,7 +502,7 @@
                 command.done.set_exception(CommandLostError())
 
     def on_connection_lost(self, connection: Connection) -> None:
-        """A connection is gone."""
+        """Handles the end of a connection: ends the session, or replaces the connection at level 2."""
         self._window_opened.set()
         if connection not in self.active_connections or self._closed:
             return
@@ -427,7 +518,7 @@
         task.add_done_callback(self._reconnecting.discard)
 
     async def _reconnect(self, lost: Connection) -> None:
-        """Make a lost connection anew under its CID, and take its commands over to it (7.4)."""
+        """Replaces a lost connection with a new one of the same CID and reassigns its commands (7.4)."""
         replacement = Connection(self, lost.cid)
         self.active_connections = [
             replacement if connection is lost else connection for connection in self.active_connections
@@ -448,7 +539,9 @@
                     connection.writer.transport.abort()
             self._fail_commands()
             return
-        for command in orphans:  # all at once: if this connection is lost too, they are taken over with it
+        # All commands are assigned before any is reassigned: if this connection is lost too, its replacement
+        # takes over all of them.
+        for command in orphans:
             command.connection = replacement
         for command in orphans:
             if replacement.alive and not command.done.done():
@@ -471,17 +564,21 @@
                 )
             )
         except (LoginFailedError, TimeoutError):
-            return  # that connection is lost too, and mended in its turn
+            return  # this connection is lost too and will be replaced itself
         command.was_recovered = True
         if answer.byte2 == 0:
             return
         if later(command.pdu.words[1], self.exp_cmd_sn) >= 0:
-            connection.send(command.pdu)  # it never came: again under its number
+            connection.send(command.pdu)  # the target never received it: sent again with its CmdSN
         elif not command.done.done():
             command.done.set_exception(CommandLostError())
 
     async def flood(self, count: int) -> int:
-        """Send far past the window and read nothing for a while."""
+        """Sends `count` commands regardless of the command window and reads no responses for 50 ms.
+
+        Returns:
+            Number of commands sent; 0 if there is no session.
+        """
         await self._open_session()
         if not self.logged_in:
             return 0
@@ -502,6 +599,7 @@
         return count
 
     async def close(self) -> None:
+        """Closes all connections without logging out."""
         self._closed = True
         for task in list(self._reconnecting):
             task.cancel()
--- a/lemonridge/lab/load/fleet.py
+++ b/lemonridge/lab/load/fleet.py
@@ -1,7 +1,7 @@
-"""Sends open-loop requests to the brokers of a fleet and records each with its answer.
+"""Sends open-loop requests to the brokers of a fleet and records each one with its response.
 
-Bytes are written and read here, not by a library, so that an answer too many is seen as what it is. Each
-volume sends at its own rate through its own brokers, and may move its demand from one of them to another.
+This module reads and writes the HTTP bytes itself, since a library would hide surplus responses. Each volume
+sends at its own rate through its own brokers, and may move its load from one broker to another.
 """
 
 from __future__ import annotations
@@ -13,8 +13,8 @@
 from enum import StrEnum
 from random import Random
 
-GRACE_S = 0.5  # past the deadline: an answer by then is late, later there is none
-IDLE_PAUSE_S = 0.1  # until a volume without demand is looked at again
+GRACE_S = 0.5  # after the deadline; a response in this time is late, after it the client gives up
+IDLE_PAUSE_S = 0.1  # interval at which a volume without load is checked again
 
 
 class RequestEnd(StrEnum):
@@ -30,7 +30,21 @@
 
 @dataclass(slots=True)
 class ClientRequest:
-    """One request and what became of it; times are monotonic, in seconds."""
+    """One request and its result; times are monotonic, in seconds.
+
+    Attributes:
+        request_id: Id of the request.
+        broker: Index of the broker.
+        volume: Number of the volume.
+        units: Size in units.
+        due_at: Time at which the request was due.
+        deadline_at: Time of its deadline.
+        sent_at: Time at which its last byte was written to an accepted connection; 0 if it was never sent.
+        ended_at: Time of its end.
+        end: How it ended.
+        wrong: Whether it was answered with a body that belongs to another request.
+        surplus: Whether bytes beyond the response arrived.
+    """
 
     request_id: str
     broker: int
@@ -38,16 +52,27 @@
     units: int
     due_at: float
     deadline_at: float
-    sent_at: float = 0.0  # when its last byte was written to a connection that was accepted; 0: never
+    sent_at: float = 0.0
     ended_at: float = 0.0
     end: RequestEnd = RequestEnd.OPEN
-    wrong: bool = False  # answered by what no node made for it
-    surplus: bool = False  # bytes arrived that answer nothing
+    wrong: bool = False
+    surplus: bool = False
 
 
 @dataclass(frozen=True, slots=True)
 class VolumeTraffic:
-    """One volume's traffic: `rate(t)` requests a second at broker `broker(t)`, `t` seconds from the start."""
+    """The load of one volume.
+
+    Attributes:
+        volume: Number of the volume.
+        plan: Name of its plan.
+        hosts: Number of brokers that the volume uses.
+        shards: Shards of its requests.
+        rate: Returns the requests per second at a time, in seconds from the start.
+        broker: Returns the index of the broker that is used at a time, in seconds from the start.
+        largest_request_units: Largest request in units.
+        writes: Fraction of writes.
+    """
 
     volume: int
     plan: str
@@ -56,7 +81,7 @@
     rate: Callable[[float], float]
     broker: Callable[[float], int]
     largest_request_units: int = 2
-    writes: float = 0.3  # their fraction of all requests
+    writes: float = 0.3
 
 
 class _Connection:
@@ -66,31 +91,39 @@
         self.reader, self.writer = reader, writer
 
     def surplus(self) -> bool:
-        """Whether bytes arrived that answer nothing."""
+        """Returns whether unread bytes have arrived that belong to no response."""
         return bool(self.reader._buffer)  # type: ignore[attr-defined]
 
     def usable(self) -> bool:
-        """Whether it is open and has no surplus."""
+        """Returns whether the connection is open and has no surplus bytes."""
         return not self.surplus() and not self.reader.at_eof()
 
 
 @dataclass
 class Clients:
-    """All clients of a drill."""
+    """All clients of a drill.
 
-    ports: list[int]  # by broker
+    Attributes:
+        ports: Ports of the brokers, by index.
+        seed: Seed of the random draws.
+        deadline_ms: Deadline of each request.
+        requests: All requests so far.
+        surplus: Number of idle connections on which bytes arrived that belong to no response.
+    """
+
+    ports: list[int]
     seed: int
     deadline_ms: int = 1500
     requests: list[ClientRequest] = field(default_factory=list)
-    surplus: int = 0  # idle connections on which bytes arrived that answer nothing
+    surplus: int = 0
     _idle: dict[int, list[_Connection]] = field(default_factory=dict)
     _tasks: set[asyncio.Task[None]] = field(default_factory=set)
 
     async def run(self, traffic: list[VolumeTraffic], seconds: float) -> None:
-        """Send what is due for `seconds`, then wait for the answers."""
+        """Sends requests for `seconds`, then waits until all of them have ended."""
         loop = asyncio.get_running_loop()
         began_at = loop.time()
-        await asyncio.gather(*(self._send_volume(one, began_at, seconds) for one in traffic))
+        await asyncio.gather(*(self._send_volume(volume, began_at, seconds) for volume in traffic))
         if self._tasks:
             await asyncio.wait(self._tasks)
         for connections in self._idle.values():
@@ -138,7 +171,8 @@
                         break
                     except (OSError, asyncio.IncompleteReadError) as error:
                         connection.writer.close()
-                        # A close that crossed a request on a kept connection: once more, on a new one.
+                        # The broker may have closed an idle connection while the request was on its way;
+                        # the request is sent again on a new connection.
                         if is_new or (isinstance(error, asyncio.IncompleteReadError) and error.partial):
                             raise
             request.ended_at, request.end = loop.time(), _end(status)
@@ -157,7 +191,7 @@
                     connection.writer.close()
 
     async def _connection(self, broker: int) -> tuple[_Connection, bool]:
-        """An idle connection or a new one, and whether it is new."""
+        """Returns an idle connection or a new one, and whether it is new."""
         idle = self._idle.setdefault(broker, [])
         while idle:
             connection = idle.pop()
@@ -175,7 +209,7 @@
 
 
 def _encode(request: ClientRequest, traffic: VolumeTraffic, writes: bool, shard: int, left_ms: int) -> bytes:
-    """The request's bytes, as the platform's protocol has them."""
+    """Returns the bytes of a request in the platform's protocol."""
     class_name, body = ("new-write", b"w" * 64 * request.units) if writes else ("read", b"")
     shard = -1 if writes else shard
     lines = [
@@ -194,7 +228,7 @@
 
 
 async def _read(reader: asyncio.StreamReader) -> tuple[int, bytes, bool]:
-    """Status, body, and whether the connection stays open."""
+    """Reads a response; returns its status, its body, and whether the connection stays open."""
     head = (await reader.readuntil(b"\r\n\r\n")).decode("latin-1").split("\r\n")
     headers = {name.lower(): value for name, _, value in (line.partition(": ") for line in head[1:-2])}
     body = await reader.readexactly(int(headers.get("content-length", 0)))
--- a/lemonridge/lab/load/http.py
+++ b/lemonridge/lab/load/http.py
@@ -1,8 +1,9 @@
 """An open-loop generator of the platform's requests (PROTOCOL, "Clients to brokers"), and a broker for it.
 
-As in `load`, a request's time counts from when it was due, sent then or not: a server that stalls shows in
-the tail with every request that came meanwhile, not with one a connection. Connections are held as clients
-hold them: one request at a time on each, a new one while all are busy, up to `connections`.
+Latencies count from the time at which a request was due, even if it was sent later (see `openloop`). A stall
+of the server thus shows in the latency of every request that was due meanwhile, not only in one request per
+connection. Each connection carries one request at a time; while all are busy, a new one is opened, up to
+`connections`.
 """
 
 from __future__ import annotations
@@ -23,17 +24,32 @@
 from lemonridge.lab.program import Program, ProgramError
 from lemonridge.lab.standins.platform import Discovery, DiskNode
 
-READY_TIMEOUT_S = 30.0  # for the first list, and for the first lease where 32 start at once
+READY_TIMEOUT_S = 30.0  # covers the first list, and the first lease when 32 brokers start at once
 
 
 @dataclass(frozen=True, slots=True)
 class LoadPlan:
-    """`rate` requests a second for `seconds`; each of a class at random, of `volumes`, for a shard at random.
+    """The load to generate; class, volume and shard of each request are drawn at random.
 
-    A class is (name, writes): a write is a `PUT` with a body of `units` times 64 bytes and an idempotency
-    key. Where `largest_request_units` is set, units are drawn evenly from 1 to it. Where `table` holds
-    volumes as (weight, shards), a volume is drawn by weight and its shard among its own, as the model draws
-    them.
+    Attributes:
+        port: Port of the broker.
+        rate: Requests per second.
+        seconds: Duration in seconds.
+        classes: Names of the classes, and whether they write. A write is a `PUT` with an idempotency key and
+            a body of 64 bytes per unit.
+        plan: Plan of all volumes.
+        volumes: Number of volumes.
+        shards: Number of shards.
+        units: Size of each request, unless `largest_request_units` is set.
+        largest_request_units: If not 0, sizes are drawn evenly from 1 to this.
+        volume_table: If not empty, the weight and the shards of each volume. A volume is drawn by weight, and
+            the shard among its own shards, as in the model.
+        deadline_ms: Deadline of each request.
+        arrivals: Distribution of the arrivals: `poisson`, `even` or `bursty`.
+        connections: Largest number of connections.
+        outstanding: Largest number of open requests; a request beyond it is counted as unsent.
+        new_objects: Whether writes name no shard, so that any node may take them.
+        seed: Seed of the draws.
     """
 
     port: int
@@ -49,15 +65,15 @@
     deadline_ms: int = 1500
     arrivals: str = "poisson"
     connections: int = 64
-    outstanding: int = 2000  # past it a request is not sent, and counted so
-    new_objects: bool = False  # writes name no shard: any node takes them
+    outstanding: int = 2000
+    new_objects: bool = False
     seed: int = 1
 
 
 def build_headers(
     plan: LoadPlan, number: int, cls: str, writes: bool, volume: int, shard: int, units: int
 ) -> dict[str, str]:
-    """The headers of one request; its id is new with each, as PROTOCOL asks."""
+    """Returns the headers of one request, with an id of its own as PROTOCOL requires."""
     request_headers = {
         "X-Request-Id": f"{plan.seed & 0xFFFFFFFF:08x}{number:08x}",
         "X-Class": cls,
@@ -71,13 +87,20 @@
 
 
 async def run(plan: LoadPlan, progress: Callable[[str], None] = lambda text: None) -> Tally:
-    """Send what is due, and wait for what is out; `say` gets a line a second. Times are of served requests,
-    by class; 429 and 503 are refusals (PROTOCOL's table of answers).
+    """Generates the load and waits until every request has ended.
+
+    Args:
+        plan: The load.
+        progress: Called with one line of text per second.
+
+    Returns:
+        The counts, and the latencies of served requests by class. Responses 429 and 503 count as refused
+        (PROTOCOL's table of answers).
     """
     loop, random = asyncio.get_running_loop(), Random(plan.seed)
     tally = Tally(tuple(name for name, _ in plan.classes))
     connector = aiohttp.TCPConnector(limit=plan.connections)
-    patience_s = plan.deadline_ms / 1000 + 1.0  # what a client would wait, and a second more
+    patience_s = plan.deadline_ms / 1000 + 1.0  # a client's deadline and one second more
     async with aiohttp.ClientSession(f"http://127.0.0.1:{plan.port}", connector=connector) as session:
 
         async def send_request(
@@ -118,7 +141,7 @@
 
 
 def _draw_volume(plan: LoadPlan, random: Random) -> tuple[int, int]:
-    """A volume, from 1, and its shard."""
+    """Draws the number of a volume, from 1, and a shard."""
     if not plan.volume_table:
         return 1 + random.randrange(plan.volumes), random.randrange(plan.shards)
     number = random.choices(range(len(plan.volume_table)), [weight for weight, _ in plan.volume_table])[0]
@@ -126,7 +149,12 @@
 
 
 def settings_document(shards: int, deadline_ms: int) -> dict[str, Any]:
-    """The settings of a small site for the stand-ins: a read and a keyed write, each aiming at its end."""
+    """Returns the settings of a small site: a read class and a keyed write class, in PROTOCOL's format.
+
+    Args:
+        shards: Number of shards.
+        deadline_ms: Deadline and latency objective of both classes.
+    """
     class_defaults = {
         "aim-us": deadline_ms * 1000,
         "deadline-us": deadline_ms * 1000,
@@ -193,9 +221,23 @@
     work_ms: float = 2.0,
     mean_request_units: float = 0.0,
 ) -> AsyncGenerator[tuple[Program, int, list[DiskNode]], None]:
-    """The broker on the platform's front before `count` stand-in nodes (node n holds shard n modulo `shards`)
-    and discovery, ready; its port and the nodes, until the block ends, when it is stopped (ProgramError if it
-    does not end well).
+    """Runs a broker with stand-in nodes and discovery until the block ends.
+
+    Args:
+        count: Number of nodes; node n holds shard n modulo `shards`.
+        shards: Number of shards.
+        deadline_ms: Deadline and latency objective of both classes.
+        seed: Seed of the nodes and the broker.
+        cores: Cores of each node.
+        queue: Length of each node's queue.
+        work_ms: Mean duration of a request on a node.
+        mean_request_units: Mean size of a request, as in `DiskNode`.
+
+    Yields:
+        The program, its port and the nodes, once the broker is ready.
+
+    Raises:
+        ProgramError: The broker does not start, become ready or stop.
     """
     discovery = await Discovery().start()
     nodes = [
@@ -237,7 +279,11 @@
 
 
 async def wait_until_ready(port: int) -> None:
-    """Until `GET /-/ready` answers 200; ProgramError after READY_S."""
+    """Waits until `GET /-/ready` answers 200.
+
+    Raises:
+        ProgramError: The broker is not ready within READY_TIMEOUT_S.
+    """
     loop = asyncio.get_running_loop()
     give_up_at = loop.time() + READY_TIMEOUT_S
     async with aiohttp.ClientSession() as session:
@@ -249,4 +295,4 @@
             except aiohttp.ClientError:
                 pass
             await asyncio.sleep(0.02)
-    raise ProgramError(f"not ready in {READY_TIMEOUT_S:g} s")
+    raise ProgramError(f"the broker was not ready within {READY_TIMEOUT_S:g} s")
--- a/lemonridge/lab/load/initiator.py
+++ b/lemonridge/lab/load/initiator.py
@@ -1,4 +1,4 @@
-"""An initiator's session, one connection; every final answer is counted."""
+"""A simple iSCSI initiator with one connection, which counts the responses to each command."""
 
 from __future__ import annotations
 
@@ -8,18 +8,31 @@
 
 from lemonridge.iscsi.pdu import FINAL, Op, Pdu, pack_lun, pack_text, read_pdu
 
-ANSWER_TIMEOUT_S = 10.0  # for an answer; nothing waits this long unless the broker fails
+ANSWER_TIMEOUT_S = 10.0  # a response takes this long only if the broker fails
 SEGMENT_BYTES = 8192
 _isids = itertools.count(1)
 
 
 def cdb(opcode: int, block: int, length: int) -> bytes:
-    """READ or WRITE (10) of `length` bytes in blocks of 512."""
+    """Returns the CDB of a READ or WRITE (10) of `length` bytes in blocks of 512 bytes."""
     return struct.pack(">BBIBHB", opcode, 0, block, 0, length // 512, 0)
 
 
 class Initiator:
-    """Sends commands and keeps what was answered, by task tag."""
+    """An initiator's session.
+
+    Attributes:
+        port: Port of the target.
+        segment: MaxRecvDataSegmentLength that the initiator declares.
+        last_tag: Task tag of the latest command.
+        next_cmd_sn: Next CmdSN.
+        pending: Future response, data read and data to write of each command, by task tag.
+        answer_counts: Number of responses to each command, by task tag.
+        other_pdus: Received PDUs that are no response, data or R2T; an ASYNC PDU marks the end of the
+            connection.
+        receiver: Task that receives PDUs.
+        isid: ISID of the session.
+    """
 
     def __init__(self, port: int, segment: int = SEGMENT_BYTES) -> None:
         self.port, self.segment, self.last_tag, self.next_cmd_sn = port, segment, 0, 0
@@ -30,17 +43,24 @@
         self.isid = b"\x80" + next(_isids).to_bytes(5, "big")
 
     async def open(self) -> Initiator:
+        """Connects without logging in."""
         self.reader, self.writer = await asyncio.open_connection("127.0.0.1", self.port)
         return self
 
     def send(self, pdu: Pdu) -> None:
-        """With the next command number."""
+        """Sends a PDU with the next CmdSN."""
         if pdu.opcode != Op.DATA_OUT:
             pdu.words[1] = self.next_cmd_sn
             self.next_cmd_sn += not pdu.immediate
         self.writer.write(pdu.encode())
 
     async def login(self, flags: int = FINAL | 1 << 2 | 3, **keys: str | None) -> Pdu:
+        """Sends one login request and returns the response.
+
+        Args:
+            flags: Flags of the request.
+            **keys: Login keys to add or change; None removes a key.
+        """
         login_keys: dict[str, str | None] = {
             "InitiatorName": "iqn.2026-12.org.lemonridge:test",
             "TargetName": "iqn.2026-12.org.lemonridge:store",
@@ -54,6 +74,11 @@
             return await read_pdu(self.reader)
 
     async def start(self) -> Initiator:
+        """Connects, logs in and starts to receive.
+
+        Raises:
+            ConnectionError: The login was rejected.
+        """
         await self.open()
         answer = await self.login()
         if answer.words[4]:
@@ -99,7 +124,17 @@
             )
 
     def command(self, cdb: bytes, read: int = 0, data: bytes = b"", lun: int = 0, attribute: int = 0) -> int:
-        """Send a command; the first half of a write's data goes along, up to 4096 bytes."""
+        """Sends a command and returns its task tag.
+
+        The first half of a write's data, up to 4096 bytes, is sent as immediate data.
+
+        Args:
+            cdb: The CDB.
+            read: Number of bytes to read.
+            data: Data to write.
+            lun: The LUN.
+            attribute: Task attribute.
+        """
         self.last_tag += 1
         immediate_data = data[: min(4096, len(data) // 2)]
         words = list(struct.unpack(">4I", cdb.ljust(16, b"\0")))
@@ -118,23 +153,26 @@
         return self.last_tag
 
     async def answer(self, tag: int) -> tuple[int, bytes, bytes]:
-        """Status, data and sense of a command."""
+        """Waits for the response to a command; returns its status, the data read and the sense data."""
         async with asyncio.timeout(ANSWER_TIMEOUT_S):
             pdu = await self.pending[tag][0]
         return pdu.byte3, bytes(self.pending[tag][1]), pdu.data[2:]
 
     async def read(self, block: int, length: int, lun: int = 0) -> tuple[int, bytes, bytes]:
+        """Reads `length` bytes; returns status, data and sense data."""
         return await self.answer(self.command(cdb(0x28, block, length), read=length, lun=lun))
 
     async def write(self, block: int, data: bytes, lun: int = 0) -> tuple[int, bytes, bytes]:
+        """Writes data; returns status, no data and sense data."""
         return await self.answer(self.command(cdb(0x2A, block, len(data)), data=data, lun=lun))
 
     def forget(self, tag: int) -> None:
-        """Give up a command's data; a second answer to it would still be counted."""
+        """Frees the data of a command; further responses to it are still counted."""
         future, _, _ = self.pending[tag]
         self.pending[tag] = (future, bytearray(), b"")
 
     def close(self) -> None:
+        """Closes the connection without logging out."""
         if self.receiver is not None:
             self.receiver.cancel()
         self.writer.close()
--- a/lemonridge/lab/load/iscsi.py
+++ b/lemonridge/lab/load/iscsi.py
@@ -1,4 +1,4 @@
-"""An open-loop generator of iSCSI load: commands are due at times that no answer moves."""
+"""An open-loop generator of iSCSI load: commands are due at times that do not depend on responses."""
 
 from __future__ import annotations
 
@@ -16,7 +16,23 @@
 
 @dataclass(frozen=True, slots=True)
 class LoadPlan:
-    """What is asked for: `rate` commands a second for `seconds`, of `size` bytes, `writes` of them writes."""
+    """The load to generate.
+
+    Attributes:
+        port: Port of the target.
+        target: Name of the target.
+        rate: Commands per second.
+        seconds: Duration in seconds.
+        size: Size of each command in bytes.
+        writes: Fraction of writes.
+        luns: LUNs of the commands.
+        blocks: Number of blocks of each LUN that are used.
+        arrivals: Distribution of the arrivals: `poisson`, `even` or `bursty`.
+        sessions: Number of sessions.
+        outstanding: Largest number of open commands; a command beyond it is counted as unsent.
+        patience_s: Time after which an unanswered command counts as lost.
+        seed: Seed of the draws.
+    """
 
     port: int
     target: str
@@ -25,16 +41,24 @@
     size: int = 4096
     writes: float = 0.3
     luns: tuple[int, ...] = (0,)
-    blocks: int = 1024  # of each LUN that are used
-    arrivals: str = "poisson"  # or even, or bursty: twenty at a time
+    blocks: int = 1024
+    arrivals: str = "poisson"
     sessions: int = 4
-    outstanding: int = 2000  # past it a command is not sent, and counted so
+    outstanding: int = 2000
     patience_s: float = 10.0
     seed: int = 1
 
 
 async def run(plan: LoadPlan, progress: Callable[[str], None] = lambda command_block: None) -> Tally:
-    """Send what is due, and wait for what is out; `say` gets a line a second."""
+    """Generates the load and waits until every command has ended.
+
+    Args:
+        plan: The load.
+        progress: Called with one line of text per second.
+
+    Returns:
+        The counts, and the latencies of reads and writes.
+    """
     loop, random, tally = asyncio.get_running_loop(), Random(plan.seed), Tally()
     link = DirectLink(plan.port)
     no_digests = {"HeaderDigest": "None", "DataDigest": "None"}
--- a/lemonridge/lab/load/openloop.py
+++ b/lemonridge/lab/load/openloop.py
@@ -1,8 +1,8 @@
-"""What every open-loop generator shares: the loop itself, the gaps between arrivals, and the tally.
+"""The open loop that all load generators use, the gaps between arrivals, and the counts.
 
-A closed loop waits with the server it measures and so leaves out the very requests that would have waited
-(Tene's "coordinated omission"). Here a request's time counts from when it was due, whether or not it could be
-sent then. Times go into an HdrHistogram, whose file other tools read.
+A closed loop waits for the server that it measures, and thus omits the requests that would have been delayed
+(Tene's "coordinated omission"). Here the latency of a request counts from the time at which it was due, even
+if it was sent later. Latencies are recorded in an HdrHistogram, whose file format other tools can read.
 """
 
 from __future__ import annotations
@@ -21,7 +21,18 @@
 
 @dataclass
 class Tally:
-    """Counts by outcome, and times in microseconds by kind: a command's (read, write) or a class's name."""
+    """Counts of requests by result, and their latencies.
+
+    Attributes:
+        kinds: Kinds of requests: `read` and `write`, or the names of classes.
+        due: Number of requests that were due.
+        served: Number of served requests.
+        refused: Number of refused requests.
+        failed: Number of failed requests.
+        lost: Number of requests without a response.
+        unsent: Number of requests that were not sent, since too many were open.
+        times: Histogram of the latencies of served requests in microseconds, by kind.
+    """
 
     kinds: tuple[str, ...] = ("read", "write")
     due: int = 0
@@ -36,11 +47,18 @@
         self.times = {kind: HdrHistogram(1, MAX_LATENCY_US, SIGNIFICANT_DIGITS) for kind in self.kinds}
 
     def record_served(self, kind: str, due: float, now: float) -> None:
-        """One served, due at `due` and answered at `now`, in seconds of the loop's clock."""
+        """Records a served request.
+
+        Args:
+            kind: Kind of the request.
+            due: Time at which it was due, in seconds of the loop's clock.
+            now: Time of its response, on the same clock.
+        """
         self.served += 1
         self.times[kind].record_value(min(MAX_LATENCY_US, max(1, int((now - due) * 1e6))))
 
     def figures(self) -> dict[str, object]:
+        """Returns the counts, and the median and tail latencies by kind in milliseconds."""
         values: dict[str, object] = {
             name: getattr(self, name) for name in ("due", "served", "refused", "failed", "lost", "unsent")
         }
@@ -62,11 +80,18 @@
     draw: Callable[[float, int], Coroutine[Any, Any, None]],
     progress: Callable[[str], None],
 ) -> None:
-    """Call `draw(due, number)` at each time that is due for `seconds`, and run what it gives unless
-    `outstanding` are out, when it is counted as unsent; then wait for what is out. `say` gets a line a
-    second.
-
-    `draw` makes its draws whether or not its request is sent, so that the day is the same.
+    """Starts requests at their due times, and waits at the end until all of them have ended.
+
+    Args:
+        tally: Counts to update.
+        rate: Requests per second.
+        arrivals: Distribution of the arrivals, see `arrival_gaps`.
+        seconds: Duration in seconds.
+        outstanding: Largest number of open requests; a request beyond it is counted as unsent.
+        random: Source of the arrival times.
+        draw: Draws a request for a due time and a number, and returns the coroutine that sends it. It is also
+            called for unsent requests, so that the sequence of requests does not depend on the server.
+        progress: Called with one line of text per second.
     """
     loop, next_gap, tasks = (
         asyncio.get_running_loop(),
@@ -97,7 +122,13 @@
 
 
 def arrival_gaps(rate: float, arrivals: str, random: Random) -> Callable[[], float]:
-    """The time from one arrival to the next, in seconds: `poisson`, `even`, or `bursty` (twenty at once)."""
+    """Returns a function that draws the time to the next arrival, in seconds.
+
+    Args:
+        rate: Arrivals per second.
+        arrivals: Distribution: `poisson`, `even`, or `bursty` (20 at once).
+        random: Source of the draws.
+    """
     if arrivals == "even":
         return lambda: 1 / rate
     if arrivals == "bursty":
--- a/lemonridge/lab/model/__init__.py
+++ b/lemonridge/lab/model/__init__.py
@@ -1,6 +1,6 @@
-"""A model of brokers and nodes in virtual time, at sizes that sockets don't reach.
+"""A discrete-event simulation of brokers and nodes, at sizes that real sockets cannot reach.
 
-It hosts the real decisions through `lemonridge.scheduling`; `spec` says what is modelled, `world` is it,
-`baselines` are schedulers to compare with, and `runs` spreads runs over processes. docs/lab.md tells what it
-leaves out.
+The simulated brokers run the real scheduler, `lemonridge.scheduling`. `spec` defines scenarios, `world` is
+the simulation, `baselines` are schedulers to compare with, and `runs` distributes runs over processes.
+docs/lab.md describes what the model omits.
 """
--- a/lemonridge/lab/model/baselines.py
+++ b/lemonridge/lab/model/baselines.py
@@ -1,7 +1,7 @@
-"""Schedulers to compare the module with: they take the same events and return the same actions.
+"""Baseline schedulers to compare the real one with, which take the same events and return the same actions.
 
-Each sends at once, by its own rule among the usable nodes of a shard, makes at most the attempts that a class
-allows, and knows neither plans nor windows.
+Each of them sends a request immediately to one of its shard's active nodes, chosen by the baseline's rule,
+and retries it up to the allowed number of attempts. They ignore plans and windows.
 """
 
 from __future__ import annotations
@@ -36,13 +36,19 @@
 
 
 class DecisionMaker(Protocol):
-    """What the model hosts."""
+    """A scheduler that the model can run."""
 
-    def handle(self, now_us: int, events: Iterable[Event]) -> list[Action]: ...
+    def handle(self, now_us: int, events: Iterable[Event]) -> list[Action]:
+        """Handles events and returns the resulting actions."""
+        ...
 
 
 class Baseline:
-    """Sends each request to one of its shard's nodes as soon as it comes."""
+    """A scheduler that sends each request to one of its shard's nodes as soon as it arrives.
+
+    The rule is `round-robin`, `least` (fewest open attempts), `two-choices` (the one with fewer open attempts
+    of two random nodes) or `random`.
+    """
 
     def __init__(self, settings: Settings, seed: int, rule: str) -> None:
         self._settings, self._random, self._rule = settings, Random(seed), rule
@@ -51,11 +57,11 @@
         self._all: list[str] = []
         self._outstanding: dict[str, int] = {}
         self._turns = 0
-        self._requests: dict[
-            str, tuple[RequestArrived, int, bool]
-        ] = {}  # attempts made, whether it may have run
+        # By request: its arrival, the number of attempts made, and whether it may have been executed.
+        self._requests: dict[str, tuple[RequestArrived, int, bool]] = {}
 
     def handle(self, now_us: int, events: Iterable[Event]) -> list[Action]:
+        """Handles events and returns the resulting actions."""
         actions: list[Action] = []
         for event in events:
             if isinstance(event, RequestArrived):
@@ -130,5 +136,5 @@
 
 
 def make_scheduler(policy: str, settings: Settings, seed: int) -> DecisionMaker:
-    """The module, or a baseline by its name."""
+    """Returns the real scheduler for policy `module`, or the baseline with that rule."""
     return Scheduler(settings, seed) if policy == "module" else Baseline(settings, seed, policy)
--- a/lemonridge/lab/model/outcome.py
+++ b/lemonridge/lab/model/outcome.py
@@ -1,4 +1,4 @@
-"""What a run came to: service, refusals, waste, reservations, limits, nodes pushed over; and its digest."""
+"""The results of a run: service, refusals, reservations, limits, overloaded nodes, and a digest of them."""
 
 from __future__ import annotations
 
@@ -15,18 +15,33 @@
 
 
 class BrokerCost(Protocol):
-    """A broker, as its cost is counted."""
+    """The cost of a broker's decisions.
+
+    Attributes:
+        cpu_s: Time spent in decisions, in seconds.
+        decided: Number of decided events.
+    """
 
     cpu_s: float
     decided: int
 
 
-LIMIT_WARM_UP_S = 3  # of a run's start, in which no use of limits is counted
+LIMIT_WARM_UP_S = 3  # seconds at the start of a run in which the use of limits is not counted
 
 
 @dataclass(slots=True)
 class ClassCounts:
-    """One class's counts; times in milliseconds."""
+    """The counts of one request class.
+
+    Attributes:
+        asked: Number of requests.
+        in_time: Number of requests served within the class's objective.
+        late: Number of requests served after the objective.
+        refused: Number of rejected tries.
+        failed: Number of failed tries.
+        lost: Number of tries lost with a broker.
+        latencies_ms: Latencies of served requests in milliseconds.
+    """
 
     asked: int = 0
     in_time: int = 0
@@ -42,7 +57,23 @@
 
 
 class Outcome:
-    """Counts as a run goes on; `figures` are what is compared."""
+    """The counts of a run; `figures` returns the compared results.
+
+    Attributes:
+        class_counts: Counts of each class.
+        attempts: Number of attempts.
+        overloaded_nodes: Number of nodes that crashed under overload.
+        message_bytes: Bytes of datagrams between brokers.
+        faults: Number of injected faults, by kind.
+        asked_units: Requested units, by volume and second.
+        served_units: Units served within the objective, by volume and second of the request.
+        over_limit: Number of attempts that exceeded a volume's limit.
+        sent_units: Units sent for volumes with a limit, by volume and second.
+        cold_work_us: Work sent to cold nodes, in microseconds.
+        cold_capacity_us: Work that the nodes could do while they were cold, in microseconds.
+        cpu_us: Time spent in the brokers' decisions, in microseconds.
+        decided: Number of events that the brokers decided.
+    """
 
     def __init__(self, scenario: Scenario) -> None:
         self._scenario = scenario
@@ -50,23 +81,23 @@
         self.attempts = self.wasted = self.overloaded_nodes = 0
         self.message_bytes = 0
         self.faults: dict[str, int] = {}
-        self.asked_units: dict[tuple[int, int], float] = {}  # (volume, second) -> units asked for
+        self.asked_units: dict[tuple[int, int], float] = {}
         self.served_units: dict[tuple[int, int], float] = {}
         self._buckets: dict[int, tuple[float, float]] = {}
         self.over_limit = 0
-        self.sent_units: dict[tuple[int, int], float] = {}  # (volume with a limit, second) -> units sent
-        self.cold_work_us = self.cold_capacity_us = (
-            0.0  # work sent to cold nodes, and what they could do meanwhile
-        )
+        self.sent_units: dict[tuple[int, int], float] = {}
+        self.cold_work_us = self.cold_capacity_us = 0.0
         self.cpu_us = 0.0
         self.decided = 0
 
     def record_arrival(self, request: Request, now_us: float) -> None:
+        """Records a new request of a client."""
         self.class_counts[request.cls].asked += 1
         volume_second = (request.volume.number, int(now_us // 1_000_000))
         self.asked_units[volume_second] = self.asked_units.get(volume_second, 0.0) + request.units
 
     def record_attempt(self, request: Request, number: int, node: Node, now_us: float) -> None:
+        """Records an attempt, and checks a request's first attempt against its volume's limit."""
         self.attempts += 1
         if node.warm_up_fraction(now_us) < 1.0:
             self.cold_work_us += request.cost_us
@@ -75,7 +106,8 @@
             return
         volume_second = (request.volume.number, int(now_us // 1_000_000))
         self.sent_units[volume_second] = self.sent_units.get(volume_second, 0.0) + request.units
-        # The limit over all brokers: a store that fills at its rate, with the slack of a largest request.
+        # The limit over all brokers: a token bucket that refills at the limit's rate, with the tolerance of
+        # one largest request.
         capacity = max(plan.limit, 12.0)
         level, at = self._buckets.get(request.volume.number, (capacity, now_us))
         level = min(capacity, level + plan.limit * (now_us - at) / 1e6) - request.units
@@ -83,7 +115,7 @@
         self.over_limit += level < -max(6.0, plan.limit * 0.1)
 
     def slow_start_began(self, node: Node, now_us: float) -> None:
-        """A cold spell began; what the node can do in it, as far as it lies within the run."""
+        """Adds the work that a node can do during its slow start, as far as that lies within the run."""
         spec = node.spec
         duration_s = max(0.0, min(spec.ramp_s, self._scenario.seconds - now_us / 1e6))
         warmest = spec.slow_start_initial_fraction + (1 - spec.slow_start_initial_fraction) * (
@@ -94,6 +126,7 @@
         )
 
     def record_served(self, request: Request, now_us: float) -> None:
+        """Records a served request and its latency since its first try."""
         counts, class_spec = self.class_counts[request.cls], self._scenario.classes[request.cls]
         latency_ms = (now_us - request.first_sent_us) / 1000
         counts.latencies_ms.append(latency_ms)
@@ -105,19 +138,19 @@
             counts.late += 1
 
     def record_unserved(self, request: Request, result: str) -> None:
+        """Records a try that was `refused`, `failed` or `lost`."""
         counts = self.class_counts[request.cls]
         setattr(counts, result, getattr(counts, result) + 1)
 
     def close(self, nodes: Iterable[Node], brokers: Iterable[BrokerCost]) -> None:
+        """Records the overloaded nodes and the brokers' costs at the end of a run."""
         brokers = list(brokers)
         self.overloaded_nodes = sum(node.overloaded for node in nodes)
         self.cpu_us = sum(broker.cpu_s for broker in brokers) * 1e6
         self.decided = sum(broker.decided for broker in brokers)
 
     def reservations(self) -> float:
-        """The part of what was asked for within the reserves that was served in time; 1 where none is
-        held.
-        """
+        """Returns the fraction of the demand within reservations that was served in time; 1 without any."""
         due = served = 0.0
         for (volume, second), asked in self.asked_units.items():
             plan = self._scenario.plans[self._plan_index(volume)]
@@ -127,7 +160,7 @@
         return served / due if due else 1.0
 
     def limits_used(self) -> float:
-        """The part that was sent of what limits allowed and was asked for, each volume's second by itself."""
+        """Returns the fraction of the demand within limits that was sent, summed over volumes and seconds."""
         allowed = used = 0.0
         for (volume, second), asked in self.asked_units.items():
             limit = self._scenario.plans[self._plan_index(volume)].limit
@@ -145,7 +178,7 @@
         return len(self._scenario.plans) - 1
 
     def figures(self) -> dict[str, float]:
-        """Everything that depends on the scenario and the seed alone."""
+        """Returns the results that depend only on the scenario and the seed."""
         asked = sum(counts.asked for counts in self.class_counts)
         weighted_counts = [
             (counts, class_spec.priority_weight)
@@ -181,4 +214,5 @@
         }
 
     def digest(self) -> str:
+        """Returns a digest of the figures."""
         return hashlib.sha256(orjson.dumps(self.figures(), option=orjson.OPT_SORT_KEYS)).hexdigest()[:16]
--- a/lemonridge/lab/model/report.py
+++ b/lemonridge/lab/model/report.py
@@ -1,4 +1,4 @@
-"""Paired differences between two sets of runs, and plots against a factor."""
+"""Paired differences between two sets of runs, and plots of figures against a factor."""
 
 from __future__ import annotations
 
@@ -9,15 +9,32 @@
 
 
 def _pairing_key(result: dict[str, Any]) -> tuple[str, int]:
-    """What two runs have in common; the factor that is compared stands in the folders, not in the levels."""
+    """Returns the key by which runs are paired: levels and seed.
+
+    The compared factor is not among the levels, since each of its values has its own folder.
+    """
     return repr(sorted(result["levels"].items())), int(result["seed"])
 
 
 def paired_difference(
     before: list[dict[str, Any]], after: list[dict[str, Any]], figure: str, level: float = 0.95
 ) -> dict[str, float]:
-    """The mean of after less before over runs of the same levels and seed, and its confidence interval by
-    Student's t (paired: common random numbers make the difference steadier than either).
+    """Returns the mean difference between runs with the same levels and seed, with a confidence interval.
+
+    The interval is Student's t of the paired differences; common random numbers make their variance smaller
+    than that of the values.
+
+    Args:
+        before: Results before the change.
+        after: Results after the change.
+        figure: Name of the compared figure.
+        level: Confidence level.
+
+    Returns:
+        The number of pairs, the mean of after minus before, and the bounds of the interval.
+
+    Raises:
+        ValueError: No run of one set has a counterpart in the other.
     """
     before_values = {_pairing_key(result): float(result["figures"][figure]) for result in before}
     pairs = [
@@ -26,7 +43,7 @@
         if _pairing_key(result) in before_values
     ]
     if not pairs:
-        raise ValueError("the two have no run in common")
+        raise ValueError("the two sets of runs have no run in common")
     differences = np.array([b - a for a, b in pairs])
     mean = float(differences.mean())
     if len(differences) < 2 or not differences.std():
@@ -36,13 +53,19 @@
 
 
 def plot(results: list[dict[str, Any]], factor: str, figure: str, path: str, by: str | None = None) -> None:
-    """A figure against a factor, mean and extremes over the seeds, a line for each level of another
-    factor.
+    """Plots a figure against a factor, with the mean and the extremes over the seeds.
+
+    Args:
+        results: Results of the runs.
+        factor: Factor of the x axis.
+        figure: Name of the figure.
+        path: File to write.
+        by: Another factor, with one line for each of its levels; None for one line.
     """
     import matplotlib
 
     matplotlib.use("Agg")
-    matplotlib.rcParams["svg.hashsalt"] = "lemonridge"  # the same file for the same figures
+    matplotlib.rcParams["svg.hashsalt"] = "lemonridge"  # makes the file reproducible
     from matplotlib import pyplot as plt
 
     series: dict[str, dict[float, list[float]]] = {}
--- a/lemonridge/lab/model/runs.py
+++ b/lemonridge/lab/model/runs.py
@@ -1,7 +1,7 @@
-"""Runs of an experiment: each in a process of its own, its result in a file, so that a stop loses nothing.
+"""Runs of an experiment, each in its own process with its result in a file, so that runs can be resumed.
 
-A worker that dies is named with its seed, and the rest goes on. The digest of an experiment is that of its
-runs' figures in their order, whatever the number of processes.
+If a process fails, its run is reported with its seed and the other runs continue. The digest of an experiment
+covers the figures of its runs in their order and does not depend on the number of processes.
 """
 
 from __future__ import annotations
@@ -22,7 +22,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Run:
-    """One run: its place, the levels of its factors, its seed."""
+    """One run.
+
+    Attributes:
+        index: Position in the experiment.
+        levels: Level of each factor, by key path.
+        seed: Seed of the run.
+    """
 
     index: int
     levels: dict[str, Any]
@@ -30,11 +36,12 @@
 
     @property
     def name(self) -> str:
+        """Levels and seed as text."""
         return " ".join([*(f"{key}={value}" for key, value in self.levels.items()), f"seed={self.seed}"])
 
 
 def list_runs(experiment: Experiment) -> list[Run]:
-    """Every run; the seeds of one combination are those of every other, for paired differences."""
+    """Returns all runs; every combination has the same seeds, so that results can be compared in pairs."""
     runs = [
         (levels, experiment.seed_base + number)
         for levels in combinations(experiment)
@@ -44,7 +51,16 @@
 
 
 def run_one(path: str, index: int, seed_base: int | None) -> dict[str, Any]:
-    """Run one in this process."""
+    """Runs one run of an experiment in this process.
+
+    Args:
+        path: The experiment's file.
+        index: Index of the run.
+        seed_base: First seed; None for that of the file.
+
+    Returns:
+        The result, as it is stored.
+    """
     from lemonridge.lab.model.world import World
 
     experiment = _with_seed_base(load_experiment(path), seed_base)
@@ -74,8 +90,17 @@
 async def run_all(
     path: str, jobs: int, out: Path, seed_base: int | None, progress: Callable[[str], None]
 ) -> tuple[list[dict[str, Any]], list[str]]:
-    """The results in their order, and the names of runs that died. What is in `out` already is not run
-    again.
+    """Runs all runs of an experiment whose results do not exist yet.
+
+    Args:
+        path: The experiment's file.
+        jobs: Largest number of processes at once.
+        out: Directory of the results.
+        seed_base: First seed; None for that of the file.
+        progress: Called with one line of text per run.
+
+    Returns:
+        The results in the order of the runs, and the names of runs whose process failed.
     """
     experiment = _with_seed_base(load_experiment(path), seed_base)
     runs = list_runs(experiment)
@@ -97,7 +122,7 @@
                 output, error = await process.communicate()
                 if process.returncode:
                     died.append(run.name)
-                    lines = error.decode(errors="replace").strip().splitlines() or ["no word"]
+                    lines = error.decode(errors="replace").strip().splitlines() or ["no output"]
                     progress(f"died ({process.returncode}): {run.name}: {lines[-1]}")
                     return None
                 partial = file.with_suffix(".part")
@@ -113,11 +138,12 @@
 
 
 def digest(results: list[dict[str, Any]]) -> str:
+    """Returns a digest of the results' digests."""
     return hashlib.sha256("".join(result["digest"] for result in results).encode()).hexdigest()[:16]
 
 
 def count_violations(results: list[dict[str, Any]]) -> int:
-    """Broken rules of the module's runs: sends past a limit, and cold nodes pushed over."""
+    """Returns how often runs with the real scheduler exceeded a limit or overloaded a cold node."""
     return sum(
         int(result["figures"]["over_limit"]) + int(result["figures"]["fallen"])
         for result in results
@@ -126,5 +152,5 @@
 
 
 def read_results(folder: str) -> list[dict[str, Any]]:
-    """The results that lie in a folder, in their order."""
+    """Reads the results in a folder, in the order of the runs."""
     return [orjson.loads(file.read_bytes()) for file in sorted(Path(folder).glob("*.json"))]
--- a/lemonridge/lab/model/spec.py
+++ b/lemonridge/lab/model/spec.py
@@ -1,6 +1,4 @@
-"""Scenarios: what is modelled, as one schema (msgspec); a TOML file holds one, and an experiment varies
-it.
-"""
+"""The schema (msgspec) of scenarios, and of experiments in TOML files that vary a scenario."""
 
 from __future__ import annotations
 
@@ -18,7 +16,7 @@
 Positive = Annotated[float, Meta(gt=0, lt=1e9)]
 NonNegative = Annotated[float, Meta(ge=0, lt=1e9)]
 Count = Annotated[int, Meta(ge=1, le=100_000)]
-REQUESTS_MAX = 20_000_000  # of one run: past it the file is refused rather than the memory filled
+REQUESTS_MAX = 20_000_000  # limit of one run; more requests could exhaust the memory
 
 
 class ClassSpec(
@@ -28,7 +26,20 @@
     kw_only=True,
     rename={"priority_weight": "worth"},
 ):
-    """One class of request; `work_ms` is the mean time on a core of speed 1."""
+    """One request class.
+
+    Attributes:
+        name: Name of the class.
+        share: Fraction of all requests.
+        work_ms: Mean duration on a core of speed 1, in milliseconds.
+        aim_ms: Latency objective.
+        deadline_ms: Deadline of each try.
+        priority_weight: Weight of the class in the service (`worth`).
+        semantics: `safe` (idempotent), `keyed` (with an idempotency key) or `once` (not idempotent).
+        new: Whether the requests may go to any node.
+        law: Distribution of the work.
+        spread: Sigma of the lognormal distribution.
+    """
 
     name: str
     share: Share
@@ -37,13 +48,22 @@
     deadline_ms: Positive
     priority_weight: NonNegative = 1.0
     semantics: Literal["safe", "keyed", "once"] = "safe"
-    new: bool = False  # may go to any node
-    law: Literal["lognormal", "exponential", "fixed"] = "lognormal"  # of the work
-    spread: Annotated[float, Meta(ge=0, le=4)] = 0.5  # sigma of the lognormal
+    new: bool = False
+    law: Literal["lognormal", "exponential", "fixed"] = "lognormal"
+    spread: Annotated[float, Meta(ge=0, le=4)] = 0.5
 
 
 class PlanSpec(Struct, forbid_unknown_fields=True, frozen=True, kw_only=True):
-    """One plan: its part of the volumes, and figures a volume in units a second."""
+    """One plan; rates are in units per second and volume.
+
+    Attributes:
+        name: Name of the plan.
+        share: Fraction of the volumes.
+        rate: Base rate, which also weighs the volume's share of the load.
+        reserve: Reservation.
+        weight: Weight.
+        limit: Limit; 0 for none.
+    """
 
     name: str
     share: Share
@@ -64,10 +84,28 @@
         "slow_start_units": "cold_units",
     },
 ):
-    """Every node; its speed is drawn once, evenly."""
+    """The nodes.
+
+    Attributes:
+        count: Number of nodes.
+        replicas: Number of nodes that hold the same shard.
+        cores: Cores of each node.
+        queue: Length of each node's queue.
+        slowest: Lowest speed; the speed of each node is drawn evenly between the two.
+        fastest: Highest speed.
+        slow_start_initial_fraction: Fraction of its full speed at which a cold node starts (`cold_share`).
+        ramp_s: Seconds from a cold start to full speed.
+        overload_multiple: A cold node crashes at this multiple of the work that it can do in `fall_s`
+            (`tip_multiple`).
+        fall_s: Period over which a cold node's load is summed, in seconds.
+        slow_start_units: Units that a cold node may be sent at first (`cold_units`).
+        pause_every_s: Mean time between pauses of a node, in seconds; 0 for none.
+        pause_ms: Duration of a pause.
+        cached: Fraction of requests whose work is 60% less.
+    """
 
     count: Count
-    replicas: Annotated[int, Meta(ge=1, le=16)] = 1  # nodes that hold the same shard
+    replicas: Annotated[int, Meta(ge=1, le=16)] = 1
     cores: Annotated[int, Meta(ge=1, le=256)] = 2
     queue: Count = 60
     slowest: Positive = 0.85
@@ -77,44 +115,80 @@
     overload_multiple: Positive = 2.5
     fall_s: Positive = 1.0
     slow_start_units: NonNegative = 8.0
-    pause_every_s: NonNegative = 0  # 0: it never pauses
+    pause_every_s: NonNegative = 0
     pause_ms: NonNegative = 20
-    cached: Share = 0.0  # of requests that cost 60% less
+    cached: Share = 0.0
 
 
 class Fault(Struct, forbid_unknown_fields=True, frozen=True, kw_only=True):
-    """Something that goes wrong from `at_s` on, for `for_s`."""
+    """One fault, which lasts from `at_s` for `for_s` seconds.
+
+    Attributes:
+        kind: Kind of fault: `deaths` and `deploy` (rolling) restart nodes, `surge` raises the load, `hot`
+            raises that of some volumes, `gray` slows nodes down, `blackout` stops announcements of nodes,
+            `loss` drops attempts, `restart` restarts brokers, `hall` separates the two halls, and `heavy`
+            makes some requests costlier.
+        at_s: Start in seconds.
+        for_s: Duration in seconds.
+        share: Fraction of the affected nodes, brokers, volumes, requests or attempts.
+        times: Factor on the load (`surge`, `hot`) or on the work (`gray`, `heavy`).
+    """
 
     kind: Literal["deaths", "deploy", "surge", "hot", "gray", "blackout", "loss", "restart", "hall", "heavy"]
     at_s: NonNegative
     for_s: Positive
-    share: Share = 0.25  # of the nodes, brokers, volumes or requests that it meets
-    times: Positive = 2.0  # of a surge, of hot volumes' traffic, of gray nodes' and heavy requests' work
+    share: Share = 0.25
+    times: Positive = 2.0
 
 
 class Scenario(Struct, forbid_unknown_fields=True, frozen=True, kw_only=True):
-    """One modelled deployment and its day."""
+    """One simulated deployment and its load.
+
+    Attributes:
+        name: Name of the scenario.
+        seconds: Duration of the load.
+        load: Offered load as a fraction of the capacity of all nodes when warm.
+        brokers: Number of brokers.
+        policy: Scheduler: `module` is the real one, the others are baselines.
+        tick_us: Time for which a broker collects events before it decides them, in microseconds.
+        nodes: The nodes.
+        classes: Request classes; their shares sum to 1.
+        plans: Plans; their shares sum to 1.
+        volumes: Number of volumes.
+        hosts: Number of brokers that each volume uses.
+        lead: Fraction of a volume's requests that go to one of its brokers, which changes every `lead_s`.
+        lead_s: Time until the next broker, in seconds.
+        delay_ms: Shortest and longest one-way delay between brokers and nodes.
+        loss: Fraction of lost attempts.
+        peers: Whether the brokers exchange datagrams.
+        message_ms: Shortest and longest one-way delay of datagrams between brokers.
+        message_loss: Fraction of lost datagrams.
+        register_ms: Shortest and longest delay until a broker learns of a change of the nodes.
+        retries: Number of retries of a client.
+        retry_ms: Shortest delay of a retry.
+        troubles: Faults.
+    """
 
     name: str = "scenario"
     seconds: Annotated[float, Meta(gt=0, le=3600)] = 20
-    load: Annotated[float, Meta(gt=0, le=20)] = 0.7  # of what all nodes can do, warm
+    load: Annotated[float, Meta(gt=0, le=20)] = 0.7
     brokers: Count = 4
     policy: Literal["module", "random", "round-robin", "least", "two-choices"] = "module"
-    tick_us: Annotated[int, Meta(ge=0, le=100_000)] = 1000  # how long events gather before they are decided
+    tick_us: Annotated[int, Meta(ge=0, le=100_000)] = 1000
     nodes: NodeSpec
     classes: Annotated[list[ClassSpec], Meta(min_length=1)]
     plans: Annotated[list[PlanSpec], Meta(min_length=1)]
     volumes: Count = 40
-    hosts: Count = 2  # brokers that a volume works through
-    lead: Share = 0.0  # part of its requests that come through one of them, the next after `lead_s`
+    hosts: Count = 2
+    lead: Share = 0.0
     lead_s: Positive = 10.0
-    delay_ms: tuple[NonNegative, NonNegative] = (0.2, 1.4)  # one way
+    delay_ms: tuple[NonNegative, NonNegative] = (0.2, 1.4)
     loss: Share = 0.0
-    peers: bool = False  # brokers speak to each other
-    message_ms: tuple[NonNegative, NonNegative] = (1.4, 35)  # one way, between brokers
+    peers: bool = False
+    message_ms: tuple[NonNegative, NonNegative] = (1.4, 35)
     message_loss: Share = 0.0
-    register_ms: tuple[NonNegative, NonNegative] = (500, 2500)  # until a broker hears of a change
-    retries: Annotated[int, Meta(ge=0, le=5)] = 1  # of a client
+    register_ms: tuple[NonNegative, NonNegative] = (500, 2500)
+    retries: Annotated[int, Meta(ge=0, le=5)] = 1
     retry_ms: NonNegative = 300
     troubles: list[Fault] = field(default_factory=list)
 
@@ -130,29 +204,44 @@
             raise ValueError(f"seconds: {self.rate() * self.seconds:.0f} requests are too many for one run")
 
     def power(self) -> float:
-        """Seconds of work that all nodes do in a second, warm, by the mean speed."""
+        """Returns the work that all warm nodes do in a second at the mean speed, in seconds of work."""
         return self.nodes.count * self.nodes.cores * (self.nodes.slowest + self.nodes.fastest) / 2
 
     def work_s(self) -> float:
-        """The mean work of a request."""
+        """Returns the mean work of a request, in seconds at speed 1."""
         return sum(row.share * row.work_ms for row in self.classes) / 1000
 
     def rate(self) -> float:
-        """Requests a second."""
+        """Returns the load in requests per second."""
         return self.load * self.power() / self.work_s()
 
 
 class Experiment(Struct, forbid_unknown_fields=True, frozen=True, kw_only=True):
-    """A scenario, what is varied in it, and how often each is run."""
+    """A scenario, the factors that vary in it, and the number of runs of each combination.
+
+    Attributes:
+        scenario: The scenario, not converted yet.
+        factors: Levels of each factor, by key path; every combination is run.
+        seeds: Number of seeds of each combination.
+        seed_base: First seed.
+    """
 
     scenario: dict[str, Any]
-    factors: dict[str, list[Any]] = {}  # key path -> levels; every combination is run
+    factors: dict[str, list[Any]] = {}
     seeds: Annotated[int, Meta(ge=1, le=10_000)] = 3
     seed_base: int = 1
 
 
 def read_scenario(values: dict[str, Any], path: str = "") -> Scenario:
-    """ConfigError names the key by its path."""
+    """Returns a scenario.
+
+    Args:
+        values: The scenario's values.
+        path: Path of the scenario in its file, for error messages.
+
+    Raises:
+        ConfigError: A value is invalid; the message names its path.
+    """
     try:
         return msgspec.convert(values, Scenario)
     except msgspec.ValidationError as error:
@@ -160,7 +249,11 @@
 
 
 def load_experiment(path: str) -> Experiment:
-    """Read an experiment's file; every combination of its factors is checked before any is run."""
+    """Reads an experiment's file and checks every combination of its factors.
+
+    Raises:
+        ConfigError: The file cannot be read or is invalid.
+    """
     try:
         values = tomllib.loads(Path(path).read_text(encoding="utf-8"))
         experiment = msgspec.convert(values, Experiment)
@@ -176,15 +269,15 @@
 
 
 def combinations(experiment: Experiment) -> list[dict[str, Any]]:
-    """Every combination of the factors' levels, in the order of the file."""
-    made: list[dict[str, Any]] = [{}]
+    """Returns every combination of the factors' levels, in the order of the file."""
+    combined: list[dict[str, Any]] = [{}]
     for name, levels in experiment.factors.items():
-        made = [{**one, name: level} for one in made for level in levels]
-    return made
+        combined = [{**partial, name: level} for partial in combined for level in levels]
+    return combined
 
 
 def vary(scenario: dict[str, Any], levels: dict[str, Any]) -> dict[str, Any]:
-    """A scenario with some keys, given by their paths, set to other values."""
+    """Returns a copy of a scenario in which the keys at some paths have other values."""
     varied = msgspec.json.decode(msgspec.json.encode(scenario))
     for path, level in levels.items():
         *tables, key = path.split(".")
--- a/lemonridge/lab/model/streams.py
+++ b/lemonridge/lab/model/streams.py
@@ -1,7 +1,7 @@
-"""Named, seeded streams of draws (common random numbers: Law, "Simulation Modeling and Analysis", 11.2).
+"""Named, seeded random streams (common random numbers: Law, "Simulation Modeling and Analysis", 11.2).
 
-Each kind of draw has a stream of its own, so that a change of the design leaves what others draw alone: the
-same clients ask for the same at the same times, whatever decides.
+Each kind of draw has its own stream, so that a change in one part of the model does not affect the draws of
+others: the same clients send the same requests at the same times with every scheduler.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 
 class Stream:
-    """Draws in blocks: numpy's generators cost more a call than a draw."""
+    """A random stream that draws in blocks, since the cost per call of numpy's generators dominates."""
 
     def __init__(self, seed: int, name: str) -> None:
         self.generator = np.random.Generator(
@@ -25,31 +25,34 @@
         self._normal: list[float] = []
 
     def uniform(self) -> float:
-        """From 0 to 1."""
+        """Draws evenly from 0 to 1."""
         if not self._uniform:
             self._uniform = self.generator.random(BLOCK_SIZE).tolist()
         return self._uniform.pop()
 
     def between(self, low: float, high: float) -> float:
+        """Draws evenly from `low` to `high`."""
         return low + (high - low) * self.uniform()
 
     def exponential(self) -> float:
-        """With mean 1."""
+        """Draws from the exponential distribution with mean 1."""
         if not self._exponential:
             self._exponential = self.generator.standard_exponential(BLOCK_SIZE).tolist()
         return self._exponential.pop()
 
     def normal(self) -> float:
+        """Draws from the standard normal distribution."""
         if not self._normal:
             self._normal = self.generator.standard_normal(BLOCK_SIZE).tolist()
         return self._normal.pop()
 
     def below(self, count: int) -> int:
+        """Draws an integer evenly from 0 to `count` - 1."""
         return int(self.uniform() * count)
 
 
 class Streams:
-    """The streams of one run."""
+    """The streams of one run, created by name on first use."""
 
     def __init__(self, seed: int) -> None:
         self._seed = seed
--- a/lemonridge/lab/model/world.py
+++ b/lemonridge/lab/model/world.py
@@ -1,7 +1,7 @@
-"""The modelled world: clients, brokers with late views, a register, a network, nodes, and what goes wrong.
+"""The simulation: clients, brokers with delayed views, a register of nodes, a network, nodes, and faults.
 
-Events stand on SimPy's queue. Times are microseconds of the model; a run's outcome depends on its scenario
-and its seed alone. The one figure that does not is the CPU that the decisions take, which stays out of the
+Events are scheduled on SimPy's queue. Times are in microseconds of simulated time. The results of a run
+depend only on its scenario and its seed, except the CPU time of the decisions, which is not part of the
 digest.
 """
 
@@ -50,12 +50,16 @@
     "keyed": IdempotencyKind.WITH_IDEMPOTENCY_KEY,
     "once": IdempotencyKind.NOT_IDEMPOTENT,
 }
-CONNECT_US = 250_000.0  # until a connect to a machine that is cut off is given up
+CONNECT_US = 250_000.0  # timeout of a connect to a machine that is cut off
 LARGEST_REQUEST_UNITS, MEAN_REQUEST_UNITS = 6, 3.5
 
 
 def draw_relative_work(class_spec: ClassSpec, draw: Stream) -> float:
-    """A request's work in parts of its class's mean; every law draws the same numbers."""
+    """Draws a request's work as a multiple of its class's mean.
+
+    Every distribution takes the same numbers from the stream, so that a change of distribution does not
+    affect later draws.
+    """
     normal, exponential = draw.normal(), draw.exponential()
     if class_spec.law == "exponential":
         return exponential
@@ -65,7 +69,24 @@
 
 
 class Broker:
-    """Hosts one scheduler; its events gather for a tick, as they do for a turn of the real one's loop."""
+    """A broker with one scheduler.
+
+    Events are collected for a tick and decided together, like those of one iteration of the real broker's
+    event loop.
+
+    Attributes:
+        world: The simulation.
+        number: Index of the broker.
+        up: Whether the broker is running.
+        scheduler: The scheduler.
+        open: Open requests, by name.
+        events: Events that wait for the next decision.
+        cpu_s: CPU time of all decisions, in seconds.
+        decided: Number of decided events.
+        incarnation: Number of restarts.
+        received_datagrams: Datagrams that wait for the next decision, each with the index of its sender.
+        bridge: State of the exchange with other brokers; None without peers.
+    """
 
     def __init__(self, world: World, number: int) -> None:
         self.world, self.number, self.up = world, number, True
@@ -74,13 +95,11 @@
         self.events: list[Event] = []
         self.cpu_s, self.decided, self.incarnation = 0.0, 0, 0
         self._decision_scheduled = False
-        self.received_datagrams: list[
-            tuple[int, bytes]
-        ] = []  # datagrams of other brokers, until the next decision
+        self.received_datagrams: list[tuple[int, bytes]] = []
         self.bridge: SchedulerBridge | None = None
 
     def start_messages(self) -> None:
-        """Speak to the other brokers, where the scenario says so."""
+        """Starts the exchange of datagrams with the other brokers, if the scenario has it."""
         if not self.world.scenario.peers or self.world.scenario.brokers < 2:
             return
         now_us = self.world.clock_us()
@@ -92,13 +111,13 @@
         self._schedule_bridge_timer()
 
     def receive_datagram(self, source: int, data: bytes) -> None:
-        """A datagram of another broker."""
+        """Queues a datagram of another broker for the next decision."""
         if self.up:
             self.received_datagrams.append((source, data))
             self.add_event(TimerFired())
 
     def _schedule_bridge_timer(self) -> None:
-        """Come again when the bridge asks for it to; what was asked for before costs a look."""
+        """Schedules the bridge's next timer; timers that it has replaced are ignored when they fire."""
         assert self.bridge is not None
         wait = max(0.0, float(self.bridge.next_timer_us - self.world.clock_us()))
         self.world.after(wait, partial(self._on_bridge_timer, self.incarnation, self.bridge.next_timer_us))
@@ -113,6 +132,7 @@
             self.add_event(TimerFired())
 
     def add_event(self, event: Event) -> None:
+        """Queues an event and schedules a decision, unless one is already scheduled."""
         self.events.append(event)
         if not self._decision_scheduled:
             self._decision_scheduled = True
@@ -156,7 +176,7 @@
             self.add_event(TimerFired())
 
     def restart(self) -> None:
-        """It knows nothing any more; what it held is lost to its clients until they ask again."""
+        """Restarts the broker without its state; its open requests are lost and clients may retry them."""
         self.incarnation += 1
         self.events, self._decision_scheduled, self.received_datagrams = [], False, []
         for request in list(self.open.values()):
@@ -173,7 +193,26 @@
 
 
 class World:
-    """One run."""
+    """One run of the simulation.
+
+    Attributes:
+        scenario: The scenario.
+        seed: Seed of the run.
+        streams: Random streams.
+        env: SimPy's environment.
+        outcome: Results of the run.
+        settings: Settings of all schedulers.
+        shards: Number of shards.
+        nodes: Nodes by name.
+        brokers: All brokers.
+        volumes: All volumes.
+        surge: Current factor on the load.
+        heavy: Current fraction of heavy requests.
+        heavy_times: Current factor on the work of heavy requests.
+        loss: Current fraction of lost attempts.
+        blackout: Whether brokers learn of no changes of the nodes.
+        hall: Whether the two halls are separated.
+    """
 
     def __init__(self, scenario: Scenario, seed: int) -> None:
         self.scenario, self.seed, self.streams = scenario, seed, Streams(seed)
@@ -206,22 +245,25 @@
     # Time
 
     def now(self) -> float:
+        """Returns the simulated time in microseconds."""
         return float(self.env.now)
 
     def clock_us(self) -> int:
-        """The brokers' clock: the module wants whole microseconds past 0."""
+        """Returns the brokers' time: whole microseconds above 0, as the scheduler requires."""
         return int(self.env.now) + 1_000_000_000
 
     def after(self, delay_us: float, callback: Callable[[], None]) -> None:
+        """Calls a function after a delay."""
         event = self.env.timeout(delay_us)
         assert event.callbacks is not None
         event.callbacks.append(lambda _: callback())
 
     def delay(self) -> float:
+        """Draws a one-way network delay between a broker and a node, in microseconds."""
         low, high = self.scenario.delay_ms
         return self.streams["network"].between(low, high) * 1000
 
-    # What there is
+    # Settings, volumes and nodes
 
     def _settings(self) -> Settings:
         scenario = self.scenario
@@ -277,28 +319,29 @@
 
     def _volumes(self) -> list[Volume]:
         draw, plans = self.streams["volumes"], self.scenario.plans
-        made = []
-        edges, total = [], 0.0
-        for row in plans:
-            total += row.share
-            edges.append(total)
+        volumes = []
+        cumulative_shares, total = [], 0.0
+        for spec in plans:
+            total += spec.share
+            cumulative_shares.append(total)
         for number in range(self.scenario.volumes):
-            place = (number + 0.5) / self.scenario.volumes
-            plan = next(index for index, edge in enumerate(edges) if place <= edge + 1e-9)
+            position = (number + 0.5) / self.scenario.volumes
+            plan = next(index for index, share in enumerate(cumulative_shares) if position <= share + 1e-9)
             shards = [draw.below(self.shards) for _ in range(1 + draw.below(4))]
             first = draw.below(self.scenario.brokers)
             hosts = [(first + step) % self.scenario.brokers for step in range(self.scenario.hosts)]
-            made.append(Volume(number, plan, shards, hosts, plans[plan].rate * draw.between(0.5, 1.5)))
-        return made
+            volumes.append(Volume(number, plan, shards, hosts, plans[plan].rate * draw.between(0.5, 1.5)))
+        return volumes
 
     def _update_weights(self) -> None:
-        """The running sum of the volumes' parts of the traffic."""
+        """Computes the cumulative weights by which volumes are drawn."""
         total, self._cumulative_weights = 0.0, []
         for volume in self.volumes:
             total += volume.weight
             self._cumulative_weights.append(total)
 
     def endpoint_entries(self) -> tuple[Endpoint, ...]:
+        """Returns the entries of all running nodes."""
         return tuple(self._entry(node) for node in self.nodes.values() if node.up)
 
     def _entry(self, node: Node, condition: EndpointState = EndpointState.ACTIVE) -> Endpoint:
@@ -306,7 +349,7 @@
         return Endpoint(node.name, node.shard, node.hall, condition, started)
 
     def announce_endpoint(self, node: Node, condition: EndpointState) -> None:
-        """Every broker hears of a change, each in its own time; in a blackout none does."""
+        """Announces a node's state to every broker, each after its own delay; not during a blackout."""
         if self.blackout:
             return
         entry, draw = self._entry(node, condition), self.streams["register"]
@@ -314,9 +357,10 @@
             wait = draw.between(*self.scenario.register_ms) * 1000
             self.after(wait, partial(broker.add_event, EndpointsChanged(EndpointListUpdate.DELTA, (entry,))))
 
-    # A run
+    # Load
 
     def run(self) -> Outcome:
+        """Runs the simulation and returns its results."""
         for broker in self.brokers:
             broker.start_messages()
             broker.add_event(EndpointsChanged(EndpointListUpdate.CACHED, self.endpoint_entries()))
@@ -344,7 +388,7 @@
         self.after(wait, begin)
 
     def _arrive(self) -> None:
-        """The next client's request, drawn from streams that no decision touches."""
+        """Draws the next request, from streams that do not depend on any decision."""
         if self.now() >= self.scenario.seconds * 1e6:
             return
         self.after(self._gap(), self._arrive)
@@ -358,9 +402,8 @@
         cls = min(cls, len(self.scenario.classes) - 1)
         class_spec = self.scenario.classes[cls]
         units = 1.0 + draw.below(LARGEST_REQUEST_UNITS)
-        cost = (
-            class_spec.work_ms * 1000 * draw_relative_work(class_spec, draw) * units / MEAN_REQUEST_UNITS
-        )  # units tell of the work
+        # A request's work is proportional to its units.
+        cost = class_spec.work_ms * 1000 * draw_relative_work(class_spec, draw) * units / MEAN_REQUEST_UNITS
         cached, heavy = draw.uniform() < self.scenario.nodes.cached, draw.uniform() < self.heavy
         cost *= (0.4 if cached else 1.0) * (self.heavy_times if heavy else 1.0)
         shard = -1 if class_spec.new else volume.shards[draw.below(len(volume.shards))]
@@ -379,7 +422,7 @@
         )
 
     def _send_try(self, request: Request) -> None:
-        """A try of a client at its broker."""
+        """Sends a try of a request to its broker."""
         self._last_request_number += 1
         request.name = f"r{self._last_request_number}"
         class_spec = self.scenario.classes[request.cls]
@@ -403,7 +446,13 @@
         )
 
     def answer(self, request: Request | None, result: str, backoff_us: int) -> None:
-        """A client's final answer to one try; it may try again."""
+        """Gives a client the final answer to a try; the client may retry.
+
+        Args:
+            request: The try; None if the broker no longer knows it.
+            result: `served`, `refused`, `failed` or `lost`.
+            backoff_us: Shortest delay of a retry that the broker asks for.
+        """
         if request is None or request.answered:
             return
         request.answered = True
@@ -420,7 +469,7 @@
         self.after(wait, lambda: self._send_try(retry))
 
     def forward_datagram(self, source: Broker, destination: int, data: bytes) -> None:
-        """A datagram between brokers: late, or lost, or cut off in the other hall."""
+        """Delivers a datagram between brokers after a delay, unless it is lost or the halls are separated."""
         self.outcome.message_bytes += len(data)
         draw, receiver = self.streams["messages"], self.brokers[destination]
         lost, wait_ms = draw.uniform() < self.scenario.message_loss, draw.between(*self.scenario.message_ms)
@@ -431,6 +480,7 @@
     # Attempts
 
     def send_attempt(self, broker: Broker, request: Request | None, name: str) -> None:
+        """Sends an attempt to the node with this name; does nothing if the request is no longer open."""
         if request is None:
             return
         number = request.attempts_made
@@ -470,7 +520,7 @@
         request.attempts[number] = f"{node.name}/{incarnation}"
 
     def end_attempt(self, request: Request, number: int, result: AttemptResult, lag_us: float) -> None:
-        """An attempt's end comes to its broker, once."""
+        """Reports the end of an attempt to its broker; later reports of the same attempt are ignored."""
         node_incarnation = request.attempts.pop(number, None)
         if node_incarnation is None:
             return
@@ -495,7 +545,7 @@
             broker.open.pop(request.name, None)
 
     def _reset_attempts(self, node: Node) -> None:
-        """A node dies: the attempts that it held are reset."""
+        """Ends the attempts that a killed node had accepted."""
         for broker in self.brokers:
             for request in list(broker.open.values()):
                 for number, node_incarnation in list(request.attempts.items()):
@@ -503,7 +553,7 @@
                         end = partial(self.end_attempt, request, number, AttemptResult.RESET, 1000.0)
                         self.after(self.delay(), end)
 
-    # Troubles
+    # Faults
 
     def _inject_fault(self, fault: Fault) -> None:
         span, draw = fault.for_s * 1e6, self.streams["troubles"]
@@ -531,8 +581,8 @@
         else:
             count = max(1, int(len(self.nodes) * fault.share))
             order = sorted(self.nodes.values(), key=lambda node: (draw.uniform(), node.name))
-            for place, node in enumerate(order[:count]):
-                self._fault_node(fault, node, place / count * span, span)
+            for position, node in enumerate(order[:count]):
+                self._fault_node(fault, node, position / count * span, span)
 
     def _fault_node(self, fault: Fault, node: Node, drain_delay: float, span: float) -> None:
         if fault.kind == "gray":
@@ -541,13 +591,13 @@
         elif fault.kind == "deaths":
             self._kill_node(node)
             self.after(span, lambda: self._start_node(node))
-        else:  # a rolling deploy: each drains for a second, is gone, and comes back cold
+        else:  # a rolling deploy: each node drains for 1 s, is down for 2 s, and restarts cold
 
             def drain() -> None:
                 self.announce_endpoint(node, EndpointState.DRAINING)
-                self.after(1e6, gone)
+                self.after(1e6, stop)
 
-            def gone() -> None:
+            def stop() -> None:
                 self._kill_node(node)
                 self.after(2e6, lambda: self._start_node(node))
 
--- a/lemonridge/lab/standins/etcd.py
+++ b/lemonridge/lab/standins/etcd.py
@@ -1,7 +1,8 @@
 """A stand-in for etcd's v3 JSON gateway: ranges by pages and revisions, transactions, watches, compaction.
 
-It implements etcd API v3 (KV.Range, KV.Txn, Watch.Watch) as etcd's gateway maps it to JSON. Faults are injected
-in the delivery to watchers: `plan_delivery` decides which events of each revision are delivered, and when.
+It implements etcd API v3 (KV.Range, KV.Txn, Watch.Watch) as etcd's gateway maps it to JSON. Faults are
+injected in the delivery to watchers: `plan_delivery` decides which events of each revision are delivered,
+and when.
 """
 
 from __future__ import annotations
--- a/lemonridge/lab/standins/node.py
+++ b/lemonridge/lab/standins/node.py
@@ -1,9 +1,9 @@
 """A stand-in storage node: an iSCSI target that holds extents, each at a version.
 
-The node runs a READ or WRITE only if it holds the extent that the attempt names, not fenced and at exactly that
-version. Otherwise it refuses the command without running it and returns a redirect (`iscsi/versions.py`). It
-checks twice: when the command arrives and, for a write, when all of its data have arrived. Its extents and
-redirects survive a kill, as they would on a disk; commands in progress do not.
+The node runs a READ or WRITE only if it holds the extent that the attempt names, not fenced and at exactly
+that version. Otherwise it refuses the command without running it and returns a redirect
+(`iscsi/versions.py`). It checks twice: when the command arrives and, for a write, when all of its data have
+arrived. Its extents and redirects survive a kill, as they would on a disk; commands in progress do not.
 """
 
 from __future__ import annotations
@@ -468,7 +468,7 @@
         return data_read
 
     async def _answer(self, command: _PendingCommand, data_read: bytes) -> None:
-        """Sends the response after another delay; a kill during that leaves an executed command unanswered."""
+        """Answers after another delay; a kill during that delay leaves an executed command unanswered."""
         await asyncio.sleep(self.node.delay_s() / 2)
         for offset in range(0, len(data_read), 8192):
             segment = data_read[offset : offset + 8192]
