--- a/lemonridge/lab/drills/policy.py
+++ b/lemonridge/lab/drills/policy.py
@@ -399,14 +399,14 @@
     for one in came:
         interval = epochs(one.epoch)
         if interval is not None and interval[0] == interval[1]:
-            first[interval[0]] = min(first.get(interval[0], one.begun), one.begun)
+            first[interval[0]] = min(first.get(interval[0], one.head_received_at), one.head_received_at)
     took = [first[one.epoch] - one.at for one in proposed if one.end == "in force" and one.epoch in first]
     return int(max(took, default=0.0) * 1000)
 
 
 def _stall_ms(came: list[Any]) -> int:
     """The longest time in which no node was sent anything by any broker."""
-    at = sorted(one.at for one in came)
+    at = sorted(one.received_at for one in came)
     return int(max((later - one for one, later in zip(at, at[1:], strict=False)), default=0.0) * 1000)
 
 
