--- a/tests/lab/test_fleet_checker.py
+++ b/tests/lab/test_fleet_checker.py
@@ -98,22 +98,22 @@
 class FaultScheduleTest(unittest.TestCase):
     def test_drawn_schedule_has_required_faults_and_can_be_parsed_back(self) -> None:
         for seed in range(40):
-            drawn = schedule.draw(seed, 20.0, 5, 3)
+            drawn = schedule.draw_schedule(seed, 20.0, 5, 3)
             kinds = [fault.kind for fault in drawn.fault]
             self.assertGreaterEqual(kinds.count("kill"), 2)
             required_kinds = {"split", "one-way", "stop", "node-death", "node-drain", "node-bad"}
             self.assertTrue(required_kinds <= set(kinds))
             split = next(fault for fault in drawn.fault if fault.kind == "split")
             self.assertLess(len(split.brokers), 5 / 2)
-            self.assertEqual(schedule.parse(tomllib.loads(schedule.write(drawn))), drawn)
-            self.assertEqual(schedule.draw(seed, 20.0, 5, 3), drawn)
+            self.assertEqual(schedule.parse_schedule(tomllib.loads(schedule.format_schedule(drawn))), drawn)
+            self.assertEqual(schedule.draw_schedule(seed, 20.0, 5, 3), drawn)
 
     def test_one_way_fault_affects_one_direction_and_split_both(self) -> None:
-        drawn = schedule.draw(1, 20.0, 5, 3)
+        drawn = schedule.draw_schedule(1, 20.0, 5, 3)
         one_way = schedule.Fault(kind="one-way", at_s=0, for_s=1, brokers=(1,), to=(2,))
-        self.assertEqual(drawn.pairs(one_way), [(1, 2)])
+        self.assertEqual(drawn.affected_links(one_way), [(1, 2)])
         split = schedule.Fault(kind="split", at_s=0, for_s=1, brokers=(0, 1))
-        self.assertEqual(len(drawn.pairs(split)), 12)
+        self.assertEqual(len(drawn.affected_links(split)), 12)
 
     def test_invalid_schedule_is_rejected_with_name_of_key(self) -> None:
         valid = "brokers = 3\nnodes = 1\nseconds = 10\ncalm_s = 8\n"
@@ -124,5 +124,5 @@
             ('[[fault]]\nkind = "rain"\nat_s = 1\nfor_s = 1', "fault[0].kind"),
         ):
             with self.assertRaises(ConfigError) as caught:
-                schedule.parse(tomllib.loads(valid + addition))
+                schedule.parse_schedule(tomllib.loads(valid + addition))
             self.assertIn(message, str(caught.exception))
--- a/tests/lab/test_lab.py
+++ b/tests/lab/test_lab.py
@@ -14,16 +14,16 @@
 
 from lemonridge.config.errors import ConfigError
 from lemonridge.lab import demo
-from lemonridge.lab.links.datagrams import kept_port
+from lemonridge.lab.links.datagrams import reserve_tcp_port
 from lemonridge.lab.load import iscsi as load
 from lemonridge.lab.measure.decisions import cost_us
 from lemonridge.lab.model import runs, spec
 from lemonridge.lab.model.baselines import Baseline
 from lemonridge.lab.model.node import Node, Work
-from lemonridge.lab.model.report import paired, plot
+from lemonridge.lab.model.report import paired_difference, plot
 from lemonridge.lab.model.spec import ClassSpec, NodeSpec, Scenario, read_scenario
 from lemonridge.lab.model.streams import Streams
-from lemonridge.lab.model.world import World, work
+from lemonridge.lab.model.world import World, draw_relative_work
 from lemonridge.scheduling.actions import Action, Send, SetTimer
 from lemonridge.scheduling.events import (
     AttemptEnded,
@@ -44,7 +44,7 @@
 
 def scenario(**changes: object) -> Scenario:
     """Returns the scenario of the smoke experiment for 6 seconds and without troubles, with these changes."""
-    values = spec.load(str(SMOKE)).scenario
+    values = spec.load_experiment(str(SMOKE)).scenario
     return read_scenario(spec.vary({**values, "troubles": [], "seconds": 6}, changes))
 
 
@@ -63,15 +63,18 @@
         env.timeout(delay).callbacks.append(lambda _: callback())  # type: ignore[operator]
 
     node = Node("n", 0, 0, NodeSpec(count=1, cores=cores, queue=100_000), 1.0, after)
-    node.bind(lambda: env.now)
+    node.set_clock(lambda: env.now)
     times: list[float] = []
     arrivals, draws = streams["arrivals"], streams["work"]
 
     def arrive() -> None:
-        if len(times) + node.held < jobs:
+        if len(times) + node.active < jobs:
             after(arrivals.exponential() / (load * cores), arrive)
             arrived_at = env.now
-            node.offer(env.now, Work(work(class_spec, draws), lambda: times.append(env.now - arrived_at)))
+            node.offer(
+                env.now,
+                Work(draw_relative_work(class_spec, draws), lambda: times.append(env.now - arrived_at)),
+            )
 
     arrive()
     env.run()
@@ -129,12 +132,12 @@
     first, failed_runs = asyncio.run(
         runs.run_all(str(experiment_file), 3, folder, None, progress_lines.append)
     )
-    assert (len(first), failed_runs) == (4, []) and runs.broken(first) == 0
+    assert (len(first), failed_runs) == (4, []) and runs.count_violations(first) == 0
     result_files = sorted(folder.glob("*.json"))
     result_files[1].unlink()
     resumed, _ = asyncio.run(runs.run_all(str(experiment_file), 1, folder, None, progress_lines.append))
     assert runs.digest(resumed) == runs.digest(first) and len(sorted(folder.glob("*.json"))) == 4
-    digests_in_one_process = [runs.one(str(experiment_file), index, None)["digest"] for index in range(4)]
+    digests_in_one_process = [runs.run_one(str(experiment_file), index, None)["digest"] for index in range(4)]
     assert digests_in_one_process == [result["digest"] for result in first]
     with_other_seeds, _ = asyncio.run(runs.run_all(str(experiment_file), 2, folder, 9, progress_lines.append))
     assert runs.digest(with_other_seeds) != runs.digest(first)
@@ -144,7 +147,9 @@
             runs.run_all(str(experiment_file), 2, folder, None, progress_lines.append)
         )
     assert len(completed) == 3 and failed_runs == ["policy=module load=0.5 seed=1"]
-    figures = paired(first[:2], [{**result, "levels": first[0]["levels"]} for result in first[2:]], "service")
+    figures = paired_difference(
+        first[:2], [{**result, "levels": first[0]["levels"]} for result in first[2:]], "service"
+    )
     assert figures["pairs"] == 2 and figures["low"] <= figures["mean"] <= figures["high"]
     plot(first, "load", "service", str(tmp_path / "p.svg"), by="policy")
     assert (tmp_path / "p.svg").read_text().startswith("<?xml")
@@ -171,7 +176,7 @@
     without_trouble = World(scenario(), 2).run().figures()
     trouble = {"kind": kind, "at_s": 1, "for_s": 3, **TROUBLES[kind]}
     outcome = World(scenario(troubles=[trouble]), 2).run()
-    assert outcome.troubles == {kind: 1}
+    assert outcome.faults == {kind: 1}
     assert outcome.figures()["service"] < without_trouble["service"] - 0.01
     assert outcome.figures()["over_limit"] == outcome.figures()["fallen"] == 0
 
@@ -226,10 +231,10 @@
     experiment_file = tmp_path / "e.toml"
     experiment_file.write_text(text.replace(old, new, 1))
     if expected_text is None:
-        spec.load(str(experiment_file))
+        spec.load_experiment(str(experiment_file))
         return
     with pytest.raises(ConfigError) as caught:
-        spec.load(str(experiment_file))
+        spec.load_experiment(str(experiment_file))
     assert expected_text in str(caught.value) and "\n" not in str(caught.value)
 
 
@@ -288,7 +293,7 @@
         began_at = client.now()
         client.stall = (began_at + 0.5, began_at + 0.9)
         with mock.patch("lemonridge.lab.load.iscsi.Client", lambda *_: client):
-            return await load.run(load.Plan(1, "t", 300, 2.0, seed=4))
+            return await load.run(load.LoadPlan(1, "t", 300, 2.0, seed=4))
 
     tally = asyncio.run(run_load())
     assert tally.served == tally.due > 400
@@ -302,7 +307,7 @@
         client = StallingClient()
         client.stall = (0.0, client.now() + 1.0)
         with mock.patch("lemonridge.lab.load.iscsi.Client", lambda *_: client):
-            return await load.run(load.Plan(1, "t", 400, 0.5, arrivals="bursty", outstanding=20))
+            return await load.run(load.LoadPlan(1, "t", 400, 0.5, arrivals="bursty", outstanding=20))
 
     tally = asyncio.run(run_load())
     assert tally.unsent > 20 and tally.served == tally.due - tally.unsent
@@ -341,7 +346,7 @@
             return [SetTimer(now_us + 5000)] if len(handled) == 1 else []
 
     world.brokers[0].scheduler = SchedulerWithTimer()  # type: ignore[assignment]
-    world.brokers[0].tell(ClientDisconnected("nobody"))
+    world.brokers[0].add_event(ClientDisconnected("nobody"))
     world.env.run(until=20_000)
     assert [type(event) for _, events in handled for event in events] == [ClientDisconnected, TimerFired]
     assert handled[1][0] - handled[0][0] <= 7000
@@ -352,7 +357,7 @@
 
     With or without messages, never more is used than is allowed and demanded.
     """
-    experiment = runs.load(str(ROOT / "lab" / "fleet.toml"))
+    experiment = runs.load_experiment(str(ROOT / "lab" / "fleet.toml"))
     limits_used = []
     for peers in (False, True):
         values = spec.vary(
@@ -366,7 +371,7 @@
 
 def test_reserved_port_can_be_bound_only_with_address_reuse() -> None:
     """A rig chooses its brokers' ports before they start; other programs ask for free ports meanwhile."""
-    with kept_port() as reserved:
+    with reserve_tcp_port() as reserved:
         address = reserved.getsockname()
         with socket.socket() as other_socket, pytest.raises(OSError, match="in use"):
             other_socket.bind(address)
