--- a/lemonridge/lab/model/node.py
+++ b/lemonridge/lab/model/node.py
@@ -1,6 +1,4 @@
-"""A modelled node: cores, a queue in turn of arrival, a cold start, pauses, and a fall under too much
-work.
-"""
+"""A simulated node with cores, a FIFO queue, cold starts, pauses, and crashes under overload."""
 
 from __future__ import annotations
 
@@ -14,15 +12,38 @@
 
 @dataclass(slots=True, eq=False)
 class Work:
-    """One attempt at a node: its work in microseconds at speed 1, and whom it tells of its end."""
+    """One attempt at a node.
+
+    Attributes:
+        cost_us: Its work, in microseconds at speed 1.
+        on_done: Called when the work is complete.
+        incarnation: Incarnation of the node that accepted it.
+    """
 
     cost_us: float
-    done: Callable[[], None]
-    life: int = 0
+    on_done: Callable[[], None]
+    incarnation: int = 0
 
 
 class Node:
-    """Serves `cores` attempts at once, each at the speed that the node has at its start."""
+    """A node that serves `cores` attempts at once, each at the node's speed when the attempt starts.
+
+    Attributes:
+        name: Name of the node.
+        shard: Shard that the node holds.
+        hall: Hall of the node, 0 or 1.
+        spec: Settings of all nodes.
+        speed: Speed of this node.
+        up: Whether the node is running.
+        incarnation: Number of kills so far.
+        started_us: Time of the latest cold start; negative if the node is warm from the beginning.
+        slowdown: Factor on the duration of work, above 1 for a gray node.
+        running: Number of running attempts.
+        overloaded: Whether the node has crashed under overload; it never restarts then.
+        queue: Waiting attempts.
+        paused_until: Time at which the current pause ends, in microseconds.
+        served_us: Duration of all started work, in microseconds.
+    """
 
     def __init__(
         self,
@@ -31,88 +52,105 @@
         hall: int,
         spec: NodeSpec,
         speed: float,
-        after: Callable[[float, Callable[[], None]], None],
+        schedule: Callable[[float, Callable[[], None]], None],
     ) -> None:
         self.name, self.shard, self.hall, self.spec, self.speed = name, shard, hall, spec, speed
-        self._after = after
-        self.up, self.life, self.started_us = True, 0, -1.0  # started long ago
-        self.slow = 1.0  # of a gray node: times the usual work
-        self.busy, self.fell = 0, False
+        self._schedule = schedule
+        self.up, self.incarnation, self.started_us = True, 0, -1.0
+        self.slowdown = 1.0
+        self.running, self.overloaded = 0, False
         self.queue: deque[Work] = deque()
         self.paused_until = 0.0
-        self._recent: deque[tuple[float, float]] = deque()  # (when, work) within the time of a fall
+        self._recent_work: deque[tuple[float, float]] = deque()  # (time, work) in the overload window
         self._recent_us = 0.0
         self.served_us = 0.0
 
     @property
-    def held(self) -> int:
-        return self.busy + len(self.queue)
+    def active(self) -> int:
+        """Number of running and waiting attempts."""
+        return self.running + len(self.queue)
 
-    def warmth(self, now_us: float) -> float:
-        """Its part of its power, by the time since its start."""
+    def warm_up_fraction(self, now_us: float) -> float:
+        """Returns the current speed as a fraction of the full speed."""
         if self.started_us < 0 or not self.spec.ramp_s:
             return 1.0
-        done = (now_us - self.started_us) / (self.spec.ramp_s * 1e6)
+        elapsed_fraction = (now_us - self.started_us) / (self.spec.ramp_s * 1e6)
         return min(
-            1.0, self.spec.slow_start_initial_fraction + (1 - self.spec.slow_start_initial_fraction) * done
+            1.0,
+            self.spec.slow_start_initial_fraction
+            + (1 - self.spec.slow_start_initial_fraction) * elapsed_fraction,
         )
 
     def offer(self, now_us: float, work: Work) -> bool:
-        """Take an attempt; False turns it away unseen."""
-        if self.held >= self.spec.cores + self.spec.queue:
+        """Offers an attempt to the node and returns whether the node accepts it.
+
+        The node rejects an attempt if its queue is full, or if the attempt overloads it and it crashes.
+        """
+        if self.active >= self.spec.cores + self.spec.queue:
             return False
-        if self.warmth(now_us) < 1.0 and self._tips(now_us, work.cost_us):
-            self.fell = True
-            self.die()
+        if self.warm_up_fraction(now_us) < 1.0 and self._is_overloaded_by(now_us, work.cost_us):
+            self.overloaded = True
+            self.kill()
             return False
-        work.life = self.life
+        work.incarnation = self.incarnation
         self.queue.append(work)
-        self._next(now_us)
+        self._start_queued(now_us)
         return True
 
-    def _tips(self, now_us: float, cost_us: float) -> bool:
-        """Whether a cold node falls over: sent more than so many times what it can do within the time."""
-        span = self.spec.fall_s * 1e6
-        self._recent.append((now_us, cost_us))
+    def _is_overloaded_by(self, now_us: float, cost_us: float) -> bool:
+        """Returns whether new work exceeds a cold node's overload threshold, and adds it to the window.
+
+        The threshold is `overload_multiple` times the work that the node can do in `fall_s` at its current
+        speed.
+        """
+        window_us = self.spec.fall_s * 1e6
+        self._recent_work.append((now_us, cost_us))
         self._recent_us += cost_us
-        while self._recent[0][0] < now_us - span:
-            self._recent_us -= self._recent.popleft()[1]
-        bears = self.spec.overload_multiple * self.warmth(now_us) * self.speed * self.spec.cores * span
-        return self._recent_us > bears
+        while self._recent_work[0][0] < now_us - window_us:
+            self._recent_us -= self._recent_work.popleft()[1]
+        limit_us = (
+            self.spec.overload_multiple
+            * self.warm_up_fraction(now_us)
+            * self.speed
+            * self.spec.cores
+            * window_us
+        )
+        return self._recent_us > limit_us
 
-    def _next(self, now_us: float) -> None:
+    def _start_queued(self, now_us: float) -> None:
         if now_us < self.paused_until:
             return
-        while self.queue and self.busy < self.spec.cores:
+        while self.queue and self.running < self.spec.cores:
             work = self.queue.popleft()
-            self.busy += 1
-            took = work.cost_us * self.slow / (self.speed * self.warmth(now_us))
-            self.served_us += took
-            self._after(took, partial(self._end, work))
-
-    def _end(self, work: Work) -> None:
-        if work.life != self.life:
-            return  # it died meanwhile
-        self.busy -= 1
-        work.done()
-        self._next(self._clock())
+            self.running += 1
+            duration_us = work.cost_us * self.slowdown / (self.speed * self.warm_up_fraction(now_us))
+            self.served_us += duration_us
+            self._schedule(duration_us, partial(self._finish, work))
+
+    def _finish(self, work: Work) -> None:
+        if work.incarnation != self.incarnation:
+            return  # the node was killed meanwhile
+        self.running -= 1
+        work.on_done()
+        self._start_queued(self._now())
 
     def pause(self, now_us: float, length_us: float) -> None:
-        """Begin nothing for a while."""
+        """Starts no waiting attempts for `length_us`; running ones continue."""
         self.paused_until = now_us + length_us
-        self._after(length_us, lambda: self._next(self._clock()))
+        self._schedule(length_us, lambda: self._start_queued(self._now()))
 
-    def bind(self, clock: Callable[[], float]) -> None:
-        self._clock = clock
+    def set_clock(self, clock: Callable[[], float]) -> None:
+        """Sets the function that returns the current time in microseconds."""
+        self._now = clock
 
-    def die(self) -> None:
-        """What it holds is lost."""
-        self.up, self.life, self.busy = False, self.life + 1, 0
+    def kill(self) -> None:
+        """Stops the node; its attempts are lost."""
+        self.up, self.incarnation, self.running = False, self.incarnation + 1, 0
         self.queue.clear()
-        self._recent.clear()
+        self._recent_work.clear()
         self._recent_us = 0.0
 
     def start(self, now_us: float) -> None:
-        """Come back cold."""
-        if not self.fell:
+        """Starts the node cold, unless it has crashed under overload."""
+        if not self.overloaded:
             self.up, self.started_us = True, now_us
