--- a/lemonridge/lab/links/schedule.py
+++ b/lemonridge/lab/links/schedule.py
@@ -38,7 +38,7 @@
 MIN_GAP_S = 0.5  # between two faults of one process
 # Link faults that are drawn for the whole time, in addition to the other faults.
 BACKGROUND_KINDS: tuple[FaultKind, ...] = ("loss", "delay", "double", "reorder", "corrupt", "cut")
-# Faults of a process, which never overlap another one of the same process.
+# Faults of a process; two of the same process are drawn without overlap, as far as possible.
 EXCLUSIVE_KINDS = ("kill", "stop", "late", "node-death", "node-drain", "node-bad")
 LINK_KINDS = ("cut", "one-way", "split", "loss", "delay", "double", "reorder", "corrupt")
 
--- a/lemonridge/lab/model/runs.py
+++ b/lemonridge/lab/model/runs.py
@@ -75,7 +75,7 @@
         "figures": outcome.figures(),
         "digest": outcome.digest(),
         "took_s": round(time.perf_counter() - started_at, 3),
-        "cpu_us": round(outcome.cpu_us / max(1, sum(line.asked for line in outcome.class_counts)), 2),
+        "cpu_us": round(outcome.cpu_us / max(1, sum(counts.asked for counts in outcome.class_counts)), 2),
     }
 
 
--- a/lemonridge/lab/model/spec.py
+++ b/lemonridge/lab/model/spec.py
@@ -194,12 +194,12 @@
 
     def __post_init__(self) -> None:
         if self.hosts > self.brokers:
-            raise ValueError("hosts: a volume cannot work through more brokers than there are")
+            raise ValueError("hosts: a volume cannot use more brokers than there are")
         if self.nodes.replicas > self.nodes.count or self.nodes.slowest > self.nodes.fastest:
-            raise ValueError("nodes: replicas or speeds are impossible")
+            raise ValueError("nodes: replicas must not exceed count, nor slowest fastest")
         for name, specs in (("classes", self.classes), ("plans", self.plans)):
             if not 0.999 < sum(spec.share for spec in specs) < 1.001:
-                raise ValueError(f"{name}: the shares add up to {sum(spec.share for spec in specs):g}, not 1")
+                raise ValueError(f"{name}: the shares sum to {sum(spec.share for spec in specs):g}, not 1")
         if self.rate() * self.seconds > REQUESTS_MAX:
             raise ValueError(f"seconds: {self.rate() * self.seconds:.0f} requests are too many for one run")
 
@@ -209,7 +209,7 @@
 
     def work_s(self) -> float:
         """Returns the mean work of a request, in seconds at speed 1."""
-        return sum(row.share * row.work_ms for row in self.classes) / 1000
+        return sum(spec.share * spec.work_ms for spec in self.classes) / 1000
 
     def rate(self) -> float:
         """Returns the load in requests per second."""
--- a/lemonridge/lab/standins/node.py
+++ b/lemonridge/lab/standins/node.py
@@ -341,7 +341,7 @@
             False if the command has no effect on this node and has not been answered, else True.
         """
         opcode, cdb, blocks = pdu.cdb[0], pdu.cdb, self.node.blocks
-        capacity_blocks = sum(hold.length for key, hold in self.node.extents.items() if key[0] == lun)
+        capacity_blocks = sum(extent.length for key, extent in self.node.extents.items() if key[0] == lun)
         if opcode in (scsi.CAPACITY_10, scsi.SERVICE_IN):
             self._send_data(pdu, scsi.capacity(cdb, capacity_blocks, BLOCK_BYTES))
             return True
--- a/lemonridge/lab/ticks.py
+++ b/lemonridge/lab/ticks.py
@@ -12,4 +12,5 @@
         self._count = itertools.count(1)
 
     def __call__(self) -> int:
+        """Returns the next number."""
         return next(self._count)
