--- a/lemonridge/lab/demo.py
+++ b/lemonridge/lab/demo.py
@@ -65,7 +65,7 @@
             load_task = asyncio.create_task(load.run(plan, progress))
             await asyncio.sleep(seconds * 0.4)
             victim.kill()
-            progress("node n1 fails: its commands are refused at once, those of other nodes are not affected")
+            progress("node n1 dies: its commands are refused at once, those of other nodes are not affected")
             await asyncio.sleep(seconds * 0.2)
             await victim.start()
             etcd.put(f"{PREFIX}nodes/n1", {**victim.etcd_entry(), "started_ms": int(time.time() * 1000)})
