--- a/lemonridge/cli/lab_commands.py
+++ b/lemonridge/cli/lab_commands.py
@@ -30,7 +30,7 @@
             print(f"{result.outcome} {result.name} ({result.section}): {result.why}")
 
     try:
-        results = asyncio.run(suite.run(options.case, options.seed, target, done=print_result))
+        results = asyncio.run(suite.run(options.case, options.seed, target, on_result=print_result))
     except ProgramError as error:
         print(f"lemonridge: the broker failed: {error}", file=sys.stderr)
         return 1
--- a/lemonridge/lab/conform/cases.py
+++ b/lemonridge/lab/conform/cases.py
@@ -9,21 +9,26 @@
 from lemonridge.lab.conform.peer import Peer
 from lemonridge.lab.standins.node import ExtentNode
 
-STORE, GUARDED, MUTUAL, PRIVATE = (
+STORE_TARGET, CHAP_TARGET, MUTUAL_CHAP_TARGET, RESTRICTED_TARGET = (
     f"iqn.2026-12.org.lemonridge:{name}" for name in ("store", "guarded", "mutual", "private")
 )
 INITIATOR = "iqn.2026-12.org.lemonridge:conform"
-ACCOUNT, SECRET, OWN_ACCOUNT, OWN_SECRET = "conform", "a secret of ours", "store", "a secret of theirs"
-BLOCKS = 1024  # of each LUN, of 512 bytes
-SECRETS = f"""
+CHAP_ACCOUNT, CHAP_SECRET, TARGET_CHAP_ACCOUNT, TARGET_CHAP_SECRET = (
+    "conform",
+    "a secret of ours",
+    "store",
+    "a secret of theirs",
+)
+BLOCKS_PER_LUN = 1024  # of each LUN, of 512 bytes
+SECRETS_TOML = f"""
 [[account]]
-name = "{ACCOUNT}"
-secret = "{SECRET}"
+name = "{CHAP_ACCOUNT}"
+secret = "{CHAP_SECRET}"
 [[account]]
 name = "mutual"
-secret = "{SECRET}"
-own_name = "{OWN_ACCOUNT}"
-own_secret = "{OWN_SECRET}"
+secret = "{CHAP_SECRET}"
+own_name = "{TARGET_CHAP_ACCOUNT}"
+own_secret = "{TARGET_CHAP_SECRET}"
 """
 
 
@@ -42,7 +47,7 @@
     random: Random = field(default_factory=Random)
     peers: list[Peer] = field(default_factory=list)
 
-    async def peer(
+    async def connect(
         self, target: str | None = None, isid: bytes | None = None, initiator: str = INITIATOR
     ) -> Peer:
         """A connection that has not logged in."""
@@ -50,10 +55,10 @@
         self.peers.append(made)
         return made
 
-    async def session(self, **keys: str | None) -> Peer:
-        return await (await self.peer()).login(**keys)
+    async def open_session(self, **keys: str | None) -> Peer:
+        return await (await self.connect()).login(**keys)
 
-    def ours(self) -> ExtentNode:
+    def own_node(self) -> ExtentNode:
         """The stand-in node; the case is skipped before another target."""
         if self.node is None:
             raise SkipError("needs the suite's own node and configuration")
--- a/lemonridge/lab/conform/data.py
+++ b/lemonridge/lab/conform/data.py
@@ -9,7 +9,7 @@
 
 from lemonridge.iscsi.pdu import FINAL, RESERVED_TAG, Op, Pdu, pack_lun
 from lemonridge.lab.conform.cases import CaseContext, SkipError, case
-from lemonridge.lab.conform.peer import Peer, expect, same
+from lemonridge.lab.conform.peer import Peer, expect, expect_equal
 
 LENGTHS = (512, 1024, 4096, 65536, 131072)
 LEVELS = ("0", "1", "2")
@@ -28,8 +28,8 @@
 
 
 async def _ask(peer: Peer, tag: int) -> Pdu:
-    pdu = await peer.get(Op.R2T)
-    same(pdu.tag, tag, "task tag")
+    pdu = await peer.receive(Op.R2T)
+    expect_equal(pdu.tag, tag, "task tag")
     expect(pdu.words[0] != RESERVED_TAG, "an R2T without a transfer tag")
     return pdu
 
@@ -38,17 +38,17 @@
     """Send what R2Ts ask for until the status comes; the ranges that were asked for."""
     asked: list[tuple[int, int]] = []
     while True:
-        pdu = await peer.get()
+        pdu = await peer.receive()
         if pdu.opcode == Op.SCSI_RESPONSE:
-            same((pdu.tag, pdu.byte3), (tag, 0), "tag and status")
+            expect_equal((pdu.tag, pdu.byte3), (tag, 0), "tag and status")
             return asked
-        same((pdu.opcode, pdu.tag), (Op.R2T, tag), "opcode and tag")
-        same(pdu.words[4], len(asked), "R2TSN")
+        expect_equal((pdu.opcode, pdu.tag), (Op.R2T, tag), "opcode and tag")
+        expect_equal(pdu.words[4], len(asked), "R2TSN")
         start, length = pdu.words[5:7]
         asked.append((start, length))
         for count, at in enumerate(range(start, start + length, segment)):
             end = min(at + segment, start + length)
-            peer.out(tag, pdu.words[0], count, at, data[at:end], end == start + length)
+            peer.send_data_out(tag, pdu.words[0], count, at, data[at:end], end == start + length)
 
 
 # Writes
@@ -64,27 +64,29 @@
                     context: CaseContext, length: int = length, r2t: str = r2t, immediate: str = immediate
                 ) -> None:
                     """In every way that was agreed on; what was written is read back."""
-                    peer = await context.session(
+                    peer = await context.open_session(
                         InitialR2T=r2t,
                         ImmediateData=immediate,
                         FirstBurstLength="16384",
                         MaxBurstLength="32768",
                     )
                     data = _bytes(context, length)
-                    along = min(length, 4096) if peer.told["ImmediateData"] == "Yes" else 0
-                    more = peer.told["InitialR2T"] == "No" and along < min(length, 16384)
-                    tag = peer.command(write10(8, length), data=data, along=along, final=not more)
+                    along = min(length, 4096) if peer.negotiated["ImmediateData"] == "Yes" else 0
+                    more = peer.negotiated["InitialR2T"] == "No" and along < min(length, 16384)
+                    tag = peer.send_command(write10(8, length), data=data, along=along, final=not more)
                     if more:
                         end = min(length, 16384)
                         for count, at in enumerate(range(along, end, 4096)):
-                            peer.out(
+                            peer.send_data_out(
                                 tag, RESERVED_TAG, count, at, data[at : min(at + 4096, end)], at + 4096 >= end
                             )
                     first = min(length, 16384) if more else along
                     asked = await _serve(peer, tag, data)
                     expect(all(one <= 32768 for _, one in asked), "an R2T past MaxBurstLength")
-                    same(sum(one for _, one in asked), length - first, "bytes asked for")
-                    same(await peer.good(read10(8, length), read=length), data, "what was read")
+                    expect_equal(sum(one for _, one in asked), length - first, "bytes asked for")
+                    expect_equal(
+                        await peer.expect_good(read10(8, length), read=length), data, "what was read"
+                    )
 
 
 _writes()
@@ -92,40 +94,40 @@
 
 @case("write.several-r2ts", "13.17")
 async def _several(context: CaseContext) -> None:
-    peer = await context.session(
+    peer = await context.open_session(
         MaxOutstandingR2T="4", MaxBurstLength="4096", InitialR2T="Yes", ImmediateData="No"
     )
-    if peer.told["MaxOutstandingR2T"] == "1":
+    if peer.negotiated["MaxOutstandingR2T"] == "1":
         raise SkipError("the target has one R2T out at a time")
     data = _bytes(context, 16384)
-    tag = peer.command(write10(0, 16384), data=data, along=0)
-    asked = [await _ask(peer, tag) for _ in range(int(peer.told["MaxOutstandingR2T"]))]
-    same(len({pdu.words[0] for pdu in asked}), len(asked), "transfer tags")
+    tag = peer.send_command(write10(0, 16384), data=data, along=0)
+    asked = [await _ask(peer, tag) for _ in range(int(peer.negotiated["MaxOutstandingR2T"]))]
+    expect_equal(len({pdu.words[0] for pdu in asked}), len(asked), "transfer tags")
     for pdu in asked:
         start, length = pdu.words[5:7]
-        peer.out(tag, pdu.words[0], 0, start, data[start : start + length])
+        peer.send_data_out(tag, pdu.words[0], 0, start, data[start : start + length])
     if len(asked) < 4:
         await _serve(peer, tag, data)
     else:
-        same((await peer.get(Op.SCSI_RESPONSE)).byte3, 0)
-    same(await peer.good(read10(0, 16384), read=16384), data)
+        expect_equal((await peer.receive(Op.SCSI_RESPONSE)).byte3, 0)
+    expect_equal(await peer.expect_good(read10(0, 16384), read=16384), data)
 
 
 @case("write.r2ts-answered-in-any-order", "11.8")
 async def _any_order(context: CaseContext) -> None:
-    peer = await context.session(
+    peer = await context.open_session(
         MaxOutstandingR2T="2", MaxBurstLength="4096", InitialR2T="Yes", ImmediateData="No"
     )
-    if peer.told["MaxOutstandingR2T"] != "2":
+    if peer.negotiated["MaxOutstandingR2T"] != "2":
         raise SkipError("the target has one R2T out at a time")
     data = _bytes(context, 8192)
-    tag = peer.command(write10(0, 8192), data=data, along=0)
+    tag = peer.send_command(write10(0, 8192), data=data, along=0)
     asked = [await _ask(peer, tag), await _ask(peer, tag)]
     for pdu in reversed(asked):
         start, length = pdu.words[5:7]
-        peer.out(tag, pdu.words[0], 0, start, data[start : start + length])
-    same((await peer.get(Op.SCSI_RESPONSE)).byte3, 0)
-    same(await peer.good(read10(0, 8192), read=8192), data)
+        peer.send_data_out(tag, pdu.words[0], 0, start, data[start : start + length])
+    expect_equal((await peer.receive(Op.SCSI_RESPONSE)).byte3, 0)
+    expect_equal(await peer.expect_good(read10(0, 8192), read=8192), data)
 
 
 def _broken() -> None:
@@ -148,15 +150,15 @@
             final: bool = final,
         ) -> None:
             """At recovery level 0 a breach ends the session; nothing of the write runs."""
-            peer = await context.session(InitialR2T="Yes", ImmediateData="No", ErrorRecoveryLevel="0")
+            peer = await context.open_session(InitialR2T="Yes", ImmediateData="No", ErrorRecoveryLevel="0")
             before = len(context.node.command_start_times) if context.node else 0
-            tag = peer.command(write10(0, 512), data=bytes(512), along=0)
+            tag = peer.send_command(write10(0, 512), data=bytes(512), along=0)
             pdu = await _ask(peer, tag)
-            peer.out(tag, pdu.words[0] + shift, data_sn, offset, bytes(length), final)
-            await peer.rejected(0x04)
-            await peer.ended()
+            peer.send_data_out(tag, pdu.words[0] + shift, data_sn, offset, bytes(length), final)
+            await peer.expect_reject(0x04)
+            await peer.expect_close()
             if context.node:
-                same(len(context.node.command_start_times), before, "commands at the node")
+                expect_equal(len(context.node.command_start_times), before, "commands at the node")
 
 
 _broken()
@@ -164,48 +166,48 @@
 
 @case("write.immediate-not-agreed", "13.11")
 async def _not_agreed(context: CaseContext) -> None:
-    peer = await context.session(ImmediateData="No")
-    peer.command(write10(0, 512), data=bytes(512))
-    await peer.rejected(0x04)
+    peer = await context.open_session(ImmediateData="No")
+    peer.send_command(write10(0, 512), data=bytes(512))
+    await peer.expect_reject(0x04)
 
 
 @case("write.unsolicited-not-agreed", "13.10")
 async def _unsolicited(context: CaseContext) -> None:
-    peer = await context.session(InitialR2T="Yes")
-    peer.command(write10(0, 1024), data=bytes(1024), along=0, final=False)
-    await peer.rejected(0x04)
+    peer = await context.open_session(InitialR2T="Yes")
+    peer.send_command(write10(0, 1024), data=bytes(1024), along=0, final=False)
+    await peer.expect_reject(0x04)
 
 
 @case("write.immediate-past-the-first-burst", "13.14")
 async def _past_first(context: CaseContext) -> None:
-    peer = await context.session(FirstBurstLength="512", ImmediateData="Yes")
-    peer.command(write10(0, 1024), data=bytes(1024))
-    await peer.rejected(0x04)
+    peer = await context.open_session(FirstBurstLength="512", ImmediateData="Yes")
+    peer.send_command(write10(0, 1024), data=bytes(1024))
+    await peer.expect_reject(0x04)
 
 
 @case("write.short-unsolicited-data", "11.7")
 async def _short(context: CaseContext) -> None:
     """Fewer unsolicited data than could come: the rest is asked for."""
-    peer = await context.session(InitialR2T="No", ImmediateData="No", FirstBurstLength="8192")
-    if peer.told["InitialR2T"] != "No":
+    peer = await context.open_session(InitialR2T="No", ImmediateData="No", FirstBurstLength="8192")
+    if peer.negotiated["InitialR2T"] != "No":
         raise SkipError("the target wants R2Ts")
     data = _bytes(context, 4096)
-    tag = peer.command(write10(0, 4096), data=data, along=0, final=False)
-    peer.out(tag, RESERVED_TAG, 0, 0, data[:1024])
-    same(await _serve(peer, tag, data), [(1024, 3072)])
+    tag = peer.send_command(write10(0, 4096), data=data, along=0, final=False)
+    peer.send_data_out(tag, RESERVED_TAG, 0, 0, data[:1024])
+    expect_equal(await _serve(peer, tag, data), [(1024, 3072)])
 
 
 @case("write.data-do-not-come", "4.2.5")
 async def _absent(context: CaseContext) -> None:
     """The command ends by its deadline and never ran."""
-    context.ours()
-    peer = await context.session(InitialR2T="Yes", ImmediateData="No", ErrorRecoveryLevel="0")
-    before = len(context.ours().command_start_times)
-    tag = peer.command(write10(0, 512), data=bytes(512), along=0)
+    context.own_node()
+    peer = await context.open_session(InitialR2T="Yes", ImmediateData="No", ErrorRecoveryLevel="0")
+    before = len(context.own_node().command_start_times)
+    tag = peer.send_command(write10(0, 512), data=bytes(512), along=0)
     await _ask(peer, tag)
-    response = await peer.get(Op.SCSI_RESPONSE)
-    same((response.byte3, response.data[4]), (2, 0x0B), "status and sense key")
-    same(len(context.ours().command_start_times), before)
+    response = await peer.receive(Op.SCSI_RESPONSE)
+    expect_equal((response.byte3, response.data[4]), (2, 0x0B), "status and sense key")
+    expect_equal(len(context.own_node().command_start_times), before)
 
 
 # Reads
@@ -217,21 +219,23 @@
 
             @case(f"read.{length}.segment-{segment}", "11.7")
             async def _(context: CaseContext, length: int = length, segment: int = segment) -> None:
-                peer = await context.session(MaxRecvDataSegmentLength=str(segment), MaxBurstLength="16384")
-                tag = peer.command(read10(0, length), read=length)
+                peer = await context.open_session(
+                    MaxRecvDataSegmentLength=str(segment), MaxBurstLength="16384"
+                )
+                tag = peer.send_command(read10(0, length), read=length)
                 at, burst, parts = 0, 0, 0
                 while True:
-                    pdu = await peer.get()
+                    pdu = await peer.receive()
                     if pdu.opcode == Op.SCSI_RESPONSE:
                         break
-                    same((pdu.opcode, pdu.tag), (Op.DATA_IN, tag))
-                    same((pdu.words[4], pdu.words[5]), (parts, at), "DataSN and offset")
+                    expect_equal((pdu.opcode, pdu.tag), (Op.DATA_IN, tag))
+                    expect_equal((pdu.words[4], pdu.words[5]), (parts, at), "DataSN and offset")
                     expect(0 < len(pdu.data) <= segment, "a segment of the wrong length")
                     at, burst, parts = at + len(pdu.data), burst + len(pdu.data), parts + 1
                     expect(burst <= 16384, "a burst past MaxBurstLength")
                     if pdu.flags & FINAL:
                         burst = 0
-                same(
+                expect_equal(
                     (at, burst, pdu.byte3, pdu.words[4]),
                     (length, 0, 0, parts),
                     "length, end, status, ExpDataSN",
@@ -248,9 +252,9 @@
         async def _(
             context: CaseContext, expected: int = expected, flag: int = flag, residual: int = residual
         ) -> None:
-            peer = await context.session()
-            response, data = await peer.finish(peer.command(read10(0, 512), read=expected))
-            same((response.flags & 0x06, response.words[6], len(data)), (flag, residual, 512))
+            peer = await context.open_session()
+            response, data = await peer.receive_response(peer.send_command(read10(0, 512), read=expected))
+            expect_equal((response.flags & 0x06, response.words[6], len(data)), (flag, residual, 512))
 
 
 _residuals()
@@ -258,17 +262,17 @@
 
 @case("read.no-data", "11.7")
 async def _no_data(context: CaseContext) -> None:
-    peer = await context.session()
-    response, data = await peer.finish(peer.command(read10(0, 0)))
-    same((response.byte3, data), (0, b""))
+    peer = await context.open_session()
+    response, data = await peer.receive_response(peer.send_command(read10(0, 0)))
+    expect_equal((response.byte3, data), (0, b""))
 
 
 @case("read.bidirectional", "11.2.1.1")
 async def _bidirectional(context: CaseContext) -> None:
-    peer = await context.session()
+    peer = await context.open_session()
     tag = next(peer.tags)
     words = list(struct.unpack(">4I", read10(0, 512).ljust(16, b"\0")))
-    peer.put(
+    peer.send(
         Pdu(
             Op.SCSI_COMMAND,
             FINAL | 0x60,
@@ -278,30 +282,32 @@
             data=bytes(512),
         )
     )
-    response = await peer.get(Op.SCSI_RESPONSE)
-    same((response.byte3, response.data[4]), (2, 0x05))
+    response = await peer.receive(Op.SCSI_RESPONSE)
+    expect_equal((response.byte3, response.data[4]), (2, 0x05))
 
 
 # Recovery
 
 
 async def _level(context: CaseContext, level: str, **keys: str) -> Peer:
-    peer = await context.session(ErrorRecoveryLevel=level, **keys)
-    if peer.told["ErrorRecoveryLevel"] != level:
-        raise SkipError(f"the target has level {peer.told['ErrorRecoveryLevel']}")
+    peer = await context.open_session(ErrorRecoveryLevel=level, **keys)
+    if peer.negotiated["ErrorRecoveryLevel"] != level:
+        raise SkipError(f"the target has level {peer.negotiated['ErrorRecoveryLevel']}")
     return peer
 
 
 async def _snack(peer: Peer, kind: int, tag: int, first: int, run: int) -> None:
-    peer.put(Pdu(Op.SNACK, FINAL | kind, tag=tag, words=[RESERVED_TAG, 0, 0, 0, 0, first, run]), number=False)
+    peer.send(
+        Pdu(Op.SNACK, FINAL | kind, tag=tag, words=[RESERVED_TAG, 0, 0, 0, 0, first, run]), number=False
+    )
 
 
 @case("recover.level-0-knows-no-snack", "11.16")
 async def _level_0(context: CaseContext) -> None:
-    peer = await context.session(ErrorRecoveryLevel="0")
+    peer = await context.open_session(ErrorRecoveryLevel="0")
     await _snack(peer, 1, RESERVED_TAG, 1, 1)
-    await peer.rejected(0x04)
-    await peer.ended()
+    await peer.expect_reject(0x04)
+    await peer.expect_close()
 
 
 def _recoveries() -> None:
@@ -312,17 +318,17 @@
             """Data-In PDUs that were missed come again, and no others."""
             peer = await _level(context, level, MaxRecvDataSegmentLength="512")
             data = _bytes(context, 4096)
-            await peer.good(write10(0, 4096), data=data)
+            await peer.expect_good(write10(0, 4096), data=data)
             before = peer.exp_stat_sn
-            tag = peer.command(read10(0, 4096), read=4096)
-            _, found = await peer.finish(tag)
-            same(found, data)
+            tag = peer.send_command(read10(0, 4096), read=4096)
+            _, found = await peer.receive_response(tag)
+            expect_equal(found, data)
             peer.exp_stat_sn = before  # the status is not acknowledged
             await _snack(peer, 0, tag, 2, 3)
             for number in (2, 3, 4):
-                pdu = await peer.get(Op.DATA_IN)
-                same((pdu.words[4], pdu.data), (number, data[number * 512 : number * 512 + 512]))
-            await peer.silence()
+                pdu = await peer.receive(Op.DATA_IN)
+                expect_equal((pdu.words[4], pdu.data), (number, data[number * 512 : number * 512 + 512]))
+            await peer.expect_silence()
 
         @case(f"recover.status-snack.level-{level}", "7.3")
         async def _(context: CaseContext, level: str = level) -> None:
@@ -330,60 +336,60 @@
             first = peer.exp_stat_sn
             tags = []
             for _ in range(3):
-                tags.append(peer.command(bytes(6)))
+                tags.append(peer.send_command(bytes(6)))
                 peer.exp_stat_sn = 0
-                await peer.get(Op.SCSI_RESPONSE)
+                await peer.receive(Op.SCSI_RESPONSE)
                 peer.exp_stat_sn = first
             await _snack(peer, 1, RESERVED_TAG, first, 2)
             for number in (0, 1):
                 peer.exp_stat_sn = 0
-                pdu = await peer.get(Op.SCSI_RESPONSE)
-                same((pdu.words[1], pdu.tag, pdu.byte3), (first + number, tags[number], 0))
+                pdu = await peer.receive(Op.SCSI_RESPONSE)
+                expect_equal((pdu.words[1], pdu.tag, pdu.byte3), (first + number, tags[number], 0))
 
         @case(f"recover.status-snack-of-what-was-acknowledged.level-{level}", "11.16")
         async def _(context: CaseContext, level: str = level) -> None:
             peer = await _level(context, level)
             first = peer.exp_stat_sn
             for _ in range(3):
-                await peer.good(bytes(6))
+                await peer.expect_good(bytes(6))
             await _snack(peer, 1, RESERVED_TAG, first, 1)
-            await peer.rejected(0x03)
+            await peer.expect_reject(0x03)
 
         @case(f"recover.data-snack-of-nothing.level-{level}", "11.16")
         async def _(context: CaseContext, level: str = level) -> None:
             peer = await _level(context, level)
             await _snack(peer, 0, 4711, 0, 1)
-            await peer.rejected(0x03)
+            await peer.expect_reject(0x03)
 
         @case(f"recover.command-again.level-{level}", "7.2.1")
         async def _(context: CaseContext, level: str = level) -> None:
             """A command that comes again under its number is not run again: it gets the status that it
             got.
             """
-            node = context.ours()
+            node = context.own_node()
             peer = await _level(context, level)
             before, first = len(node.command_start_times), peer.exp_stat_sn
-            tag = peer.command(write10(0, 512), data=b"A" * 512)
-            status = await peer.get(Op.SCSI_RESPONSE)
+            tag = peer.send_command(write10(0, 512), data=b"A" * 512)
+            status = await peer.receive(Op.SCSI_RESPONSE)
             peer.exp_stat_sn, peer.cmd_sn = first, peer.cmd_sn - 1
-            peer.command(write10(0, 512), data=b"A" * 512, tag=tag)
-            again = await peer.get(Op.SCSI_RESPONSE)
-            same((again.words[1], again.tag, again.byte3), (status.words[1], tag, status.byte3))
-            same(len(node.command_start_times), before + 1, "runs at the node")
+            peer.send_command(write10(0, 512), data=b"A" * 512, tag=tag)
+            again = await peer.receive(Op.SCSI_RESPONSE)
+            expect_equal((again.words[1], again.tag, again.byte3), (status.words[1], tag, status.byte3))
+            expect_equal(len(node.command_start_times), before + 1, "runs at the node")
 
         @case(f"recover.command-again-in-work.level-{level}", "7.2.1")
         async def _(context: CaseContext, level: str = level) -> None:
-            node = context.ours()
+            node = context.own_node()
             node.delay_s = lambda: 0.1
             try:
                 peer = await _level(context, level)
                 before = len(node.command_start_times)
-                tag = peer.command(read10(0, 512), read=512)
+                tag = peer.send_command(read10(0, 512), read=512)
                 peer.cmd_sn -= 1
-                peer.command(read10(0, 512), read=512, tag=tag)
-                same((await peer.finish(tag))[0].byte3, 0)
-                await peer.silence()
-                same(len(node.command_start_times), before + 1, "runs at the node")
+                peer.send_command(read10(0, 512), read=512, tag=tag)
+                expect_equal((await peer.receive_response(tag))[0].byte3, 0)
+                await peer.expect_silence()
+                expect_equal(len(node.command_start_times), before + 1, "runs at the node")
             finally:
                 node.delay_s = lambda: 0.0
 
@@ -392,10 +398,10 @@
             """A Data-Out PDU of a burst is lost: it is asked for again, and nothing else."""
             peer = await _level(context, level, InitialR2T="Yes", ImmediateData="No")
             data = _bytes(context, 4096)
-            tag = peer.command(write10(0, 4096), data=data, along=0)
+            tag = peer.send_command(write10(0, 4096), data=data, along=0)
             pdu = await _ask(peer, tag)
             for number in (0, 1, 3):
-                peer.out(
+                peer.send_data_out(
                     tag,
                     pdu.words[0],
                     number,
@@ -404,49 +410,49 @@
                     number == 3,
                 )
             again = await _ask(peer, tag)
-            same(again.words[5:7], [2048, 1024], "what is asked for again")
-            peer.out(tag, again.words[0], 0, 2048, data[2048:3072])
-            same((await peer.get(Op.SCSI_RESPONSE)).byte3, 0)
-            same(await peer.good(read10(0, 4096), read=4096), data)
+            expect_equal(again.words[5:7], [2048, 1024], "what is asked for again")
+            peer.send_data_out(tag, again.words[0], 0, 2048, data[2048:3072])
+            expect_equal((await peer.receive(Op.SCSI_RESPONSE)).byte3, 0)
+            expect_equal(await peer.expect_good(read10(0, 4096), read=4096), data)
 
         @case(f"recover.last-data-lost.level-{level}", "7.2")
         async def _(context: CaseContext, level: str = level) -> None:
             """The PDU with the final bit is lost: after a while the rest is asked for."""
             peer = await _level(context, level, InitialR2T="Yes", ImmediateData="No")
             data = _bytes(context, 2048)
-            tag = peer.command(write10(0, 2048), data=data, along=0)
+            tag = peer.send_command(write10(0, 2048), data=data, along=0)
             pdu = await _ask(peer, tag)
-            peer.out(tag, pdu.words[0], 0, 0, data[:1024], False)
+            peer.send_data_out(tag, pdu.words[0], 0, 0, data[:1024], False)
             again = await _ask(peer, tag)
-            same(again.words[5:7], [1024, 1024])
-            peer.out(tag, again.words[0], 0, 1024, data[1024:])
-            same((await peer.get(Op.SCSI_RESPONSE)).byte3, 0)
+            expect_equal(again.words[5:7], [1024, 1024])
+            peer.send_data_out(tag, again.words[0], 0, 1024, data[1024:])
+            expect_equal((await peer.receive(Op.SCSI_RESPONSE)).byte3, 0)
 
         @case(f"recover.data-digest.level-{level}", "7.8")
         async def _(context: CaseContext, level: str = level) -> None:
             """A spoilt Data-Out PDU is rejected and asked for again."""
             peer = await _level(context, level, InitialR2T="Yes", ImmediateData="No", DataDigest="CRC32C")
             data = _bytes(context, 512)
-            tag = peer.command(write10(0, 512), data=data, along=0)
+            tag = peer.send_command(write10(0, 512), data=data, along=0)
             pdu = await _ask(peer, tag)
             out = Pdu(
                 Op.DATA_OUT, FINAL, tag=tag, data=data, words=[pdu.words[0], 0, peer.exp_stat_sn, 0, 0, 0, 0]
             )
             raw = bytearray(out.encode(False, True))
             raw[100] ^= 1
-            peer.raw(bytes(raw))
-            await peer.rejected(0x02)
+            peer.send_bytes(bytes(raw))
+            await peer.expect_reject(0x02)
             again = await _ask(peer, tag)
-            peer.out(tag, again.words[0], 0, 0, data)
-            same((await peer.get(Op.SCSI_RESPONSE)).byte3, 0)
-            same(await peer.good(read10(0, 512), read=512), data)
+            peer.send_data_out(tag, again.words[0], 0, 0, data)
+            expect_equal((await peer.receive(Op.SCSI_RESPONSE)).byte3, 0)
+            expect_equal(await peer.expect_good(read10(0, 512), read=512), data)
 
         @case(f"recover.acknowledged-is-released.level-{level}", "4.2.2.2")
         async def _(context: CaseContext, level: str = level) -> None:
             """Many commands, each acknowledged by the next: the window never closes."""
             peer = await _level(context, level)
             for _ in range(300):
-                await peer.good(bytes(6))
+                await peer.expect_good(bytes(6))
 
 
 _recoveries()
@@ -455,33 +461,33 @@
 async def _again(context: CaseContext, peer: Peer) -> Peer:
     """The session's connection is cut, and made anew under the same CID."""
     peer.close(reset=True)
-    made = await context.peer(isid=peer.isid)
+    made = await context.connect(isid=peer.isid)
     made.tsih, made.cid, made.cmd_sn = peer.tsih, peer.cid, peer.cmd_sn
     return await made.login()
 
 
 async def _reassign(peer: Peer, tag: int, expected: int = 0) -> int:
-    peer.put(
+    peer.send(
         Pdu(Op.TASK_MANAGEMENT, FINAL | 8, tag=6000, immediate=True, words=[tag, 0, 0, 0, expected, 0, 0])
     )
-    return (await peer.get(Op.TASK_MANAGEMENT_RESPONSE)).byte2
+    return (await peer.receive(Op.TASK_MANAGEMENT_RESPONSE)).byte2
 
 
 @case("reassign.read-in-work", "7.4")
 async def _reassign_read(context: CaseContext) -> None:
     """The connection is lost under a read: its end comes over the new one, and it ran once."""
-    node = context.ours()
+    node = context.own_node()
     node.delay_s = lambda: 0.15
     try:
         peer = await _level(context, "2")
         before = len(node.command_start_times)
-        tag = peer.command(read10(0, 512), read=512)
+        tag = peer.send_command(read10(0, 512), read=512)
         await peer.writer.drain()
         await asyncio.sleep(0.05)
         peer = await _again(context, peer)
-        same(await _reassign(peer, tag), 0)
-        response, data = await peer.finish(tag)
-        same((response.byte3, len(data), len(node.command_start_times)), (0, 512, before + 1))
+        expect_equal(await _reassign(peer, tag), 0)
+        response, data = await peer.receive_response(tag)
+        expect_equal((response.byte3, len(data), len(node.command_start_times)), (0, 512, before + 1))
     finally:
         node.delay_s = lambda: 0.0
 
@@ -489,19 +495,19 @@
 @case("reassign.write-that-ended", "7.4")
 async def _reassign_write(context: CaseContext) -> None:
     """The write ended while there was no connection: its status was kept, and it is not run again."""
-    node = context.ours()
+    node = context.own_node()
     peer = await _level(context, "2")
     before = len(node.log)
-    tag = peer.command(write10(0, 512), data=b"R" * 512)
+    tag = peer.send_command(write10(0, 512), data=b"R" * 512)
     await peer.writer.drain()
     async with asyncio.timeout_at(asyncio.get_running_loop().time() + 4):
         while len(node.log) == before:
             await asyncio.sleep(0.005)
     peer = await _again(context, peer)
-    same(await _reassign(peer, tag), 0)
-    same((await peer.finish(tag))[0].byte3, 0)
-    same(len(node.log), before + 1, "runs at the node")
-    same(await peer.good(read10(0, 512), read=512), b"R" * 512)
+    expect_equal(await _reassign(peer, tag), 0)
+    expect_equal((await peer.receive_response(tag))[0].byte3, 0)
+    expect_equal(len(node.log), before + 1, "runs at the node")
+    expect_equal(await peer.expect_good(read10(0, 512), read=512), b"R" * 512)
 
 
 @case("reassign.write-without-its-data", "7.4")
@@ -509,45 +515,45 @@
     """The connection is lost between an R2T and its data: they are asked for on the new one."""
     peer = await _level(context, "2", InitialR2T="Yes", ImmediateData="No")
     data = _bytes(context, 512)
-    tag = peer.command(write10(0, 512), data=data, along=0)
+    tag = peer.send_command(write10(0, 512), data=data, along=0)
     await _ask(peer, tag)
     peer = await _again(context, peer)
-    same(await _reassign(peer, tag), 0)
+    expect_equal(await _reassign(peer, tag), 0)
     pdu = await _ask(peer, tag)
-    peer.out(tag, pdu.words[0], 0, pdu.words[5], data[pdu.words[5] : pdu.words[5] + pdu.words[6]])
-    same((await peer.get(Op.SCSI_RESPONSE)).byte3, 0)
-    same(await peer.good(read10(0, 512), read=512), data)
+    peer.send_data_out(tag, pdu.words[0], 0, pdu.words[5], data[pdu.words[5] : pdu.words[5] + pdu.words[6]])
+    expect_equal((await peer.receive(Op.SCSI_RESPONSE)).byte3, 0)
+    expect_equal(await peer.expect_good(read10(0, 512), read=512), data)
 
 
 @case("reassign.from-a-data-number-on", "7.4")
 async def _reassign_from(context: CaseContext) -> None:
     peer = await _level(context, "2", MaxRecvDataSegmentLength="512")
     data = _bytes(context, 2048)
-    await peer.good(write10(0, 2048), data=data)
-    tag = peer.command(read10(0, 2048), read=2048)
+    await peer.expect_good(write10(0, 2048), data=data)
+    tag = peer.send_command(read10(0, 2048), read=2048)
     for _ in range(2):
-        await peer.get(Op.DATA_IN)
+        await peer.receive(Op.DATA_IN)
     await asyncio.sleep(0.05)
     peer.close(reset=True)
-    made = await context.peer(isid=peer.isid)
+    made = await context.connect(isid=peer.isid)
     made.tsih, made.cmd_sn = peer.tsih, peer.cmd_sn
     await made.login(MaxRecvDataSegmentLength="512")
-    same(await _reassign(made, tag, 2), 0)
+    expect_equal(await _reassign(made, tag, 2), 0)
     for number in (2, 3):
-        pdu = await made.get(Op.DATA_IN)
-        same((pdu.words[4], pdu.data), (number, data[number * 512 : number * 512 + 512]))
-    same((await made.get(Op.SCSI_RESPONSE)).byte3, 0)
+        pdu = await made.receive(Op.DATA_IN)
+        expect_equal((pdu.words[4], pdu.data), (number, data[number * 512 : number * 512 + 512]))
+    expect_equal((await made.receive(Op.SCSI_RESPONSE)).byte3, 0)
 
 
 @case("reassign.still-allegiant", "11.6.1")
 async def _allegiant(context: CaseContext) -> None:
-    node = context.ours()
+    node = context.own_node()
     node.delay_s = lambda: 0.1
     try:
         peer = await _level(context, "2")
-        tag = peer.command(read10(0, 512), read=512)
-        same(await _reassign(peer, tag), 3)
-        same((await peer.finish(tag))[0].byte3, 0)
+        tag = peer.send_command(read10(0, 512), read=512)
+        expect_equal(await _reassign(peer, tag), 3)
+        expect_equal((await peer.receive_response(tag))[0].byte3, 0)
     finally:
         node.delay_s = lambda: 0.0
 
@@ -555,20 +561,20 @@
 @case("reassign.after-logout-for-recovery", "11.14")
 async def _for_recovery(context: CaseContext) -> None:
     """Another connection gives the lost one up, and takes its command over."""
-    node = context.ours()
+    node = context.own_node()
     node.delay_s = lambda: 0.15
     try:
         one = await _level(context, "2", MaxConnections="2")
-        two = await context.peer(isid=one.isid)
+        two = await context.connect(isid=one.isid)
         two.tsih, two.cid, two.cmd_sn = one.tsih, 1, one.cmd_sn
         await two.login()
-        tag = two.command(read10(0, 512), read=512)
+        tag = two.send_command(read10(0, 512), read=512)
         one.cmd_sn = two.cmd_sn
         await asyncio.sleep(0.03)
-        one.put(Pdu(Op.LOGOUT, FINAL | 2, tag=4, words=[1 << 16, 0, 0, 0, 0, 0, 0]))
-        same((await one.get(Op.LOGOUT_RESPONSE)).byte2, 0)
-        same(await _reassign(one, tag), 0)
-        same((await one.finish(tag))[0].byte3, 0)
+        one.send(Pdu(Op.LOGOUT, FINAL | 2, tag=4, words=[1 << 16, 0, 0, 0, 0, 0, 0]))
+        expect_equal((await one.receive(Op.LOGOUT_RESPONSE)).byte2, 0)
+        expect_equal(await _reassign(one, tag), 0)
+        expect_equal((await one.receive_response(tag))[0].byte3, 0)
     finally:
         node.delay_s = lambda: 0.0
 
@@ -577,11 +583,11 @@
 async def _too_late(context: CaseContext) -> None:
     """After Time2Wait and Time2Retain nothing is left of the session."""
     peer = await _level(context, "2", DefaultTime2Wait="0", DefaultTime2Retain="1")
-    wait = int(peer.told["DefaultTime2Wait"]) + int(peer.told["DefaultTime2Retain"])
+    wait = int(peer.negotiated["DefaultTime2Wait"]) + int(peer.negotiated["DefaultTime2Retain"])
     if wait > 3:
         raise SkipError(f"the target retains for {wait} s")
     peer.close(reset=True)
     await asyncio.sleep(wait + 0.3)
-    made = await context.peer(isid=peer.isid)
+    made = await context.connect(isid=peer.isid)
     made.tsih = peer.tsih
-    same((await made.step(FINAL | 1 << 2 | 3, made.names())).words[4] >> 16, 0x020A)
+    expect_equal((await made.login_step(FINAL | 1 << 2 | 3, made.login_keys())).words[4] >> 16, 0x020A)
--- a/lemonridge/lab/conform/faulty.py
+++ b/lemonridge/lab/conform/faulty.py
@@ -11,7 +11,7 @@
 
 from lemonridge.iscsi.pdu import FINAL, Op, Pdu, read_pdu, unpack_text
 
-Spoil = Callable[[Pdu], None]
+PduChange = Callable[[Pdu], None]
 
 
 @dataclass(frozen=True, slots=True)
@@ -20,29 +20,29 @@
 
     name: str
     cases: str
-    spoil: Spoil
+    corrupt: PduChange
 
 
-def _on(opcode: int, change: Spoil) -> Spoil:
-    def spoil(pdu: Pdu) -> None:
+def _on(opcode: int, change: PduChange) -> PduChange:
+    def corrupt(pdu: Pdu) -> None:
         if pdu.opcode == opcode:
             change(pdu)
 
-    return spoil
+    return corrupt
 
 
-def _word(place: int, change: Callable[[int], int]) -> Spoil:
-    def spoil(pdu: Pdu) -> None:
+def _word(place: int, change: Callable[[int], int]) -> PduChange:
+    def corrupt(pdu: Pdu) -> None:
         pdu.words[place] = change(pdu.words[place]) % (1 << 32)
 
-    return spoil
+    return corrupt
 
 
-def _data(change: Callable[[bytes], bytes]) -> Spoil:
-    def spoil(pdu: Pdu) -> None:
+def _data(change: Callable[[bytes], bytes]) -> PduChange:
+    def corrupt(pdu: Pdu) -> None:
         pdu.data = change(pdu.data)
 
-    return spoil
+    return corrupt
 
 
 def _no_residual(pdu: Pdu) -> None:
@@ -105,8 +105,8 @@
 class Proxy:
     """Passes what initiators say through, and spoils what the target answers."""
 
-    def __init__(self, spoil: Spoil) -> None:
-        self._spoil, self._behind = spoil, 0
+    def __init__(self, corrupt: PduChange) -> None:
+        self._corrupt, self._behind = corrupt, 0
         self._tasks: set[asyncio.Task[None]] = set()
 
     async def start(self, behind: int) -> int:
@@ -141,7 +141,7 @@
                 login = pdu.opcode == Op.LOGIN_RESPONSE
                 final = login and pdu.flags & 0x83 == FINAL | 3
                 told = unpack_text(pdu.data) if final else {}
-                self._spoil(pdu)
+                self._corrupt(pdu)
                 writer.write(pdu.encode(header, data))
                 if final:
                     header, data = told.get("HeaderDigest") == "CRC32C", told.get("DataDigest") == "CRC32C"
--- a/lemonridge/lab/conform/login.py
+++ b/lemonridge/lab/conform/login.py
@@ -5,17 +5,17 @@
 from lemonridge.iscsi import chap, keys
 from lemonridge.iscsi.pdu import CONTINUE, FINAL, RESERVED_TAG, Op, Pdu, pack_text, unpack_text
 from lemonridge.lab.conform.cases import (
-    ACCOUNT,
-    GUARDED,
-    MUTUAL,
-    OWN_ACCOUNT,
-    OWN_SECRET,
-    PRIVATE,
-    SECRET,
+    CHAP_ACCOUNT,
+    CHAP_SECRET,
+    CHAP_TARGET,
+    MUTUAL_CHAP_TARGET,
+    RESTRICTED_TARGET,
+    TARGET_CHAP_ACCOUNT,
+    TARGET_CHAP_SECRET,
     CaseContext,
     case,
 )
-from lemonridge.lab.conform.peer import Peer, expect, same
+from lemonridge.lab.conform.peer import Peer, expect, expect_equal
 
 OPERATIONAL = FINAL | 1 << 2 | 3  # straight to the full feature phase
 SECURITY = 0
@@ -73,9 +73,9 @@
 
 
 async def _answered(context: CaseContext, name: str, offer: str) -> str:
-    peer = await context.peer()
-    answer = await peer.step(OPERATIONAL, peer.names(**{name: offer}))
-    same(answer.words[4] >> 16, 0, "login status")
+    peer = await context.connect()
+    answer = await peer.login_step(OPERATIONAL, peer.login_keys(**{name: offer}))
+    expect_equal(answer.words[4] >> 16, 0, "login status")
     told = unpack_text(answer.data)
     expect(name in told, f"{name} was not answered")
     return told[name]
@@ -95,13 +95,13 @@
 
             @case(f"negotiate.{name}.illegal-{number}", "6.2")
             async def _(context: CaseContext, name: str = name, offer: str = offer) -> None:
-                same(await _answered(context, name, offer), keys.REJECT)
+                expect_equal(await _answered(context, name, offer), keys.REJECT)
 
     for name in UNKNOWN:
 
         @case(f"negotiate.unknown.{name}", "6.2")
         async def _(context: CaseContext, name: str = name) -> None:
-            same(await _answered(context, name, "1"), keys.NOT_UNDERSTOOD)
+            expect_equal(await _answered(context, name, "1"), keys.NOT_UNDERSTOOD)
 
     for name in OLD:
 
@@ -115,37 +115,37 @@
 
 @case("negotiate.segment.declared", "13.12")
 async def _segment(context: CaseContext) -> None:
-    peer = await context.session(MaxRecvDataSegmentLength="512")
-    expect(int(peer.told["MaxRecvDataSegmentLength"]) >= 512, "the target's own is not declared")
-    tag = peer.command(b"\x12\x01\x00\x00\xff", read=255)
-    pdu = await peer.get(Op.DATA_IN)
+    peer = await context.open_session(MaxRecvDataSegmentLength="512")
+    expect(int(peer.negotiated["MaxRecvDataSegmentLength"]) >= 512, "the target's own is not declared")
+    tag = peer.send_command(b"\x12\x01\x00\x00\xff", read=255)
+    pdu = await peer.receive(Op.DATA_IN)
     expect(pdu.tag == tag and len(pdu.data) <= 512, "a segment past what was declared")
 
 
 @case("negotiate.twice", "6.3")
 async def _twice(context: CaseContext) -> None:
-    peer = await context.peer()
-    answer = await peer.step(
+    peer = await context.connect()
+    answer = await peer.login_step(
         OPERATIONAL,
         pack_text(
             [
-                *peer.names().items(),  # type: ignore[list-item]
+                *peer.login_keys().items(),  # type: ignore[list-item]
                 ("InitialR2T", "Yes"),
                 ("InitialR2T", "No"),
             ]
         ),
     )
-    same(answer.words[4] >> 24, 2, "status class")
-    await peer.ended()
+    expect_equal(answer.words[4] >> 24, 2, "status class")
+    await peer.expect_close()
 
 
 @case("negotiate.again", "6.3")
 async def _again(context: CaseContext) -> None:
-    peer = await context.peer()
-    first = await peer.step(1 << 2, peer.names(InitialR2T="Yes"))
-    same((first.words[4] >> 16, first.flags & FINAL), (0, 0), "status and transit")
-    answer = await peer.step(OPERATIONAL, {"InitialR2T": "No"})
-    same(answer.words[4] >> 24, 2, "status class")
+    peer = await context.connect()
+    first = await peer.login_step(1 << 2, peer.login_keys(InitialR2T="Yes"))
+    expect_equal((first.words[4] >> 16, first.flags & FINAL), (0, 0), "status and transit")
+    answer = await peer.login_step(OPERATIONAL, {"InitialR2T": "No"})
+    expect_equal(answer.words[4] >> 24, 2, "status class")
 
 
 @case("negotiate.order", "6.2")
@@ -161,16 +161,16 @@
     }
     told = []
     for round_ in range(3):
-        peer = await context.peer()
+        peer = await context.connect()
         pairs = list(offers.items())
         context.random.shuffle(pairs)
-        text = pack_text([(name, str(value)) for name, value in [*peer.names().items(), *pairs]])
+        text = pack_text([(name, str(value)) for name, value in [*peer.login_keys().items(), *pairs]])
         if round_:
             cut = context.random.randrange(1, len(text))
-            empty = await peer.step(CONTINUE | 1 << 2, text[:cut])
-            same((empty.data, empty.flags & FINAL), (b"", 0), "the answer to a first part")
+            empty = await peer.login_step(CONTINUE | 1 << 2, text[:cut])
+            expect_equal((empty.data, empty.flags & FINAL), (b"", 0), "the answer to a first part")
             text = text[cut:]
-        answer = unpack_text((await peer.step(OPERATIONAL, text)).data)
+        answer = unpack_text((await peer.login_step(OPERATIONAL, text)).data)
         told.append({name: answer[name] for name in offers})
     expect(told[0] == told[1] == told[2], f"the answers differ: {told}")
 
@@ -178,23 +178,28 @@
 @case("negotiate.steps", "6.2")
 async def _steps(context: CaseContext) -> None:
     """Key by key, each in a request of its own."""
-    peer = await context.peer()
-    pairs: list[dict[str, str | None]] = [peer.names(), {"InitialR2T": "Yes"}, {"ImmediateData": "No"}, {}]
+    peer = await context.connect()
+    pairs: list[dict[str, str | None]] = [
+        peer.login_keys(),
+        {"InitialR2T": "Yes"},
+        {"ImmediateData": "No"},
+        {},
+    ]
     for number, part in enumerate(pairs):
-        answer = await peer.step(OPERATIONAL if number == 3 else 1 << 2, part)
-        same(answer.words[4] >> 16, 0, "status")
-    same(answer.flags & 0x83, FINAL | 3, "transit")
+        answer = await peer.login_step(OPERATIONAL if number == 3 else 1 << 2, part)
+        expect_equal(answer.words[4] >> 16, 0, "status")
+    expect_equal(answer.flags & 0x83, FINAL | 3, "transit")
 
 
 @case("negotiate.much", "6.1")
 async def _much(context: CaseContext) -> None:
-    peer = await context.peer()
-    await peer.step(CONTINUE | 1 << 2, pack_text([("InitiatorName", peer.initiator)]))
+    peer = await context.connect()
+    await peer.login_step(CONTINUE | 1 << 2, pack_text([("InitiatorName", peer.initiator)]))
     for _ in range(8):
-        answer = await peer.step(CONTINUE | 1 << 2, b"X-a=" + bytes([65]) * 4000)
+        answer = await peer.login_step(CONTINUE | 1 << 2, b"X-a=" + bytes([65]) * 4000)
         if answer.words[4]:
             break
-    same(answer.words[4] >> 24, 2, "status class")
+    expect_equal(answer.words[4] >> 24, 2, "status class")
 
 
 REFUSED: tuple[tuple[str, str, int, dict[str, str | None], int], ...] = (
@@ -220,11 +225,11 @@
             changes: dict[str, str | None] = changes,
             status: int = status,
         ) -> None:
-            peer = await context.peer()
-            answer = await peer.step(flags, peer.names(**changes))
-            same(answer.words[4] >> 16, status, "status")
-            same(answer.flags & FINAL, 0, "transit")
-            await peer.ended()
+            peer = await context.connect()
+            answer = await peer.login_step(flags, peer.login_keys(**changes))
+            expect_equal(answer.words[4] >> 16, status, "status")
+            expect_equal(answer.flags & FINAL, 0, "transit")
+            await peer.expect_close()
 
 
 _refusals()
@@ -232,68 +237,70 @@
 
 @case("login.refused.version", "11.12.5")
 async def _version(context: CaseContext) -> None:
-    peer = await context.peer()
-    same((await peer.step(OPERATIONAL, peer.names(), byte3=1, byte2=2)).words[4] >> 16, 0x0205)
+    peer = await context.connect()
+    expect_equal(
+        (await peer.login_step(OPERATIONAL, peer.login_keys(), byte3=1, byte2=2)).words[4] >> 16, 0x0205
+    )
 
 
 @case("login.refused.not-a-login", "6.3")
 async def _not_a_login(context: CaseContext) -> None:
-    peer = await context.peer()
-    peer.put(Pdu(Op.SCSI_COMMAND, FINAL, tag=1))
-    await peer.ended()
+    peer = await context.connect()
+    peer.send(Pdu(Op.SCSI_COMMAND, FINAL, tag=1))
+    await peer.expect_close()
 
 
 @case("login.refused.no-session", "11.12.7")
 async def _no_session(context: CaseContext) -> None:
-    peer = await context.peer()
-    same((await peer.step(OPERATIONAL, peer.names(), tsih=0xFFFE)).words[4] >> 16, 0x020A)
+    peer = await context.connect()
+    expect_equal((await peer.login_step(OPERATIONAL, peer.login_keys(), tsih=0xFFFE)).words[4] >> 16, 0x020A)
 
 
 @case("login.refused.forbidden", "11.13.5")
 async def _forbidden(context: CaseContext) -> None:
-    context.ours()
-    peer = await context.peer(PRIVATE)
-    same((await peer.step(OPERATIONAL, peer.names())).words[4] >> 16, 0x0202)
+    context.own_node()
+    peer = await context.connect(RESTRICTED_TARGET)
+    expect_equal((await peer.login_step(OPERATIONAL, peer.login_keys())).words[4] >> 16, 0x0202)
 
 
 @case("login.refused.not-text", "6.1")
 async def _not_text(context: CaseContext) -> None:
-    peer = await context.peer()
-    same((await peer.step(OPERATIONAL, b"\xff\xfe=1\0")).words[4] >> 24, 2, "status class")
+    peer = await context.connect()
+    expect_equal((await peer.login_step(OPERATIONAL, b"\xff\xfe=1\0")).words[4] >> 24, 2, "status class")
 
 
 @case("login.refused.no-equals", "6.1")
 async def _no_equals(context: CaseContext) -> None:
-    peer = await context.peer()
-    same((await peer.step(OPERATIONAL, b"InitiatorName\0")).words[4] >> 24, 2, "status class")
+    peer = await context.connect()
+    expect_equal((await peer.login_step(OPERATIONAL, b"InitiatorName\0")).words[4] >> 24, 2, "status class")
 
 
 @case("login.response", "11.13")
 async def _response(context: CaseContext) -> None:
-    peer = await context.peer()
-    answer = await peer.step(OPERATIONAL, peer.names())
-    same(answer.lun[:6], peer.isid, "ISID")
+    peer = await context.connect()
+    answer = await peer.login_step(OPERATIONAL, peer.login_keys())
+    expect_equal(answer.lun[:6], peer.isid, "ISID")
     expect(int.from_bytes(answer.lun[6:], "big") > 0, "no TSIH with the last response")
-    same((answer.tag, answer.flags & 0x8F), (7, OPERATIONAL & 0x8F), "tag, and stages")
-    same(unpack_text(answer.data).get("TargetPortalGroupTag"), "1")
-    same(answer.words[2], 1, "ExpCmdSN")
+    expect_equal((answer.tag, answer.flags & 0x8F), (7, OPERATIONAL & 0x8F), "tag, and stages")
+    expect_equal(unpack_text(answer.data).get("TargetPortalGroupTag"), "1")
+    expect_equal(answer.words[2], 1, "ExpCmdSN")
 
 
 @case("login.security-first", "6.3")
 async def _security_first(context: CaseContext) -> None:
-    peer = await context.peer()
-    first = await peer.step(FINAL | 1, peer.names(AuthMethod="CHAP,None"))
-    same((first.words[4], unpack_text(first.data)["AuthMethod"]), (0, "None"))
-    same(first.flags & 3, 1, "next stage")
-    last = await peer.step(OPERATIONAL, {})
-    same((last.words[4], last.flags & 0x83), (0, FINAL | 3))
+    peer = await context.connect()
+    first = await peer.login_step(FINAL | 1, peer.login_keys(AuthMethod="CHAP,None"))
+    expect_equal((first.words[4], unpack_text(first.data)["AuthMethod"]), (0, "None"))
+    expect_equal(first.flags & 3, 1, "next stage")
+    last = await peer.login_step(OPERATIONAL, {})
+    expect_equal((last.words[4], last.flags & 0x83), (0, FINAL | 3))
 
 
 @case("login.security-to-full", "6.3")
 async def _security_to_full(context: CaseContext) -> None:
-    peer = await context.peer()
-    answer = await peer.step(FINAL | 3, peer.names(AuthMethod="None"))
-    same((answer.words[4], answer.flags & 0x83), (0, FINAL | 3))
+    peer = await context.connect()
+    answer = await peer.login_step(FINAL | 3, peer.login_keys(AuthMethod="None"))
+    expect_equal((answer.words[4], answer.flags & 0x83), (0, FINAL | 3))
 
 
 # CHAP
@@ -302,16 +309,18 @@
 async def _challenged(
     context: CaseContext, target: str, algorithms: str = "5"
 ) -> tuple[Peer, dict[str, str]]:
-    context.ours()
-    peer = await context.peer(target)
-    answer = await peer.step(SECURITY, peer.names(AuthMethod="CHAP"))
-    same((answer.words[4], unpack_text(answer.data)["AuthMethod"]), (0, "CHAP"))
-    answer = await peer.step(SECURITY, {"CHAP_A": algorithms})
-    same(answer.words[4], 0, "status")
+    context.own_node()
+    peer = await context.connect(target)
+    answer = await peer.login_step(SECURITY, peer.login_keys(AuthMethod="CHAP"))
+    expect_equal((answer.words[4], unpack_text(answer.data)["AuthMethod"]), (0, "CHAP"))
+    answer = await peer.login_step(SECURITY, {"CHAP_A": algorithms})
+    expect_equal(answer.words[4], 0, "status")
     return peer, unpack_text(answer.data)
 
 
-def _proof(told: dict[str, str], secret: str = SECRET, name: str = ACCOUNT) -> dict[str, str | None]:
+def _proof(
+    told: dict[str, str], secret: str = CHAP_SECRET, name: str = CHAP_ACCOUNT
+) -> dict[str, str | None]:
     proof = chap.response(
         int(told["CHAP_A"]), int(told["CHAP_I"]), secret.encode(), chap.decode(told["CHAP_C"])
     )
@@ -323,11 +332,11 @@
 
         @case(f"chap.algorithm-{number}", "12.1.3")
         async def _(context: CaseContext, number: int = number) -> None:
-            peer, told = await _challenged(context, GUARDED, f"4,{number}")
-            same(told["CHAP_A"], str(number))
-            answer = await peer.step(FINAL | 1, _proof(told))
-            same((answer.words[4], answer.flags & 0x83), (0, FINAL | 1))
-            same((await peer.step(OPERATIONAL, {})).words[4], 0)
+            peer, told = await _challenged(context, CHAP_TARGET, f"4,{number}")
+            expect_equal(told["CHAP_A"], str(number))
+            answer = await peer.login_step(FINAL | 1, _proof(told))
+            expect_equal((answer.words[4], answer.flags & 0x83), (0, FINAL | 1))
+            expect_equal((await peer.login_step(OPERATIONAL, {})).words[4], 0)
 
     wrong: dict[str, dict[str, str | None]] = {
         "secret": {"CHAP_R": chap.encode(bytes(16))},
@@ -342,10 +351,10 @@
 
         @case(f"chap.refused.{name}", "12.1.3")
         async def _(context: CaseContext, changes: dict[str, str | None] = changes) -> None:
-            peer, told = await _challenged(context, GUARDED)
-            answer = await peer.step(FINAL | 1, {**_proof(told), **changes})
-            same((answer.words[4] >> 16, answer.data), (0x0201, b""), "status, without a hint")
-            await peer.ended()
+            peer, told = await _challenged(context, CHAP_TARGET)
+            answer = await peer.login_step(FINAL | 1, {**_proof(told), **changes})
+            expect_equal((answer.words[4] >> 16, answer.data), (0x0201, b""), "status, without a hint")
+            await peer.expect_close()
 
 
 _chap()
@@ -353,100 +362,108 @@
 
 @case("chap.refused.algorithm", "12.1.3")
 async def _no_algorithm(context: CaseContext) -> None:
-    context.ours()
-    peer = await context.peer(GUARDED)
-    await peer.step(SECURITY, peer.names(AuthMethod="CHAP"))
-    same((await peer.step(SECURITY, {"CHAP_A": "1,2"})).words[4] >> 16, 0x0201)
+    context.own_node()
+    peer = await context.connect(CHAP_TARGET)
+    await peer.login_step(SECURITY, peer.login_keys(AuthMethod="CHAP"))
+    expect_equal((await peer.login_step(SECURITY, {"CHAP_A": "1,2"})).words[4] >> 16, 0x0201)
 
 
 @case("chap.refused.skipped", "12")
 async def _skipped(context: CaseContext) -> None:
-    context.ours()
-    peer = await context.peer(GUARDED)
-    same((await peer.step(OPERATIONAL, peer.names())).words[4] >> 16, 0x0201)
+    context.own_node()
+    peer = await context.connect(CHAP_TARGET)
+    expect_equal((await peer.login_step(OPERATIONAL, peer.login_keys())).words[4] >> 16, 0x0201)
 
 
 @case("chap.refused.none", "12")
 async def _none(context: CaseContext) -> None:
-    context.ours()
-    peer = await context.peer(GUARDED)
-    same((await peer.step(FINAL | 1, peer.names(AuthMethod="None"))).words[4] >> 16, 0x0201)
+    context.own_node()
+    peer = await context.connect(CHAP_TARGET)
+    expect_equal(
+        (await peer.login_step(FINAL | 1, peer.login_keys(AuthMethod="None"))).words[4] >> 16, 0x0201
+    )
 
 
 @case("chap.refused.transit-too-soon", "6.3")
 async def _too_soon(context: CaseContext) -> None:
-    context.ours()
-    peer = await context.peer(GUARDED)
-    answer = await peer.step(FINAL | 1, peer.names(AuthMethod="CHAP"))
-    same((answer.words[4], answer.flags & FINAL), (0, 0), "status and transit")
+    context.own_node()
+    peer = await context.connect(CHAP_TARGET)
+    answer = await peer.login_step(FINAL | 1, peer.login_keys(AuthMethod="CHAP"))
+    expect_equal((answer.words[4], answer.flags & FINAL), (0, 0), "status and transit")
 
 
 @case("chap.refused.keys-unasked", "12.1.3")
 async def _unasked(context: CaseContext) -> None:
-    peer = await context.peer()
-    answer = await peer.step(SECURITY, peer.names(AuthMethod="None", CHAP_N="x", CHAP_R="0x00"))
-    same(answer.words[4] >> 24, 2, "status class")
+    peer = await context.connect()
+    answer = await peer.login_step(SECURITY, peer.login_keys(AuthMethod="None", CHAP_N="x", CHAP_R="0x00"))
+    expect_equal(answer.words[4] >> 24, 2, "status class")
 
 
 @case("chap.base64", "6.1")
 async def _base64(context: CaseContext) -> None:
     import base64
 
-    peer, told = await _challenged(context, GUARDED)
+    peer, told = await _challenged(context, CHAP_TARGET)
     proof = _proof(told)
     raw = chap.decode(str(proof["CHAP_R"]))
-    answer = await peer.step(FINAL | 1, {**proof, "CHAP_R": "0b" + base64.b64encode(raw).decode()})
-    same(answer.words[4], 0, "status")
+    answer = await peer.login_step(FINAL | 1, {**proof, "CHAP_R": "0b" + base64.b64encode(raw).decode()})
+    expect_equal(answer.words[4], 0, "status")
 
 
 @case("chap.mutual", "12.1.3")
 async def _mutual(context: CaseContext) -> None:
-    peer, told = await _challenged(context, MUTUAL)
+    peer, told = await _challenged(context, MUTUAL_CHAP_TARGET)
     mine = bytes(range(32))
-    answer = await peer.step(
+    answer = await peer.login_step(
         FINAL | 1, {**_proof(told, name="mutual"), "CHAP_I": "9", "CHAP_C": chap.encode(mine)}
     )
-    same(answer.words[4], 0, "status")
+    expect_equal(answer.words[4], 0, "status")
     given = unpack_text(answer.data)
-    same(given["CHAP_N"], OWN_ACCOUNT)
-    same(chap.decode(given["CHAP_R"]), chap.response(5, 9, OWN_SECRET.encode(), mine), "the target's proof")
+    expect_equal(given["CHAP_N"], TARGET_CHAP_ACCOUNT)
+    expect_equal(
+        chap.decode(given["CHAP_R"]),
+        chap.response(5, 9, TARGET_CHAP_SECRET.encode(), mine),
+        "the target's proof",
+    )
 
 
 @case("chap.mutual.reflected", "9.2.1")
 async def _reflected(context: CaseContext) -> None:
-    peer, told = await _challenged(context, MUTUAL)
-    answer = await peer.step(
+    peer, told = await _challenged(context, MUTUAL_CHAP_TARGET)
+    answer = await peer.login_step(
         FINAL | 1, {**_proof(told, name="mutual"), "CHAP_I": told["CHAP_I"], "CHAP_C": told["CHAP_C"]}
     )
-    same((answer.words[4] >> 16, answer.data), (0x0201, b""))
+    expect_equal((answer.words[4] >> 16, answer.data), (0x0201, b""))
 
 
 @case("chap.mutual.not-had", "12.1.3")
 async def _not_had(context: CaseContext) -> None:
-    peer, told = await _challenged(context, GUARDED)
-    answer = await peer.step(FINAL | 1, {**_proof(told), "CHAP_I": "1", "CHAP_C": chap.encode(bytes(16))})
-    same(answer.words[4] >> 16, 0x0201)
+    peer, told = await _challenged(context, CHAP_TARGET)
+    answer = await peer.login_step(
+        FINAL | 1, {**_proof(told), "CHAP_I": "1", "CHAP_C": chap.encode(bytes(16))}
+    )
+    expect_equal(answer.words[4] >> 16, 0x0201)
 
 
 @case("chap.challenges-differ", "9.2.1")
 async def _differ(context: CaseContext) -> None:
-    seen = {(await _challenged(context, GUARDED))[1]["CHAP_C"] for _ in range(4)}
-    same(len(seen), 4, "different challenges")
+    seen = {(await _challenged(context, CHAP_TARGET))[1]["CHAP_C"] for _ in range(4)}
+    expect_equal(len(seen), 4, "different challenges")
 
 
 # Discovery and text
 
 
 async def _discovery(context: CaseContext) -> Peer:
-    peer = await context.peer()
-    answer = await peer.step(OPERATIONAL, peer.names(SessionType="Discovery", TargetName=None))
-    same(answer.words[4], 0, "status")
+    peer = await context.connect()
+    answer = await peer.login_step(OPERATIONAL, peer.login_keys(SessionType="Discovery", TargetName=None))
+    expect_equal(answer.words[4], 0, "status")
     return peer
 
 
 async def _text(peer: Peer, pairs: dict[str, str], **changes: int) -> Pdu:
     words = [RESERVED_TAG, 0, 0, 0, 0, 0, 0]
-    peer.put(
+    peer.send(
         Pdu(
             Op.TEXT,
             changes.get("flags", FINAL),
@@ -455,7 +472,7 @@
             data=pack_text(pairs.items()),
         )
     )
-    return await peer.get(Op.TEXT_RESPONSE)
+    return await peer.receive(Op.TEXT_RESPONSE)
 
 
 @case("text.send-targets-all", "Appendix C")
@@ -464,91 +481,91 @@
     answer = await _text(peer, {"SendTargets": "All"})
     items = [item.decode().partition("=") for item in answer.data.split(b"\0")]
     names = [value for key, _, value in items if key == "TargetName"]
-    expect(context.target in names and PRIVATE not in names, f"{names}")
+    expect(context.target in names and RESTRICTED_TARGET not in names, f"{names}")
     expect(b"TargetAddress=" in answer.data, "no address")
-    same((answer.tag, answer.words[0], answer.flags & FINAL), (40, RESERVED_TAG, FINAL))
+    expect_equal((answer.tag, answer.words[0], answer.flags & FINAL), (40, RESERVED_TAG, FINAL))
 
 
 @case("text.send-targets-one", "Appendix C")
 async def _one(context: CaseContext) -> None:
     peer = await _discovery(context)
     told = unpack_text((await _text(peer, {"SendTargets": context.target})).data)
-    same(told["TargetName"], context.target)
+    expect_equal(told["TargetName"], context.target)
 
 
 @case("text.send-targets-unknown", "Appendix C")
 async def _unknown(context: CaseContext) -> None:
     peer = await _discovery(context)
-    same((await _text(peer, {"SendTargets": "iqn.2026-12.org.lemonridge:none"})).data, b"")
+    expect_equal((await _text(peer, {"SendTargets": "iqn.2026-12.org.lemonridge:none"})).data, b"")
 
 
 @case("text.send-targets-empty", "Appendix C")
 async def _empty(context: CaseContext) -> None:
-    peer = await context.session()
+    peer = await context.open_session()
     told = unpack_text((await _text(peer, {"SendTargets": ""})).data)
-    same(told["TargetName"], context.target)
+    expect_equal(told["TargetName"], context.target)
 
 
 @case("text.unknown-key", "6.2")
 async def _unknown_key(context: CaseContext) -> None:
-    peer = await context.session()
-    same(unpack_text((await _text(peer, {"X-odd": "1"})).data), {"X-odd": "NotUnderstood"})
+    peer = await context.open_session()
+    expect_equal(unpack_text((await _text(peer, {"X-odd": "1"})).data), {"X-odd": "NotUnderstood"})
 
 
 @case("text.leading-only-key", "13.2")
 async def _leading(context: CaseContext) -> None:
-    peer = await context.session()
-    same(unpack_text((await _text(peer, {"MaxConnections": "2"})).data), {"MaxConnections": "Reject"})
+    peer = await context.open_session()
+    expect_equal(unpack_text((await _text(peer, {"MaxConnections": "2"})).data), {"MaxConnections": "Reject"})
 
 
 @case("text.segment", "13.12")
 async def _resegment(context: CaseContext) -> None:
     """A new MaxRecvDataSegmentLength holds from then on."""
-    peer = await context.session(MaxRecvDataSegmentLength="8192")
+    peer = await context.open_session(MaxRecvDataSegmentLength="8192")
     await _text(peer, {"MaxRecvDataSegmentLength": "512"})
-    data = await peer.good(b"\x28" + bytes(6) + b"\0\x08\0", read=4096)
-    same(len(data), 4096)
-    peer.command(b"\x28" + bytes(6) + b"\0\x08\0", read=4096)
-    expect(len((await peer.get(Op.DATA_IN)).data) <= 512, "a segment past what was declared")
+    data = await peer.expect_good(b"\x28" + bytes(6) + b"\0\x08\0", read=4096)
+    expect_equal(len(data), 4096)
+    peer.send_command(b"\x28" + bytes(6) + b"\0\x08\0", read=4096)
+    expect(len((await peer.receive(Op.DATA_IN)).data) <= 512, "a segment past what was declared")
 
 
 @case("text.split", "11.10")
 async def _split(context: CaseContext) -> None:
     peer = await _discovery(context)
     text = pack_text([("SendTargets", context.target)])
-    peer.put(Pdu(Op.TEXT, CONTINUE, tag=41, words=[RESERVED_TAG, 0, 0, 0, 0, 0, 0], data=text[:9]))
-    first = await peer.get(Op.TEXT_RESPONSE)
-    same((first.data, first.flags & FINAL, first.tag), (b"", 0, 41))
+    peer.send(Pdu(Op.TEXT, CONTINUE, tag=41, words=[RESERVED_TAG, 0, 0, 0, 0, 0, 0], data=text[:9]))
+    first = await peer.receive(Op.TEXT_RESPONSE)
+    expect_equal((first.data, first.flags & FINAL, first.tag), (b"", 0, 41))
     expect(first.words[0] != RESERVED_TAG, "no transfer tag for the rest")
-    peer.put(Pdu(Op.TEXT, FINAL, tag=41, words=[RESERVED_TAG, 0, 0, 0, 0, 0, 0], data=text[9:]))
-    same(unpack_text((await peer.get(Op.TEXT_RESPONSE)).data)["TargetName"], context.target)
+    peer.send(Pdu(Op.TEXT, FINAL, tag=41, words=[RESERVED_TAG, 0, 0, 0, 0, 0, 0], data=text[9:]))
+    expect_equal(unpack_text((await peer.receive(Op.TEXT_RESPONSE)).data)["TargetName"], context.target)
 
 
 @case("text.no-such-exchange", "11.10.4")
 async def _no_exchange(context: CaseContext) -> None:
-    peer = await context.session()
-    peer.put(Pdu(Op.TEXT, FINAL, tag=41, words=[77, 0, 0, 0, 0, 0, 0]))
-    await peer.rejected(0x04)
+    peer = await context.open_session()
+    peer.send(Pdu(Op.TEXT, FINAL, tag=41, words=[77, 0, 0, 0, 0, 0, 0]))
+    await peer.expect_reject(0x04)
 
 
 @case("text.malformed", "6.1")
 async def _malformed(context: CaseContext) -> None:
-    peer = await context.session()
-    peer.put(Pdu(Op.TEXT, FINAL, tag=41, words=[RESERVED_TAG, 0, 0, 0, 0, 0, 0], data=b"no value\0"))
-    await peer.rejected(0x04)
-    await peer.ended()
+    peer = await context.open_session()
+    peer.send(Pdu(Op.TEXT, FINAL, tag=41, words=[RESERVED_TAG, 0, 0, 0, 0, 0, 0], data=b"no value\0"))
+    await peer.expect_reject(0x04)
+    await peer.expect_close()
 
 
 @case("discovery.no-commands", "4.3")
 async def _no_commands(context: CaseContext) -> None:
     peer = await _discovery(context)
-    peer.command(b"\x00" * 6)
-    await peer.rejected(0x04)
+    peer.send_command(b"\x00" * 6)
+    await peer.expect_reject(0x04)
 
 
 @case("discovery.logout", "11.14")
 async def _discovery_logout(context: CaseContext) -> None:
     peer = await _discovery(context)
-    peer.put(Pdu(Op.LOGOUT, FINAL, tag=3))
-    same((await peer.get(Op.LOGOUT_RESPONSE)).byte2, 0)
-    await peer.ended()
+    peer.send(Pdu(Op.LOGOUT, FINAL, tag=3))
+    expect_equal((await peer.receive(Op.LOGOUT_RESPONSE)).byte2, 0)
+    await peer.expect_close()
--- a/lemonridge/lab/conform/peer.py
+++ b/lemonridge/lab/conform/peer.py
@@ -23,7 +23,7 @@
         raise CaseError(str(what))
 
 
-def same(got: object, want: object, what: str = "") -> None:
+def expect_equal(got: object, want: object, what: str = "") -> None:
     if got != want:
         raise CaseError(f"{what + ': ' if what else ''}{got!r}, not {want!r}")
 
@@ -37,7 +37,7 @@
         self.cmd_sn, self.exp_stat_sn, self.tags = 1, 0, itertools.count(1)
         self.header_digest = self.data_digest = False
         self.tsih = self.cid = 0
-        self.told: dict[str, str] = {}
+        self.negotiated: dict[str, str] = {}
 
     async def open(self) -> Peer:
         self.reader, self.writer = await asyncio.open_connection(self.host, self.port)
@@ -51,7 +51,7 @@
 
     # PDUs
 
-    def put(self, pdu: Pdu, number: bool = True) -> Pdu:
+    def send(self, pdu: Pdu, number: bool = True) -> Pdu:
         """Send; with the next command number and what was seen of the statuses, unless the case sets them."""
         if number and pdu.opcode != Op.DATA_OUT and pdu.opcode != Op.SNACK:
             pdu.words[1] = self.cmd_sn
@@ -61,10 +61,10 @@
         self.writer.write(pdu.encode(self.header_digest, self.data_digest))
         return pdu
 
-    def raw(self, data: bytes) -> None:
+    def send_bytes(self, data: bytes) -> None:
         self.writer.write(data)
 
-    async def get(self, opcode: int | None = None) -> Pdu:
+    async def receive(self, opcode: int | None = None) -> Pdu:
         """The next PDU, which must be of `opcode` if that is given."""
         try:
             async with asyncio.timeout_at(asyncio.get_running_loop().time() + PATIENCE_S):
@@ -77,13 +77,13 @@
             pdu.opcode == Op.NOP_IN and pdu.tag == RESERVED_TAG
         )
         if takes:
-            same(pdu.words[1], self.exp_stat_sn, "StatSN") if self.exp_stat_sn else None
+            expect_equal(pdu.words[1], self.exp_stat_sn, "StatSN") if self.exp_stat_sn else None
             self.exp_stat_sn = (pdu.words[1] + 1) % (1 << 32)
         if opcode is not None:
-            same(pdu.opcode, opcode, "opcode")
+            expect_equal(pdu.opcode, opcode, "opcode")
         return pdu
 
-    async def silence(self) -> None:
+    async def expect_silence(self) -> None:
         """Nothing may come now."""
         try:
             async with asyncio.timeout_at(asyncio.get_running_loop().time() + QUIET_S):
@@ -94,7 +94,7 @@
             raise CaseError("the connection ended") from None
         raise CaseError(f"opcode {pdu.opcode:#04x} came")
 
-    async def ended(self) -> None:
+    async def expect_close(self) -> None:
         """The connection must end, whatever is said before."""
         try:
             async with asyncio.timeout_at(asyncio.get_running_loop().time() + PATIENCE_S):
@@ -107,7 +107,7 @@
 
     # Login
 
-    async def step(
+    async def login_step(
         self, flags: int, pairs: dict[str, str | None] | bytes, tsih: int | None = None, **changes: Any
     ) -> Pdu:
         """One login request, and its response."""
@@ -121,25 +121,25 @@
         for name, value in changes.items():
             setattr(pdu, name, value)
         pdu.words[0] = self.cid << 16
-        self.put(pdu)
-        return await self.get(Op.LOGIN_RESPONSE)
+        self.send(pdu)
+        return await self.receive(Op.LOGIN_RESPONSE)
 
-    def names(self, **keys: str | None) -> dict[str, str | None]:
+    def login_keys(self, **keys: str | None) -> dict[str, str | None]:
         return {"InitiatorName": self.initiator, "TargetName": self.target, "SessionType": "Normal", **keys}
 
     async def login(self, **keys: str | None) -> Peer:
         """DirectLink to the full feature phase; the answers are kept in `told`."""
-        answer = await self.step(FINAL | 1 << 2 | 3, self.names(**keys))
-        same(answer.words[4] >> 16, 0, "login status")
-        self.told = unpack_text(answer.data)
+        answer = await self.login_step(FINAL | 1 << 2 | 3, self.login_keys(**keys))
+        expect_equal(answer.words[4] >> 16, 0, "login status")
+        self.negotiated = unpack_text(answer.data)
         self.tsih = int.from_bytes(answer.lun[6:], "big")
-        self.header_digest = self.told.get("HeaderDigest") == "CRC32C"
-        self.data_digest = self.told.get("DataDigest") == "CRC32C"
+        self.header_digest = self.negotiated.get("HeaderDigest") == "CRC32C"
+        self.data_digest = self.negotiated.get("DataDigest") == "CRC32C"
         return self
 
     # Commands
 
-    def command(
+    def send_command(
         self,
         cdb: bytes,
         read: int = 0,
@@ -156,7 +156,7 @@
         words = list(struct.unpack(">4I", cdb.ljust(16, b"\0")))
         flags = (FINAL if final else 0) | (0x40 if read else 0) | (0x20 if data else 0) | 1
         part = data if along is None else data[:along]
-        self.put(
+        self.send(
             Pdu(
                 Op.SCSI_COMMAND,
                 flags,
@@ -169,10 +169,10 @@
         )
         return tag
 
-    def out(
+    def send_data_out(
         self, tag: int, transfer: int, data_sn: int, offset: int, data: bytes, final: bool = True
     ) -> None:
-        self.put(
+        self.send(
             Pdu(
                 Op.DATA_OUT,
                 FINAL if final else 0,
@@ -182,33 +182,33 @@
             )
         )
 
-    async def finish(self, tag: int) -> tuple[Pdu, bytes]:
+    async def receive_response(self, tag: int) -> tuple[Pdu, bytes]:
         """The response of a command and its data, which must come in order; R2Ts must not come."""
         data, count = b"", 0
         while True:
-            pdu = await self.get()
-            same(pdu.tag, tag, "task tag")
+            pdu = await self.receive()
+            expect_equal(pdu.tag, tag, "task tag")
             if pdu.opcode == Op.DATA_IN:
-                same((pdu.words[4], pdu.words[5]), (count, len(data)), "DataSN and offset")
+                expect_equal((pdu.words[4], pdu.words[5]), (count, len(data)), "DataSN and offset")
                 data, count = data + pdu.data, count + 1
                 continue
-            same(pdu.opcode, Op.SCSI_RESPONSE, "opcode")
-            same(pdu.words[4], count, "ExpDataSN")
+            expect_equal(pdu.opcode, Op.SCSI_RESPONSE, "opcode")
+            expect_equal(pdu.words[4], count, "ExpDataSN")
             return pdu, data
 
-    async def do(
+    async def execute(
         self, cdb: bytes, read: int = 0, data: bytes = b"", lun: int = 0
     ) -> tuple[int, bytes, bytes]:
         """A command from end to end: status, data and sense."""
-        response, found = await self.finish(self.command(cdb, read, data, lun))
+        response, found = await self.receive_response(self.send_command(cdb, read, data, lun))
         return response.byte3, found, response.data[2:]
 
-    async def good(self, cdb: bytes, read: int = 0, data: bytes = b"", lun: int = 0) -> bytes:
-        status, found, sense = await self.do(cdb, read, data, lun)
-        same(status, 0, f"status of {cdb[0]:#04x} with sense {sense.hex()}")
+    async def expect_good(self, cdb: bytes, read: int = 0, data: bytes = b"", lun: int = 0) -> bytes:
+        status, found, sense = await self.execute(cdb, read, data, lun)
+        expect_equal(status, 0, f"status of {cdb[0]:#04x} with sense {sense.hex()}")
         return found
 
-    async def sense(
+    async def expect_sense(
         self,
         cdb: bytes,
         key: int,
@@ -218,14 +218,14 @@
         data: bytes = b"",
         lun: int = 0,
     ) -> None:
-        status, _, sense = await self.do(cdb, read, data, lun)
-        same(
+        status, _, sense = await self.execute(cdb, read, data, lun)
+        expect_equal(
             (status, sense[2:3].hex(), sense[12:14].hex()),
             (2, f"{key:02x}", f"{code:02x}{qualifier:02x}"),
             f"sense of {cdb[0]:#04x}",
         )
 
-    async def rejected(self, reason: int) -> Pdu:
-        pdu = await self.get(Op.REJECT)
-        same(pdu.byte2, reason, "reason")
+    async def expect_reject(self, reason: int) -> Pdu:
+        pdu = await self.receive(Op.REJECT)
+        expect_equal(pdu.byte2, reason, "reason")
         return pdu
--- a/lemonridge/lab/conform/suite.py
+++ b/lemonridge/lab/conform/suite.py
@@ -9,13 +9,13 @@
 from random import Random
 
 from lemonridge.lab.conform.cases import (
-    BLOCKS,
+    BLOCKS_PER_LUN,
     CASES,
-    GUARDED,
-    MUTUAL,
-    PRIVATE,
-    SECRETS,
-    STORE,
+    CHAP_TARGET,
+    MUTUAL_CHAP_TARGET,
+    RESTRICTED_TARGET,
+    SECRETS_TOML,
+    STORE_TARGET,
     Case,
     CaseContext,
     SkipError,
@@ -108,41 +108,48 @@
     seed: int,
     target: tuple[str, int] | None = None,
     proxy: Callable[[int], Awaitable[int]] | None = None,
-    done: Callable[[Result], None] = lambda result: None,
+    on_result: Callable[[Result], None] = lambda result: None,
 ) -> list[Result]:
     """Run the cases whose names fit; `proxy` may put something between the suite and the program's port."""
     from lemonridge.lab.conform import data, login, scsi, session  # noqa: F401 - they register their cases
 
     chosen = [one for one in CASES.values() if fnmatch.fnmatch(one.name, pattern)]
     if target is not None:
-        return await _each(chosen, seed, lambda: CaseContext(*target, STORE), done)
+        return await _each(chosen, seed, lambda: CaseContext(*target, STORE_TARGET), on_result)
     ticks = Ticks()
     node = ExtentNode("n0", 0, ticks, Random(seed), accepts_unversioned=True)
     await node.start()
     mover = Mover([node], Etcd(), "/", ticks, Random(seed))
     for lun in (0, 1, 300):
-        mover.create_lun(lun, 1, BLOCKS)
+        mover.create_lun(lun, 1, BLOCKS_PER_LUN)
     text = CONFIG.format(
-        store=STORE, guarded=GUARDED, mutual=MUTUAL, private=PRIVATE, folder="{folder}", port=node.port
+        store=STORE_TARGET,
+        guarded=CHAP_TARGET,
+        mutual=MUTUAL_CHAP_TARGET,
+        private=RESTRICTED_TARGET,
+        folder="{folder}",
+        port=node.port,
     )
     try:
-        async with running_program(text, secrets=SECRETS, stop=proxy is None) as (_, port):
+        async with running_program(text, secrets=SECRETS_TOML, stop=proxy is None) as (_, port):
             if proxy is not None:
                 port = await proxy(port)
-            return await _each(chosen, seed, lambda: CaseContext("127.0.0.1", port, STORE, node), done)
+            return await _each(
+                chosen, seed, lambda: CaseContext("127.0.0.1", port, STORE_TARGET, node), on_result
+            )
     finally:
         node.kill()
 
 
 async def _each(
-    chosen: Iterable[Case], seed: int, meet: Callable[[], CaseContext], done: Callable[[Result], None]
+    chosen: Iterable[Case], seed: int, meet: Callable[[], CaseContext], on_result: Callable[[Result], None]
 ) -> list[Result]:
     results = []
     for one in chosen:
         context = meet()
         context.random = Random(f"{seed}/{one.name}")
         result = await run_case(one, context)
-        done(result)
+        on_result(result)
         results.append(result)
         await asyncio.sleep(0)
     return results
--- a/lemonridge/lab/demo.py
+++ b/lemonridge/lab/demo.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable
 from random import Random
 
-from lemonridge.lab.conform.cases import STORE
+from lemonridge.lab.conform.cases import STORE_TARGET
 from lemonridge.lab.load import iscsi as load
 from lemonridge.lab.measure.iscsi import CONFIG
 from lemonridge.lab.program import running_program
@@ -23,7 +23,7 @@
 
 def _config(port: int) -> str:
     """Returns the operator's file: three LUNs, one on each node's shard, and the nodes in etcd."""
-    head = CONFIG.format(store=STORE, port=0, front="").partition("[[lun]]")[0]
+    head = CONFIG.format(store=STORE_TARGET, port=0, front="").partition("[[lun]]")[0]
     for default, value in (
         ("cold_units = 1000000", "cold_units = 8"),
         ("deadline_ms = 5000", "deadline_ms = 2000"),
@@ -61,7 +61,7 @@
     try:
         async with running_program(_config(etcd.port)) as (program, port):
             progress(f"broker on 127.0.0.1:{port} with {NODES} stand-in nodes; {RATE:g} commands per second")
-            plan = load.LoadPlan(port, STORE, RATE, seconds, luns=tuple(range(NODES)), blocks=BLOCKS)
+            plan = load.LoadPlan(port, STORE_TARGET, RATE, seconds, luns=tuple(range(NODES)), blocks=BLOCKS)
             load_task = asyncio.create_task(load.run(plan, progress))
             await asyncio.sleep(seconds * 0.4)
             victim.kill()
--- a/lemonridge/lab/drills/iscsi.py
+++ b/lemonridge/lab/drills/iscsi.py
@@ -15,7 +15,7 @@
 from typing import Any
 
 from lemonridge.lab.checkers.extents import Asked, Findings, check, end_of, stamped, stamps
-from lemonridge.lab.conform.cases import ACCOUNT, GUARDED, SECRET, SECRETS, STORE
+from lemonridge.lab.conform.cases import CHAP_ACCOUNT, CHAP_SECRET, CHAP_TARGET, SECRETS_TOML, STORE_TARGET
 from lemonridge.lab.links.drains import DrainMonitor
 from lemonridge.lab.load.client import Client, CommandLostError, FaultyLink
 from lemonridge.lab.load.initiator import cdb
@@ -111,14 +111,14 @@
             self.mover.create_lun(lun, 1, BLOCKS)
         self.etcd.transact({f"{PREFIX}nodes/{node.name}": node.etcd_entry() for node in self.nodes})
         text = CONFIG.format(
-            store=STORE,
-            guarded=GUARDED,
+            store=STORE_TARGET,
+            guarded=CHAP_TARGET,
             folder="{folder}",
             port=self.etcd.port,
             prefix=PREFIX,
             deadline=int(DEADLINE_S * 1000),
         )
-        async with running_program(text, secrets=SECRETS, on_log_line=self.drains.on_log_line) as (
+        async with running_program(text, secrets=SECRETS_TOML, on_log_line=self.drains.on_log_line) as (
             program,
             port,
         ):
@@ -149,12 +149,12 @@
         }
         return Client(
             self.link,
-            GUARDED if guarded else STORE,
+            CHAP_TARGET if guarded else STORE_TARGET,
             f"iqn.2026-12.org.lemonridge:client-{number}",
             connections=1 + number % 4 if level != 1 else 1,
             level=level,
             random=random,
-            account=(ACCOUNT, SECRET) if guarded else None,
+            account=(CHAP_ACCOUNT, CHAP_SECRET) if guarded else None,
             keys=digests,
         )
 
@@ -238,7 +238,7 @@
         while loop.time() < until:
             client = Client(
                 self.link,
-                STORE,
+                STORE_TARGET,
                 "iqn.2026-12.org.lemonridge:flood",
                 1,
                 0,
@@ -259,7 +259,7 @@
         await link.start()
         client = Client(
             link,
-            STORE,
+            STORE_TARGET,
             "iqn.2026-12.org.lemonridge:final",
             1,
             0,
--- a/lemonridge/lab/measure/iscsi.py
+++ b/lemonridge/lab/measure/iscsi.py
@@ -14,7 +14,7 @@
 from dataclasses import dataclass
 from random import Random
 
-from lemonridge.lab.conform.cases import STORE
+from lemonridge.lab.conform.cases import STORE_TARGET
 from lemonridge.lab.links.pdus import DirectLink, FaultyLink
 from lemonridge.lab.load.client import Client, CommandLostError
 from lemonridge.lab.load.initiator import cdb
@@ -129,7 +129,7 @@
 async def standing(front: str = "", cwd: str | None = None) -> AsyncGenerator[tuple[Program, int], None]:
     """A broker before a stand-in node, and its port, as long as it takes; `front` adds keys to `[iscsi]`."""
     node = await _node()
-    text = CONFIG.format(store=STORE, port=node.port, front=front)
+    text = CONFIG.format(store=STORE_TARGET, port=node.port, front=front)
     try:
         async with running_program(text, cwd=cwd) as held:
             yield held
@@ -140,9 +140,9 @@
 async def _through(setting: Setting, seconds: float, cwd: str | None) -> tuple[list[float], float]:
     """Through a broker; the times, and its CPU a command in microseconds."""
     async with standing(cwd=cwd) as (program, port):
-        await _load(port, STORE, setting, 0.3, 0)
+        await _load(port, STORE_TARGET, setting, 0.3, 0)
         cpu = program.cpu_s
-        taken = await _load(port, STORE, setting, seconds, 0)
+        taken = await _load(port, STORE_TARGET, setting, seconds, 0)
         cpu = program.cpu_s - cpu
     return taken, cpu / max(1, len(taken)) * 1e6
 
@@ -199,7 +199,7 @@
         await link.start()
         client = Client(
             link,
-            STORE,
+            STORE_TARGET,
             "iqn.2026-12.org.lemonridge:bench",
             1,
             level,
--- a/tests/integration/test_conformance.py
+++ b/tests/integration/test_conformance.py
@@ -19,7 +19,7 @@
         self.assertGreaterEqual(len(FAULTS), 10)
         for fault in FAULTS:
             with self.subTest(fault=fault.name):
-                proxy = Proxy(fault.spoil)
+                proxy = Proxy(fault.corrupt)
                 results = await suite.run(fault.cases, seed=1, proxy=proxy.start)
                 proxy.stop()
                 self.assertIn("failed", {one.outcome for one in results}, results)
