--- a/lemonridge/lab/conform/__init__.py
+++ b/lemonridge/lab/conform/__init__.py
@@ -1,4 +1,6 @@
-"""The conformance suite of the iSCSI front: named cases, each with its section, sent PDU by PDU.
+"""Protocol conformance suite of the iSCSI front.
 
-`peer` is the suite's own initiator, `suite` runs the cases, and the other modules hold them by chapter.
+Each named case cites the section of the standard that it checks, and exchanges single PDUs with the target.
+`peer` is the suite's initiator, `cases` registers the cases, `suite` runs them and `faulty` injects faults
+that the suite must detect. `login`, `session`, `data` and `scsi` contain the cases.
 """
--- a/lemonridge/lab/conform/faulty.py
+++ b/lemonridge/lab/conform/faulty.py
@@ -1,6 +1,6 @@
-"""Planted faults: something between the suite and a target that answers one thing wrongly.
+"""Fault injection: a proxy between the suite and a target that corrupts one kind of response PDU.
 
-The suite must find each; a suite that cannot fail shows nothing.
+The suite must detect each fault. This shows that its cases can fail.
 """
 
 from __future__ import annotations
@@ -16,14 +16,22 @@
 
 @dataclass(frozen=True, slots=True)
 class Fault:
-    """What is done to the target's PDUs, and the cases that must notice."""
+    """A fault to inject into the target's PDUs.
+
+    Attributes:
+        name: Name of the fault.
+        cases: Glob pattern of the cases of which at least one must fail.
+        corrupt: Changes a PDU of the target; called for every PDU.
+    """
 
     name: str
     cases: str
     corrupt: PduChange
 
 
-def _on(opcode: int, change: PduChange) -> PduChange:
+def _on_opcode(opcode: int, change: PduChange) -> PduChange:
+    """Returns a change that applies only to PDUs of one opcode."""
+
     def corrupt(pdu: Pdu) -> None:
         if pdu.opcode == opcode:
             change(pdu)
@@ -31,121 +39,151 @@
     return corrupt
 
 
-def _word(place: int, change: Callable[[int], int]) -> PduChange:
+def _change_word(index: int, change: Callable[[int], int]) -> PduChange:
+    """Returns a change of one 32-bit header word, modulo 2^32."""
+
     def corrupt(pdu: Pdu) -> None:
-        pdu.words[place] = change(pdu.words[place]) % (1 << 32)
+        pdu.words[index] = change(pdu.words[index]) % (1 << 32)
 
     return corrupt
 
 
-def _data(change: Callable[[bytes], bytes]) -> PduChange:
+def _change_data(change: Callable[[bytes], bytes]) -> PduChange:
+    """Returns a change of the data segment."""
+
     def corrupt(pdu: Pdu) -> None:
         pdu.data = change(pdu.data)
 
     return corrupt
 
 
-def _no_residual(pdu: Pdu) -> None:
+def _clear_residual(pdu: Pdu) -> None:
     pdu.flags &= ~0x06
     pdu.words[6] = 0
 
 
-def _tag(pdu: Pdu) -> None:
+def _increment_task_tag(pdu: Pdu) -> None:
     pdu.tag += 1
 
 
-def _not_final(pdu: Pdu) -> None:
+def _clear_final_bit(pdu: Pdu) -> None:
     pdu.flags &= ~FINAL
 
 
-def _no_tsih(pdu: Pdu) -> None:
+def _clear_tsih(pdu: Pdu) -> None:
     pdu.lun = pdu.lun[:6] + bytes(2)
 
 
-def _reason(pdu: Pdu) -> None:
+def _set_byte2_to_1(pdu: Pdu) -> None:
+    """Sets the reason of a Reject, or the response of a task management response, to 1."""
     pdu.byte2 = 0x01
 
 
-def _response(pdu: Pdu) -> None:
+def _set_byte2_to_3(pdu: Pdu) -> None:
+    """Sets the response of a logout response to 3 (cleanup failed)."""
     pdu.byte2 = 0x03
 
 
 FAULTS = (
     Fault(
-        "a status number that stands still", "numbers.status", _on(Op.SCSI_RESPONSE, _word(1, lambda sn: 2))
+        "StatSN does not advance",
+        "numbers.status",
+        _on_opcode(Op.SCSI_RESPONSE, _change_word(1, lambda sn: 2)),
+    ),
+    Fault("wrong task tag", "unit.*", _on_opcode(Op.SCSI_RESPONSE, _increment_task_tag)),
+    Fault("missing residual count", "read.residual.*", _on_opcode(Op.SCSI_RESPONSE, _clear_residual)),
+    Fault(
+        "missing sense data",
+        "opcodes.unknown-*",
+        _on_opcode(Op.SCSI_RESPONSE, _change_data(lambda data: b"")),
     ),
-    Fault("another task's tag", "unit.*", _on(Op.SCSI_RESPONSE, _tag)),
-    Fault("no residual", "read.residual.*", _on(Op.SCSI_RESPONSE, _no_residual)),
-    Fault("no sense", "opcodes.unknown-*", _on(Op.SCSI_RESPONSE, _data(lambda data: b""))),
-    Fault("data numbered from one", "read.512.*", _on(Op.DATA_IN, _word(4, lambda sn: sn + 1))),
+    Fault("DataSN starts at 1", "read.512.*", _on_opcode(Op.DATA_IN, _change_word(4, lambda sn: sn + 1))),
     Fault(
-        "a bit flipped in the data",
+        "flipped bit in the data",
         "blocks.write-10.*",
-        _on(Op.DATA_IN, _data(lambda data: bytes([data[0] ^ 1]) + data[1:] if data else data)),
+        _on_opcode(Op.DATA_IN, _change_data(lambda data: bytes([data[0] ^ 1]) + data[1:] if data else data)),
     ),
     Fault(
-        "an answer past the offer",
+        "negotiated value exceeds the offer",
         "negotiate.MaxBurstLength.*",
-        _on(Op.LOGIN_RESPONSE, _data(lambda data: data.replace(b"Length=512\0", b"Length=1024\0"))),
+        _on_opcode(
+            Op.LOGIN_RESPONSE, _change_data(lambda data: data.replace(b"Length=512\0", b"Length=1024\0"))
+        ),
     ),
-    Fault("a stage that is not left", "login.response", _on(Op.LOGIN_RESPONSE, _not_final)),
-    Fault("no session handle", "login.response", _on(Op.LOGIN_RESPONSE, _no_tsih)),
-    Fault("another echo", "nop.*", _on(Op.NOP_IN, _data(lambda data: data[::-1]))),
-    Fault("another reason", "connections.opcode-*", _on(Op.REJECT, _reason)),
     Fault(
-        "a burst that is too long",
+        "login response without stage transition",
+        "login.response",
+        _on_opcode(Op.LOGIN_RESPONSE, _clear_final_bit),
+    ),
+    Fault("missing TSIH", "login.response", _on_opcode(Op.LOGIN_RESPONSE, _clear_tsih)),
+    Fault("wrong NOP-In data", "nop.*", _on_opcode(Op.NOP_IN, _change_data(lambda data: data[::-1]))),
+    Fault("wrong Reject reason", "connections.opcode-*", _on_opcode(Op.REJECT, _set_byte2_to_1)),
+    Fault(
+        "R2T exceeds MaxBurstLength",
         "write.131072.initial-r2t-Yes.*",
-        _on(Op.R2T, _word(6, lambda length: length * 2)),
+        _on_opcode(Op.R2T, _change_word(6, lambda length: length * 2)),
+    ),
+    Fault("failed logout", "logout.session", _on_opcode(Op.LOGOUT_RESPONSE, _set_byte2_to_3)),
+    Fault(
+        "ABORT TASK of an unknown task",
+        "manage.abort-*",
+        _on_opcode(Op.TASK_MANAGEMENT_RESPONSE, _set_byte2_to_1),
     ),
-    Fault("a logout that fails", "logout.session", _on(Op.LOGOUT_RESPONSE, _response)),
-    Fault("an aborted task that was not there", "manage.abort-*", _on(Op.TASK_MANAGEMENT_RESPONSE, _reason)),
 )
 
 
 class Proxy:
-    """Passes what initiators say through, and spoils what the target answers."""
+    """Forwards the initiators' bytes unchanged and corrupts the target's PDUs."""
 
     def __init__(self, corrupt: PduChange) -> None:
-        self._corrupt, self._behind = corrupt, 0
+        self._corrupt, self._target_port = corrupt, 0
         self._tasks: set[asyncio.Task[None]] = set()
 
-    async def start(self, behind: int) -> int:
-        """The port to connect to, in front of another."""
-        self._behind = behind
-        self._listener = await asyncio.start_server(self._serve, "127.0.0.1", 0)
+    async def start(self, target_port: int) -> int:
+        """Starts the proxy in front of the target's port and returns the proxy's port."""
+        self._target_port = target_port
+        self._listener = await asyncio.start_server(self._forward_requests, "127.0.0.1", 0)
         return int(self._listener.sockets[0].getsockname()[1])
 
     def stop(self) -> None:
+        """Stops listening and cancels the forwarding of responses."""
         self._listener.close()
         for task in self._tasks:
             task.cancel()
 
-    async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        inner, outer = await asyncio.open_connection("127.0.0.1", self._behind)
-        task = asyncio.create_task(self._out(inner, writer))
+    async def _forward_requests(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        target_reader, target_writer = await asyncio.open_connection("127.0.0.1", self._target_port)
+        task = asyncio.create_task(self._forward_responses(target_reader, writer))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
         try:
             while data := await reader.read(65536):
-                outer.write(data)
+                target_writer.write(data)
         except ConnectionError:
-            pass  # the initiator has gone
+            pass  # the initiator closed the connection
         finally:
-            outer.close()
+            target_writer.close()
+
+    async def _forward_responses(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        """Corrupts and forwards the target's PDUs, with digests from the last login response on.
 
-    async def _out(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        header = data = False
+        The negotiated digests are taken from the response before it is corrupted.
+        """
+        header_digest = data_digest = False
         try:
             while True:
-                pdu = await read_pdu(reader, 1 << 24, header, data)
+                pdu = await read_pdu(reader, 1 << 24, header_digest, data_digest)
                 login = pdu.opcode == Op.LOGIN_RESPONSE
                 final = login and pdu.flags & 0x83 == FINAL | 3
-                told = unpack_text(pdu.data) if final else {}
+                negotiated = unpack_text(pdu.data) if final else {}
                 self._corrupt(pdu)
-                writer.write(pdu.encode(header, data))
+                writer.write(pdu.encode(header_digest, data_digest))
                 if final:
-                    header, data = told.get("HeaderDigest") == "CRC32C", told.get("DataDigest") == "CRC32C"
+                    header_digest, data_digest = (
+                        negotiated.get("HeaderDigest") == "CRC32C",
+                        negotiated.get("DataDigest") == "CRC32C",
+                    )
         except (asyncio.IncompleteReadError, ConnectionError):
-            pass  # the target has ended it
+            pass  # the target closed the connection
         finally:
             writer.close()
--- a/lemonridge/lab/conform/suite.py
+++ b/lemonridge/lab/conform/suite.py
@@ -1,4 +1,4 @@
-"""Runs the cases: starts the program before a stand-in node, or meets a target that is there already."""
+"""Runs the conformance cases against an external target, or against a new broker with a stand-in node."""
 
 from __future__ import annotations
 
@@ -84,20 +84,30 @@
 
 @dataclass(frozen=True)
 class Result:
+    """The result of one case.
+
+    Attributes:
+        name: Name of the case.
+        section: Section that defines the checked behaviour.
+        outcome: "passed", "failed" or "skipped".
+        why: Reason of a failure or a skip; else empty.
+    """
+
     name: str
     section: str
-    outcome: str  # passed, failed or skipped
+    outcome: str
     why: str = ""
 
 
-async def run_case(one: Case, context: CaseContext) -> Result:
+async def run_case(case: Case, context: CaseContext) -> Result:
+    """Runs one case, closes its connections and returns its result."""
     try:
-        await one.run(context)
-        return Result(one.name, one.section, "passed")
+        await case.run(context)
+        return Result(case.name, case.section, "passed")
     except SkipError as error:
-        return Result(one.name, one.section, "skipped", str(error))
+        return Result(case.name, case.section, "skipped", str(error))
     except (CaseError, OSError, KeyError, ValueError, IndexError) as error:
-        return Result(one.name, one.section, "failed", f"{type(error).__name__}: {error}")
+        return Result(case.name, case.section, "failed", f"{type(error).__name__}: {error}")
     finally:
         for peer in context.peers:
             peer.close()
@@ -110,19 +120,31 @@
     proxy: Callable[[int], Awaitable[int]] | None = None,
     on_result: Callable[[Result], None] = lambda result: None,
 ) -> list[Result]:
-    """Run the cases whose names fit; `proxy` may put something between the suite and the program's port."""
-    from lemonridge.lab.conform import data, login, scsi, session  # noqa: F401 - they register their cases
+    """Runs the cases whose names match a pattern.
+
+    Args:
+        pattern: Glob pattern of case names.
+        seed: Seed of the random choices.
+        target: Host and port of an external target; None to start a broker with a stand-in node.
+        proxy: Starts a proxy in front of the broker's port and returns the proxy's port; None for a direct
+            connection. Only for the suite's own broker.
+        on_result: Called with the result of each case.
 
-    chosen = [one for one in CASES.values() if fnmatch.fnmatch(one.name, pattern)]
+    Returns:
+        The results of all cases that were run.
+    """
+    from lemonridge.lab.conform import data, login, scsi, session  # noqa: F401 - the imports register the cases
+
+    selected = [case for case in CASES.values() if fnmatch.fnmatch(case.name, pattern)]
     if target is not None:
-        return await _each(chosen, seed, lambda: CaseContext(*target, STORE_TARGET), on_result)
+        return await _run_cases(selected, seed, lambda: CaseContext(*target, STORE_TARGET), on_result)
     ticks = Ticks()
     node = ExtentNode("n0", 0, ticks, Random(seed), accepts_unversioned=True)
     await node.start()
     mover = Mover([node], Etcd(), "/", ticks, Random(seed))
     for lun in (0, 1, 300):
         mover.create_lun(lun, 1, BLOCKS_PER_LUN)
-    text = CONFIG.format(
+    config = CONFIG.format(
         store=STORE_TARGET,
         guarded=CHAP_TARGET,
         mutual=MUTUAL_CHAP_TARGET,
@@ -131,24 +153,28 @@
         port=node.port,
     )
     try:
-        async with running_program(text, secrets=SECRETS_TOML, stop=proxy is None) as (_, port):
+        async with running_program(config, secrets=SECRETS_TOML, stop=proxy is None) as (_, port):
             if proxy is not None:
                 port = await proxy(port)
-            return await _each(
-                chosen, seed, lambda: CaseContext("127.0.0.1", port, STORE_TARGET, node), on_result
+            return await _run_cases(
+                selected, seed, lambda: CaseContext("127.0.0.1", port, STORE_TARGET, node), on_result
             )
     finally:
         node.kill()
 
 
-async def _each(
-    chosen: Iterable[Case], seed: int, meet: Callable[[], CaseContext], on_result: Callable[[Result], None]
+async def _run_cases(
+    selected: Iterable[Case],
+    seed: int,
+    new_context: Callable[[], CaseContext],
+    on_result: Callable[[Result], None],
 ) -> list[Result]:
+    """Runs each selected case in a new context, with random choices that depend on the seed and its name."""
     results = []
-    for one in chosen:
-        context = meet()
-        context.random = Random(f"{seed}/{one.name}")
-        result = await run_case(one, context)
+    for case in selected:
+        context = new_context()
+        context.random = Random(f"{seed}/{case.name}")
+        result = await run_case(case, context)
         on_result(result)
         results.append(result)
         await asyncio.sleep(0)
--- a/tests/integration/test_iscsi_rude.py
+++ b/tests/integration/test_iscsi_rude.py
@@ -91,7 +91,7 @@
                         random.randbytes(random.choice((0, 0, 5, 512))),
                         random.random() < 0.5,
                     )
-                    peer.send(pdu, number=random.random() < 0.5)
+                    peer.send(pdu, assign_numbers=random.random() < 0.5)
                 await peer.writer.drain()
             except (CaseError, ConnectionError):
                 pass  # the login was refused, or the connection is over
