--- a/lemonridge/lab/conform/data.py
+++ b/lemonridge/lab/conform/data.py
@@ -397,7 +397,7 @@
             first_stat_sn = peer.exp_stat_sn
             tags = []
             for _ in range(3):
-                tags.append(peer.send_command(bytes(6)))
+                tags.append(peer.send_command(bytes(6)))  # TEST UNIT READY
                 peer.exp_stat_sn = 0
                 await peer.receive(Op.SCSI_RESPONSE)
                 peer.exp_stat_sn = first_stat_sn
@@ -413,7 +413,7 @@
             peer = await _open_session_at_level(context, level)
             first_stat_sn = peer.exp_stat_sn
             for _ in range(3):
-                await peer.expect_good(bytes(6))
+                await peer.expect_good(bytes(6))  # TEST UNIT READY
             await _send_snack(peer, 1, RESERVED_TAG, first_stat_sn, 1)
             await peer.expect_reject(0x03)
 
@@ -521,7 +521,7 @@
             """Acknowledged statuses are released: the window stays open over many commands."""
             peer = await _open_session_at_level(context, level)
             for _ in range(300):
-                await peer.expect_good(bytes(6))
+                await peer.expect_good(bytes(6))  # TEST UNIT READY
 
 
 _register_recovery_cases()
--- a/lemonridge/lab/conform/faulty.py
+++ b/lemonridge/lab/conform/faulty.py
@@ -173,12 +173,12 @@
         try:
             while True:
                 pdu = await read_pdu(reader, 1 << 24, header_digest, data_digest)
-                login = pdu.opcode == Op.LOGIN_RESPONSE
-                final = login and pdu.flags & 0x83 == FINAL | 3
-                negotiated = unpack_text(pdu.data) if final else {}
+                is_login_response = pdu.opcode == Op.LOGIN_RESPONSE
+                is_last_response = is_login_response and pdu.flags & 0x83 == FINAL | 3
+                negotiated = unpack_text(pdu.data) if is_last_response else {}
                 self._corrupt(pdu)
                 writer.write(pdu.encode(header_digest, data_digest))
-                if final:
+                if is_last_response:
                     header_digest, data_digest = (
                         negotiated.get("HeaderDigest") == "CRC32C",
                         negotiated.get("DataDigest") == "CRC32C",
--- a/lemonridge/lab/conform/login.py
+++ b/lemonridge/lab/conform/login.py
@@ -123,7 +123,7 @@
     """The target declares its own MaxRecvDataSegmentLength and respects the initiator's."""
     peer = await context.open_session(MaxRecvDataSegmentLength="512")
     expect(int(peer.negotiated["MaxRecvDataSegmentLength"]) >= 512, "the target's own is not declared")
-    tag = peer.send_command(b"\x12\x01\x00\x00\xff", read=255)
+    tag = peer.send_command(b"\x12\x01\x00\x00\xff", read=255)  # INQUIRY
     pdu = await peer.receive(Op.DATA_IN)
     expect(pdu.tag == tag and len(pdu.data) <= 512, "a segment past what was declared")
 
@@ -174,12 +174,12 @@
         context.random.shuffle(pairs)
         text = pack_text([(name, str(value)) for name, value in [*peer.login_keys().items(), *pairs]])
         if round_:
-            cut = context.random.randrange(1, len(text))
-            partial_answer = await peer.login_step(CONTINUE | 1 << 2, text[:cut])
+            split_position = context.random.randrange(1, len(text))
+            partial_answer = await peer.login_step(CONTINUE | 1 << 2, text[:split_position])
             expect_equal(
                 (partial_answer.data, partial_answer.flags & FINAL), (b"", 0), "the answer to a first part"
             )
-            text = text[cut:]
+            text = text[split_position:]
         answer = unpack_text((await peer.login_step(OPERATIONAL_TO_FULL_FEATURE, text)).data)
         answers.append({name: answer[name] for name in offers})
     expect(answers[0] == answers[1] == answers[2], f"the answers differ: {answers}")
@@ -368,10 +368,10 @@
     challenge: dict[str, str], secret: str = CHAP_SECRET, name: str = CHAP_ACCOUNT
 ) -> dict[str, str | None]:
     """Returns the keys that answer a challenge."""
-    proof = chap.response(
+    response = chap.response(
         int(challenge["CHAP_A"]), int(challenge["CHAP_I"]), secret.encode(), chap.decode(challenge["CHAP_C"])
     )
-    return {"CHAP_N": name, "CHAP_R": chap.encode(proof)}
+    return {"CHAP_N": name, "CHAP_R": chap.encode(response)}
 
 
 def _register_chap_cases() -> None:
@@ -463,9 +463,9 @@
     import base64
 
     peer, challenge = await _request_challenge(context, CHAP_TARGET)
-    proof = _chap_response(challenge)
-    raw = chap.decode(str(proof["CHAP_R"]))
-    answer = await peer.login_step(FINAL | 1, {**proof, "CHAP_R": "0b" + base64.b64encode(raw).decode()})
+    response = _chap_response(challenge)
+    raw = chap.decode(str(response["CHAP_R"]))
+    answer = await peer.login_step(FINAL | 1, {**response, "CHAP_R": "0b" + base64.b64encode(raw).decode()})
     expect_equal(answer.words[4], 0, "status")
 
 
@@ -533,14 +533,14 @@
     return peer
 
 
-async def _exchange_text(peer: Peer, pairs: dict[str, str], **changes: int) -> Pdu:
-    """Sends a text request and returns the response; `changes` may override the flags and the task tag."""
+async def _exchange_text(peer: Peer, pairs: dict[str, str], **overrides: int) -> Pdu:
+    """Sends a text request and returns the response; `overrides` may set the flags and the task tag."""
     words = [RESERVED_TAG, 0, 0, 0, 0, 0, 0]
     peer.send(
         Pdu(
             Op.TEXT,
-            changes.get("flags", FINAL),
-            tag=changes.get("tag", 40),
+            overrides.get("flags", FINAL),
+            tag=overrides.get("tag", 40),
             words=words,
             data=pack_text(pairs.items()),
         )
@@ -553,8 +553,8 @@
     """SendTargets=All lists the targets that the initiator may use, with their addresses."""
     peer = await _open_discovery_session(context)
     answer = await _exchange_text(peer, {"SendTargets": "All"})
-    items = [item.decode().partition("=") for item in answer.data.split(b"\0")]
-    names = [value for key, _, value in items if key == "TargetName"]
+    pairs = [item.decode().partition("=") for item in answer.data.split(b"\0")]
+    names = [value for key, _, value in pairs if key == "TargetName"]
     expect(context.target in names and RESTRICTED_TARGET not in names, f"{names}")
     expect(b"TargetAddress=" in answer.data, "no address")
     expect_equal((answer.tag, answer.words[0], answer.flags & FINAL), (40, RESERVED_TAG, FINAL))
@@ -604,7 +604,7 @@
     """A new MaxRecvDataSegmentLength applies to all later PDUs."""
     peer = await context.open_session(MaxRecvDataSegmentLength="8192")
     await _exchange_text(peer, {"MaxRecvDataSegmentLength": "512"})
-    data = await peer.expect_good(b"\x28" + bytes(6) + b"\0\x08\0", read=4096)
+    data = await peer.expect_good(b"\x28" + bytes(6) + b"\0\x08\0", read=4096)  # READ (10)
     expect_equal(len(data), 4096)
     peer.send_command(b"\x28" + bytes(6) + b"\0\x08\0", read=4096)
     expect(len((await peer.receive(Op.DATA_IN)).data) <= 512, "a segment past what was declared")
@@ -644,7 +644,7 @@
 async def _command_in_discovery_session_is_rejected(context: CaseContext) -> None:
     """A SCSI command in a discovery session is rejected."""
     peer = await _open_discovery_session(context)
-    peer.send_command(b"\x00" * 6)
+    peer.send_command(b"\x00" * 6)  # TEST UNIT READY
     await peer.expect_reject(0x04)
 
 
--- a/lemonridge/lab/conform/peer.py
+++ b/lemonridge/lab/conform/peer.py
@@ -2,6 +2,9 @@
 
 It sends PDUs exactly as a case specifies them, valid or not, and receives one PDU at a time. Apart from the
 checks of StatSN and of the order of Data-In PDUs, a case checks the received PDUs itself.
+
+Header words of a PDU are `Pdu.words`, numbered from 0 at byte 20 of the header; in a login response, word 4
+begins with the status class and the status detail.
 """
 
 from __future__ import annotations
--- a/lemonridge/lab/conform/scsi.py
+++ b/lemonridge/lab/conform/scsi.py
@@ -80,16 +80,16 @@
     """Each LUN has unique designators that are the same in every session."""
     context.own_node()
     first, second = await context.open_session(), await context.open_session()
-    names = [
+    designator_pages = [
         await peer.expect_good(inquiry(0x83), read=255, lun=lun) for peer in (first, second) for lun in (0, 1)
     ]
-    expect_equal(names[:2], names[2:])
-    expect(names[0] != names[1], "two LUNs have one name")
+    expect_equal(designator_pages[:2], designator_pages[2:])
+    expect(designator_pages[0] != designator_pages[1], "two LUNs have one name")
     offset, designator_types = 4, set()
-    while offset < len(names[0]):
-        designator_types.add(names[0][offset + 1] & 0x0F)
-        offset += 4 + names[0][offset + 3]
-    expect_equal(offset, len(names[0]), "the last descriptor's end")
+    while offset < len(designator_pages[0]):
+        designator_types.add(designator_pages[0][offset + 1] & 0x0F)
+        offset += 4 + designator_pages[0][offset + 3]
+    expect_equal(offset, len(designator_pages[0]), "the last descriptor's end")
     expect(
         3 in designator_types and 5 in designator_types, f"no NAA name or port group among {designator_types}"
     )
@@ -132,7 +132,7 @@
     for name, cdb, read in (
         ("read", read10(0, 512), 512),
         ("test-unit-ready", TEST_UNIT_READY, 0),
-        ("mode-sense", b"\x1a\0\x3f\0\xff\0", 255),
+        ("mode-sense", b"\x1a\0\x3f\0\xff\0", 255),  # MODE SENSE (6)
     ):
 
         @case(f"luns.absent.{name}", "SPC-4 4.5.6")
@@ -168,12 +168,14 @@
     """REPORT SUPPORTED OPERATION CODES lists all mandatory commands."""
     data = await (await context.open_session()).expect_good(b"\xa3\x0c\0\0\0\0\0\0\x10\0\0\0", read=4096)
     expect_equal((int.from_bytes(data[:4], "big") + 4, (len(data) - 4) % 8), (len(data), 0))
-    codes = {data[offset] for offset in range(4, len(data), 8)}
-    expect({0x00, 0x12, 0x25, 0x28, 0x2A, 0xA0, 0xA3} <= codes, "a command that must be there is not listed")
+    opcodes = {data[offset] for offset in range(4, len(data), 8)}
+    expect(
+        {0x00, 0x12, 0x25, 0x28, 0x2A, 0xA0, 0xA3} <= opcodes, "a command that must be there is not listed"
+    )
 
 
 def _register_single_opcode_cases() -> None:
-    for name, option, opcode, action, support in (
+    for name, reporting_option, opcode, service_action, support in (
         ("read", 1, 0x28, 0, 3),
         ("absent", 1, 0xC0, 0, 1),
         ("reserve", 2, 0x5F, 0, 3),
@@ -183,13 +185,13 @@
         @case(f"opcodes.one.{name}", "SPC-4 6.35")
         async def _(
             context: CaseContext,
-            option: int = option,
+            reporting_option: int = reporting_option,
             opcode: int = opcode,
-            action: int = action,
+            service_action: int = service_action,
             support: int = support,
         ) -> None:
             """REPORT SUPPORTED OPERATION CODES states whether one command is supported."""
-            cdb = struct.pack(">BBBBHIxx", 0xA3, 0x0C, option, opcode, action, 64)
+            cdb = struct.pack(">BBBBHIxx", 0xA3, 0x0C, reporting_option, opcode, service_action, 64)
             expect_equal((await (await context.open_session()).expect_good(cdb, read=64))[1] & 7, support)
 
 
@@ -343,8 +345,8 @@
 async def _synchronize_cache(context: CaseContext) -> None:
     """SYNCHRONIZE CACHE (10) and (16) succeed."""
     peer = await context.open_session()
-    await peer.expect_good(b"\x35" + bytes(9))
-    await peer.expect_good(b"\x91" + bytes(15))
+    await peer.expect_good(b"\x35" + bytes(9))  # SYNCHRONIZE CACHE (10)
+    await peer.expect_good(b"\x91" + bytes(15))  # SYNCHRONIZE CACHE (16)
 
 
 @case("blocks.verify", "SBC-3 5.29")
@@ -541,12 +543,14 @@
 async def _read_keys(context: CaseContext) -> None:
     """READ KEYS returns the registered keys; each change increases the generation by one."""
     first, second = await _open_registered_pair(context)
-    data = await _persistent_reserve_in(first, 0)
-    expect_equal(struct.unpack(">IQQ", data[4:]), (16, 11, 22))
+    keys_before = await _persistent_reserve_in(first, 0)
+    expect_equal(struct.unpack(">IQQ", keys_before[4:]), (16, 11, 22))
     expect_equal(await _persistent_reserve_out(second, 0, 22, 0), 0)
-    after = await _persistent_reserve_in(first, 0)
-    expect_equal(after[8:], struct.pack(">Q", 11))
-    expect_equal(int.from_bytes(after[:4], "big"), int.from_bytes(data[:4], "big") + 1, "the generation")
+    keys_after = await _persistent_reserve_in(first, 0)
+    expect_equal(keys_after[8:], struct.pack(">Q", 11))
+    expect_equal(
+        int.from_bytes(keys_after[:4], "big"), int.from_bytes(keys_before[:4], "big") + 1, "the generation"
+    )
     await _clear_reservations(first)
 
 
@@ -675,9 +679,9 @@
         for cdb, read in (
             (TEST_UNIT_READY, 0),
             (inquiry(), 255),
-            (b"\x03\0\0\0\xfc\0", 252),
-            (b"\x25" + bytes(9), 8),
-            (b"\xa0" + bytes(5) + b"\0\0\1\0\0\0", 256),
+            (b"\x03\0\0\0\xfc\0", 252),  # REQUEST SENSE
+            (b"\x25" + bytes(9), 8),  # READ CAPACITY (10)
+            (b"\xa0" + bytes(5) + b"\0\0\1\0\0\0", 256),  # REPORT LUNS
         )
     ]
     mode_sense_status = (await second.execute(b"\x1a\x08\x3f\0\xff\0", read=255))[0]
--- a/lemonridge/lab/conform/session.py
+++ b/lemonridge/lab/conform/session.py
@@ -13,7 +13,7 @@
 from lemonridge.lab.conform.peer import Peer, expect, expect_equal
 
 TEST_UNIT_READY = bytes(6)
-READ_FIRST_BLOCK = b"\x28" + bytes(6) + b"\0\x01\0"
+READ_FIRST_BLOCK = b"\x28" + bytes(6) + b"\0\x01\0"  # READ (10)
 OPERATIONAL_TO_FULL_FEATURE = FINAL | 1 << 2 | 3  # stage transition
 
 
