--- a/tests/integration/fault_cases.py
+++ b/tests/integration/fault_cases.py
@@ -16,9 +16,7 @@
 )
 
 SOCKET_SLACK_S = 0.05  # PROTOCOL: added to every time limit on sockets
-SUSPENDED_S = (
-    0.12  # how long tests stop the program; with scheduling delays below the 0.15 s that STANDING allows
-)
+SUSPENDED_S = 0.12  # how long a program is stopped; with other delays it stays below STANDING's 0.15 s
 
 
 class Faults:
--- a/tests/integration/test_conformance.py
+++ b/tests/integration/test_conformance.py
@@ -1,4 +1,4 @@
-"""The conformance suite passes, and finds each fault that is planted between it and the front."""
+"""The conformance suite passes against the iSCSI front and detects faults planted between the two."""
 
 from __future__ import annotations
 
@@ -9,21 +9,21 @@
 from lemonridge.lab.drills import iscsi as drill_iscsi
 
 
-class Conforming(unittest.IsolatedAsyncioTestCase):
+class Conformance(unittest.IsolatedAsyncioTestCase):
     async def test_every_case_passes(self) -> None:
         results = await suite.run("*", seed=1)
         self.assertGreaterEqual(len(results), 250)
-        self.assertEqual([(one.name, one.why) for one in results if one.outcome != "passed"], [])
+        self.assertEqual([(result.name, result.why) for result in results if result.outcome != "passed"], [])
 
-    async def test_each_planted_fault_is_found(self) -> None:
+    async def test_suite_detects_each_planted_fault(self) -> None:
         self.assertGreaterEqual(len(FAULTS), 10)
         for fault in FAULTS:
             with self.subTest(fault=fault.name):
                 proxy = Proxy(fault.spoil)
                 results = await suite.run(fault.cases, seed=1, proxy=proxy.start)
                 proxy.stop()
-                self.assertIn("failed", {one.outcome for one in results}, results)
+                self.assertIn("failed", {result.outcome for result in results}, results)
 
-    async def test_the_drill_holds(self) -> None:
-        figures, found = await drill_iscsi.Drill(drill_iscsi.Options(5, seconds=5.0)).run()
-        self.assertTrue(drill_iscsi.held(figures), (figures, found.notes))
+    async def test_drill_meets_every_rule(self) -> None:
+        figures, findings = await drill_iscsi.Drill(drill_iscsi.Options(5, seconds=5.0)).run()
+        self.assertTrue(drill_iscsi.held(figures), (figures, findings.notes))
--- a/tests/integration/test_drain_notifications.py
+++ b/tests/integration/test_drain_notifications.py
@@ -1,4 +1,4 @@
-"""Drains that discovery notifies in any way, and around outages."""
+"""Drains that the discovery server notifies around broken watches, slow responses and outages."""
 
 from __future__ import annotations
 
@@ -18,105 +18,115 @@
 )
 
 
-class ToldInEachWay(FaultCase):
-    """A drain counts as told, whatever happens to the watch around it: 0.5 s, or 6 s after a silence."""
+class DrainNotifications(FaultCase):
+    """Guards against attempts at a node whose drain counts as notified in spite of problems with the watch.
 
-    async def test_after_a_broken_watch(self) -> None:
+    The limit is 0.5 s, or 6 s after a silence of the discovery server.
+    """
+
+    async def test_drain_after_a_broken_watch_is_known_in_time(self) -> None:
         for writer in list(self.discovery_server.writers):
             writer.transport.abort()
-        await self.within(0.5)
+        await self.assert_no_attempt_after(0.5)
 
-    async def test_by_a_slow_first_byte(self) -> None:
-        """Discovery that is crowded: the head of each answer comes 1.2 s late."""
-        plain = self.discovery.script
+    async def test_drain_is_known_in_time_though_response_heads_are_late(self) -> None:
+        """An overloaded discovery server sends the head of each response 1.2 s late."""
+        original_script = self.discovery.script
 
-        async def late(server: Server, message: Message, writer: asyncio.StreamWriter) -> None:
+        async def delay_head(server: Server, message: Message, writer: asyncio.StreamWriter) -> None:
             if "wait_ms=1 " in message.start_line or "after" not in message.start_line:
                 await asyncio.sleep(1.2)
-            await plain(server, message, writer)
+            await original_script(server, message, writer)
 
-        self.discovery_server.script = late
+        self.discovery_server.script = delay_head
         for writer in list(self.discovery_server.writers):
             writer.transport.abort()
         await assert_drain_in_time(self)
 
-    async def test_twice_in_a_row_and_with_the_program_held_up(self) -> None:
+    async def test_repeated_drain_during_a_stop_of_the_program_is_known_in_time(self) -> None:
         self.discovery.set_endpoint("s-1", self.node.port, health="draining")
         self.discovery.set_endpoint("s-1", self.node.port)
-        await self.within(0.5, held_s=SUSPENDED_S)
+        await self.assert_no_attempt_after(0.5, stopped_s=SUSPENDED_S)
+
+    async def assert_no_attempt_after(self, grace_s: float, stopped_s: float = 0.0) -> None:
+        """Sets a drain under load and asserts that no attempt begins after its grace period.
 
-    async def within(self, grace_s: float, held_s: float = 0.0) -> None:
-        """No attempt begins later than the grace after discovery has written the drain."""
+        Args:
+            grace_s: The time from the drain within which attempts may begin, without the slack on sockets.
+            stopped_s: How long the program is stopped from the drain on.
+        """
         loop = asyncio.get_running_loop()
-        begun: list[float] = []
+        attempt_times: list[float] = []
 
-        async def recorded(_: Server, message: Message, writer: asyncio.StreamWriter) -> None:
-            begun.append(loop.time())
+        async def record_and_reply(_: Server, message: Message, writer: asyncio.StreamWriter) -> None:
+            attempt_times.append(loop.time())
             reply(writer)
 
-        self.node.script = recorded
+        self.node.script = record_and_reply
         self.discovery.set_endpoint("s-1", self.node.port, health="draining")
-        told_at = loop.time()
-        if held_s:
+        drain_set_at = loop.time()
+        if stopped_s:
             self.program.process.send_signal(signal.SIGSTOP)
         clients = [await Client(self.port).open() for _ in range(20)]
         for client in clients:
             client.writer.write(client.encode_request())
-        if held_s:
-            await sleep_until(told_at + held_s)
+        if stopped_s:
+            await sleep_until(drain_set_at + stopped_s)
             self.program.process.send_signal(signal.SIGCONT)
-        while loop.time() < told_at + grace_s + 0.3:
+        while loop.time() < drain_set_at + grace_s + 0.3:
             with contextlib.suppress(ConnectionError):
                 await self.client.request(X_Deadline_Ms="60")
             await asyncio.sleep(0.01)
         for client in clients:
             client.writer.transport.abort()
-        self.assertEqual([at - told_at for at in begun if at > told_at + grace_s + SOCKET_SLACK_S], [])
+        self.assertEqual(
+            [at - drain_set_at for at in attempt_times if at > drain_set_at + grace_s + SOCKET_SLACK_S], []
+        )
 
 
-class Outages(PlatformCase):
-    """STANDING: while discovery is down the agent learns nothing; what it gets at its return counts."""
+class DiscoveryOutages(PlatformCase):
+    """STANDING: while discovery is down no change counts; the list at its return does."""
 
-    async def test_a_drain_that_begins_as_an_outage_ends_is_heard_in_time(self) -> None:
+    async def test_drain_set_at_the_end_of_an_outage_is_known_in_time(self) -> None:
         loop = asyncio.get_running_loop()
-        for step in range(4):  # at four moments of the pause between two calls
+        for step in range(4):  # at four times between two of the program's connects
             with self.subTest(step=step):
                 self.discovery.set_endpoint("s-1", self.node.port)
-                await drained_or_not(self, 200)
+                await request_until_status(self, 200)
                 self.discovery_server.listener.close()
                 for writer in list(self.discovery_server.writers):
                     writer.transport.abort()
                 await sleep_until(loop.time() + 1.0 + 0.07 * step)
                 self.discovery.set_endpoint("s-1", self.node.port, health="draining")
                 await self.discovery_server.start()
-                returned_at, begun = loop.time(), self.record()
-                while loop.time() < returned_at + 1.2:
+                recovered_at, attempt_times = loop.time(), self.record_attempts()
+                while loop.time() < recovered_at + 1.2:
                     with contextlib.suppress(ConnectionError):
                         await self.client.request(X_Deadline_Ms="60")
                     await asyncio.sleep(0.01)
-                self.assertEqual([at for at in begun if at - returned_at > 0.5 + SOCKET_SLACK_S], [])
+                self.assertEqual([at for at in attempt_times if at - recovered_at > 0.5 + SOCKET_SLACK_S], [])
                 self.node.script = serve_ok
 
-    def record(self) -> list[float]:
-        """When attempts come from now on."""
-        loop, begun = asyncio.get_running_loop(), list[float]()
+    def record_attempts(self) -> list[float]:
+        """Returns a list to which the start times of new attempts are added."""
+        loop, attempt_times = asyncio.get_running_loop(), list[float]()
 
-        async def recorded(_: Server, message: Message, writer: asyncio.StreamWriter) -> None:
-            begun.append(loop.time())
+        async def record_and_reply(_: Server, message: Message, writer: asyncio.StreamWriter) -> None:
+            attempt_times.append(loop.time())
             reply(writer)
 
-        self.node.script = recorded
-        return begun
+        self.node.script = record_and_reply
+        return attempt_times
 
-    async def test_a_drain_after_sigterm_is_kept_up_to_the_end(self) -> None:
-        """The watch goes on up to the end of the process, and is opened anew where it breaks."""
-        loop, begun = asyncio.get_running_loop(), self.record()
+    async def test_drain_set_after_sigterm_is_obeyed_until_the_exit(self) -> None:
+        """Guards against a watch that ends, or is not reopened after a failure, while the process exits."""
+        loop, attempt_times = asyncio.get_running_loop(), self.record_attempts()
         self.program.process.send_signal(signal.SIGTERM)
-        told_at = loop.time() + 0.1
-        told = False
-        while self.program.process.returncode is None and loop.time() < told_at + 4:
-            if not told and loop.time() >= told_at:
-                told, told_at = True, loop.time()
+        drain_set_at = loop.time() + 0.1
+        drain_is_set = False
+        while self.program.process.returncode is None and loop.time() < drain_set_at + 4:
+            if not drain_is_set and loop.time() >= drain_set_at:
+                drain_is_set, drain_set_at = True, loop.time()
                 for writer in list(self.discovery_server.writers):
                     writer.transport.abort()
                 self.discovery.set_endpoint("s-1", self.node.port, health="draining")
@@ -125,35 +135,35 @@
                 await client.request(X_Deadline_Ms="60")
                 client.writer.close()
             await asyncio.sleep(0.01)
-        self.assertTrue(begun)
-        self.assertEqual([at for at in begun if at - told_at > 0.5 + SOCKET_SLACK_S], [])
+        self.assertTrue(attempt_times)
+        self.assertEqual([at for at in attempt_times if at - drain_set_at > 0.5 + SOCKET_SLACK_S], [])
 
 
-async def drained_or_not(case: PlatformCase, status: int) -> None:
-    """Ask until an answer has this status."""
+async def request_until_status(case: PlatformCase, status: int) -> None:
+    """Sends requests until a response has this status."""
     async with asyncio.timeout(TIMEOUT_S):
         while (await case.client.request(X_Deadline_Ms="300")).status != status:
             await asyncio.sleep(0.01)
 
 
 class LongPolls(PlatformCase):
-    """STANDING: what a silent long poll misses counts as told 2 s after its wait is over."""
+    """STANDING: a change that a silent long poll misses counts as notified 2 s after the end of its wait."""
 
     setting_overrides = {"discovery": "ask"}
     WAIT_S, NOTIFICATION_S = 60.0, 2.0
 
-    async def test_a_drain_that_a_silent_long_poll_missed_is_heard_in_time(self) -> None:
-        """It takes the whole wait of the page: no shorter one shows what is done at its end."""
+    async def test_drain_missed_by_a_silent_long_poll_is_known_in_time(self) -> None:
+        """The test lasts for the whole wait of 60 s, as the next request is sent only at its end."""
         loop = asyncio.get_running_loop()
         for writer in list(self.discovery_server.writers):
-            writer.transport.abort()  # the poll that is open may have been there for a while
-        before = len(self.discovery_server.requests)
-        await self.discovery_server.wait_until(lambda: len(self.discovery_server.requests) > before)
+            writer.transport.abort()  # the open poll may have waited for a while already
+        request_count = len(self.discovery_server.requests)
+        await self.discovery_server.wait_until(lambda: len(self.discovery_server.requests) > request_count)
         polled_at = loop.time()
         await self.discovery.go_silent()
-        self.discovery.silent = False  # as it is for the calls that come now
+        self.discovery.silent = False  # new requests are answered, the open poll is not
         self.discovery.set_endpoint("s-1", self.node.port, health="draining")
         await sleep_until(polled_at + self.WAIT_S + self.NOTIFICATION_S + 0.5)
-        client, before = await self.connect(wait_until_ready=False), len(self.node.requests)
+        client, request_count = await self.connect(wait_until_ready=False), len(self.node.requests)
         self.assertEqual((await client.request(X_Deadline_Ms="300")).status, 503)
-        self.assertEqual(len(self.node.requests), before)
+        self.assertEqual(len(self.node.requests), request_count)
--- a/tests/integration/test_extents_live.py
+++ b/tests/integration/test_extents_live.py
@@ -1,4 +1,4 @@
-"""The real program before nodes whose extents move: each hard case on the wire, and the drill."""
+"""The real program in front of nodes whose extents move: the hard cases, and the drill."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 from lemonridge.lab.standins.node import BLOCK, ExtentNode, Hold
 from lemonridge.lab.ticks import Ticks
 
-TEXT = """
+CONFIG = """
 [iscsi]
 listen = "127.0.0.1:0"
 target = "iqn.2026-12.org.lemonridge:store"
@@ -46,15 +46,21 @@
 endpoint = "127.0.0.1:{port}"
 prefix = "/t/"
 """
-MAP = '[[lun]]\nlun = 0\nplan = "standard"\nextents = "map"\n'
+MAPPED_LUN = '[[lun]]\nlun = 0\nplan = "standard"\nextents = "map"\n'
 GOOD, CHECK, BUSY = 0x00, 0x02, 0x08
 
 
 class ExtentCase(unittest.IsolatedAsyncioTestCase):
-    """Three nodes, one LUN of four extents of 16 blocks, laid out as 0, 1, 2, 0."""
+    """A program in front of three nodes with one LUN: four extents of 16 blocks on the nodes 0, 1, 2, 0.
+
+    Attributes:
+        extents: The table `extents` of the configuration.
+        luns: The tables `lun` of the configuration.
+        deadline_ms: The deadline and the latency objective of both classes.
+    """
 
     extents = ""
-    luns = MAP
+    luns = MAPPED_LUN
     deadline_ms = 1000
 
     async def asyncSetUp(self) -> None:
@@ -65,47 +71,53 @@
         for node in self.nodes:
             self.addCleanup(node.kill)
         self.mover = Mover(self.nodes, self.etcd, "/t/", ticks, Random(1))
-        self.mover.random = Scripted([self.nodes[n] for n in (0, 1, 2, 0)])  # type: ignore[assignment]
-        nodes = {f"/t/nodes/{one.name}": one.row() for one in self.nodes}
-        self.etcd.txn({**self.mover.lay(0, 4, 16), **nodes})
+        self.mover.random = ScriptedRandom([self.nodes[n] for n in (0, 1, 2, 0)])  # type: ignore[assignment]
+        node_entries = {f"/t/nodes/{node.name}": node.row() for node in self.nodes}
+        self.etcd.txn({**self.mover.lay(0, 4, 16), **node_entries})
         self.folder = tempfile.TemporaryDirectory()
         self.addCleanup(self.folder.cleanup)
         self.path = Path(self.folder.name) / "t.toml"
         await self.launch()
 
-    async def launch(self, wait: str = "map replaced") -> None:
+    async def launch(self, awaited_text: str = "map replaced") -> None:
+        """Starts the program, waits until it listens and has logged a text, and logs in an initiator."""
         extents = self.extents.format(folder=self.folder.name)
-        text = TEXT.format(port=self.etcd.port, deadline=self.deadline_ms)
+        text = CONFIG.format(port=self.etcd.port, deadline=self.deadline_ms)
         self.path.write_text(f"{text}{self.luns}[extents]\n{extents}\n")
         self.program = await Program().start("serve", "--config", str(self.path))
         self.addAsyncCleanup(self.program.stop, signal.SIGKILL)
-        waiting = {wait, "event=listening"}
-        while waiting:
+        missing = {awaited_text, "event=listening"}
+        while missing:
             text = await self.program.wait_for_line("event=")
             if "event=listening" in text:
                 self.port = int(text.rsplit(":", 1)[1])
-            waiting = {word for word in waiting if word not in text}
+            missing = {event for event in missing if event not in text}
         self.session = await Initiator(self.port).start()
         self.addCleanup(self.session.close)
 
     async def move(self, extent: int, to: int, publish: bool = True) -> None:
+        """Moves an extent to another node; without `publish` the source does not learn of it."""
         self.assertTrue(await self.mover.move((0, extent * 16), self.nodes[to], publish=publish))
 
-    async def write(self, ident: int, first: int, blocks: int) -> int:
-        data = b"".join(stamp(ident, first + place) for place in range(blocks))
+    async def write(self, write_id: int, first: int, blocks: int) -> int:
+        """Writes blocks stamped with `write_id`; returns the SCSI status."""
+        data = b"".join(stamp(write_id, first + offset) for offset in range(blocks))
         return (await self.session.write(first, data))[0]
 
     async def read(self, first: int, blocks: int) -> tuple[int, bytes]:
+        """Reads blocks; returns the SCSI status and the data."""
         return (await self.session.read(first, blocks * BLOCK))[:2]
 
-    def ran(self) -> list[tuple[str, int]]:
-        """Which node ran how many blocks, in order."""
-        lines = sorted((one for node in self.nodes for one in node.log), key=lambda one: one.tick)
-        return [(one.node, one.blocks) for one in lines]
+    def executed_blocks(self) -> list[tuple[str, int]]:
+        """Returns the node and the number of blocks of each executed command, in order."""
+        executions = sorted(
+            (execution for node in self.nodes for execution in node.log), key=lambda execution: execution.tick
+        )
+        return [(execution.node, execution.blocks) for execution in executions]
 
 
-class Scripted(Random):
-    """Chooses what it was given, in order."""
+class ScriptedRandom(Random):
+    """Returns the given choices in order."""
 
     def __init__(self, choices: list[Any]) -> None:
         super().__init__(0)
@@ -115,15 +127,15 @@
         return self._choices.pop(0)
 
 
-class Routing(ExtentCase):
-    async def test_a_command_over_extents_is_split_and_joined(self) -> None:
+class ExtentRouting(ExtentCase):
+    async def test_command_over_several_extents_is_split_and_joined(self) -> None:
         self.assertEqual(await self.write(7, 10, 50), GOOD)
-        self.assertEqual(self.ran(), [("n0", 6), ("n1", 16), ("n2", 16), ("n0", 12)])
-        want = b"".join(stamp(7, block) for block in range(10, 60))
-        self.assertEqual(await self.read(10, 50), (GOOD, want))
+        self.assertEqual(self.executed_blocks(), [("n0", 6), ("n1", 16), ("n2", 16), ("n0", 12)])
+        expected = b"".join(stamp(7, block) for block in range(10, 60))
+        self.assertEqual(await self.read(10, 50), (GOOD, expected))
         self.assertEqual(await self.read(0, 1), (GOOD, bytes(BLOCK)))
 
-    async def test_what_the_map_answers_itself(self) -> None:
+    async def test_commands_answered_from_the_map_reach_no_node(self) -> None:
         _, data, _ = await self.session.answer(self.session.command(b"\x25" + bytes(9), read=8))
         self.assertEqual(data, (63).to_bytes(4, "big") + (512).to_bytes(4, "big"))
         command = b"\x9e\x10" + bytes(8) + (32).to_bytes(4, "big")
@@ -135,32 +147,32 @@
         short = self.session.command(cdb(0x2A, 0, 4 * BLOCK), data=bytes(BLOCK))
         self.assertEqual((await self.session.answer(short))[0], CHECK)
         self.assertEqual((await self.session.answer(self.session.command(b"\x35" + bytes(9))))[0], GOOD)
-        self.assertEqual(self.ran(), [])
+        self.assertEqual(self.executed_blocks(), [])
 
-    async def test_a_move_that_the_map_has_not_heard_of_costs_one_redirect(self) -> None:
+    async def test_unpublished_move_costs_one_redirect(self) -> None:
         await self.move(1, 2, publish=False)
         self.assertEqual(await self.write(1, 16, 4), GOOD)
-        self.assertEqual(self.ran(), [("n2", 4)])
+        self.assertEqual(self.executed_blocks(), [("n2", 4)])
         counts = await self.program.counters()
         self.assertEqual((counts["redirects"], counts.get("refreshes", 0)), (1, 0))
 
-    async def test_an_extent_that_moves_twice_while_a_write_is_on_its_way(self) -> None:
-        """It goes away and comes back: the first node holds it again, under a version that is news."""
+    async def test_write_to_an_extent_that_moves_away_and_back_is_served(self) -> None:
+        """The first node holds the extent again, under a version that the map does not know."""
         await self.move(1, 2, publish=False)
         await self.move(1, 1, publish=False)
         self.assertEqual(await self.write(1, 16, 4), GOOD)
-        self.assertEqual((self.ran(), self.nodes[1].refused), ([("n1", 4)], 1))
+        self.assertEqual((self.executed_blocks(), self.nodes[1].refused), ([("n1", 4)], 1))
 
-    async def test_a_lost_refresh_is_asked_for_again_and_the_write_is_not_lost(self) -> None:
-        """The node knows nothing of where the extent went, and the watch has lost the change."""
+    async def test_write_is_served_after_a_refresh_though_the_watch_lost_the_move(self) -> None:
+        """The node does not know where the extent is, and the watch has lost the change."""
         self.etcd.mangle = lambda revision, events: []
         await self.move(1, 0)
         del self.nodes[1].gave[0, 16]
         self.assertEqual(await self.write(1, 16, 4), GOOD)
-        self.assertEqual(self.ran(), [("n0", 4)])
+        self.assertEqual(self.executed_blocks(), [("n0", 4)])
         self.assertEqual((await self.program.counters())["refreshes.news"], 1)
 
-    async def test_a_change_that_was_lost_shows_at_the_next_one(self) -> None:
+    async def test_lost_change_is_detected_at_the_next_change(self) -> None:
         self.etcd.mangle = lambda revision, events: []
         await self.move(1, 0)
         self.etcd.mangle = lambda revision, events: [(0.0, events), (0.0, events)]
@@ -170,23 +182,24 @@
         self.assertEqual(await self.read(16, 32), (GOOD, bytes(32 * BLOCK)))
         self.assertEqual(sum(node.refused for node in self.nodes), 0)
 
-    async def test_refused_and_failed_pieces_are_told_apart(self) -> None:
-        self.nodes[1].delay_s = lambda: 5.0  # a write that hangs there may run
+    async def test_write_with_a_hanging_piece_fails_and_starts_no_later_piece(self) -> None:
+        self.nodes[1].delay_s = lambda: 5.0  # past the deadline: the piece may run
         self.assertEqual(await self.write(1, 12, 30), CHECK)
         self.nodes[1].delay_s = lambda: 0.0
-        self.assertEqual([one for one in self.ran() if one[0] == "n2"], [])  # the later piece was not begun
+        self.assertEqual([entry for entry in self.executed_blocks() if entry[0] == "n2"], [])
 
-    async def test_a_fence_that_nobody_lifts_is_refused_and_never_ran(self) -> None:
+    async def test_write_to_a_fenced_extent_is_rejected_and_not_executed(self) -> None:
         self.nodes[1].holds[0, 16].fenced = True
         self.assertEqual(await self.write(1, 16, 4), BUSY)
-        self.assertEqual((self.ran(), await self.read(0, 4)), ([], (GOOD, bytes(4 * BLOCK))))
-        self.assertIn("routes.unconfirmed=1", " ".join(await self.lines()))
+        self.assertEqual((self.executed_blocks(), await self.read(0, 4)), ([], (GOOD, bytes(4 * BLOCK))))
+        self.assertIn("routes.unconfirmed=1", " ".join(await self.lines_with_counters()))
 
-    async def lines(self) -> list[str]:
+    async def lines_with_counters(self) -> list[str]:
+        """Returns the log after the program has written its counters."""
         await self.program.counters()
         return self.program.lines
 
-    async def test_what_waits_for_a_dead_shard_goes_on_when_its_extent_moves(self) -> None:
+    async def test_queued_read_of_a_removed_shard_is_served_after_its_extent_moves(self) -> None:
         self.etcd.delete("/t/nodes/n1")
         await self.program.wait_for_line("state=removed")
         tag = self.session.command(cdb(0x28, 16, BLOCK), read=BLOCK)
@@ -196,63 +209,65 @@
         self.assertEqual((await self.session.answer(tag))[0], GOOD)
         self.assertEqual((await self.program.counters())["redirects.queued"], 1)
 
-    async def test_a_write_of_which_one_piece_ran_is_failed_and_one_that_did_not_run_is_refused(self) -> None:
+    async def test_partly_executed_write_fails_and_unexecuted_write_is_rejected(self) -> None:
         self.nodes[1].kill()
-        self.assertEqual(await self.write(1, 12, 8), CHECK)  # n0 ran, n1 cannot
-        self.assertEqual(await self.write(2, 20, 20), BUSY)  # n1 comes first: nothing ran
+        self.assertEqual(await self.write(1, 12, 8), CHECK)  # n0 executed its piece, n1 cannot
+        self.assertEqual(await self.write(2, 20, 20), BUSY)  # n1 has the first piece: none was executed
         self.assertEqual((await self.read(12, 8))[0], BUSY)
-        self.assertEqual(self.ran()[0], ("n0", 4))
-        self.assertEqual([one.data for node in self.nodes for one in node.log if one.data][1:], [])
+        self.assertEqual(self.executed_blocks()[0], ("n0", 4))
+        self.assertEqual(
+            [execution.data for node in self.nodes for execution in node.log if execution.data][1:], []
+        )
 
-    async def test_a_volume_that_grows_is_told_to_its_initiators(self) -> None:
+    async def test_growth_of_a_volume_raises_a_unit_attention(self) -> None:
         key, node = (0, 64), self.nodes[2]
         node.take(key, Hold(16, 1), {})
         self.mover.owner[key] = node
         self.mover.publish([key])
         async with asyncio.timeout(10):
-            while (told := await self.session.read(0, BLOCK))[0] == GOOD:
+            while (response := await self.session.read(0, BLOCK))[0] == GOOD:
                 await asyncio.sleep(0.005)
-        self.assertEqual((told[0], told[2][2], told[2][12:14]), (CHECK, 0x06, b"\x2a\x09"))
+        self.assertEqual((response[0], response[2][2], response[2][12:14]), (CHECK, 0x06, b"\x2a\x09"))
         self.assertEqual(await self.read(60, 10), (GOOD, bytes(10 * BLOCK)))
 
-    async def test_a_node_that_checks_no_versions_gets_nothing(self) -> None:
-        other = self.nodes[1]
-        other.kill()
-        key, versions.KEY = versions.KEY, "X-org.lemonridge.Other"  # of the stand-in's side only
+    async def test_node_without_version_checks_receives_no_commands(self) -> None:
+        node = self.nodes[1]
+        node.kill()
+        key, versions.KEY = versions.KEY, "X-org.lemonridge.Other"  # only the stand-in node uses this name
         self.addCleanup(setattr, versions, "KEY", key)
-        await other.start()
-        self.etcd.put("/t/nodes/n1", other.row())
-        await self.program.wait_for_line(f":{other.port}/")
+        await node.start()
+        self.etcd.put("/t/nodes/n1", node.row())
+        await self.program.wait_for_line(f":{node.port}/")
         self.assertEqual(await self.write(1, 16, 4), BUSY)
-        self.assertEqual(other.begun, [])
+        self.assertEqual(node.begun, [])
 
 
-class Burst(ExtentCase):
+class StaleRequestBurst(ExtentCase):
     deadline_ms = 9000
 
-    async def test_a_thousand_stale_requests_cause_a_handful_of_refreshes(self) -> None:
-        """Nobody tells where the extent went until the source does."""
+    async def test_thousand_stale_requests_cause_at_most_three_refreshes(self) -> None:
+        """Neither the node nor the watch reports where the extent is; only a refresh from the source does."""
         self.etcd.mangle = lambda revision, events: []
         await self.move(1, 0)
         del self.nodes[1].gave[0, 16]
         tags = [self.session.command(cdb(0x28, 16, BLOCK), read=BLOCK) for _ in range(1000)]
-        ends = [(await self.session.answer(tag))[0] for tag in tags]
+        statuses = [(await self.session.answer(tag))[0] for tag in tags]
         counts = await self.program.counters()
-        self.assertEqual(set(ends), {GOOD})
+        self.assertEqual(set(statuses), {GOOD})
         self.assertLessEqual(counts["refreshes"], 3, counts)
         self.assertEqual(set(self.session.answers.values()), {1})
 
 
-class Aging(ExtentCase):
+class MapAge(ExtentCase):
     extents = "write_age_s = 1\nread_age_s = 2.2"
 
-    async def test_a_source_that_is_silent_for_long_stops_writes_then_reads(self) -> None:
+    async def test_silent_source_stops_writes_first_and_then_reads(self) -> None:
         self.assertEqual(await self.write(1, 0, 4), GOOD)
         self.etcd.silent = True
         for command in (lambda: self.write(2, 0, 4), lambda: self.read(0, 4)):
             async with asyncio.timeout(10):
-                while (end := await command()) not in (BUSY, (BUSY, b"")):
-                    self.assertIn(end, (GOOD, (GOOD, b"".join(stamp(2, n) for n in range(4)))))
+                while (response := await command()) not in (BUSY, (BUSY, b"")):
+                    self.assertIn(response, (GOOD, (GOOD, b"".join(stamp(2, n) for n in range(4)))))
                     await asyncio.sleep(0.01)
             if command is not None and await self.read(0, 1) == (BUSY, b""):
                 break
@@ -263,22 +278,22 @@
                 await asyncio.sleep(0.01)
 
 
-class Keeping(ExtentCase):
+class CachedMap(ExtentCase):
     extents = 'keep = "{folder}/map"\nkeep_age_s = 60'
 
-    async def again(self) -> None:
-        """Start anew while the source tells nodes and plans, and hangs with the map."""
+    async def restart_without_map(self) -> None:
+        """Restarts the program while the source sends nodes and plans but no map."""
         self.session.close()
         self.assertEqual(await self.program.stop(), 0)
         self.etcd.held = "/t/map/"
         await self.launch()
 
-    async def test_a_kept_map_serves_reads_and_no_writes_until_the_source_has_spoken(self) -> None:
+    async def test_cached_map_serves_reads_but_no_writes_until_the_source_responds(self) -> None:
         await self.move(1, 2)
-        self.assertEqual(await self.write(1, 0, 64), GOOD)  # by the node's word, whoever is first to tell
-        await self.program.wait_for_counter("map.applied")  # now by the source's too, which is what is kept
-        refused = self.nodes[1].refused  # one, where the write came before the source's word
-        await self.again()
+        self.assertEqual(await self.write(1, 0, 64), GOOD)  # by a redirect, if the source was slower
+        await self.program.wait_for_counter("map.applied")  # only the map of the source is cached
+        refused = self.nodes[1].refused  # 1 if the write came before the change from the source
+        await self.restart_without_map()
         self.assertEqual((await self.read(0, 64))[0], GOOD)
         self.assertEqual((self.nodes[1].refused - refused, await self.write(2, 0, 4)), (0, BUSY))
         self.etcd.held = ""
@@ -286,7 +301,7 @@
             while await self.write(2, 0, 4) != GOOD:
                 await asyncio.sleep(0.01)
 
-    async def test_a_damaged_map_is_not_used(self) -> None:
+    async def test_damaged_cached_map_is_not_used(self) -> None:
         self.session.close()
         self.assertEqual(await self.program.stop(), 0)
         for path in Path(self.folder.name, "map").glob("data.mdb"):
@@ -294,93 +309,95 @@
             record = (0).to_bytes(4, "big") + (16).to_bytes(8, "big") + (16).to_bytes(8, "big")
             self.assertGreaterEqual(raw.find(record), 0)
             path.write_bytes(raw.replace(record, record[:-1] + b"\x11"))
-        await self.launch(wait="cached map not used")
+        await self.launch(awaited_text="cached map not used")
         async with asyncio.timeout(10):
             while await self.write(2, 0, 64) != GOOD:
                 await asyncio.sleep(0.01)
 
-    async def test_a_file_that_is_no_store_is_put_aside(self) -> None:
+    async def test_corrupt_cache_file_is_set_aside(self) -> None:
         self.session.close()
         self.assertEqual(await self.program.stop(), 0)
         Path(self.folder.name, "map", "data.mdb").write_bytes(b"spoilt" * 4096)
-        await self.launch(wait="cached map corrupt")
+        await self.launch(awaited_text="cached map corrupt")
         async with asyncio.timeout(10):
             while await self.write(2, 0, 64) != GOOD:
                 await asyncio.sleep(0.01)
         self.assertTrue(Path(self.folder.name, "map", "data.mdb.spoilt").exists())
 
 
-class Standing(ExtentCase):
-    """A map that stands in the operator's file."""
+class MapInConfiguration(ExtentCase):
+    """A map in the operator's configuration file."""
 
     luns = '[[lun]]\nlun = 0\nplan = "standard"\n' + "".join(
         f"[[lun.extent]]\nfirst = {n * 16}\nblocks = 16\nshard = {n % 3}\nversion = 1\n" for n in range(4)
     )
 
-    async def launch(self, wait: str = "map replaced") -> None:
-        await super().launch(wait)
+    async def launch(self, awaited_text: str = "map replaced") -> None:
+        await super().launch(awaited_text)
 
-    async def test_it_serves_and_follows_the_nodes_word(self) -> None:
+    async def test_map_in_the_configuration_serves_and_follows_redirects(self) -> None:
         self.assertEqual(await self.write(1, 0, 64), GOOD)
         await self.move(1, 2, publish=False)
         self.assertEqual((await self.read(16, 4))[0], GOOD)
 
 
-class InFile(ExtentCase):
-    """A map in a file of its own."""
+class MapFile(ExtentCase):
+    """A map in a separate file."""
 
     extents = 'file = "{folder}/map.json"'
 
-    def put(self, version: int) -> None:
-        rows = [
+    def write_map_file(self, version: int) -> None:
+        """Replaces the map file by the nodes' current extents."""
+        extents = [
             (0, key[1], node.holds[key].length, node.shard, node.holds[key].version)
             for key, node in self.mover.owner.items()
         ]
-        made = Path(self.folder.name, "map.new")
-        made.write_bytes(msgspec.json.encode({"version": version, "extents": rows}))
-        made.rename(Path(self.folder.name, "map.json"))
+        new_file = Path(self.folder.name, "map.new")
+        new_file.write_bytes(msgspec.json.encode({"version": version, "extents": extents}))
+        new_file.rename(Path(self.folder.name, "map.json"))
 
-    async def launch(self, wait: str = "map replaced") -> None:
-        self.put(1)
-        await super().launch(wait)
+    async def launch(self, awaited_text: str = "map replaced") -> None:
+        self.write_map_file(1)
+        await super().launch(awaited_text)
 
-    async def test_it_is_followed_and_what_cannot_be_read_changes_nothing(self) -> None:
+    async def test_map_file_is_followed_and_invalid_files_change_nothing(self) -> None:
         self.assertEqual(await self.write(1, 0, 64), GOOD)
         await self.move(1, 2, publish=False)
-        self.put(2)
+        self.write_map_file(2)
         await self.program.wait_for_line("map replaced")
         self.assertEqual(await self.write(2, 0, 64), GOOD)
-        self.put(1)
+        self.write_map_file(1)
         await self.program.wait_for_line("map file is older")
         Path(self.folder.name, "map.json").write_text('{"version":9}')
         await self.program.wait_for_line("map file not read")
         self.assertEqual((await self.read(0, 64))[0], GOOD)
 
 
-class Drilling(unittest.IsolatedAsyncioTestCase):
-    async def test_the_drill_holds(self) -> None:
+class ExtentsDrill(unittest.IsolatedAsyncioTestCase):
+    async def test_drill_meets_every_rule(self) -> None:
         options = Options(11, seconds=4.0)
-        figures, found = await Drill(options).run()
-        self.assertTrue(held(figures, options), (figures, found.notes))
+        figures, findings = await Drill(options).run()
+        self.assertTrue(held(figures, options), (figures, findings.notes))
 
-    async def test_the_drill_can_fail(self) -> None:
-        """Without version checks in the nodes, writes land on nodes that gave the extent away."""
+    async def test_drill_without_version_checks_fails(self) -> None:
+        """Without version checks in the nodes, writes reach nodes that no longer hold the extent."""
         options = Options(12, seconds=4.0, move_every_s=0.1, checked=False)
         figures, _ = await Drill(options).run()
         self.assertGreater(figures["misdirected_writes"], 0)
         self.assertFalse(held(figures, options))
 
 
-class Versions(unittest.TestCase):
-    def test_what_is_packed_is_what_is_read(self) -> None:
+class VersionEncoding(unittest.TestCase):
+    def test_packed_versions_and_redirects_are_unpacked_unchanged(self) -> None:
         self.assertEqual(versions.unpack_ahs(versions.pack_ahs(5, 1 << 60)), (5, 1 << 60))
-        other = b"\x00\x05\x02\x00" + bytes(4)  # a segment of another type before it
-        self.assertEqual(versions.unpack_ahs(other + versions.pack_ahs(0, 9)), (0, 9))
-        self.assertIsNone(versions.unpack_ahs(other))
+        other_segment = b"\x00\x05\x02\x00" + bytes(4)  # an AHS segment of another type
+        self.assertEqual(versions.unpack_ahs(other_segment + versions.pack_ahs(0, 9)), (0, 9))
+        self.assertIsNone(versions.unpack_ahs(other_segment))
+
         with self.assertRaises(ValueError):
             versions.unpack_ahs(versions.pack_ahs(0, 9)[:-4])
-        for told in (Redirect(), Redirect(7, 3), Redirect(-1, 3), Redirect(0, -1)):
-            self.assertEqual(versions.unpack_moved(versions.pack_moved(told)), told)
+        for redirect in (Redirect(), Redirect(7, 3), Redirect(-1, 3), Redirect(0, -1)):
+            self.assertEqual(versions.unpack_moved(versions.pack_moved(redirect)), redirect)
         self.assertIsNone(versions.unpack_moved(b"\x72\x0b\x80\x02" + bytes(20)))
         self.assertIsNone(versions.unpack_moved(b""))
         self.assertEqual(versions.unpack_moved(versions.pack_moved(Redirect(7, 3))[:9]), Redirect())
--- a/tests/integration/test_fleet_live.py
+++ b/tests/integration/test_fleet_live.py
@@ -1,4 +1,4 @@
-"""Brokers as processes that share budgets, with faults between them: each hard case, and the drill."""
+"""Brokers as processes that share budgets, with faults between them: the hard cases, and the drill."""
 
 from __future__ import annotations
 
@@ -21,146 +21,190 @@
 
 SITE = Site()
 SHARDS = (0, 1)
-FULL = SITE.limit / 1.5  # requests a second that fill a limit
+LIMIT_RATE = SITE.limit / 1.5  # requests a second that use the limit completely
 
 
-def hot(where: Callable[[float], int], times: float = 5.0, volume: int = 1) -> VolumeTraffic:
-    return VolumeTraffic(volume, "basic", 3, SHARDS, lambda t: times * FULL, where)
+def overload_traffic(
+    broker_of: Callable[[float], int], factor: float = 5.0, volume: int = 1
+) -> VolumeTraffic:
+    """Returns traffic of `factor` times a volume's limit; `broker_of` maps the time to the broker."""
+    return VolumeTraffic(volume, "basic", 3, SHARDS, lambda t: factor * LIMIT_RATE, broker_of)
 
 
-async def play(
+async def run_fleet(
     seconds: float,
     traffic: list[VolumeTraffic],
     *faults: Fault,
     brokers: int = 3,
     module: Callable[[int], tuple[str, ...]] = lambda n: ("lemonridge",),
     peers: bool = True,
-    beside: Callable[[Rig], Awaitable[None]] | None = None,
+    extra_task: Callable[[Rig], Awaitable[None]] | None = None,
 ) -> tuple[Rig, Findings]:
+    """Runs brokers under load and checks the run.
+
+    Args:
+        seconds: How long the clients send requests.
+        traffic: The traffic of the clients.
+        faults: The faults during the run.
+        brokers: The number of brokers.
+        module: Maps the number of a broker to its module and arguments.
+        peers: Whether the brokers exchange messages.
+        extra_task: Runs beside the clients and the faults.
+
+    Returns:
+        The stopped rig and the findings of the checker.
+    """
     plan = Schedule(brokers=brokers, nodes=len(SHARDS), seconds=seconds, calm_s=seconds, fault=faults)
     async with standing(brokers, len(SHARDS), 1, SITE, peers, module) as rig:
-        clients = Clients([one.port for one in rig.brokers], 1, SITE.deadline_ms)
+        clients = Clients([broker.port for broker in rig.brokers], 1, SITE.deadline_ms)
         tasks = [clients.run(traffic, seconds), rig.play(plan)]
-        if beside is not None:
-            tasks.append(beside(rig))  # type: ignore[arg-type]
+        if extra_task is not None:
+            tasks.append(extra_task(rig))  # type: ignore[arg-type]
         await asyncio.gather(*tasks)
         await rig.stop()
     limit = Limit(SITE.limit, SITE.burst, SITE.slack)
-    found = check(
-        [one for node in rig.nodes for one in node.came],
+    findings = check(
+        [attempt for node in rig.nodes for attempt in node.came],
         clients.requests,
         {1: limit, 2: limit},
         None,
-        {one.number: one.discovery.told for one in rig.brokers},
-        {one.number: one.down for one in rig.brokers},
+        {broker.number: broker.discovery.told for broker in rig.brokers},
+        {broker.number: broker.down for broker in rig.brokers},
         sum(n.falls for n in rig.nodes),
         clients.surplus,
     )
-    return rig, found
+    return rig, findings
 
 
-async def both(*runs: Any) -> list[Any]:
-    """Two light ones side by side."""
+async def run_both(*runs: Any) -> list[Any]:
+    """Runs coroutines at the same time; two runs without much load do not disturb each other."""
     return await asyncio.gather(*runs)
 
 
-def share(rig: Rig, begin: float, end: float, volume: int = 1) -> float:
-    came = [one for node in rig.nodes for one in node.came]
-    return used_rate(came, volume, rig.begun + begin, rig.begun + end) / SITE.limit
+def used_limit_share(rig: Rig, begin: float, end: float, volume: int = 1) -> float:
+    """Returns the share of a volume's limit that was used between two times, in seconds of the run."""
+    attempts = [attempt for node in rig.nodes for attempt in node.came]
+    return used_rate(attempts, volume, rig.begun + begin, rig.begun + end) / SITE.limit
 
 
-class HardCases(unittest.TestCase):
-    """Three processes or more, and one thing that goes wrong."""
+class SharedBudgets(unittest.TestCase):
+    """Three or more brokers and one kind of fault."""
 
-    def test_without_messages_a_third_of_a_limit_is_used_and_with_them_nearly_all(self) -> None:
-        (even, one), (lent, other) = asyncio.run(
-            both(play(5.5, [hot(lambda t: 1)], peers=False), play(5.5, [hot(lambda t: 1)]))
+    def test_one_broker_uses_a_third_of_a_limit_without_messages_and_nearly_all_with_them(self) -> None:
+        (unshared, unshared_findings), (shared, shared_findings) = asyncio.run(
+            run_both(
+                run_fleet(5.5, [overload_traffic(lambda t: 1)], peers=False),
+                run_fleet(5.5, [overload_traffic(lambda t: 1)]),
+            )
+        )
+        self.assertTrue(
+            unshared_findings.passed and shared_findings.passed,
+            (unshared_findings.notes, shared_findings.notes),
         )
-        self.assertTrue(one.passed and other.passed, (one.notes, other.notes))
-        self.assertLess(share(even, 2.5, 5.5), 0.45)
-        self.assertGreater(share(lent, 2.5, 5.5), 0.85)
-
-    def test_a_grant_that_is_lost_on_a_one_way_cut_costs_its_lender_and_no_one_more(self) -> None:
-        cut = Fault(kind="one-way", at_s=0.0, for_s=5.0, brokers=(1, 2), to=(0,))  # the answers are lost
-        rig, found = asyncio.run(play(9.0, [hot(lambda t: 0)], cut))
-        self.assertTrue(found.passed, found.notes)
-        self.assertLess(share(rig, 2.5, 5.0), 0.45)  # its own third
-        self.assertGreater(share(rig, 7.0, 9.0), 0.85)
-
-    def test_messages_that_come_twice_late_and_spoilt_lend_nothing_twice(self) -> None:
+        self.assertLess(used_limit_share(unshared, 2.5, 5.5), 0.45)
+        self.assertGreater(used_limit_share(shared, 2.5, 5.5), 0.85)
+
+    def test_grants_lost_on_a_one_way_cut_cost_only_the_lender(self) -> None:
+        cut = Fault(kind="one-way", at_s=0.0, for_s=5.0, brokers=(1, 2), to=(0,))  # the grants are lost
+        rig, findings = asyncio.run(run_fleet(9.0, [overload_traffic(lambda t: 0)], cut))
+        self.assertTrue(findings.passed, findings.notes)
+        self.assertLess(used_limit_share(rig, 2.5, 5.0), 0.45)  # its own quota, a third
+        self.assertGreater(used_limit_share(rig, 7.0, 9.0), 0.85)
+
+    def test_duplicated_delayed_and_corrupt_messages_lend_nothing_twice(self) -> None:
         faults = [
             Fault(kind="double", at_s=0.0, for_s=7.5, brokers=(0, 1, 2), to=(0, 1, 2), share=1.0),
             Fault(kind="reorder", at_s=0.0, for_s=7.5, brokers=(0, 1, 2), to=(0, 1, 2), share=0.3),
             Fault(kind="corrupt", at_s=0.0, for_s=7.5, brokers=(0, 1, 2), to=(0, 1, 2), share=0.2),
             Fault(kind="delay", at_s=2.0, for_s=5.0, brokers=(0, 1, 2), to=(0, 1, 2), ms=(1.0, 300.0)),
         ]
-        rig, found = asyncio.run(play(7.5, [hot(lambda t: int(t) % 3), hot(lambda t: 1, volume=2)], *faults))
-        self.assertTrue(found.passed, found.notes)
-        self.assertGreater(share(rig, 4.0, 7.5, 2), 0.6)
-        faults = [
-            sum(one.counts[-1].get(f"fleet.not_taken.{name}", 0) for one in rig.brokers)
+        rig, findings = asyncio.run(
+            run_fleet(
+                7.5,
+                [overload_traffic(lambda t: int(t) % 3), overload_traffic(lambda t: 1, volume=2)],
+                *faults,
+            )
+        )
+        self.assertTrue(findings.passed, findings.notes)
+        self.assertGreater(used_limit_share(rig, 4.0, 7.5, 2), 0.6)
+        dropped = [
+            sum(broker.counts[-1].get(f"fleet.not_taken.{name}", 0) for broker in rig.brokers)
             for name in ("replayed", "checksum")
         ]
-        self.assertTrue(all(faults), faults)
+        self.assertTrue(all(dropped), dropped)
 
-    def test_a_broker_that_goes_on_after_five_seconds_of_stop_has_its_own_part_alone(self) -> None:
+    def test_broker_resumed_after_five_seconds_uses_only_its_own_quota(self) -> None:
         stop = Fault(kind="stop", at_s=3.0, for_s=5.0, brokers=(0,))
-        # Demand at 0 alone, which borrows; once it is stopped, at the lenders, which have their parts back.
-        rig, found = asyncio.run(
-            play(
+        # Only broker 0 has demand at first and borrows. Once it is stopped, the lenders have the demand and
+        # their own quotas back.
+        rig, findings = asyncio.run(
+            run_fleet(
                 10.0,
-                [hot(lambda t: 0 if t < 3.2 else 1 + int(t * 1000) % 2), hot(lambda t: 0, volume=2)],
+                [
+                    overload_traffic(lambda t: 0 if t < 3.2 else 1 + int(t * 1000) % 2),
+                    overload_traffic(lambda t: 0, volume=2),
+                ],
                 stop,
             )
         )
-        self.assertTrue(found.passed, found.notes)
-        self.assertGreater(share(rig, 5.0, 8.0), 0.6)  # 1 and 2 use theirs while it is stopped
+        self.assertTrue(findings.passed, findings.notes)
+        self.assertGreater(used_limit_share(rig, 5.0, 8.0), 0.6)  # 1 and 2 use their quotas meanwhile
         self.assertEqual(rig.brokers[0].counts[-1].get("loop.stopped"), 1)
 
-    def test_clocks_that_are_off_by_the_stated_error_and_by_ten_times_that_pass_no_limit(self) -> None:
-        rig, found = asyncio.run(
-            play(
+    def test_clock_errors_up_to_ten_times_the_stated_error_exceed_no_limit(self) -> None:
+        rig, findings = asyncio.run(
+            run_fleet(
                 7.0,
-                [hot(lambda t: 1 if t < 4 else int(t * 2) % 3)],
+                [overload_traffic(lambda t: 1 if t < 4 else int(t * 2) % 3)],
                 module=lambda n: ("lemonridge.cli.mutant", f"clock={(0, 50, -500)[n]}"),
             )
         )
-        self.assertTrue(found.passed, found.notes)
-        self.assertGreater(share(rig, 2.8, 4.0), 0.8)
+        self.assertTrue(findings.passed, findings.notes)
+        self.assertGreater(used_limit_share(rig, 2.8, 4.0), 0.8)
 
-    def test_a_tier_of_twelve_that_starts_at_once_spends_little_and_suspects_no_one(self) -> None:
-        async def look(rig: Rig) -> None:
+    def test_twelve_brokers_started_together_send_little_and_suspect_nobody(self) -> None:
+        async def check_members(rig: Rig) -> None:
             await asyncio.sleep(1.0)
             bytes_s = rig.network.bytes / 12 / max(1.0, rig.now())
             self.assertLess(bytes_s, 600)
             await asyncio.sleep(6.0)
-            told, silent = await views(Address("127.0.0.1", one.admin) for one in rig.brokers)
-            self.assertEqual((len(told), silent), (12, []))
-            states = [m["state"] for view in told for m in view["members"]]  # type: ignore[attr-defined]
+            member_views, silent = await views(Address("127.0.0.1", broker.admin) for broker in rig.brokers)
+            self.assertEqual((len(member_views), silent), (12, []))
+            states = [m["state"] for view in member_views for m in view["members"]]  # type: ignore[attr-defined]
             self.assertFalse({"suspect", "dead"} & set(states), states)
             self.assertGreater(states.count("up"), 12 * 11 * 0.7)
 
-        asyncio.run(play(8.0, [], brokers=12, beside=look))
+        asyncio.run(run_fleet(8.0, [], brokers=12, extra_task=check_members))
 
-    def test_a_rogue_sender_changes_nothing_and_is_counted(self) -> None:
-        async def attack(rig: Rig) -> None:
+    def test_datagrams_of_a_rogue_sender_are_counted_and_change_nothing(self) -> None:
+        async def send_rogue_datagrams(rig: Rig) -> None:
             await asyncio.sleep(2.0)
             fingerprint = MemberList(("0", "1", "2"), 0).fingerprint
             import time
 
             now = time.time_ns() // 1_000_000
-            told = encode(
+            datagram = encode(
                 DatagramHeader(1, MemberState.UP, now + 10**9, 9, 1, now),
                 [LoanRequest(1, 1, 3, 5, 900_000, 1500), LoanGrant(1, 1, 1, 900_000, 1), Ping(1, 0)],
                 fingerprint,
             )
             with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as rogue:
                 to = ("127.0.0.1", rig.network.ports[0])
-                for data in (told, told[:20], b"\xb0" * 60, told, told[:4] + b"\xb0" + told[5:]):
+                for data in (
+                    datagram,
+                    datagram[:20],
+                    b"\xb0" * 60,
+                    datagram,
+                    datagram[:4] + b"\xb0" + datagram[5:],
+                ):
                     rogue.sendto(data, to)
-            for cut in (told[:-3], told[:4] + b"\xb0" + told[5:], told[:-1] + bytes((told[-1] ^ 1,))):
-                rig.network._pass_on(1, 0, cut)  # from where a member is
-            rig.network._pass_on(2, 0, told)  # one member in the name of another
+            for data in (
+                datagram[:-3],
+                datagram[:4] + b"\xb0" + datagram[5:],
+                datagram[:-1] + bytes((datagram[-1] ^ 1,)),
+            ):
+                rig.network._pass_on(1, 0, data)  # from the address of the member that it names
+            rig.network._pass_on(2, 0, datagram)  # from the address of another member
             await asyncio.sleep(0.5)
             view = (await views([Address("127.0.0.1", rig.brokers[0].admin)]))[0][0]
             member = view["members"][0]  # type: ignore[index]
@@ -174,62 +218,75 @@
                 [6, 1, 2],
             )
 
-        rig, found = asyncio.run(play(5.0, [hot(lambda t: 1)], beside=attack))
-        self.assertTrue(found.passed, found.notes)
+        rig, findings = asyncio.run(
+            run_fleet(5.0, [overload_traffic(lambda t: 1)], extra_task=send_rogue_datagrams)
+        )
+        self.assertTrue(findings.passed, findings.notes)
+
+    def test_cold_node_receives_more_from_the_broker_with_demand_and_does_not_fail(self) -> None:
+        unshared, shared = asyncio.run(run_both(fleet_cold.once(3, False), fleet_cold.once(3, True)))
+        self.assertEqual(unshared["falls"] + shared["falls"], 0)
+        self.assertGreater(shared["sent"], 1.3 * unshared["sent"], (unshared, shared))
 
-    def test_a_cold_node_is_sent_more_where_the_demand_has_moved_and_does_not_fall(self) -> None:
-        even, lent = asyncio.run(both(fleet_cold.once(3, False), fleet_cold.once(3, True)))
-        self.assertEqual(even["falls"] + lent["falls"], 0)
-        self.assertGreater(lent["sent"], 1.3 * even["sent"], (even, lent))
+    def test_dead_node_is_known_to_all_brokers_after_two_report_it(self) -> None:
+        """Two brokers find the node dead first; each of the others makes only one connect to it.
 
-    def test_a_node_that_died_is_known_to_all_by_what_two_have_seen(self) -> None:
-        """Two brokers meet the dead node first; each of the others has one try there, and no more."""
+        The same run without messages between the brokers is the control.
+        """
         dead = Fault(kind="node-death", at_s=2.0, for_s=1.0, nodes=(0,))
-        witnesses = [
+        reporting = [
             VolumeTraffic(100 + n, "priority", 1, (0,), lambda t: 12.0, lambda t, n=n: n) for n in range(2)
         ]
-        # After the witnesses' reports, and less before the node's return than the pause between tries.
-        bursts = [
+        # After the reports of the first two brokers, and nearer to the node's return than the retry interval.
+        burst_traffic = [
             VolumeTraffic(
                 100 + n, "priority", 1, (0,), lambda t: 100.0 if 2.75 < t < 2.87 else 0.0, lambda t, n=n: n
             )
             for n in range(2, 5)
         ]
         runs = asyncio.run(
-            both(*(play(4.5, witnesses + bursts, dead, brokers=5, peers=one) for one in (False, True)))
+            run_both(
+                *(
+                    run_fleet(4.5, reporting + burst_traffic, dead, brokers=5, peers=peers)
+                    for peers in (False, True)
+                )
+            )
         )
-        for rig, found in runs:
-            self.assertEqual((found.unanswered, found.late_sends), (0, 0), found.notes)
-            taken = [one.counts[-1].get("requests.taken", 0) for one in rig.brokers[2:]]
-            self.assertGreater(min(taken), 1, taken)
-        alone, told = (
-            [one.counts[-1].get("attempts.connect_failed", 0) for one in rig.brokers[2:]] for rig, _ in runs
+        for rig, findings in runs:
+            self.assertEqual((findings.unanswered, findings.late_sends), (0, 0), findings.notes)
+            requests = [broker.counts[-1].get("requests.taken", 0) for broker in rig.brokers[2:]]
+            self.assertGreater(min(requests), 1, requests)
+        without_reports, with_reports = (
+            [broker.counts[-1].get("attempts.connect_failed", 0) for broker in rig.brokers[2:]]
+            for rig, _ in runs
         )
-        agreed = [one.counts[-1].get("fleet.judgements.agreed", 0) for one in runs[1][0].brokers[2:]]
-        self.assertGreaterEqual(min(agreed), 1, agreed)
-        self.assertEqual(told, [1, 1, 1], alone)
-        self.assertGreaterEqual(min(alone), 1, alone)
+        agreed_judgements = [
+            broker.counts[-1].get("fleet.judgements.agreed", 0) for broker in runs[1][0].brokers[2:]
+        ]
+        self.assertGreaterEqual(min(agreed_judgements), 1, agreed_judgements)
+        self.assertEqual(with_reports, [1, 1, 1], without_reports)
+        self.assertGreaterEqual(min(without_reports), 1, without_reports)
 
 
-class Planted(unittest.TestCase):
-    """The checker finds what is broken, on processes."""
+class PlantedFaults(unittest.TestCase):
+    """The checker detects faults planted in the brokers."""
 
-    def test_a_loan_whose_end_is_not_kept_passes_a_limit(self) -> None:
-        """All demand is at one broker, which borrows; then links are cut, and it is at all brokers."""
+    def test_loan_that_is_never_returned_exceeds_a_limit(self) -> None:
+        """Only one broker has demand and borrows; then the links are cut and all brokers have demand."""
         cut = Fault(kind="cut", at_s=4.0, for_s=5.0, brokers=(0, 1, 2), to=(0, 1, 2))
-        demand = [hot(lambda t: 0 if t < 4.0 else int(t * 1000) % 3)]
+        demand = [overload_traffic(lambda t: 0 if t < 4.0 else int(t * 1000) % 3)]
         mutant = ("lemonridge.cli.mutant", "fleet-fault=keeps-for-ever")
-        (sound, held), (_, broken) = asyncio.run(
-            both(play(9.0, demand, cut), play(9.0, demand, cut, module=lambda n: mutant))
+        (correct_rig, correct), (_, faulty) = asyncio.run(
+            run_both(run_fleet(9.0, demand, cut), run_fleet(9.0, demand, cut, module=lambda n: mutant))
         )
-        self.assertGreater(share(sound, 2.5, 4.0), 0.85)
-        self.assertTrue(held.passed, held.notes)
-        self.assertGreater(broken.limit_excess, 0)
+        self.assertGreater(used_limit_share(correct_rig, 2.5, 4.0), 0.85)
+        self.assertTrue(correct.passed, correct.notes)
+        self.assertGreater(faulty.limit_excess, 0)
 
 
-class Drilled(unittest.TestCase):
-    """The drill, in short, on a fixed seed."""
+class FleetDrill(unittest.TestCase):
+    """A short drill with a fixed seed."""
 
-    def test_every_rule_holds(self) -> None:
-        figures, found, _ = asyncio.run(drill.run(drill.Options(11, 16.0)))
-        self.assertTrue(drill.held(figures, found), (figures, found.notes))
+    def test_drill_meets_every_rule(self) -> None:
+        figures, findings, _ = asyncio.run(drill.run(drill.Options(11, 16.0)))
+        self.assertTrue(drill.held(figures, findings), (figures, findings.notes))
--- a/tests/integration/test_fleet_members.py
+++ b/tests/integration/test_fleet_members.py
@@ -1,4 +1,4 @@
-"""Three brokers whose fleet operators configure."""
+"""Three brokers of a fleet that is configured by operators' files."""
 
 from __future__ import annotations
 
@@ -14,21 +14,22 @@
 from lemonridge.net.admin_client import CallError, call, views
 
 
-class OnProcesses(unittest.TestCase):
-    """Three brokers by files of operators, of which one has another secret."""
+class FleetMembers(unittest.TestCase):
+    """Three brokers, one of which has a different secret."""
 
-    def test_members_are_shown_and_who_has_no_secret_is_not_believed(self) -> None:
-        told, lines = asyncio.run(self.play())
-        states = {view["name"]: {m["name"]: m["state"] for m in view["members"]} for view in told}
+    def test_members_are_reported_and_datagrams_with_another_secret_are_dropped(self) -> None:
+        member_views, table = asyncio.run(self.run_fleet())
+        states = {view["name"]: {m["name"]: m["state"] for m in view["members"]} for view in member_views}
         self.assertEqual(states["b0"], {"b1": "up", "b2": "absent"})
         self.assertEqual(states["b2"], {"b0": "absent", "b1": "absent"})
-        self.assertGreater(told[0]["counters"]["not_taken.forged"], 0)
-        self.assertFalse(all_members_up(told))
-        self.assertEqual([m["lost"] for m in told[0]["members"]], [0.0, None])
-        self.assertIn("seen by", lines)
-        self.assertRegex(lines, r"further +0+ +\d\.\d\d +b0=0\.33")
-
-    async def play(self) -> tuple[list[dict], str]:
+        self.assertGreater(member_views[0]["counters"]["not_taken.forged"], 0)
+        self.assertFalse(all_members_up(member_views))
+        self.assertEqual([m["lost"] for m in member_views[0]["members"]], [0.0, None])
+        self.assertIn("seen by", table)
+        self.assertRegex(table, r"further +0+ +\d\.\d\d +b0=0\.33")
+
+    async def run_fleet(self) -> tuple[list[dict], str]:
+        """Returns the views of the three brokers and their table."""
         with tempfile.TemporaryDirectory() as name:
             folder = Path(name)
             rig = Rig(folder, 3, 1, 1, Site(further=5.0), True)
@@ -36,7 +37,7 @@
                 (folder / f"key{n}").write_text(secret)
                 (folder / f"key{n}").chmod(0o600)
 
-            class Filed(Broker):
+            class BrokerWithSecret(Broker):
                 async def start(self) -> None:
                     path = Path(self.arguments[1])
                     path.write_text(
@@ -44,16 +45,16 @@
                     )
                     await super().start()
 
-            with mock.patch("lemonridge.lab.rig.Broker", Filed):
+            with mock.patch("lemonridge.lab.rig.Broker", BrokerWithSecret):
                 try:
                     await rig.start(lambda n: ("lemonridge",))
                     await asyncio.sleep(4.0)
-                    addresses = [Address("127.0.0.1", one.admin) for one in rig.brokers]
-                    good, bad = await views([*addresses, Address("127.0.0.1", 1)])
-                    self.assertEqual((len(good), len(bad)), (3, 1))
+                    addresses = [Address("127.0.0.1", broker.admin) for broker in rig.brokers]
+                    member_views, unreachable = await views([*addresses, Address("127.0.0.1", 1)])
+                    self.assertEqual((len(member_views), len(unreachable)), (3, 1))
                     with self.assertRaises(CallError):
                         await call(addresses[0], "fleeet")
                     await rig.stop()
                 finally:
                     await rig.clear()
-        return good, format_table(good)  # type: ignore[return-value]
+        return member_views, format_table(member_views)  # type: ignore[return-value]
--- a/tests/integration/test_iscsi.py
+++ b/tests/integration/test_iscsi.py
@@ -1,4 +1,4 @@
-"""The iSCSI front as a process, between initiators and targets."""
+"""The iSCSI front as a process between initiators and targets."""
 
 from __future__ import annotations
 
@@ -11,24 +11,24 @@
 
 from lemonridge.iscsi.pdu import FINAL, NONE, Op, Pdu, pack_text, unpack_text
 
-DATA = bytes(range(256)) * 160  # 40 KiB: immediate data, and several bursts and PDUs
+DATA = bytes(range(256)) * 160  # 40 KiB: immediate data, several bursts and several PDUs
 
 
-class Carrying(IscsiCase):
-    async def test_a_write_and_a_read_in_many_pdus(self) -> None:
+class Commands(IscsiCase):
+    async def test_write_and_read_in_many_pdus(self) -> None:
         session = await self.open_session()
         self.assertEqual((await session.write(7, DATA))[0], 0)
         self.assertEqual(self.target.blocks[7], DATA)
         self.assertEqual((await session.read(7, len(DATA)))[:2], (0, DATA))
 
-    async def test_pipelined_commands_each_get_one_answer(self) -> None:
+    async def test_each_pipelined_command_gets_one_response(self) -> None:
         session = await self.open_session()
         tags = [session.command(cdb(0x28, block, 512), read=512) for block in range(20)]
         answers = await asyncio.gather(*(session.answer(tag) for tag in tags))
         self.assertEqual({status for status, _, _ in answers}, {0})
         self.assertEqual(session.answers, {tag: 1 for tag in tags})
 
-    async def test_pdus_split_at_every_byte(self) -> None:
+    async def test_pdus_split_at_every_byte_are_answered(self) -> None:
         session = await Initiator(self.port).open()
         await session.login()
         words = struct.unpack(">4I", cdb(0x28, 3, 512).ljust(16, b"\0"))
@@ -36,29 +36,29 @@
         text = read.encode() + Pdu(Op.NOP_OUT, tag=2, words=[NONE, 1, 0, 0, 0, 0, 0], data=b"ping!").encode()
         session.receiver = asyncio.create_task(session._receive())
         session.waiting[1] = (asyncio.get_running_loop().create_future(), bytearray(), b"")
-        for at in range(len(text)):
-            session.writer.write(text[at : at + 1])
+        for offset in range(len(text)):
+            session.writer.write(text[offset : offset + 1])
             await session.writer.drain()
             await asyncio.sleep(0)
         self.assertEqual((await session.answer(1))[0], 0)
         self.assertEqual((await session.other.get()).data, b"ping!")
 
-    async def test_what_the_front_answers_itself(self) -> None:
+    async def test_commands_answered_by_the_front_reach_no_target(self) -> None:
         session = await self.open_session()
         status, data, _ = await session.answer(session.command(b"\xa0" + bytes(5) + b"\0\0\1\0", read=256))
         self.assertEqual((status, data), (0, b"\0\0\0\x10" + bytes(4) + bytes(8) + b"\0\1" + bytes(6)))
         absent = await session.answer(session.command(b"\x12\0\0\0\x24", read=36, lun=9))
         self.assertEqual(absent[1][:1], b"\x7f")
-        for bytes_, lun, read, sense in (
+        for command, lun, read, expected_sense in (
             (b"\x28", 9, 512, b"\x05\x25"),
             (b"\xff", 0, 0, b"\x05\x20"),
             (b"\x28", 0, 1 << 20, b"\x05\x24"),
         ):
-            status, _, told = await session.answer(session.command(bytes_, read=read, lun=lun))
-            self.assertEqual((status, told[2:3] + told[12:13]), (2, sense))
+            status, _, sense = await session.answer(session.command(command, read=read, lun=lun))
+            self.assertEqual((status, sense[2:3] + sense[12:13]), (2, expected_sense))
         self.assertEqual(self.target.started_commands, [])
 
-    async def test_refused_is_busy_and_failed_is_check_condition(self) -> None:
+    async def test_rejected_command_is_busy_and_failed_command_is_check_condition(self) -> None:
         session = await self.open_session()
         self.target.status = 0x08
         self.assertEqual((await session.write(1, DATA))[0], 0x08)
@@ -67,22 +67,22 @@
         self.assertEqual((status, sense[2:3] + sense[12:13]), (2, b"\x04\x08"))
         self.assertEqual([block for _, block, _ in self.target.started_commands], [2])
 
-    async def test_a_target_that_vanishes_with_commands_in_flight(self) -> None:
-        """A write that may have run is never sent again; a read is."""
+    async def test_reads_but_not_writes_are_sent_again_after_a_target_fails(self) -> None:
+        """The target is killed while it executes a write and a read; the write may have run."""
         session = await self.open_session()
         self.target.delay_s = 9.0
         write = session.command(cdb(0x2A, 5, 512), data=bytes(512))
         read = session.command(cdb(0x28, 6, 512), read=512)
         while len(self.target.started_commands) < 2:
             await asyncio.sleep(0)
-        after = await Target().start()
+        new_target = await Target().start()
         self.target.kill()
-        self.etcd.put("/lr/nodes/n1", after.node_entry(0))
+        self.etcd.put("/lr/nodes/n1", new_target.node_entry(0))
         self.assertEqual((await session.answer(write))[0], 2)
         self.assertEqual((await session.answer(read))[0], 0)
-        self.assertEqual([block for _, block, _ in after.started_commands], [6])
+        self.assertEqual([block for _, block, _ in new_target.started_commands], [6])
 
-    async def test_aborts(self) -> None:
+    async def test_task_management_functions_get_their_responses(self) -> None:
         session = await self.open_session()
         self.target.delay_s = 0.2
         tag = session.command(cdb(0x28, 5, 512), read=512)
@@ -107,22 +107,24 @@
             answer = await session.other.get()
             self.assertEqual((answer.opcode, answer.byte2), (Op.TASK_MANAGEMENT_RESPONSE, response))
         self.target.delay_s = 0.0
-        status, _, sense = await session.read(6, 512)  # the reset is told first
+        status, _, sense = await session.read(6, 512)  # the unit attention of the reset comes first
         self.assertEqual((status, sense[2], sense[12:14]), (2, 0x06, b"\x29\x03"))
         self.assertEqual((await session.read(6, 512))[0], 0)
         self.assertNotIn(tag, session.answers)
 
-    async def test_beyond_the_bound_on_buffers_is_task_set_full(self) -> None:
+    async def test_commands_beyond_the_buffer_limit_get_task_set_full(self) -> None:
         self.target.delay_s = 9.0
         sessions = [await self.open_session() for _ in range(7)]
         tags = [
-            (one, one.command(cdb(0x28, n, 1 << 18), read=1 << 18)) for one in sessions for n in range(30)
+            (session, session.command(cdb(0x28, n, 1 << 18), read=1 << 18))
+            for session in sessions
+            for n in range(30)
         ]
-        done = await asyncio.gather(*(one.answer(tag) for one, tag in tags))
-        self.assertIn(0x28, {status for status, _, _ in done})
+        responses = await asyncio.gather(*(session.answer(tag) for session, tag in tags))
+        self.assertIn(0x28, {status for status, _, _ in responses})
         self.assertLess(len(self.target.started_commands), 193)
 
-    async def test_discovery_session_text_and_logout(self) -> None:
+    async def test_discovery_session_lists_the_target_and_logs_out(self) -> None:
         session = await Initiator(self.port).open()
         await session.login(SessionType="Discovery", TargetName=None)
         session.receiver = asyncio.create_task(session._receive())
@@ -134,9 +136,9 @@
                 words=[NONE, 0, 0, 0, 0, 0, 0],
             )
         )
-        told = unpack_text((await session.other.get()).data)
+        keys = unpack_text((await session.other.get()).data)
         self.assertEqual(
-            told,
+            keys,
             {
                 "TargetName": "iqn.2026-12.org.lemonridge:store",
                 "TargetAddress": f"127.0.0.1:{self.port},1",
@@ -147,15 +149,15 @@
         self.assertEqual((await session.other.get()).byte2, 2)
         session.send(Pdu(Op.LOGOUT, FINAL, tag=6))
         self.assertEqual((await session.other.get()).byte2, 0)
-        self.assertEqual((await session.other.get()).opcode, Op.ASYNC)  # the end of the connection
+        self.assertEqual((await session.other.get()).opcode, Op.ASYNC)  # announces the end of the connection
 
-    async def test_logins_that_are_refused(self) -> None:
-        full = FINAL | 1 << 2 | 3
+    async def test_invalid_logins_are_rejected_and_valid_keys_are_negotiated(self) -> None:
+        operational_to_full = FINAL | 1 << 2 | 3
         for flags, keys, status in (
-            (full, {"InitiatorName": None}, 0x0207),
-            (full, {"TargetName": None}, 0x0207),
-            (full, {"TargetName": "iqn.2026-12.org.lemonridge:other"}, 0x0203),
-            (full, {"SessionType": "Odd"}, 0x0209),
+            (operational_to_full, {"InitiatorName": None}, 0x0207),
+            (operational_to_full, {"TargetName": None}, 0x0207),
+            (operational_to_full, {"TargetName": "iqn.2026-12.org.lemonridge:other"}, 0x0203),
+            (operational_to_full, {"SessionType": "Odd"}, 0x0209),
             (FINAL | 1, {"AuthMethod": "CHAP"}, 0x0201),
             (FINAL | 2 << 2 | 3, {}, 0x020B),
             (FINAL | 1 << 2 | 1, {}, 0x020B),
@@ -165,13 +167,15 @@
                 self.assertEqual((await session.login(flags, **keys)).words[4] >> 16, status)
                 self.assertEqual(await session.reader.read(), b"")
         session = await Initiator(self.port).open()
-        first = await session.login(FINAL | 1, AuthMethod="CHAP,None")
-        self.assertEqual((first.words[4], unpack_text(first.data)["AuthMethod"]), (0, "None"))
-        names = dict.fromkeys(("InitiatorName", "TargetName", "SessionType", "MaxRecvDataSegmentLength"))
-        agreed = unpack_text(
+        response = await session.login(FINAL | 1, AuthMethod="CHAP,None")
+        self.assertEqual((response.words[4], unpack_text(response.data)["AuthMethod"]), (0, "None"))
+        omitted_keys = dict.fromkeys(
+            ("InitiatorName", "TargetName", "SessionType", "MaxRecvDataSegmentLength")
+        )
+        negotiated = unpack_text(
             (
                 await session.login(
-                    **names,
+                    **omitted_keys,
                     HeaderDigest="CRC32C,None",
                     MaxConnections="8",
                     X="1",
@@ -181,10 +185,10 @@
             ).data
         )
         self.assertEqual(
-            [agreed[key] for key in ("HeaderDigest", "MaxConnections", "X", "MaxBurstLength")],
+            [negotiated[key] for key in ("HeaderDigest", "MaxConnections", "X", "MaxBurstLength")],
             ["CRC32C", "4", "NotUnderstood", "4096"],
         )
-        self.assertEqual(agreed["FirstBurstLength"], "Reject")
+        self.assertEqual(negotiated["FirstBurstLength"], "Reject")
 
     async def test_malformed_pdus_are_rejected_and_end_the_session(self) -> None:
         for pdu, reason in (
@@ -205,7 +209,7 @@
         session.writer.write(struct.pack(">BBBBI", 0, 0x80, 0, 0, 0xFFFFFF) + bytes(40))
         self.assertEqual((await session.other.get()).byte2, 0x04)
 
-    async def test_the_bytes_of_a_response_are_the_rfcs(self) -> None:
+    async def test_response_has_the_bytes_that_the_rfc_requires(self) -> None:
         session = await Initiator(self.port).open()
         await session.login()
         session.writer.write(
@@ -222,21 +226,21 @@
             ),
         )
 
-    async def test_sigterm_asks_for_logout_and_finishes_what_is_held(self) -> None:
+    async def test_sigterm_requests_a_logout_and_finishes_running_commands(self) -> None:
         session = await self.open_session()
         self.target.delay_s = 0.9
         tag = session.command(cdb(0x28, 5, 512), read=512)
         while not self.target.started_commands:
             await asyncio.sleep(0)
         self.program.process.send_signal(signal.SIGTERM)
-        told = await session.other.get()
-        self.assertEqual((told.opcode, told.words[4] >> 24), (Op.ASYNC, 1))
+        message = await session.other.get()
+        self.assertEqual((message.opcode, message.words[4] >> 24), (Op.ASYNC, 1))
         self.assertEqual((await session.answer(tag))[0], 0)
         self.assertEqual(await self.program.stop(signal.SIGCONT), 0)
 
-    async def test_a_target_that_breaks_the_protocol_loses_its_session(self) -> None:
+    async def test_session_of_a_target_that_violates_the_protocol_is_closed(self) -> None:
         session = await self.open_session()
-        for count, odd in enumerate(
+        for count, invalid_pdu in enumerate(
             (
                 Pdu(Op.R2T, words=[7, 0, 0, 0, 0, 1 << 20, 512]),
                 Pdu(Op.R2T, words=[7, 0, 0, 0, 0, 0, 1 << 20]),
@@ -245,13 +249,13 @@
             ),
             1,
         ):
-            with self.subTest(odd=odd):
-                self.target.injected_pdus = [odd]
+            with self.subTest(invalid_pdu=invalid_pdu):
+                self.target.injected_pdus = [invalid_pdu]
                 self.assertEqual((await session.write(count, DATA))[0], 2)
                 self.assertEqual((await session.write(count + 10, DATA))[0], 0)
                 self.assertEqual(len(self.target.started_commands), count * 2)
 
-    async def test_a_ping_is_answered_and_a_target_that_asks_for_it_gets_a_logout(self) -> None:
+    async def test_target_gets_a_response_to_its_nop_in_and_the_logout_that_it_requests(self) -> None:
         session = await self.open_session()
         self.target.injected_pdus = [
             Pdu(Op.NOP_IN, words=[5, 0, 0, 0, 0, 0, 0], data=b"ping"),
@@ -259,13 +263,15 @@
         ]
         for block in (1, 2, 3):
             self.assertEqual((await session.read(block, 512))[0], 0)
-        self.assertEqual([(pong.words[0], pong.data) for pong in self.target.nop_outs], [(5, b"ping")])
+        self.assertEqual(
+            [(nop_out.words[0], nop_out.data) for nop_out in self.target.nop_outs], [(5, b"ping")]
+        )
         self.assertEqual(self.target.logouts, 1)
         self.assertEqual((await self.program.counters())["connections.opened"], 2)
 
 
-class Draining(IscsiCase):
-    async def test_nothing_new_goes_to_a_draining_target(self) -> None:
+class DrainingTarget(IscsiCase):
+    async def test_no_new_command_is_sent_to_a_draining_target(self) -> None:
         session = await self.open_session()
         self.assertEqual((await session.read(1, 512))[0], 0)
         self.etcd.put("/lr/nodes/n1", self.target.node_entry(0, "draining"))
@@ -274,11 +280,11 @@
         self.assertEqual([block for _, block, _ in self.target.started_commands], [1])
 
 
-RUNS, LANES = 1000, 4
+RUNS, LANES = 1000, 4  # each lane uses its own shard and makes its runs one after another
 
 
-class Killed(IscsiCase):
-    """A stand-in target that is killed, falls silent or drains at random moments."""
+class FailingTargets(IscsiCase):
+    """Targets that are killed, stop responding or drain at random times."""
 
     config_replacements = {
         "deadline_ms = 2500": "deadline_ms = 300",
@@ -294,16 +300,16 @@
     async def test_every_rule_holds_over_a_thousand_runs(self) -> None:
         self.etcd.delete("/lr/nodes/n1")
         session = await self.open_session()
-        ends: dict[int, int] = {}
-        await asyncio.gather(*(self.lane(session, lane, ends) for lane in range(LANES)))
+        status_counts: dict[int, int] = {}
+        await asyncio.gather(*(self.run_lane(session, lane, status_counts) for lane in range(LANES)))
         self.assertEqual(set(session.answers.values()), {1})
-        self.assertEqual(len(session.answers), sum(ends.values()))
-        # The runs must have met what they are for: commands served, refused and failed.
+        self.assertEqual(len(session.answers), sum(status_counts.values()))
+        # The runs must have produced enough commands that were served, rejected and failed.
         for status in (0x00, 0x08, 0x02):
-            self.assertGreater(ends.get(status, 0), 50, ends)
+            self.assertGreater(status_counts.get(status, 0), 50, status_counts)
 
-    async def lane(self, session: Initiator, lane: int, ends: dict[int, int]) -> None:
-        """Each run has a target of its own on the lane's shard, and what it served is checked after it."""
+    async def run_lane(self, session: Initiator, lane: int, status_counts: dict[int, int]) -> None:
+        """Makes the runs of a lane, each with a new target on the lane's shard, and checks each of them."""
         name = f"/lr/nodes/lane{lane}"
         for run in range(lane, RUNS, LANES):
             random = Random(run)
@@ -318,27 +324,29 @@
                 else session.command(cdb(0x28, block, 512), read=512, lun=lane)
                 for block in blocks
             }
-            await asyncio.sleep(random.uniform(0, 0.02))  # the random moment
-            fate, drained = random.random(), 0.0
-            if fate < 0.6:
+            await asyncio.sleep(random.uniform(0, 0.02))  # so that the event comes at a random time
+            event, drained_at = random.random(), 0.0
+            if event < 0.6:
                 target.kill()
                 self.etcd.delete(name)
-            elif fate < 0.63:
+            elif event < 0.63:
                 target.silent = True
-            elif fate < 0.9:
+            elif event < 0.9:
                 self.etcd.put(name, target.node_entry(lane, "draining"))
-                drained = asyncio.get_running_loop().time()
-            answers = {block: (await session.answer(tag))[0] for block, tag in tags.items()}
-            for block, status in answers.items():
-                ends[status] = ends.get(status, 0) + 1
-                begun = [at for at, other, _ in target.started_commands if other == block]
+                drained_at = asyncio.get_running_loop().time()
+            statuses = {block: (await session.answer(tag))[0] for block, tag in tags.items()}
+            for block, status in statuses.items():
+                status_counts[status] = status_counts.get(status, 0) + 1
+                start_times = [
+                    time for time, command_block, _ in target.started_commands if command_block == block
+                ]
                 if writes[block]:
-                    self.assertLessEqual(len(begun), 1, (run, block))  # once, or never
+                    self.assertLessEqual(len(start_times), 1, (run, block))  # once, or never
                     if status == 0x08:
-                        self.assertEqual(begun, [], (run, block))  # a refusal promises that it never ran
+                        self.assertEqual(start_times, [], (run, block))  # BUSY means that it never ran
                     if status == 0:
                         self.assertEqual(target.blocks[block], DATA, (run, block))
-                if drained:
-                    self.assertLess(max(begun, default=0.0), drained + 0.5, (run, block))
+                if drained_at:
+                    self.assertLess(max(start_times, default=0.0), drained_at + 0.5, (run, block))
             self.assertLessEqual(target.max_running, 1, run)  # never two attempts of a command at once
             target.kill()
--- a/tests/integration/test_many_endpoints.py
+++ b/tests/integration/test_many_endpoints.py
@@ -1,4 +1,4 @@
-"""The processor time of a change of the list, by the number of endpoints."""
+"""The processor time of a change of the endpoint list, by the number of endpoints."""
 
 from __future__ import annotations
 
@@ -12,21 +12,21 @@
 
 
 def cpu_s(pid: int) -> float:
-    """The processor time of all threads of a process."""
-    tasks = Path(f"/proc/{pid}/task").glob("*/schedstat")
-    return sum(int(one.read_text().split()[0]) for one in tasks) / 1e9
+    """Returns the processor time of all threads of a process."""
+    threads = Path(f"/proc/{pid}/task").glob("*/schedstat")
+    return sum(int(thread.read_text().split()[0]) for thread in threads) / 1e9
 
 
 CHANGES = 150
-GROWTH_MAX = 1.6  # of the work of a change, at sixteen times the nodes
-PLAYS = 3
+MAX_GROWTH = 1.6  # of the processor time of a change, at sixteen times the nodes
+REPETITIONS = 3
 
 
 class ManyNodes(unittest.IsolatedAsyncioTestCase):
-    """STANDING, last table: changes come sixteen times as often at sixteen times the nodes."""
+    """STANDING, last table: sixteen times the nodes cause sixteen times the changes."""
 
     async def cost_s(self, nodes: int) -> float:
-        """Processor time of 150 single changes."""
+        """Returns the least processor time of 150 single changes."""
         case = PlatformCase()
         await case.asyncSetUp()
         try:
@@ -37,31 +37,31 @@
                 )
                 case.discovery.endpoint_versions[host] = case.discovery.seq + 1
             case.discovery.set_endpoint("s-1", case.node.port)
-            await self.heard(case)
-            spent = []
-            for play in range(PLAYS):
-                before = cpu_s(case.program.process.pid)
+            await self.wait_until_delivered(case)
+            costs_s = []
+            for repetition in range(REPETITIONS):
+                cpu_before_s = cpu_s(case.program.process.pid)
                 for number in range(CHANGES):
                     case.discovery.set_endpoint(
                         f"n-{number}",
                         case.node.port,
                         shard=number % 2,
-                        health="draining" if (number + play) % 2 else "up",
+                        health="draining" if (number + repetition) % 2 else "up",
                     )
-                    await self.heard(case)
-                spent.append(cpu_s(case.program.process.pid) - before)
-            return min(spent)
+                    await self.wait_until_delivered(case)
+                costs_s.append(cpu_s(case.program.process.pid) - cpu_before_s)
+            return min(costs_s)
         finally:
             await case.program.stop(signal.SIGKILL)
             case.doCleanups()
 
-    async def heard(self, case: PlatformCase) -> None:
-        """Wait until a watch asks for what is newer than now."""
+    async def wait_until_delivered(self, case: PlatformCase) -> None:
+        """Waits until a watch asks for changes after the latest version."""
         newest = f"after={case.discovery.seq}&"
         await case.discovery_server.wait_until(
             lambda: newest in case.discovery_server.requests[-1].start_line
         )
 
     async def test_a_change_costs_alike_however_many_nodes_there_are(self) -> None:
-        few, many = await self.cost_s(200), await self.cost_s(3200)
-        self.assertLess(many / few, GROWTH_MAX, f"{few:.3f} s and {many:.3f} s")
+        few_s, many_s = await self.cost_s(200), await self.cost_s(3200)
+        self.assertLess(many_s / few_s, MAX_GROWTH, f"{few_s:.3f} s and {many_s:.3f} s")
--- a/tests/integration/test_partial_requests.py
+++ b/tests/integration/test_partial_requests.py
@@ -1,4 +1,4 @@
-"""A partial request whose connection is evicted."""
+"""Eviction of a connection with a partial request."""
 
 from __future__ import annotations
 
@@ -16,25 +16,25 @@
 )
 
 
-class Unread(PlatformCase):
-    """A request that was read in part makes room by an answer: its last byte may be on its way."""
+class PartialRequests(PlatformCase):
+    """An evicted connection with a partial request gets a response, as the rest may be on its way."""
 
     max_sockets = 64
 
-    async def test_a_partial_request_that_makes_room_is_answered(self) -> None:
-        async def silent(_: Server, message: Message, writer: asyncio.StreamWriter) -> None:
+    async def test_partial_request_of_an_evicted_connection_gets_a_response(self) -> None:
+        async def drop(_: Server, message: Message, writer: asyncio.StreamWriter) -> None:
             pass
 
-        self.node.script = silent
-        slow = await Client(self.port).open()
-        slow.writer.write(slow.encode_request()[:60])
+        self.node.script = drop
+        partial_client = await Client(self.port).open()
+        partial_client.writer.write(partial_client.encode_request()[:60])
         await sleep_until(asyncio.get_running_loop().time() + 0.1)
-        crowd: list[Any] = []
-        for _ in range(20):  # all of them have a request open: none can be spared
-            crowd.append(await Client(self.port).open())
-            crowd[-1].writer.write(crowd[-1].encode_request())
+        busy_clients: list[Any] = []
+        for _ in range(20):  # connections with an open request are not evicted
+            busy_clients.append(await Client(self.port).open())
+            busy_clients[-1].writer.write(busy_clients[-1].encode_request())
         async with asyncio.timeout(TIMEOUT_S):
-            answer = await read_message(slow.reader)
-        self.assertEqual(answer.status, 503)
-        for client in [slow, *crowd]:
+            response = await read_message(partial_client.reader)
+        self.assertEqual(response.status, 503)
+        for client in [partial_client, *busy_clients]:
             client.writer.close()
--- a/tests/integration/test_repeats.py
+++ b/tests/integration/test_repeats.py
@@ -1,4 +1,4 @@
-"""What may be sent again, and the broker's own responses."""
+"""Retries by class, and the broker's own responses."""
 
 from __future__ import annotations
 
@@ -18,8 +18,8 @@
 )
 
 
-class RepeatsInAWindow(PlatformCase):
-    """WIRE, rule 2: what may have run is sent again only as its class allows, also where all goes wrong."""
+class Retries(PlatformCase):
+    """WIRE, rule 2: a request that may have run is retried only as its class allows, whatever fails."""
 
     setting_overrides = {
         "classes": [
@@ -30,48 +30,58 @@
         "family-info": {"class-writes": [False, True, True]},
     }
 
-    async def begun(self, cls: str, held_s: float = 0.0) -> tuple[list[float], Message]:
-        """When attempts come to a node that resets each once it is whole, and the client's answer."""
-        loop, begun = asyncio.get_running_loop(), list[float]()
+    async def request_at_resetting_node(
+        self, cls: str, stopped_s: float = 0.0
+    ) -> tuple[list[float], Message]:
+        """Sends a request to a node that resets the connection of each complete attempt.
 
-        async def breaks(_: Server, message: Message, writer: asyncio.StreamWriter) -> None:
-            begun.append(loop.time())
-            if held_s and len(begun) == 1:
+        Args:
+            cls: The class of the request.
+            stopped_s: How long the program is stopped from the first reset on.
+
+        Returns:
+            The times of the attempts, and the response.
+        """
+        loop, attempt_times = asyncio.get_running_loop(), list[float]()
+
+        async def reset_connection(_: Server, message: Message, writer: asyncio.StreamWriter) -> None:
+            attempt_times.append(loop.time())
+            if stopped_s and len(attempt_times) == 1:
                 self.program.process.send_signal(signal.SIGSTOP)
                 writer.transport.abort()
-                await asyncio.sleep(held_s)
+                await asyncio.sleep(stopped_s)
                 self.program.process.send_signal(signal.SIGCONT)
                 return
             writer.transport.abort()
 
-        self.node.script = breaks
+        self.node.script = reset_connection
         client = await self.connect()
         method = "GET" if cls == "read" else "PUT"
         answer = await client.request(cls, shard=-1, Idempotency_Key="k", method=method)
-        return begun, answer
+        return attempt_times, answer
 
-    async def test_a_key_is_sent_again_within_its_window_alone(self) -> None:
-        begun, answer = await self.begun("new-write")
-        self.assertLessEqual(begun[-1] - begun[0], 0.3 + SOCKET_SLACK_S)
+    async def test_idempotency_key_is_retried_only_within_its_window(self) -> None:
+        attempt_times, answer = await self.request_at_resetting_node("new-write")
+        self.assertLessEqual(attempt_times[-1] - attempt_times[0], 0.3 + SOCKET_SLACK_S)
         self.assertIn(answer.status, (502, 503))
-        begun, _ = await self.begun("new-write", held_s=0.35)
-        self.assertEqual(len(begun), 1)  # the window was over when the program went on
+        attempt_times, _ = await self.request_at_resetting_node("new-write", stopped_s=0.35)
+        self.assertEqual(len(attempt_times), 1)  # the window had ended when the program continued
 
-    async def test_what_may_run_once_is_never_sent_again_nor_refused(self) -> None:
-        for held_s in (0.0, SUSPENDED_S):
-            begun, answer = await self.begun("once-only", held_s)
-            self.assertEqual((len(begun), answer.status), (1, 502))
+    async def test_class_without_idempotency_is_neither_retried_nor_rejected(self) -> None:
+        for stopped_s in (0.0, SUSPENDED_S):
+            attempt_times, answer = await self.request_at_resetting_node("once-only", stopped_s)
+            self.assertEqual((len(attempt_times), answer.status), (1, 502))
 
-    async def test_at_most_four_attempts_and_never_two_at_once(self) -> None:
-        begun, answer = await self.begun("read")
-        self.assertLessEqual(len(begun), 4)
+    async def test_read_has_at_most_four_attempts(self) -> None:
+        attempt_times, answer = await self.request_at_resetting_node("read")
+        self.assertLessEqual(len(attempt_times), 4)
         self.assertIn(answer.status, (502, 503))
 
 
-class WordedByTheBroker(PlatformCase):
-    """Every code that the broker words itself, on a connection that the client can still read."""
+class BrokerResponses(PlatformCase):
+    """Each status of the broker itself, on a connection that the client can still read."""
 
-    async def test_each_code_is_a_whole_answer_and_no_refusal_of_what_may_have_run(self) -> None:
+    async def test_each_error_status_is_a_complete_response_and_reaches_no_node(self) -> None:
         path = "/read/00000003b4d60021/7f3a9c21e0b4d655"
         for changes, status in (
             ({"path": "/read/3/4"}, 404),
@@ -89,17 +99,17 @@
                 client.writer.close()
         self.assertEqual(self.node.requests, [])
 
-    async def test_an_id_that_is_open_gets_409_and_harms_the_first_one_in_nothing(self) -> None:
-        async def slowly(_: Server, message: Message, writer: asyncio.StreamWriter) -> None:
+    async def test_id_of_an_open_request_gets_409_and_the_open_request_is_served(self) -> None:
+        async def reply_slowly(_: Server, message: Message, writer: asyncio.StreamWriter) -> None:
             await asyncio.sleep(0.1)
             reply(writer)
 
-        self.node.script = slowly
-        other = await self.connect()
+        self.node.script = reply_slowly
+        other_client = await self.connect()
         text = self.client.encode_request()
         self.client.writer.write(text)
         await self.node.wait_until(lambda: bool(self.node.requests))
-        self.assertEqual((await other.exchange(text)).status, 409)
+        self.assertEqual((await other_client.exchange(text)).status, 409)
         async with asyncio.timeout(TIMEOUT_S):
             self.assertEqual((await read_message(self.client.reader)).status, 200)
         self.assertEqual(len(self.node.requests), 1)
--- a/tests/integration/test_rollout_iscsi.py
+++ b/tests/integration/test_rollout_iscsi.py
@@ -1,4 +1,4 @@
-"""One policy for brokers with the iSCSI front, and contracts of etcd that come into force through it."""
+"""One policy for brokers with the iSCSI front, which also puts the plans from etcd into force."""
 
 from __future__ import annotations
 
@@ -22,27 +22,27 @@
 LEASE_MS, BROKERS = 1000, 3
 
 
-class Gated(Target):
-    """Answers no login before its gate is open."""
+class LateTarget(Target):
+    """Answers no login before `may_serve` is set; `connected` is set at the first connection."""
 
     def __init__(self) -> None:
         super().__init__()
-        self.gate, self.came = asyncio.Event(), asyncio.Event()
+        self.may_serve, self.connected = asyncio.Event(), asyncio.Event()
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        self.came.set()
-        await self.gate.wait()
+        self.connected.set()
+        await self.may_serve.wait()
         await super()._serve(reader, writer)
 
 
-class Fleet(unittest.IsolatedAsyncioTestCase):
-    """Three brokers with the iSCSI front before one target, with their nodes and contracts in etcd."""
+class IscsiFleet(unittest.IsolatedAsyncioTestCase):
+    """Three brokers with the iSCSI front in front of one target, with their nodes and plans in etcd."""
 
     async def asyncSetUp(self) -> None:
         self.etcd = Etcd()
         await self.etcd.start()
         self.addAsyncCleanup(self.etcd.stop)
-        self.target = Gated()
+        self.target = LateTarget()
         await self.target.start()
         self.etcd.put("/lr/nodes/n1", self.target.node_entry(0))
         self.network = await Network(BROKERS, 1).start()
@@ -50,17 +50,18 @@
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
         self.folder = Path(folder.name)
-        kept = [kept_port() for _ in range(BROKERS)]
-        self.admins = [Address("127.0.0.1", one.getsockname()[1]) for one in kept]
-        for one in kept:
-            self.addCleanup(one.close)
+        reserved_ports = [kept_port() for _ in range(BROKERS)]
+        self.admins = [Address("127.0.0.1", port.getsockname()[1]) for port in reserved_ports]
+        for port in reserved_ports:
+            self.addCleanup(port.close)
         self.programs: list[Program] = []
         self.ports = [0] * BROKERS
         for number in range(BROKERS):
             VoteStore(str(self.folder / f"votes{number}")).create()
             self.programs.append(await self.start(number))
 
-    def file(self, number: int) -> Path:
+    def write_config(self, number: int) -> Path:
+        """Writes the configuration of a broker and returns its path."""
         text = (ROOT / "deploy" / "iscsi.toml").read_text()
         text = text[: text.index("[[node]]")].replace("127.0.0.1:3260", "127.0.0.1:0")
         for old, new in (
@@ -72,8 +73,8 @@
             assert old in text, old
             text = text.replace(old, new)
         members = "".join(
-            f'[[fleet.member]]\nname = "b{n}"\naddress = "{at}"\n'
-            for n, at in enumerate(self.network.told(number))
+            f'[[fleet.member]]\nname = "b{n}"\naddress = "{address}"\n'
+            for n, address in enumerate(self.network.told(number))
         )
         path = self.folder / f"iscsi{number}.toml"
         path.write_text(
@@ -85,85 +86,89 @@
         return path
 
     async def start(self, number: int) -> Program:
-        program = await Program().start("serve", "--config", str(self.file(number)))
+        """Starts a broker and waits until it listens."""
+        program = await Program().start("serve", "--config", str(self.write_config(number)))
         self.addAsyncCleanup(program.stop, signal.SIGKILL)
         self.ports[number] = int((await program.wait_for_line("event=listening")).rsplit(":", 1)[1])
         return program
 
-    async def seen(self, number: int) -> dict[str, Any]:
-        told: dict[str, Any] = orjson.loads(await call(self.admins[number], "policy"))
-        return told
+    async def policy_view(self, number: int) -> dict[str, Any]:
+        """Returns a broker's reply to the call `policy`."""
+        view: dict[str, Any] = orjson.loads(await call(self.admins[number], "policy"))
+        return view
 
-    async def by(self, epoch: int, *numbers: int) -> None:
-        """Until these go by an epoch alone."""
-        until = time.monotonic() + TIMEOUT_S  # of a disk that takes its time, too: each vote is synced
-        while [(await self.seen(n))["goes_by"] for n in numbers] != [[epoch, epoch]] * len(numbers):
-            self.assertLess(time.monotonic(), until, [await self.seen(n) for n in numbers])
+    async def wait_for_epoch(self, epoch: int, *numbers: int) -> None:
+        """Waits until these brokers use the policy of one epoch only."""
+        timeout_at = time.monotonic() + TIMEOUT_S  # long enough for a slow disk: each vote is synced
+        while [(await self.policy_view(n))["goes_by"] for n in numbers] != [[epoch, epoch]] * len(numbers):
+            self.assertLess(time.monotonic(), timeout_at, [await self.policy_view(n) for n in numbers])
             await asyncio.sleep(0.02)
 
-    def limit(self, seen: dict[str, Any]) -> float:
-        return next(float(row["limit"]) for row in seen["policy"]["plan"] if row["name"] == "basic")
+    def limit(self, view: dict[str, Any]) -> float:
+        """Returns the limit of the plan `basic` in a broker's policy."""
+        return next(float(plan["limit"]) for plan in view["policy"]["plan"] if plan["name"] == "basic")
 
-    async def test_a_contract_of_etcd_is_in_force_everywhere_or_nowhere(self) -> None:
-        await self.by(0, 0, 1, 2)
+    async def test_plan_from_etcd_is_in_force_at_all_brokers_or_none(self) -> None:
+        await self.wait_for_epoch(0, 0, 1, 2)
         self.assertEqual(await call(self.admins[0], "ready"), "serving")
-        before = self.limit(await self.seen(0))
-        row = {"rate": 1000, "weight": 1, "limit": 2 * before, "burst": 2 * before}
-        self.etcd.put("/lr/plans/basic", row)
-        await self.by(1, 0, 1, 2)
-        self.assertEqual([self.limit(await self.seen(n)) for n in range(3)], [2 * before] * 3)
-        self.assertIn("contracts of etcd", (await self.seen(2))["history"][-1])
-        # Less than the floor that every policy contains: nowhere, with a reason, and it rests.
-        self.etcd.put("/lr/plans/basic", {**row, "limit": before / 100})
+        old_limit = self.limit(await self.policy_view(0))
+        plan = {"rate": 1000, "weight": 1, "limit": 2 * old_limit, "burst": 2 * old_limit}
+        self.etcd.put("/lr/plans/basic", plan)
+        await self.wait_for_epoch(1, 0, 1, 2)
+        self.assertEqual([self.limit(await self.policy_view(n)) for n in range(3)], [2 * old_limit] * 3)
+        self.assertIn("contracts of etcd", (await self.policy_view(2))["history"][-1])
+        # A limit below the floor that every policy contains is rejected everywhere, once and with a reason.
+        self.etcd.put("/lr/plans/basic", {**plan, "limit": old_limit / 100})
         line = await self.programs[0].wait_for_line("plans of etcd rejected")
         self.assertIn("under the floor", line)
-        # Who contradicts etcd is told so, since it would be changed back.
-        told = await self.seen(0)
+        # A proposal that contradicts etcd is rejected, since etcd would change it back.
+        view = await self.policy_view(0)
         with self.assertRaises(CallError) as caught:
-            await call(self.admins[0], "policy-propose " + orjson.dumps({"policy": told["policy"]}).decode())
+            await call(self.admins[0], "policy-propose " + orjson.dumps({"policy": view["policy"]}).decode())
         self.assertIn("comes from etcd", str(caught.exception))
-        self.assertEqual((await self.seen(1))["epoch"], 1)
+        self.assertEqual((await self.policy_view(1))["epoch"], 1)
 
-    async def test_a_restarted_broker_learns_the_policy_and_a_partitioned_one_uses_the_floor(self) -> None:
-        await self.by(0, 0, 1, 2)
-        before = self.limit(await self.seen(0))
+    async def test_restarted_broker_learns_the_policy_and_partitioned_broker_uses_the_floor(self) -> None:
+        await self.wait_for_epoch(0, 0, 1, 2)
+        old_limit = self.limit(await self.policy_view(0))
         await self.programs[2].stop(signal.SIGKILL)
         for stretch in self.network.stretches.values():
             stretch.cut = True
-        row = {"rate": 1000, "weight": 1, "limit": 2 * before, "burst": 2 * before}
-        self.etcd.put("/lr/plans/basic", row)
-        until = time.monotonic() + TIMEOUT_S
-        while (await self.seen(0))["goes_by"] != "floor":
-            self.assertLess(time.monotonic(), until)
+        plan = {"rate": 1000, "weight": 1, "limit": 2 * old_limit, "burst": 2 * old_limit}
+        self.etcd.put("/lr/plans/basic", plan)
+        timeout_at = time.monotonic() + TIMEOUT_S
+        while (await self.policy_view(0))["goes_by"] != "floor":
+            self.assertLess(time.monotonic(), timeout_at)
             await asyncio.sleep(0.02)
-        self.assertEqual((await self.seen(0))["epoch"], 0)  # nobody may decide
+        self.assertEqual((await self.policy_view(0))["epoch"], 0)  # there is no majority
         self.programs[2] = await self.start(2)
-        told = "Connect call failed"
-        while "Connect call failed" in told:  # it listens for operators last
-            self.assertLess(time.monotonic(), until + TIMEOUT_S, told)
+        reply = "Connect call failed"
+        while "Connect call failed" in reply:  # the program opens the address for operators last
+            self.assertLess(time.monotonic(), timeout_at + TIMEOUT_S, reply)
             try:
-                told = await call(self.admins[2], "ready")
+                reply = await call(self.admins[2], "ready")
             except CallError as error:
-                told = str(error)
-        self.assertIn("no policy in force yet", told)  # it hears nobody, so it goes by nothing
+                reply = str(error)
+        self.assertIn("no policy in force yet", reply)  # it receives no messages from other brokers
         for stretch in self.network.stretches.values():
             stretch.cut = False
-        await self.by(1, 0, 1, 2)
+        await self.wait_for_epoch(1, 0, 1, 2)
 
-    async def test_an_attempt_decided_under_another_epoch_is_not_sent(self) -> None:
-        """Its login to the node takes as long as the change: it is withheld, and decided on again."""
-        await self.by(0, 0, 1, 2)
-        before = self.limit(await self.seen(0))
+    async def test_attempt_decided_under_an_earlier_epoch_is_not_sent(self) -> None:
+        """The policy changes during the login at the node; the scheduler then decides the attempt again."""
+
+        await self.wait_for_epoch(0, 0, 1, 2)
+        old_limit = self.limit(await self.policy_view(0))
         session = await Initiator(self.ports[0]).start()
         self.addCleanup(session.writer.close)
-        reading = asyncio.create_task(session.read(1, 4096))
-        await self.target.came.wait()
-        row = {"rate": 1000, "weight": 1, "limit": 2 * before, "burst": 2 * before}
-        self.etcd.put("/lr/plans/basic", row)
-        await self.by(1, 0, 1, 2)
+        read_task = asyncio.create_task(session.read(1, 4096))
+        await self.target.connected.wait()
+        plan = {"rate": 1000, "weight": 1, "limit": 2 * old_limit, "burst": 2 * old_limit}
+        self.etcd.put("/lr/plans/basic", plan)
+        await self.wait_for_epoch(1, 0, 1, 2)
         self.assertEqual(self.target.started_commands, [])
-        self.target.gate.set()
-        status, _, _ = await reading
+        self.target.may_serve.set()
+        status, _, _ = await read_task
         self.assertEqual((status, len(self.target.started_commands)), (0, 1))
         counts = await self.programs[0].counters()
         self.assertEqual((counts.get("attempts.not_sent"), counts["attempts.ok"]), (1, 1))
--- a/tests/integration/test_soak.py
+++ b/tests/integration/test_soak.py
@@ -1,4 +1,4 @@
-"""The soak, short and seeded; the long one is started by hand (`drill soak`, docs/soak.md)."""
+"""A short soak run with fixed seeds; the long one is started by hand (`drill soak`, docs/soak.md)."""
 
 from __future__ import annotations
 
@@ -8,24 +8,25 @@
 from lemonridge.lab.drills import soak
 from lemonridge.lab.soak_mutants import MUTANTS
 
-SEEDS, SECONDS = (1, 2), 8.0
-# A fault shows in half of the plays or more; the first play that finds it ends the search.
+SEEDS, DURATION_S = (1, 2), 8.0
+# A fault is found in half of the runs or more; the first run that finds it ends the search.
 MUTANT_SEEDS = (5, 6, 7, 4, 2, 8)
 
 
-class Soak(unittest.TestCase):
+class SoakRun(unittest.TestCase):
     def test_every_rule_holds(self) -> None:
         for seed in SEEDS:
             with self.subTest(seed=seed):
-                _, found = asyncio.run(soak.run(soak.Options(seed, SECONDS)))
-                self.assertEqual((dict(found.counts), found.notes), ({}, []))
+                _, findings = asyncio.run(soak.run(soak.Options(seed, DURATION_S)))
+                self.assertEqual((dict(findings.counts), findings.notes), ({}, []))
 
     def test_planted_faults_are_found(self) -> None:
-        """Those that depend on what is drawn the most; all nine by hand (docs/soak.md)."""
+        """Runs the mutants that depend on the seed the most; all nine are run by hand (docs/soak.md)."""
         for mutant in ("sends-to-draining", "sends-for-the-gone", "floods-cold-nodes"):
             with self.subTest(mutant=mutant):
-                self.assertTrue(any(self.finds(mutant, seed) for seed in MUTANT_SEEDS))
+                self.assertTrue(any(self.finds_fault(mutant, seed) for seed in MUTANT_SEEDS))
 
-    def finds(self, mutant: str, seed: int) -> bool:
-        _, found = asyncio.run(soak.run(soak.Options(seed, SECONDS, mutant)))
-        return found.counts[MUTANTS[mutant][1]] > 0
+    def finds_fault(self, mutant: str, seed: int) -> bool:
+        """Returns whether a run with a mutant finds its fault."""
+        _, findings = asyncio.run(soak.run(soak.Options(seed, DURATION_S, mutant)))
+        return findings.counts[MUTANTS[mutant][1]] > 0
--- a/tests/integration/test_start_announcement.py
+++ b/tests/integration/test_start_announcement.py
@@ -1,4 +1,4 @@
-"""What is open by the time at which a broker says that it listens."""
+"""Addresses that are open before a broker logs that it listens."""
 
 from __future__ import annotations
 
@@ -13,9 +13,10 @@
 
 
 class OperatorsAddress(unittest.IsolatedAsyncioTestCase):
-    """A broker with the iSCSI front and an address where operators call."""
+    """A broker with the iSCSI front and an address for operators' calls."""
 
     async def start(self, admin_port: int, fleet_ports: list[int]) -> Program:
+        """Starts a broker of a fleet with these ports."""
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
         text = (ROOT / "deploy" / "iscsi.toml").read_text().replace("127.0.0.1:3260", "127.0.0.1:0")
@@ -31,10 +32,10 @@
         )
         return await Program().start("serve", "--config", str(path))
 
-    async def test_a_broker_whose_operators_address_is_taken_accepts_no_client(self) -> None:
+    async def test_broker_with_an_occupied_operators_address_accepts_no_client(self) -> None:
         """Guards against `event=listening` before the operators' address is open."""
-        with socket.create_server(("127.0.0.1", 0)) as taken:
-            program = await self.start(taken.getsockname()[1], free_ports(2))
+        with socket.create_server(("127.0.0.1", 0)) as occupied:
+            program = await self.start(occupied.getsockname()[1], free_ports(2))
             self.assertEqual(await program.process.wait(), 2)
             await program.reader
         log = "".join(program.lines)
