--- a/tests/config/test_fleet_config.py
+++ b/tests/config/test_fleet_config.py
@@ -10,7 +10,7 @@
 from pathlib import Path
 from unittest import mock
 
-from harness import FACTS, ROOT
+from harness import PLATFORM_SETTINGS, ROOT
 
 from lemonridge.cli import configuration, main
 from lemonridge.config.errors import ConfigError
@@ -67,7 +67,7 @@
             self.assertIn(expected_text, str(caught.exception))
 
     def test_platform_datagrams_need_permission_an_address_per_broker_and_a_valid_own_number(self) -> None:
-        settings = copy.deepcopy(FACTS)
+        settings = copy.deepcopy(PLATFORM_SETTINGS)
         configuration_file = {
             "name": "n1",
             "listen": "127.0.0.1:1",
--- a/tests/net/test_connection_closing.py
+++ b/tests/net/test_connection_closing.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable
 from pathlib import Path
 
-from harness import FACTS, PATIENCE_S, Client
+from harness import PLATFORM_SETTINGS, TIMEOUT_S, Client
 
 from lemonridge.config.platform import load
 from lemonridge.core.clock import Clock
@@ -31,7 +31,14 @@
         self.addCleanup(folder.cleanup)
         path = Path(folder.name) / "config.json"
         path.write_text(
-            json.dumps({"name": "n", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "settings": FACTS})
+            json.dumps(
+                {
+                    "name": "n",
+                    "listen": "127.0.0.1:0",
+                    "discovery": "127.0.0.1:1",
+                    "settings": PLATFORM_SETTINGS,
+                }
+            )
         )
         platform = load({"ROUTER_CONFIG": str(path)})
         self.clock, self.lifecycle = Clock(asyncio.get_running_loop()), Lifecycle(SHORT_DEADLINE_US)
@@ -42,7 +49,7 @@
         self.front.bind(platform.listen)
         await self.front.listen()
         self.addAsyncCleanup(self.stop_accepting)
-        self.new_request = Client(self.front.listener.socket.getsockname()[1]).text
+        self.new_request = Client(self.front.listener.socket.getsockname()[1]).encode_request
 
     async def stop_accepting(self) -> None:
         self.front.listener.stop_accepting()
@@ -68,7 +75,7 @@
         """
         assert self.front.listener._listening is not None
         client = socket.socket()
-        client.settimeout(PATIENCE_S)
+        client.settimeout(TIMEOUT_S)
         if buffer_bytes is not None:
             client.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, buffer_bytes)
             self.front.listener._listening.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, buffer_bytes)
@@ -86,7 +93,7 @@
     async def read_until(self, client: socket.socket, suffix: bytes = b"data") -> bytes:
         """Returns the received data up to `suffix`, or up to the end of the connection."""
         data = b""
-        async with asyncio.timeout(PATIENCE_S):
+        async with asyncio.timeout(TIMEOUT_S):
             while not data.endswith(suffix or b"never"):
                 received = await asyncio.get_running_loop().sock_recv(client, 1 << 16)
                 if not received:
@@ -145,7 +152,7 @@
     async def test_incomplete_request_does_not_delay_stop(self) -> None:
         client = await self.connect_idle_client()
         client.send(self.new_request()[:40])
-        async with asyncio.timeout(PATIENCE_S):
+        async with asyncio.timeout(TIMEOUT_S):
             await self.front.stop()
             while self.front.busy:
                 await asyncio.sleep(0)
@@ -172,7 +179,7 @@
         self.response_body = b"x" * 60_000 + b"data"
         client = self.connect(buffer_bytes=4096)
         client.send(self.new_request(**headers))
-        async with asyncio.timeout(PATIENCE_S):
+        async with asyncio.timeout(TIMEOUT_S):
             while not any(entry.has_unsent_data for states in self.front._table._states for entry in states):
                 await asyncio.sleep(0)
             while self.front._table._states[ConnectionState.SERVING]:
@@ -202,13 +209,13 @@
             self.age_connections(60.0)
             self.front._table.configure(4, 1 << 20)  # a second connection exceeds the eviction limit
             new_client = self.connect()
-            async with asyncio.timeout(PATIENCE_S):
+            async with asyncio.timeout(TIMEOUT_S):
                 while len(self.front._table) < 2:
                     await asyncio.sleep(0)
             self.assertTrue((await self.read_until(client)).endswith(b"data"))
             for connection in (client, new_client):
                 connection.close()
-            async with asyncio.timeout(PATIENCE_S):
+            async with asyncio.timeout(TIMEOUT_S):
                 while len(self.front._table):
                     await asyncio.sleep(0)
 
@@ -229,7 +236,7 @@
         server_socket = connection._transport.get_extra_info("socket")
         self.assertTrue(server_socket.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY))
         self.connect()
-        async with asyncio.timeout(PATIENCE_S):
+        async with asyncio.timeout(TIMEOUT_S):
             while not self.front._table._states[ConnectionState.NEW]:
                 await asyncio.sleep(0)
         (connection,) = self.front._table._states[ConnectionState.NEW]
--- a/tests/net/test_http_endpoints.py
+++ b/tests/net/test_http_endpoints.py
@@ -51,10 +51,12 @@
             self.addresses = [f"127.0.0.1:{self.node.port}", address_after_connect]
             with self.assertRaises(AttemptSuppressedError):
                 await self.attempt()
-            await self.node.until(
-                lambda count=connection_count: self.node.opened == count and not self.node.open
+            await self.node.wait_until(
+                lambda count=connection_count: (
+                    self.node.connection_count == count and not self.node.open_connections
+                )
             )
-        self.assertEqual(self.node.seen, [])
+        self.assertEqual(self.node.requests, [])
 
     async def test_address_and_decision_are_checked_in_step_that_writes_first_byte(self) -> None:
         """STANDING: a client may leave, a drain begin or a window end in any iteration before the write."""
@@ -94,12 +96,12 @@
         with self.assertRaises(AttemptSuppressedError):
             await self.endpoints.attempt(attempt)
         self.assertFalse(attempt.begun)
-        await self.node.until(lambda: not self.node.open)
-        self.assertEqual(self.node.seen, [])
+        await self.node.wait_until(lambda: not self.node.open_connections)
+        self.assertEqual(self.node.requests, [])
 
     async def test_most_recently_used_connection_is_reused_and_expired_one_is_not(self) -> None:
         async def serve_slowly(server: Server, _: Message, writer: asyncio.StreamWriter) -> None:
-            await asyncio.sleep(0.5 if len(server.seen) == 4 else 0.01)  # the other one expires meanwhile
+            await asyncio.sleep(0.5 if len(server.requests) == 4 else 0.01)  # the other one expires meanwhile
             reply(writer, X_Iops_Used="85", X_Rho="3")
 
         self.node.script = serve_slowly
@@ -108,9 +110,9 @@
             await asyncio.sleep(REUSE_DELAY_S)  # the most recently used connection is past its delay
             outcome = await self.attempt()
         self.assertEqual((outcome.volume_units, outcome.peer_units), (86, 3.0))
-        self.assertEqual(self.node.seen[2].connection, self.node.seen[3].connection)
+        self.assertEqual(self.node.requests[2].connection, self.node.requests[3].connection)
         await asyncio.gather(self.attempt(), self.attempt())
-        self.assertEqual(self.node.opened, 3)
+        self.assertEqual(self.node.connection_count, 3)
 
     async def test_load_report_is_read_from_configured_field(self) -> None:
         for load_report, expected_outstanding in (
@@ -152,7 +154,7 @@
                 self.assertEqual((await self.attempt()).result, AttemptResult.RESET)
                 outcome = await self.attempt()
                 self.assertEqual((outcome.result, outcome.reply), (AttemptResult.OK, b"ok"))
-                self.assertNotEqual(self.node.seen[-1].connection, self.node.seen[-2].connection)
+                self.assertNotEqual(self.node.requests[-1].connection, self.node.requests[-2].connection)
 
     async def serve_raw_response(self, _: Server, __: Message, writer: asyncio.StreamWriter) -> None:
         answer = self.raw_responses.pop(0)
@@ -183,7 +185,7 @@
                 self.assertEqual(
                     (outcome.result, outcome.reply, outcome.volume_units), (AttemptResult.OK, b"one", None)
                 )
-        self.assertEqual(self.node.opened, len(self.node.seen))
+        self.assertEqual(self.node.connection_count, len(self.node.requests))
 
     async def test_surplus_before_body_is_written_is_not_read_as_response(self) -> None:
         """Guards against a late copy of a response that acknowledges a write that was never executed."""
@@ -197,7 +199,7 @@
         for surplus in (b"HTTP/1.1 200 X\r\nContent-Length: 3\r\n\r\ntwo", b"", b"HTTP/1."):
             with self.subTest(surplus=surplus):
                 self.assertEqual((await self.attempt()).reply, b"one")
-                requests_before, lookups = len(self.node.seen), []
+                requests_before, lookups = len(self.node.requests), []
 
                 def address(_: str, lookups: list[int] = lookups, surplus: bytes = surplus) -> str:
                     lookups.append(1)
@@ -212,11 +214,11 @@
                     with self.assertRaises(AttemptSuppressedError):
                         await self.endpoints.attempt(attempt)
                 self.assertFalse(attempt.begun)
-                self.assertEqual(len(self.node.seen), requests_before)
+                self.assertEqual(len(self.node.requests), requests_before)
 
     async def test_chunked_response_is_read_and_its_connection_is_reused(self) -> None:
         self.raw_responses = [b"HTTP/1.1 200 X\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n"] * 2
         self.node.script = self.serve_raw_response
         for _ in range(2):
             self.assertEqual((await self.attempt()).reply, b"ok")
-        self.assertEqual(self.node.opened, 1)
+        self.assertEqual(self.node.connection_count, 1)
