--- a/tests/integration/test_wall_clock.py
+++ b/tests/integration/test_wall_clock.py
@@ -13,12 +13,22 @@
 from harness import (
     PLATFORM_SETTINGS,
     Client,
+    Message,
     PlatformCase,
+    Server,
+    serve_ok,
 )
 
 UNITS_PER_REQUEST = 6
 BURST_REQUESTS = 40
 RAMP_US = PLATFORM_SETTINGS["rules"]["ramp-time-us"]
+NODE_LATENCY_S = 0.02  # the broker derives a slow start's rate from it, so it must not depend on the machine
+
+
+async def serve_after_latency(server: Server, message: Message, writer: asyncio.StreamWriter) -> None:
+    """Responds with 200 after the node's latency."""
+    await asyncio.sleep(NODE_LATENCY_S)
+    await serve_ok(server, message, writer)
 
 
 class WallClock(unittest.IsolatedAsyncioTestCase):
@@ -52,6 +62,7 @@
             faults.set(wall_step_s=step_s)
         case.environment = faults.environment
         await PlatformCase.asyncSetUp(case)
+        case.node.script = serve_after_latency
         try:
             await case.client.request()
             if moment == "during":
