--- a/lemonridge/cli/bench_commands.py
+++ b/lemonridge/cli/bench_commands.py
@@ -77,7 +77,7 @@
     failed = False
     for bounds in escrow.STATED:
         search = escrow.search(bounds)
-        failed = failed or bool(search.broken) or not search.whole
+        failed = failed or bool(search.violation) or not search.complete
         print(
             format_figures(
                 {
@@ -91,13 +91,13 @@
                     "recalls": bounds.recalls,
                     "budgets": len(bounds.budgets),
                     "states": search.states,
-                    "whole": int(search.whole),
-                    "broken": search.broken or "none",
+                    "whole": int(search.complete),
+                    "broken": search.violation or "none",
                 }
             ),
             flush=True,
         )
-        for step in search.path:
+        for step in search.trace:
             print(f"  {step}")
     return 1 if failed else 0
 
@@ -109,10 +109,12 @@
     from lemonridge.lab.checkers import rollout
 
     failed = False
-    searches = [(rollout.agreement(bounds), "agreement", bounds) for bounds in rollout.STATED_AGREEMENT]
-    searches += [(rollout.leases(bounds), "leases", bounds) for bounds in rollout.STATED_LEASES]  # type: ignore[misc]
+    searches = [
+        (rollout.search_agreement(bounds), "agreement", bounds) for bounds in rollout.STATED_AGREEMENT
+    ]
+    searches += [(rollout.search_leases(bounds), "leases", bounds) for bounds in rollout.STATED_LEASES]  # type: ignore[misc]
     for search, part, bounds in searches:
-        failed = failed or bool(search.broken) or not search.whole
+        failed = failed or bool(search.violation) or not search.complete
         print(
             format_figures(
                 {
@@ -128,14 +130,14 @@
                     "restarts": bounds.restarts,
                     "epochs": bounds.epochs,
                     "states": search.states,
-                    "voters": "-".join(str(len(voters)) for voters in bounds.sets) or "all",
-                    "whole": int(search.whole),
-                    "broken": search.broken or "none",
+                    "voters": "-".join(str(len(voters)) for voters in bounds.voter_sets) or "all",
+                    "whole": int(search.complete),
+                    "broken": search.violation or "none",
                 }
             ),
             flush=True,
         )
-        for step in search.path:
+        for step in search.trace:
             print(f"  {step}")
     return 1 if failed else 0
 
--- a/lemonridge/cli/drill_commands.py
+++ b/lemonridge/cli/drill_commands.py
@@ -50,7 +50,7 @@
     except ProgramError as error:
         return _broker_failed(error)
     _print_figures(options, findings.notes, figures)
-    return 0 if drill_iscsi.held(figures) else 1
+    return 0 if drill_iscsi.passed(figures) else 1
 
 
 def _drill_extents(options: argparse.Namespace) -> int:
@@ -66,7 +66,7 @@
     except ProgramError as error:
         return _broker_failed(error)
     _print_figures(options, findings.notes, figures)
-    return 0 if drill_extents.held(figures, drill_options) else 1
+    return 0 if drill_extents.passed(figures, drill_options) else 1
 
 
 def _drill_fleet(options: argparse.Namespace) -> int:
@@ -83,7 +83,9 @@
         not options.calm,
         options.mutation or "",
     )
-    faults = schedule.read_schedule(options.schedule) if options.schedule else fleet.plan(drill_options)
+    faults = (
+        schedule.read_schedule(options.schedule) if options.schedule else fleet.fault_schedule(drill_options)
+    )
     if options.write_schedule:
         Path(options.write_schedule).write_text(schedule.format_schedule(faults))
         return 0
@@ -92,7 +94,7 @@
     except ProgramError as error:
         return _broker_failed(error, "a broker")
     _print_figures(options, findings.notes, figures)
-    return 0 if fleet.held(figures, findings) else 1
+    return 0 if fleet.passed(figures, findings) else 1
 
 
 def _drill_soak(options: argparse.Namespace) -> int:
@@ -105,7 +107,7 @@
         soak.run(soak.Options(options.seed, options.seconds, options.mutation or ""))
     )
     _print_figures(options, findings.notes, figures)
-    return 0 if soak.held(findings) else 1
+    return 0 if soak.passed(findings) else 1
 
 
 def _drill_policy(options: argparse.Namespace) -> int:
@@ -121,7 +123,7 @@
     except ProgramError as error:
         return _broker_failed(error, "a broker")
     _print_figures(options, (*findings.notes, *answer_findings.notes), figures)
-    return 0 if policy.held(figures, findings, answer_findings) else 1
+    return 0 if policy.passed(figures, findings, answer_findings) else 1
 
 
 DRILLS: dict[str, Callable[[argparse.Namespace], int]] = {
--- a/lemonridge/cli/lab_commands.py
+++ b/lemonridge/cli/lab_commands.py
@@ -155,9 +155,9 @@
     for row in rows:
         print(
             f"{row.name:8} model {row.model:10.3f}  program {row.real:10.3f}  bound {row.bound:8.3f}  "
-            f"{'held' if row.held else 'NOT HELD'}"
+            f"{'held' if row.within_bound else 'NOT HELD'}"
         )
-    figures: dict[str, object] = {"lab": "validate", "held": int(all(row.held for row in rows))}
+    figures: dict[str, object] = {"lab": "validate", "held": int(all(row.within_bound for row in rows))}
     for row in rows:
         figures[f"{row.name}_model"], figures[f"{row.name}_program"] = round(row.model, 3), round(row.real, 3)
     print(format_figures(figures))
--- a/lemonridge/cli/load_commands.py
+++ b/lemonridge/cli/load_commands.py
@@ -63,7 +63,7 @@
     async def run() -> Tally:
         if port:
             return await load_generator.run(plan(port), print)
-        async with bench_iscsi.standing() as (_, broker_port):
+        async with bench_iscsi.running_broker_and_node() as (_, broker_port):
             return await load_generator.run(plan(broker_port), print)
 
     try:
--- a/lemonridge/lab/checkers/escrow.py
+++ b/lemonridge/lab/checkers/escrow.py
@@ -23,7 +23,7 @@
     LoanOut,
     QuotaLedger,
 )
-from lemonridge.lab.checkers.exhaust import Found, explore
+from lemonridge.lab.checkers.exhaust import SearchResult, explore
 
 STEP_US = LOAN_DURATION_US // 3
 START_US = 1_000 * STEP_US
@@ -94,7 +94,7 @@
     return tuple(n for n in range(BROKERS) if n != number)
 
 
-def search(bounds: Bounds, make: Make = make_ledger, states_max: int = 5_000_000) -> Found[State]:
+def search(bounds: Bounds, make: Make = make_ledger, states_max: int = 5_000_000) -> SearchResult[State]:
     """Every state within the bounds, or the shortest way to one in which a budget is passed."""
     ledgers = tuple(
         _open_budgets(make(number, 1, START_US - 10 * LOAN_DURATION_US), START_US, bounds)
--- a/lemonridge/lab/checkers/exhaust.py
+++ b/lemonridge/lab/checkers/exhaust.py
@@ -1,6 +1,7 @@
-"""Every state that a small system can come to: a breadth-first search with what has been seen, by its key.
+"""Exhaustive search of the reachable states of a small system: breadth-first, with a set of visited keys.
 
-After Holzmann, "The Model Checker SPIN" (1997), in its plainest form: whole states, no partial order.
+After Holzmann, "The Model Checker SPIN" (1997), in its plainest form: complete states, without partial-order
+reduction.
 """
 
 from __future__ import annotations
@@ -14,51 +15,71 @@
 
 
 @dataclass(frozen=True)
-class Found(Generic[S]):
-    """What a search came to. `path` leads to the first state that broke the invariant; empty: none did."""
+class SearchResult(Generic[S]):
+    """The result of a search.
+
+    Attributes:
+        states: How many distinct states were visited.
+        steps: How many transitions were followed.
+        complete: Whether every state within the bounds was visited.
+        violation: How the first violating state breaks the invariant; empty if no state does.
+        trace: The names of the transitions that lead to that state; empty if no state violates the invariant.
+    """
 
     states: int
     steps: int
-    whole: bool  # every state within the bounds was seen
-    broken: str = ""
-    path: tuple[str, ...] = ()
+    complete: bool
+    violation: str = ""
+    trace: tuple[str, ...] = ()
 
 
 def explore(
     start: S,
     key: Callable[[S], Hashable],
     moves: Callable[[S], Iterable[tuple[str, S]]],
-    wrong: Callable[[S], str],
+    find_violation: Callable[[S], str],
     states_max: int = 5_000_000,
-) -> Found[S]:
-    """All that `moves` leads to from `start`; `wrong` says what is broken in a state, or nothing. The
-    shortest way to a broken state is given.
+) -> SearchResult[S]:
+    """Visits every state that is reachable from `start`, up to the first violation.
+
+    Args:
+        start: The initial state.
+        key: Returns the identity of a state; states with equal keys are visited once.
+        moves: Returns the transitions of a state, each with its name and the next state.
+        find_violation: Describes how a state breaks the invariant, or returns an empty string.
+        states_max: The search stops as incomplete after this many states.
+
+    Returns:
+        The counts and, where a state violates the invariant, the shortest trace to it.
     """
     first = key(start)
-    came: dict[Hashable, tuple[Hashable, str] | None] = {first: None}
+    predecessors: dict[Hashable, tuple[Hashable, str] | None] = {first: None}
     queue: deque[tuple[Hashable, S]] = deque([(first, start)])
     steps = 0
-    if told := wrong(start):
-        return Found(1, 0, True, told)
+    if violation := find_violation(start):
+        return SearchResult(1, 0, True, violation)
     while queue:
-        here, state = queue.popleft()
-        for name, after in moves(state):
+        current_key, state = queue.popleft()
+        for name, next_state in moves(state):
             steps += 1
-            there = key(after)
-            if there in came:
+            next_key = key(next_state)
+            if next_key in predecessors:
                 continue
-            came[there] = (here, name)
-            if told := wrong(after):
-                return Found(len(came), steps, False, told, _path(came, there))
-            if len(came) >= states_max:
-                return Found(len(came), steps, False)
-            queue.append((there, after))
-    return Found(len(came), steps, True)
+            predecessors[next_key] = (current_key, name)
+            if violation := find_violation(next_state):
+                return SearchResult(
+                    len(predecessors), steps, False, violation, _trace(predecessors, next_key)
+                )
+            if len(predecessors) >= states_max:
+                return SearchResult(len(predecessors), steps, False)
+            queue.append((next_key, next_state))
+    return SearchResult(len(predecessors), steps, True)
 
 
-def _path(came: dict[Hashable, tuple[Hashable, str] | None], there: Hashable) -> tuple[str, ...]:
+def _trace(predecessors: dict[Hashable, tuple[Hashable, str] | None], state_key: Hashable) -> tuple[str, ...]:
+    """Returns the names of the transitions from the initial state to the state of a key."""
     names: list[str] = []
-    while (before := came[there]) is not None:
-        there, name = before
+    while (predecessor := predecessors[state_key]) is not None:
+        state_key, name = predecessor
         names.append(name)
     return tuple(reversed(names))
--- a/lemonridge/lab/checkers/extents.py
+++ b/lemonridge/lab/checkers/extents.py
@@ -31,12 +31,12 @@
     return int(ident) if where == block and data == stamp(ident, block) else -1
 
 
-def stamped(ident: int, first: int, blocks: int) -> bytes:
+def stamped_data(ident: int, first: int, blocks: int) -> bytes:
     """The data of a write of some blocks."""
     return b"".join(stamp(ident, first + place) for place in range(blocks))
 
 
-def stamps(data: bytes, first: int, blocks: int) -> tuple[int, ...]:
+def read_stamps(data: bytes, first: int, blocks: int) -> tuple[int, ...]:
     """What a read of some blocks found, block by block; -1 throughout if it is of another length."""
     if len(data) != blocks * BLOCK_BYTES:
         return (-1,) * blocks
@@ -46,13 +46,13 @@
     )
 
 
-def end_of(status: int) -> str:
+def outcome_of(status: int) -> str:
     """A command's end by its SCSI status."""
     return {0x00: "served", 0x08: "refused", 0x28: "refused"}.get(status, "failed")
 
 
 @dataclass(frozen=True, slots=True)
-class Asked:
+class CommandRecord:
     """One command of an initiator and its end; `ident` is a write's number, `found` what a read brought."""
 
     begun: int
@@ -84,7 +84,7 @@
 def check(
     logs: Iterable[ExecutedCommand],
     ledger: Mapping[ExtentKey, Sequence[Ownership]],
-    asked: Iterable[Asked],
+    asked: Iterable[CommandRecord],
     final: Mapping[tuple[int, int], int],
 ) -> Findings:
     """Hold everything against everything. `final` is what each block held at the end, by a read."""
@@ -114,7 +114,7 @@
     return found
 
 
-def _block(found: Findings, one: Asked, place: int, held: list[tuple[int, int]]) -> None:
+def _block(found: Findings, one: CommandRecord, place: int, held: list[tuple[int, int]]) -> None:
     """One block of one command against the block's history."""
     if not one.ident:
         if one.end == "served":
--- a/lemonridge/lab/checkers/policy.py
+++ b/lemonridge/lab/checkers/policy.py
@@ -18,16 +18,18 @@
 
 
 @dataclass(slots=True)
-class Proposed:
+class ProposedChange:
     """One proposal: what its proposer was told, and when."""
 
     note: str
     limit: float
     broker: int
-    at: float
+    proposed_at: float
     sound: bool  # whether every broker could decide by it
-    heard: bool = True  # whether one that could not was up and its links whole while it was asked
-    end: str = ""  # in force, nowhere, another, unknown; empty: its proposer died, or said no at once
+    rejecter_reachable: bool = (
+        True  # whether one that could not was up and its links whole while it was asked
+    )
+    outcome: str = ""  # in force, nowhere, another, unknown; empty: its proposer died, or said no at once
     reported_at: float = 0.0
     epoch: int = 0
 
@@ -43,7 +45,7 @@
     limit_excess: int = 0
 
     @property
-    def held(self) -> bool:
+    def passed(self) -> bool:
         """Whether no rule is broken."""
         return not (
             self.mixed_epochs
@@ -62,7 +64,7 @@
 
 def check(
     came: Sequence[ReceivedAttempt],
-    proposed: Sequence[Proposed],
+    proposed: Sequence[ProposedChange],
     ends: Sequence[Mapping[str, object]],
     limits: Mapping[int, float],
     floor: float,
@@ -102,10 +104,10 @@
 
 
 def _stale(
-    found: Findings, ordered: Sequence[ReceivedAttempt], proposed: Sequence[Proposed], lease_s: float
+    found: Findings, ordered: Sequence[ReceivedAttempt], proposed: Sequence[ProposedChange], lease_s: float
 ) -> None:
     """Once an epoch is known to be decided, the one before it lasts for a lease and no longer."""
-    known = sorted((one.reported_at + lease_s, one.epoch) for one in proposed if one.end == "in force")
+    known = sorted((one.reported_at + lease_s, one.epoch) for one in proposed if one.outcome == "in force")
     least, place = 0, 0
     for one in ordered:
         while place < len(known) and known[place][0] < one.head_received_at:
@@ -119,7 +121,9 @@
             )
 
 
-def _changes(found: Findings, proposed: Sequence[Proposed], ends: Sequence[Mapping[str, object]]) -> None:
+def _changes(
+    found: Findings, proposed: Sequence[ProposedChange], ends: Sequence[Mapping[str, object]]
+) -> None:
     """All hold one state in the end; what was told in force stands in its history, what was told nowhere does
     not.
     """
@@ -130,13 +134,13 @@
     oldest = min((int(line.split()[0]) for line in lines), default=0)
     for one in proposed:
         where = {int(line.split()[0]) for line in lines if line.endswith(f": {one.note}")}
-        if one.end == "in force" and one.epoch >= oldest and where != {one.epoch}:
+        if one.outcome == "in force" and one.epoch >= oldest and where != {one.epoch}:
             found.lost_changes += 1
             found.note(f"{one.note} was told in force at epoch {one.epoch} and stands at {sorted(where)}")
-        if one.end in ("nowhere", "another") and where:
+        if one.outcome in ("nowhere", "another") and where:
             found.half_changes += 1
-            found.note(f"{one.note} was told {one.end} and stands at {sorted(where)}")
-        if not one.sound and one.heard and where:
+            found.note(f"{one.note} was told {one.outcome} and stands at {sorted(where)}")
+        if not one.sound and one.rejecter_reachable and where:
             found.half_changes += 1
             found.note(f"{one.note} stands at {sorted(where)}, and one broker that could say so cannot")
 
--- a/lemonridge/lab/checkers/rollout.py
+++ b/lemonridge/lab/checkers/rollout.py
@@ -14,7 +14,7 @@
 from random import Random
 from typing import Any, NamedTuple
 
-from lemonridge.lab.checkers.exhaust import Found, explore
+from lemonridge.lab.checkers.exhaust import SearchResult, explore
 from lemonridge.rollout.leases import (
     NO_EPOCHS,
     EpochInterval,
@@ -45,18 +45,20 @@
     lags: int = 0  # ticks that the clocks of brokers may lose in all
     messages: int = 2  # in flight at once; one more is lost
     restarts: int = 0
-    sets: tuple[tuple[int, ...], ...] = ()  # of the leases: who votes after each epoch; empty: always all
+    voter_sets: tuple[
+        tuple[int, ...], ...
+    ] = ()  # of the leases: who votes after each epoch; empty: always all
     granted: tuple[tuple[int, ...], ...] = ()  # by broker: whose grants it holds at first; empty: all of them
 
     def voters(self, epoch: int) -> tuple[int, ...]:
         """Who votes after an epoch."""
-        return self.sets[epoch] if self.sets else tuple(range(MEMBERS))
+        return self.voter_sets[epoch] if self.voter_sets else tuple(range(MEMBERS))
 
 
 # Agreement
 
 
-class Ballot(NamedTuple):
+class ProposalRound(NamedTuple):
     """A proposer's round: what it heard, and what it puts to the vote."""
 
     who: int
@@ -68,11 +70,11 @@
     chosen: bool = False
 
 
-class Room(NamedTuple):
+class VotingState(NamedTuple):
     """Voters (identity, promised, took, value), and all rounds that were ever begun, in one slot."""
 
     voters: tuple[tuple[int, int, int, bytes], ...]
-    rounds: tuple[Ballot, ...]
+    rounds: tuple[ProposalRound, ...]
     tries: tuple[int, ...]
     wipes: int
     crashes: int
@@ -81,19 +83,19 @@
 Wipe = Callable[[int], int]  # the identity of the store after one of this identity is lost
 
 
-def agreement(
+def search_agreement(
     bounds: Bounds, states_max: int = 2_000_000, wipe: Wipe = lambda ident: ident + 1
-) -> Found[Room]:
+) -> SearchResult[VotingState]:
     """All that two proposers and three voters may come to; wrong is a second value that was chosen."""
     config = dict.fromkeys(range(MEMBERS), 0)
 
-    def proposer(one: Ballot) -> Proposer:
+    def proposer(one: ProposalRound) -> Proposer:
         made = Proposer(one.who, 1, VALUES[one.who], config, one.turn)
         made._promises = {voter: Promised(1, made.ballot, took, value) for voter, took, value in one.promises}
         made.value, made._accepts, made.chosen = one.value, set(one.accepts), one.chosen
         return made
 
-    def noted(one: Ballot, made: Proposer) -> Ballot:
+    def noted(one: ProposalRound, made: Proposer) -> ProposalRound:
         rows = tuple(
             sorted((n, told.accepted_ballot, told.accepted_value) for n, told in made._promises.items())
         )
@@ -101,7 +103,7 @@
             promises=rows, value=made.value, accepts=tuple(sorted(made._accepts)), chosen=made.chosen
         )
 
-    def moves(room: Room) -> Iterator[tuple[str, Room]]:
+    def moves(room: VotingState) -> Iterator[tuple[str, VotingState]]:
         top = max((one.turn for one in room.rounds), default=0)
         for who in range(2):
             if room.tries[who]:
@@ -109,7 +111,7 @@
                 yield (
                     f"{who} tries",
                     room._replace(
-                        rounds=(*begun, Ballot(who, top + 1, True)),
+                        rounds=(*begun, ProposalRound(who, top + 1, True)),
                         tries=_put(room.tries, who, room.tries[who] - 1),
                     ),
                 )
@@ -129,8 +131,8 @@
                 )
 
     def heard(
-        room: Room, place: int, one: Ballot, number: int, voter: Acceptor
-    ) -> Iterator[tuple[str, Room]]:
+        room: VotingState, place: int, one: ProposalRound, number: int, voter: Acceptor
+    ) -> Iterator[tuple[str, VotingState]]:
         made = proposer(one)
         kinds = ["prepare"] if one.value == NO_VALUE else ["prepare", "accept"]
         for kind in kinds:
@@ -162,11 +164,11 @@
                 room._replace(voters=voters, rounds=_put(room.rounds, place, noted(one, made))),
             )
 
-    def wrong(room: Room) -> str:
+    def wrong(room: VotingState) -> str:
         chosen = {one.value for one in room.rounds if one.chosen}
         return "" if len(chosen) < 2 else f"two values were chosen: {sorted(chosen)}"
 
-    start = Room(((0, 0, 0, NO_VALUE),) * MEMBERS, (), bounds.tries, bounds.wipes, bounds.crashes)
+    start = VotingState(((0, 0, 0, NO_VALUE),) * MEMBERS, (), bounds.tries, bounds.wipes, bounds.crashes)
     return explore(start, _alike, moves, wrong, states_max)
 
 
@@ -174,7 +176,7 @@
     return (*rows[:place], row, *rows[place + 1 :])
 
 
-def _alike(room: Room) -> Hashable:
+def _alike(room: VotingState) -> Hashable:
     """A room's key. The voters are alike: what counts is what is so of each, not which it is."""
     profiles = []
     for number, row in enumerate(room.voters):
@@ -190,7 +192,7 @@
 # Leases
 
 
-class Fleet(NamedTuple):
+class LeaseState(NamedTuple):
     """Brokers that are voters too, in discrete time."""
 
     grantors: tuple[tuple[Any, ...], ...]  # by voter: grants from, (member, incarnation, low, high, end, id)
@@ -247,22 +249,22 @@
     return holder.in_use, holder.target_epoch, holder._request_id, requests, grants
 
 
-def leases(bounds: Bounds, states_max: int = 2_000_000) -> Found[Fleet]:
+def search_leases(bounds: Bounds, states_max: int = 2_000_000) -> SearchResult[LeaseState]:
     """All that three brokers with leases may come to; wrong is two that go by no common epoch."""
     model = LeaseModel(bounds)
-    alike = not bounds.sets and not bounds.granted
-    key = _renamed if alike else _unchanged
-    return explore(model.start(), key, model.moves, model.wrong, states_max)
+    alike = not bounds.voter_sets and not bounds.granted
+    key = _symmetric_key if alike else _exact_key
+    return explore(model.start(), key, model.moves, model.violation, states_max)
 
 
-def _unchanged(fleet: Fleet) -> Hashable:
+def _exact_key(fleet: LeaseState) -> Hashable:
     return fleet
 
 
 _ORDERS = tuple(permutations(range(MEMBERS)))
 
 
-def _renamed(fleet: Fleet) -> Hashable:
+def _symmetric_key(fleet: LeaseState) -> Hashable:
     """A fleet's key where all begin alike, so that it does not matter which broker is which.
 
     Of the six ways to number them it is the one with the least rows.
@@ -284,7 +286,7 @@
     return *map(tuple, least), rows, fleet.chosen, fleet.at, fleet.ticks, fleet.lags, fleet.restarts
 
 
-def _rows(fleet: Fleet, order: tuple[int, ...]) -> tuple[Any, ...]:
+def _rows(fleet: LeaseState, order: tuple[int, ...]) -> tuple[Any, ...]:
     """What the brokers know, each by the number that it has in `order`."""
     grantors: list[Any] = [()] * MEMBERS
     holders: list[Any] = [()] * MEMBERS
@@ -300,7 +302,7 @@
     return tuple(grantors), tuple(holders), sent
 
 
-def wander(bounds: Bounds, seed: int, walks: int, steps: int = 60) -> str:
+def random_walks(bounds: Bounds, seed: int, walks: int, steps: int = 60) -> str:
     """Random histories within wider bounds; what is broken first, or nothing."""
     random = Random(seed)
     model = LeaseModel(bounds)
@@ -311,7 +313,7 @@
             if not after:
                 break
             fleet = random.choice(after)[1]
-            if broken := model.wrong(fleet):
+            if broken := model.violation(fleet):
                 return broken
     return ""
 
@@ -322,7 +324,7 @@
     def __init__(self, bounds: Bounds) -> None:
         self._bounds = bounds
 
-    def start(self) -> Fleet:
+    def start(self) -> LeaseState:
         """All use epoch 0, by leases as good as new."""
         bounds, members = self._bounds, range(MEMBERS)
         voters = bounds.voters(0)
@@ -334,7 +336,7 @@
                 granted = grantors[voter].grant(member, 1, request_id, in_use, target, 0, START_TICK)
                 holder.record_grant(voter, request_id, granted, START_TICK)
             holders.append(_holder_row(holder, START_TICK))
-        return Fleet(
+        return LeaseState(
             grantors=tuple(_grantor_rows(one, START_TICK) for one in grantors),
             holders=tuple(holders),
             incarnations=(1,) * MEMBERS,
@@ -347,10 +349,10 @@
             ticks=bounds.ticks,
             lags=bounds.lags,
             restarts=bounds.restarts,
-            proposed=0 if bounds.sets else bounds.epochs,
+            proposed=0 if bounds.voter_sets else bounds.epochs,
         )
 
-    def moves(self, fleet: Fleet) -> Iterator[tuple[str, Fleet]]:
+    def moves(self, fleet: LeaseState) -> Iterator[tuple[str, LeaseState]]:
         """All that may happen next, each with its name."""
         for member in range(MEMBERS):
             yield from self._member_moves(fleet, member)
@@ -361,7 +363,7 @@
             grantors = tuple(_grantor_rows(_grantor(rows), at) for rows in fleet.grantors)
             yield "time passes", fleet._replace(at=at, ticks=fleet.ticks - 1, grantors=grantors)
 
-    def wrong(self, fleet: Fleet) -> str:
+    def violation(self, fleet: LeaseState) -> str:
         """What is broken in a state, or nothing."""
         holders = [_holder(row, self._bounds) for row in fleet.holders]
         used = [
@@ -370,7 +372,7 @@
         ]
         return "" if have_common_epoch(used) else f"they go by {used}"
 
-    def _member_moves(self, fleet: Fleet, member: int) -> Iterator[tuple[str, Fleet]]:
+    def _member_moves(self, fleet: LeaseState, member: int) -> Iterator[tuple[str, LeaseState]]:
         if fleet.requests_left[member]:
             yield from self._request(fleet, member)
         yield from self._change_moves(fleet, member)
@@ -389,7 +391,7 @@
                 ),
             )
 
-    def _change_moves(self, fleet: Fleet, member: int) -> Iterator[tuple[str, Fleet]]:
+    def _change_moves(self, fleet: LeaseState, member: int) -> Iterator[tuple[str, LeaseState]]:
         """A member proposes, accepts, or learns the next epoch."""
         bounds, now = self._bounds, _clock(fleet, member)
         holder = _holder(fleet.holders[member], bounds)
@@ -409,14 +411,14 @@
 
     def _grant(
         self,
-        fleet: Fleet,
+        fleet: LeaseState,
         voter: int,
         member: int,
         incarnation: int,
         request_id: int,
         in_use: EpochInterval,
         target: int,
-    ) -> tuple[Fleet, EpochInterval]:
+    ) -> tuple[LeaseState, EpochInterval]:
         if voter not in self._bounds.voters(fleet.holders[voter][1]):
             return fleet, NO_EPOCHS
         grantor = _grantor(fleet.grantors[voter])
@@ -426,7 +428,7 @@
         grantors = _put(fleet.grantors, voter, _grantor_rows(grantor, fleet.at))
         return fleet._replace(grantors=grantors), granted
 
-    def _request(self, fleet: Fleet, member: int) -> Iterator[tuple[str, Fleet]]:
+    def _request(self, fleet: LeaseState, member: int) -> Iterator[tuple[str, LeaseState]]:
         """A member requests a lease of all grantors; its own grant needs no message."""
         holder = _holder(fleet.holders[member], self._bounds)
         request_id, in_use, target = holder.new_request(_clock(fleet, member))
@@ -448,13 +450,13 @@
 
     def _answers(
         self,
-        fleet: Fleet,
+        fleet: LeaseState,
         member: int,
         request_id: int,
         in_use: EpochInterval,
         target: int,
         voters: list[int],
-    ) -> Iterator[tuple[str, Fleet]]:
+    ) -> Iterator[tuple[str, LeaseState]]:
         """Each voter answers at once, or the request to it is in flight, or lost."""
         if not voters:
             yield "", fleet
@@ -471,7 +473,7 @@
             holder.record_grant(voter, request_id, granted, _clock(after, member))
             yield f", {voter} answers{name}", _with_holder(after, member, holder)
 
-    def _deliver(self, fleet: Fleet, message: tuple[Any, ...]) -> Iterator[tuple[str, Fleet]]:
+    def _deliver(self, fleet: LeaseState, message: tuple[Any, ...]) -> Iterator[tuple[str, LeaseState]]:
         """A message in flight arrives."""
         others = list(fleet.sent)
         others.remove(message)
@@ -491,17 +493,17 @@
             yield f"comes {message}", _with_holder(fleet, member, holder)
 
 
-def _clock(fleet: Fleet, member: int) -> int:
+def _clock(fleet: LeaseState, member: int) -> int:
     """A member's own clock."""
     return fleet.at - fleet.clock_lag[member]
 
 
-def _with_message(fleet: Fleet, message: tuple[Any, ...]) -> Fleet:
+def _with_message(fleet: LeaseState, message: tuple[Any, ...]) -> LeaseState:
     """The same with a message in flight."""
     return fleet._replace(sent=tuple(sorted((*fleet.sent, message))))
 
 
-def _with_holder(fleet: Fleet, member: int, holder: LeaseHolder) -> Fleet:
+def _with_holder(fleet: LeaseState, member: int, holder: LeaseHolder) -> LeaseState:
     row = _holder_row(holder, _clock(fleet, member))
     return fleet._replace(holders=_put(fleet.holders, member, row))
 
@@ -516,8 +518,10 @@
     Bounds(messages=0, ticks=1, restarts=1),
     Bounds(messages=0, ticks=2, restarts=1),
     Bounds(messages=0, ticks=1, epochs=2),
-    Bounds(messages=0, ticks=1, sets=(_THREE, (0, 1)), granted=_GRANTED_AT_FIRST),
-    Bounds(messages=0, ticks=1, sets=((0, 1), _THREE), granted=((0, 1),) * 3),
-    Bounds(messages=0, ticks=1, epochs=2, requests=2, sets=((0,), (0, 1), (1,)), granted=((0,), (), (0,))),
+    Bounds(messages=0, ticks=1, voter_sets=(_THREE, (0, 1)), granted=_GRANTED_AT_FIRST),
+    Bounds(messages=0, ticks=1, voter_sets=((0, 1), _THREE), granted=((0, 1),) * 3),
+    Bounds(
+        messages=0, ticks=1, epochs=2, requests=2, voter_sets=((0,), (0, 1), (1,)), granted=((0,), (), (0,))
+    ),
 )
-WIDE = Bounds(requests=5, epochs=3, ticks=14, lags=1, messages=6, restarts=1)
+RANDOM_WALK_BOUNDS = Bounds(requests=5, epochs=3, ticks=14, lags=1, messages=6, restarts=1)
--- a/lemonridge/lab/checkers/soak.py
+++ b/lemonridge/lab/checkers/soak.py
@@ -60,7 +60,7 @@
 )
 
 
-def judge(record: SoakRecord, limits: SoakLimits) -> Findings:
+def check(record: SoakRecord, limits: SoakLimits) -> Findings:
     """Every broken rule of a run."""
     found = Findings()
     by_request: dict[str, list[SoakAttempt]] = defaultdict(list)
--- a/lemonridge/lab/drills/extents.py
+++ b/lemonridge/lab/drills/extents.py
@@ -12,7 +12,14 @@
 from dataclasses import dataclass, field
 from random import Random
 
-from lemonridge.lab.checkers.extents import Asked, Findings, check, end_of, stamped, stamps
+from lemonridge.lab.checkers.extents import (
+    CommandRecord,
+    Findings,
+    check,
+    outcome_of,
+    read_stamps,
+    stamped_data,
+)
 from lemonridge.lab.links.drains import DrainMonitor
 from lemonridge.lab.load.initiator import Initiator, cdb
 from lemonridge.lab.program import Program, running_program
@@ -77,7 +84,7 @@
 class Tally:
     """What the initiators were answered."""
 
-    asked: list[Asked] = field(default_factory=list)
+    asked: list[CommandRecord] = field(default_factory=list)
     taken_s: list[float] = field(default_factory=list)
     unanswered: int = 0
 
@@ -184,7 +191,7 @@
         if writes:
             self.writes += 1
             ident = self.writes
-            data = stamped(ident, first, length)
+            data = stamped_data(ident, first, length)
             tag = initiator.command(cdb(0x2A, first, len(data)), data=data, lun=lun)
         else:
             tag = initiator.command(
@@ -196,14 +203,14 @@
         except (TimeoutError, ConnectionError):
             self.tally.unanswered += 1
             return "unanswered"
-        end = end_of(status)
+        end = outcome_of(status)
         found: tuple[int, ...] = ()
         if end == "served":
             self.tally.taken_s.append(loop.time() - began)
             if not writes:
-                found = stamps(data, first, length)
+                found = read_stamps(data, first, length)
         initiator.forget(tag)
-        self.tally.asked.append(Asked(begun, self.ticks(), lun, first, length, ident, end, found))
+        self.tally.asked.append(CommandRecord(begun, self.ticks(), lun, first, length, ident, end, found))
         if end != "served":
             await asyncio.sleep(0.01)  # BUSY asks for a pause
         return end
@@ -283,7 +290,8 @@
                         break
                     await asyncio.sleep(0.1)
                 final.update(
-                    ((lun, first + place), ident) for place, ident in enumerate(stamps(data, first, LENGTH))
+                    ((lun, first + place), ident)
+                    for place, ident in enumerate(read_stamps(data, first, LENGTH))
                 )
         return final
 
@@ -331,7 +339,7 @@
 )
 
 
-def held(figures: dict[str, object], options: Options) -> bool:
+def passed(figures: dict[str, object], options: Options) -> bool:
     """Whether every rule held, and the drill met what it is for."""
     whole = {name: value for name, value in figures.items() if isinstance(value, int)}
     busy = whole["served"] * 2 > whole["requests"]
--- a/lemonridge/lab/drills/fleet.py
+++ b/lemonridge/lab/drills/fleet.py
@@ -35,7 +35,7 @@
     mutant: str = ""  # a fault planted in every broker
 
 
-def askers(brokers: int, site: SiteSettings, seconds: float, calm_s: float) -> list[VolumeTraffic]:
+def fleet_traffic(brokers: int, site: SiteSettings, seconds: float, calm_s: float) -> list[VolumeTraffic]:
     """The volumes: limited ones that flood and move, and others that ask steadily."""
     hosts = min(HOSTS, brokers)
     full = site.limit / (1 + site.largest_request_units) * 2  # requests a second that fill a limit
@@ -112,7 +112,7 @@
     return made
 
 
-def plan(options: Options) -> Schedule:
+def fault_schedule(options: Options) -> Schedule:
     """The faults of a seed, or none."""
     if options.faults:
         return draw_schedule(options.seed, options.seconds, options.brokers, NODES)
@@ -127,7 +127,7 @@
     """One run: the figures of the last line, what was broken, and the rig as it ended."""
     site, schedule = (
         site or SiteSettings(retries_per_s=FURTHER if options.peers else 0.0),
-        schedule or plan(options),
+        schedule or fault_schedule(options),
     )
     module = ("lemonridge.cli.mutant", f"fleet-fault={options.mutant}") if options.mutant else ("lemonridge",)
     async with running_fleet(
@@ -135,14 +135,16 @@
     ) as rig:
         clients = Clients([one.port for one in rig.brokers], options.seed, site.deadline_ms)
         await asyncio.gather(
-            clients.run(askers(schedule.brokers, site, schedule.seconds, schedule.calm_s), schedule.seconds),
+            clients.run(
+                fleet_traffic(schedule.brokers, site, schedule.seconds, schedule.calm_s), schedule.seconds
+            ),
             rig.run_schedule(schedule),
         )
         await rig.stop()
-        return *judge(options, schedule, rig, clients, site), rig
+        return *evaluate(options, schedule, rig, clients, site), rig
 
 
-def judge(
+def evaluate(
     options: Options, schedule: Schedule, rig: FleetHarness, clients: Clients, site: SiteSettings
 ) -> tuple[dict[str, object], Findings]:
     """The figures, from what nodes and clients saw."""
@@ -188,7 +190,7 @@
     return figures, found
 
 
-def held(figures: dict[str, object], found: Findings) -> bool:
+def passed(figures: dict[str, object], found: Findings) -> bool:
     """Whether the drill held: no rule broken, healed in time, and a limit used where its demand is."""
     return (
         found.passed
--- a/lemonridge/lab/drills/iscsi.py
+++ b/lemonridge/lab/drills/iscsi.py
@@ -14,7 +14,14 @@
 from random import Random
 from typing import Any
 
-from lemonridge.lab.checkers.extents import Asked, Findings, check, end_of, stamped, stamps
+from lemonridge.lab.checkers.extents import (
+    CommandRecord,
+    Findings,
+    check,
+    outcome_of,
+    read_stamps,
+    stamped_data,
+)
 from lemonridge.lab.conform.cases import ACCOUNT, GUARDED, SECRET, SECRETS, STORE
 from lemonridge.lab.links.drains import DrainMonitor
 from lemonridge.lab.load.client import Client, CommandLostError, FaultyLink
@@ -78,7 +85,7 @@
 
 @dataclass
 class Tally:
-    asked: list[Asked] = field(default_factory=list)
+    asked: list[CommandRecord] = field(default_factory=list)
     lost: int = 0  # commands whose session ended under them: their end is unknown
     unanswered: int = 0
     flooded: int = 0
@@ -185,7 +192,7 @@
         if writes:
             self.writes += 1
             ident = self.writes
-            data = stamped(ident, first, length)
+            data = stamped_data(ident, first, length)
         text = cdb(0x2A if writes else 0x28, first, length * BLOCK_BYTES)
         begun = self.ticks()
         try:
@@ -193,14 +200,14 @@
                 status, found = await client.run(text, lun, data, 0 if writes else length * BLOCK_BYTES)
         except CommandLostError:  # its session was lost with it: what it did is not known
             self.tally.lost += 1
-            self.tally.asked.append(Asked(begun, self.ticks(), lun, first, length, ident, "failed"))
+            self.tally.asked.append(CommandRecord(begun, self.ticks(), lun, first, length, ident, "failed"))
             return
         except TimeoutError:
             self.tally.unanswered += 1
             return
-        end = end_of(status)
-        seen = stamps(found, first, length) if end == "served" and not writes else ()
-        self.tally.asked.append(Asked(begun, self.ticks(), lun, first, length, ident, end, seen))
+        end = outcome_of(status)
+        seen = read_stamps(found, first, length) if end == "served" and not writes else ()
+        self.tally.asked.append(CommandRecord(begun, self.ticks(), lun, first, length, ident, end, seen))
         if end != "served":
             await asyncio.sleep(0.01)
 
@@ -279,7 +286,8 @@
                         break
                     await asyncio.sleep(0.05)
                 final.update(
-                    ((lun, first + place), ident) for place, ident in enumerate(stamps(found, first, 128))
+                    ((lun, first + place), ident)
+                    for place, ident in enumerate(read_stamps(found, first, 128))
                 )
         await client.close()
         link.stop()
@@ -322,7 +330,7 @@
         return self._node
 
 
-def held(figures: dict[str, object]) -> bool:
+def passed(figures: dict[str, object]) -> bool:
     """Whether every rule held, and the drill met what it is for."""
     whole = {name: value for name, value in figures.items() if isinstance(value, int)}
     met = whole["recovered"] > 0 and whole["cut"] > 0 and whole["served"] * 2 > whole["commands"]
--- a/lemonridge/lab/drills/policy.py
+++ b/lemonridge/lab/drills/policy.py
@@ -16,7 +16,7 @@
 
 from lemonridge.config.address import Address
 from lemonridge.lab.checkers import fleet as rules
-from lemonridge.lab.checkers.policy import Findings, Proposed, check, epochs
+from lemonridge.lab.checkers.policy import Findings, ProposedChange, check, epochs
 from lemonridge.lab.links.datagrams import LinkFaults
 from lemonridge.lab.links.schedule import Fault
 from lemonridge.lab.load.fleet import Clients, VolumeTraffic
@@ -59,7 +59,7 @@
     def __init__(self, options: Options, rig: FleetHarness) -> None:
         self.options, self.rig = options, rig
         self.random, self.chaos = Random(f"{options.seed}/changes"), Random(f"{options.seed}/faults")
-        self.proposed: list[Proposed] = []
+        self.proposed: list[ProposedChange] = []
         self.limits: dict[int, float] = {0: rig.site.limit}
         self.busy: set[int] = set()  # brokers that something is done to
         self.wipes = 0
@@ -154,7 +154,9 @@
                 )
                 for row in policy.classes
             )
-            told = Proposed(note, limit, broker.number, self.now(), sound, self._can_answer_check(broker))
+            told = ProposedChange(
+                note, limit, broker.number, self.now(), sound, self._can_answer_check(broker)
+            )
             wanted = msgspec.to_builtins(msgspec.structs.replace(policy, plan=rows, classes=classes))
             line = orjson.dumps({"policy": wanted, "note": note}).decode()
             await self.ask(broker, f"policy-propose {line}")
@@ -163,13 +165,13 @@
         self.proposed.append(told)
         if dies and broker.number not in self.busy:
             await asyncio.sleep(after_s)
-            told.heard = told.heard and self._can_answer_check(broker)
+            told.rejecter_reachable = told.rejecter_reachable and self._can_answer_check(broker)
             await self.restart(broker, 0.3)
             return
         until = rig.now() + 7.0
         while rig.now() < until:
             await asyncio.sleep(POLL_INTERVAL_S)
-            told.heard = told.heard and self._can_answer_check(broker)
+            told.rejecter_reachable = told.rejecter_reachable and self._can_answer_check(broker)
             try:
                 seen = await self.seen(broker)
             except CallError:
@@ -177,9 +179,9 @@
             if seen["life"] != before["life"]:
                 return  # it died and came back: it does not know
             if seen["results_ended"] > before["results_ended"]:
-                told.end, _, told.epoch = seen["results"][-1]
+                told.outcome, _, told.epoch = seen["results"][-1]
                 told.reported_at = self.now()
-                if told.end == "in force":
+                if told.outcome == "in force":
                     self.switches.append(told.reported_at)
                 return
 
@@ -290,7 +292,7 @@
             await asyncio.sleep(POLL_INTERVAL_S)
 
 
-def askers(brokers: int, site: SiteSettings) -> list[VolumeTraffic]:
+def policy_traffic(brokers: int, site: SiteSettings) -> list[VolumeTraffic]:
     """Two volumes that flood their limit, one at all of its brokers in turn, one moving; and steady ones."""
     hosts, shards = min(3, brokers), tuple(range(NODES))
     made = [
@@ -334,7 +336,11 @@
     async with running_fleet(options.brokers, NODES, options.seed, site, True, module=module) as rig:
         clients = Clients([one.port for one in rig.brokers], options.seed, site.deadline_ms)
         drill = Drill(options, rig)
-        tasks = [clients.run(askers(options.brokers, site), options.seconds), drill.change(), drill.watch()]
+        tasks = [
+            clients.run(policy_traffic(options.brokers, site), options.seconds),
+            drill.change(),
+            drill.watch(),
+        ]
         if options.faults:
             tasks += [drill.trouble(), drill.vote()]
         await asyncio.gather(*tasks)
@@ -372,8 +378,8 @@
         "changes": len(drill.proposed),
         "sound": len(sound),
         "in_force": sum(one.note in drill.came for one in sound),
-        "rejected": sum(one.end == "nowhere" for one in drill.proposed),
-        "aborted": sum(one.end in ("another", "unknown", "") for one in drill.proposed),
+        "rejected": sum(one.outcome == "nowhere" for one in drill.proposed),
+        "aborted": sum(one.outcome in ("another", "unknown", "") for one in drill.proposed),
         "epoch": ends[0]["epoch"],
         "kills": sum(one.kills for one in rig.brokers),
         "wipes": drill.wipes,
@@ -393,14 +399,18 @@
     return figures, found, answers
 
 
-def _switch_ms(came: list[Any], proposed: list[Proposed]) -> int:
+def _switch_ms(came: list[Any], proposed: list[ProposedChange]) -> int:
     """The longest from a proposal to the first attempt by its epoch alone."""
     first: dict[int, float] = {}
     for one in came:
         interval = epochs(one.epoch)
         if interval is not None and interval[0] == interval[1]:
             first[interval[0]] = min(first.get(interval[0], one.head_received_at), one.head_received_at)
-    took = [first[one.epoch] - one.at for one in proposed if one.end == "in force" and one.epoch in first]
+    took = [
+        first[one.epoch] - one.proposed_at
+        for one in proposed
+        if one.outcome == "in force" and one.epoch in first
+    ]
     return int(max(took, default=0.0) * 1000)
 
 
@@ -410,7 +420,7 @@
     return int(max((later - one for one, later in zip(at, at[1:], strict=False)), default=0.0) * 1000)
 
 
-def held(figures: dict[str, object], found: Findings, answers: rules.Findings) -> bool:
+def passed(figures: dict[str, object], found: Findings, answers: rules.Findings) -> bool:
     """Whether no rule broke, and enough came into force."""
     enough = int(str(figures["in_force"])) >= ENOUGH * int(str(figures["sound"]))
-    return found.held and not answers.double_answers and not answers.unanswered and enough
+    return found.passed and not answers.double_answers and not answers.unanswered and enough
--- a/lemonridge/lab/drills/soak.py
+++ b/lemonridge/lab/drills/soak.py
@@ -23,7 +23,7 @@
 
 import orjson
 
-from lemonridge.lab.checkers.soak import EARLY_S, FIGURES, GRACE_S, Findings, SoakLimits, judge
+from lemonridge.lab.checkers.soak import EARLY_S, FIGURES, GRACE_S, Findings, SoakLimits, check
 from lemonridge.lab.program import Program, ProgramError
 from lemonridge.lab.standins.soak import SoakDiscovery, SoakNode
 from lemonridge.lab.standins.soak_record import ANNOUNCE_LIMIT_S, SoakClass, SoakRecord, SoakRequest
@@ -475,7 +475,7 @@
         await asyncio.gather(*self._tasks, return_exceptions=True)
         for listener in (*self._nodes, *self._discoveries):
             listener.close()
-        found = judge(self.record, LIMIT)
+        found = check(self.record, LIMIT)
         figures: dict[str, object] = {
             "drill": "soak",
             "seed": self._options.seed,
@@ -488,7 +488,7 @@
         return figures | {name: found.counts[name] for name in FIGURES}, found
 
 
-def held(found: Findings) -> bool:
+def passed(found: Findings) -> bool:
     """Whether every rule held."""
     return not found.counts.total()
 
--- a/lemonridge/lab/measure/fleet_cold.py
+++ b/lemonridge/lab/measure/fleet_cold.py
@@ -16,7 +16,7 @@
 RATE = 90.0  # requests a second of 1.5 units each: two thirds of what a warm endpoint serves
 
 
-async def once(seed: int, peers: bool) -> dict[str, float]:
+async def measure_once(seed: int, peers: bool) -> dict[str, float]:
     """Run it once.
 
     Requests for one endpoint's shard are sent through all brokers but the last; the endpoint dies and comes
@@ -59,7 +59,7 @@
     """A line for each seed: even parts against lent ones, and their ratio."""
     rows: list[dict[str, object]] = []
     for seed in seeds:
-        even, with_loans = asyncio.run(once(seed, False)), asyncio.run(once(seed, True))
+        even, with_loans = asyncio.run(measure_once(seed, False)), asyncio.run(measure_once(seed, True))
         rows.append(
             {
                 "measure": "cold",
--- a/lemonridge/lab/measure/iscsi.py
+++ b/lemonridge/lab/measure/iscsi.py
@@ -126,7 +126,9 @@
 
 
 @asynccontextmanager
-async def standing(front: str = "", cwd: str | None = None) -> AsyncGenerator[tuple[Program, int], None]:
+async def running_broker_and_node(
+    front: str = "", cwd: str | None = None
+) -> AsyncGenerator[tuple[Program, int], None]:
     """A broker before a stand-in node, and its port, as long as it takes; `front` adds keys to `[iscsi]`."""
     node = await _node()
     text = CONFIG.format(store=STORE, port=node.port, front=front)
@@ -139,7 +141,7 @@
 
 async def _through(setting: Setting, seconds: float, cwd: str | None) -> tuple[list[float], float]:
     """Through a broker; the times, and its CPU a command in microseconds."""
-    async with standing(cwd=cwd) as (program, port):
+    async with running_broker_and_node(cwd=cwd) as (program, port):
         await _load(port, STORE, setting, 0.3, 0)
         cpu = program.cpu_s
         taken = await _load(port, STORE, setting, seconds, 0)
@@ -193,7 +195,7 @@
 
 async def _recover(level: int, rounds: int) -> float:
     """From a cut connection to the first answer after it, in s: the median of some rounds."""
-    async with standing("time2wait_s = 0") as (_, port):
+    async with running_broker_and_node("time2wait_s = 0") as (_, port):
         link = FaultyLink(Random(level))
         link.upstream_port = port
         await link.start()
--- a/lemonridge/lab/measure/membership.py
+++ b/lemonridge/lab/measure/membership.py
@@ -196,7 +196,9 @@
         return sorted(times_s.values())
 
 
-def row(count: int, loss: float, name: str, seed: int = 1, slow: bool = False) -> dict[str, object]:
+def measure_scheme(
+    count: int, loss: float, name: str, seed: int = 1, slow: bool = False
+) -> dict[str, object]:
     """One setting: some time at rest, then a death."""
     fleet = SimulatedFleet(count, seed, loss, SCHEMES[name], 1 if slow else None)
     fleet.run(SETTLE_S)
@@ -226,5 +228,5 @@
     for name in ("swim", "plain"):
         for count in sizes:
             for loss in losses:
-                yield row(count, loss, name)
-            yield row(count, 0.0, name, slow=True)
+                yield measure_scheme(count, loss, name)
+            yield measure_scheme(count, 0.0, name, slow=True)
--- a/lemonridge/lab/measure/rollout.py
+++ b/lemonridge/lab/measure/rollout.py
@@ -60,7 +60,7 @@
     return ""
 
 
-class Net:
+class RolloutFleet:
     """Brokers, each with a disk and a clock, and a network with delays, losses, cuts and copies.
 
     Times are in microseconds; `now` is the true time.
@@ -110,13 +110,13 @@
             ident,
             lambda policy, n=n: self.validators[n](policy),  # type: ignore[misc]
             n,
-            self.at(n),
+            self.clock_us(n),
             lease_us=self.span_us,
             clock_error_us=self.error_us,
         )
-        self.take(n)
+        self.apply_actions(n)
 
-    def at(self, n: int) -> int:
+    def clock_us(self, n: int) -> int:
         """A broker's own clock."""
         return 10**9 + int((self.now - 10**9) * self.slow[n])
 
@@ -126,7 +126,7 @@
         if wiped:
             self.disks[n] = None
 
-    def spares(self, n: int) -> bool:
+    def may_lose_store(self, n: int) -> bool:
         """Whether a store may be lost: a majority of the voters would have theirs, nothing is voted on."""
         kept = [msgspec.msgpack.decode(disk, type=StoredVote) if disk else None for disk in self.disks]
         states = [policy_document.decode(one.state) for one in kept if one and one.state]
@@ -143,7 +143,7 @@
         assert made is not None
         return made
 
-    def take(self, n: int, most: int | None = None) -> None:
+    def apply_actions(self, n: int, most: int | None = None) -> None:
         """Do what a broker wants done, in its order; it may die after `most` things of it."""
         made = self.broker(n)
         for action in made.take_actions()[:most]:
@@ -164,12 +164,12 @@
         self.in_flight = [one for one in self.in_flight if one not in due]
         for _, to, source, life, item in due:
             if self.brokers[to] is not None:
-                self.broker(to).handle(source, life, item, self.at(to))
-                self.take(to)
+                self.broker(to).handle(source, life, item, self.clock_us(to))
+                self.apply_actions(to)
         for n, made in enumerate(self.brokers):
             if made is not None and n not in self.stopped:
-                made.tick(self.at(n))
-                self.take(n)
+                made.tick(self.clock_us(n))
+                self.apply_actions(n)
         self.check()
 
     def run(self, seconds: float) -> None:
@@ -179,39 +179,39 @@
 
     def check(self) -> None:
         """No two go by policies without a common epoch, and an epoch is one state everywhere."""
-        modes = self.modes()
+        modes = self.epochs_in_use()
         assert have_common_epoch(modes.values()), modes
         for made in self.brokers:
             if made is not None:
                 told = self.decided.setdefault(made.state.epoch, made.log.digest.hex())
                 assert told == made.log.digest.hex(), (made.state.epoch, told, made.log.digest.hex())
 
-    def modes(self) -> dict[int, leases.EpochInterval]:
+    def epochs_in_use(self) -> dict[int, leases.EpochInterval]:
         """By what each decides; one that is stopped sends nothing."""
         return {
-            n: made.epochs_in_use(self.at(n))
+            n: made.epochs_in_use(self.clock_us(n))
             for n, made in enumerate(self.brokers)
             if made is not None and n not in self.stopped
         }
 
-    def until(self, true: Callable[[], bool], most_s: float) -> float:
+    def run_until(self, true: Callable[[], bool], most_s: float) -> float:
         """Seconds until something is so."""
         begun = self.now
         while not true():
             assert self.now - begun < most_s * 1e6, (
-                self.modes(),
+                self.epochs_in_use(),
                 [b and b.proposals.results for b in self.brokers],
             )
             self.step()
         return (self.now - begun) / 1e6
 
-    def everywhere(self, epoch: int) -> bool:
+    def all_use_epoch(self, epoch: int) -> bool:
         """Whether all that are up use an epoch alone."""
-        return all(mode == (epoch, epoch) for mode in self.modes().values())
+        return all(mode == (epoch, epoch) for mode in self.epochs_in_use().values())
 
-    def steady(self) -> Net:
+    def run_until_steady(self) -> RolloutFleet:
         """Lets time pass until all use the first epoch."""
-        self.until(lambda: self.everywhere(0), 2 * self.span_us / 1e6 + 2)
+        self.run_until(lambda: self.all_use_epoch(0), 2 * self.span_us / 1e6 + 2)
         return self
 
 
@@ -222,14 +222,14 @@
     span_us: int = LEASE_US,
     dead: bool = False,
     error_us: int = CLOCK_ERROR_US,
-    prepared: Callable[[Net], None] = lambda net: None,
+    prepared: Callable[[RolloutFleet], None] = lambda net: None,
 ) -> tuple[float, float]:
     """Seconds from a proposal until all that are up go by the new policy alone, and the longest rest (by the
     floor alone) of any of them meanwhile.
     """
-    net = Net(size, seed, error_us, span_us)
+    net = RolloutFleet(size, seed, error_us, span_us)
     prepared(net)
-    net.steady()
+    net.run_until_steady()
     net.loss = loss
     if dead:
         net.kill(size - 1)
@@ -237,9 +237,9 @@
         net.step()  # it had no lease at that moment
     floor_us_by_broker = dict.fromkeys(range(size), 0)
     begun = net.now
-    while not net.everywhere(1) and net.now - begun < 60_000_000:
+    while not net.all_use_epoch(1) and net.now - begun < 60_000_000:
         net.step()
-        for n, mode in net.modes().items():
+        for n, mode in net.epochs_in_use().items():
             floor_us_by_broker[n] += STEP_US if mode == NO_EPOCHS else 0
         made = net.broker(0)
         if made.proposals.change is None and made.state.epoch == 0:
@@ -249,7 +249,7 @@
 
 def _bytes_at_rest(size: int) -> float:
     """Bytes a second that a broker says at rest."""
-    net = Net(size).steady()
+    net = RolloutFleet(size).run_until_steady()
     before = net.bytes
     net.run(4.0)
     return (net.bytes - before) / 4.0 / size
@@ -260,7 +260,7 @@
     way.
     """
 
-    def skewed(net: Net) -> None:
+    def skewed(net: RolloutFleet) -> None:
         net.slow[0], net.slow[1] = 1 - error_ms * 1000 / net.span_us, 1 + error_ms * 1000 / net.span_us
 
     return _change(5, 0.0, seed, dead=True, error_us=error_ms * 1000, prepared=skewed)
@@ -268,13 +268,13 @@
 
 def _floor_share_cut_off(span_us: int, seconds: float = 10.0) -> float:
     """The share of a time cut off in which a broker goes by the floor."""
-    net = Net(5, span_us=span_us).steady()
+    net = RolloutFleet(5, span_us=span_us).run_until_steady()
     net.cut = {(0, n) for n in range(1, 5)} | {(n, 0) for n in range(1, 5)}
     floors = steps = 0
     until = net.now + int(seconds * 1e6)
     while net.now < until:
         net.step()
-        steps, floors = steps + 1, floors + (net.modes()[0] == NO_EPOCHS)
+        steps, floors = steps + 1, floors + (net.epochs_in_use()[0] == NO_EPOCHS)
     return floors / steps
 
 
--- a/lemonridge/lab/measure/rollout_live.py
+++ b/lemonridge/lab/measure/rollout_live.py
@@ -12,7 +12,7 @@
 import orjson
 
 from lemonridge.config.address import Address
-from lemonridge.lab.drills.policy import NODES, askers
+from lemonridge.lab.drills.policy import NODES, policy_traffic
 from lemonridge.lab.load.fleet import ClientRequest, Clients
 from lemonridge.lab.rig import FleetHarness, SiteSettings, running_fleet
 from lemonridge.net.admin_client import call
@@ -25,7 +25,7 @@
 LOOK_S = 0.03
 
 
-async def once(brokers: int, seed: int) -> dict[str, object]:
+async def measure_once(brokers: int, seed: int) -> dict[str, object]:
     """The figures of one fleet: seconds from a proposal until all go by the new policy alone, and how many
     requests of steady volumes were served in the second from it, where the run's mean is 1.
     """
@@ -42,7 +42,7 @@
                 at.append(loop.time())
                 took.append(await _change(rig, number % brokers, 48.0 if number % 2 == 0 else 24.0))
 
-        await asyncio.gather(clients.run(askers(brokers, site), seconds), changes())
+        await asyncio.gather(clients.run(policy_traffic(brokers, site), seconds), changes())
         begun, epochs = rig.load_started_at, [(await _seen(rig, n))["epoch"] for n in range(brokers)]
         await rig.stop()
     steady = [one for one in clients.requests if one.volume >= 100]
@@ -96,4 +96,4 @@
 
 def figures(seed: int, sizes: tuple[int, ...] = SIZES) -> list[dict[str, object]]:
     """A line for each size, one play each."""
-    return [asyncio.run(once(brokers, seed)) for brokers in sizes]
+    return [asyncio.run(measure_once(brokers, seed)) for brokers in sizes]
--- a/lemonridge/lab/measure/validate.py
+++ b/lemonridge/lab/measure/validate.py
@@ -24,7 +24,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Row:
+class Comparison:
     """One figure: the model's, the program's, and whether they lie within the bound."""
 
     name: str
@@ -33,7 +33,7 @@
     bound: float
 
     @property
-    def held(self) -> bool:
+    def within_bound(self) -> bool:
         return abs(self.real - self.model) <= self.bound
 
 
@@ -107,16 +107,16 @@
     }
 
 
-def compare(model: dict[str, float], real: dict[str, float]) -> list[Row]:
+def compare(model: dict[str, float], real: dict[str, float]) -> list[Comparison]:
     """Each figure with its bound."""
     return [
-        Row("served", model["served"], real["served"], SHARE_GAP),
-        Row("p50_ms", model["p50_ms"], real["p50_ms"], P50_PART * model["p50_ms"] + P50_MS),
-        Row("p99_ms", model["p99_ms"], real["p99_ms"], P99_PART * model["p99_ms"] + P99_MS),
+        Comparison("served", model["served"], real["served"], SHARE_GAP),
+        Comparison("p50_ms", model["p50_ms"], real["p50_ms"], P50_PART * model["p50_ms"] + P50_MS),
+        Comparison("p99_ms", model["p99_ms"], real["p99_ms"], P99_PART * model["p99_ms"] + P99_MS),
     ]
 
 
-def validate(nodes: int, work_ms: float, load: float, seconds: float, seed: int) -> list[Row]:
+def validate(nodes: int, work_ms: float, load: float, seconds: float, seed: int) -> list[Comparison]:
     """Both runs, and their rows."""
     chosen = scenario(nodes, work_ms, load, seconds)
     return compare(in_model(chosen, seed), asyncio.run(on_sockets(chosen, seed)))
--- a/tests/fleet/test_membership.py
+++ b/tests/fleet/test_membership.py
@@ -7,13 +7,13 @@
 from virtual_fleet import START_US, VirtualFleet
 
 from lemonridge.fleet.datagrams import MembershipUpdate, MemberState
-from lemonridge.lab.measure.membership import row
+from lemonridge.lab.measure.membership import measure_scheme
 
 
 class Membership(unittest.TestCase):
     def test_death_is_detected_by_all_within_seconds_without_false_deaths(self) -> None:
         for count, loss, slow in ((3, 0.0, False), (16, 0.3, False), (16, 0.0, True)):
-            figures = row(count, loss, "swim", slow=slow)
+            figures = measure_scheme(count, loss, "swim", slow=slow)
             self.assertEqual((figures["accused"], figures["known_to"]), (0, count - 1), figures)
             self.assertLess(figures["all_s"], 8.0)
             self.assertLess(figures["bytes_s"], 800)
--- a/tests/fleet/test_quota_ledger.py
+++ b/tests/fleet/test_quota_ledger.py
@@ -42,14 +42,14 @@
             Bounds(2, in_flight=1, duplicates=0, restarts=0, budgets=(TWO_USE,)),
         ):
             result = search(bounds)
-            self.assertEqual((result.broken, result.whole), ("", True), result.path)
+            self.assertEqual((result.violation, result.complete), ("", True), result.trace)
             self.assertGreater(result.states, 1000)
 
     def test_search_finds_a_violation_in_each_mutant(self) -> None:
         for mutant in MUTANTS:
             result = search(MUTANT_BOUNDS.get(mutant.__name__, Bounds(1, duplicates=0)), with_mutant(mutant))
-            self.assertTrue(result.broken, mutant.__name__)
-            self.assertLess(len(result.path), 12)
+            self.assertTrue(result.violation, mutant.__name__)
+            self.assertLess(len(result.trace), 12)
 
 
 class RandomHistories(unittest.TestCase):
--- a/tests/integration/test_conformance.py
+++ b/tests/integration/test_conformance.py
@@ -26,4 +26,4 @@
 
     async def test_the_drill_holds(self) -> None:
         figures, found = await drill_iscsi.Drill(drill_iscsi.Options(5, seconds=5.0)).run()
-        self.assertTrue(drill_iscsi.held(figures), (figures, found.notes))
+        self.assertTrue(drill_iscsi.passed(figures), (figures, found.notes))
--- a/tests/integration/test_extents_live.py
+++ b/tests/integration/test_extents_live.py
@@ -16,7 +16,7 @@
 from lemonridge.extents.routing import Redirect
 from lemonridge.iscsi import versions
 from lemonridge.lab.checkers.extents import stamp
-from lemonridge.lab.drills.extents import Drill, Options, held
+from lemonridge.lab.drills.extents import Drill, Options, passed
 from lemonridge.lab.load.initiator import Initiator, cdb
 from lemonridge.lab.standins.etcd import Etcd
 from lemonridge.lab.standins.mover import Mover
@@ -364,14 +364,14 @@
     async def test_the_drill_holds(self) -> None:
         options = Options(11, seconds=4.0)
         figures, found = await Drill(options).run()
-        self.assertTrue(held(figures, options), (figures, found.notes))
+        self.assertTrue(passed(figures, options), (figures, found.notes))
 
     async def test_the_drill_can_fail(self) -> None:
         """Without version checks in the nodes, writes land on nodes that gave the extent away."""
         options = Options(12, seconds=4.0, move_every_s=0.1, checked=False)
         figures, _ = await Drill(options).run()
         self.assertGreater(figures["misdirected_writes"], 0)
-        self.assertFalse(held(figures, options))
+        self.assertFalse(passed(figures, options))
 
 
 class Versions(unittest.TestCase):
--- a/tests/integration/test_fleet_live.py
+++ b/tests/integration/test_fleet_live.py
@@ -180,7 +180,7 @@
         self.assertTrue(found.passed, found.notes)
 
     def test_a_cold_node_is_sent_more_where_the_demand_has_moved_and_does_not_fall(self) -> None:
-        even, lent = asyncio.run(both(fleet_cold.once(3, False), fleet_cold.once(3, True)))
+        even, lent = asyncio.run(both(fleet_cold.measure_once(3, False), fleet_cold.measure_once(3, True)))
         self.assertEqual(even["falls"] + lent["falls"], 0)
         self.assertGreater(lent["sent"], 1.3 * even["sent"], (even, lent))
 
@@ -234,4 +234,4 @@
 
     def test_every_rule_holds(self) -> None:
         figures, found, _ = asyncio.run(drill.run(drill.Options(11, 16.0)))
-        self.assertTrue(drill.held(figures, found), (figures, found.notes))
+        self.assertTrue(drill.passed(figures, found), (figures, found.notes))
--- a/tests/integration/test_load_http.py
+++ b/tests/integration/test_load_http.py
@@ -83,8 +83,8 @@
         model = {"served": 0.99, "p50_ms": 100.0, "p99_ms": 400.0}
         near = {"served": 0.98, "p50_ms": 120.0, "p99_ms": 500.0}
         far = {"served": 0.90, "p50_ms": 140.0, "p99_ms": 600.0}
-        self.assertTrue(all(row.held for row in validate.compare(model, near)))
-        self.assertEqual([row.held for row in validate.compare(model, far)], [False, False, False])
+        self.assertTrue(all(row.within_bound for row in validate.compare(model, near)))
+        self.assertEqual([row.within_bound for row in validate.compare(model, far)], [False, False, False])
 
     def test_the_load_draws_volumes_and_shards_as_the_models_table_says(self) -> None:
         from random import Random
--- a/tests/integration/test_rollout_live.py
+++ b/tests/integration/test_rollout_live.py
@@ -108,7 +108,7 @@
     rigs = []
     for rig, clients in asyncio.run(all_of()):
         found = judged(rig)
-        case.assertTrue(found.held, found.notes)
+        case.assertTrue(found.passed, found.notes)
         for one in clients.requests:
             down = any(
                 a <= one.ended_at and one.due_at <= b + 0.05 for a, b in rig.brokers[one.broker].outages
@@ -305,7 +305,7 @@
 class PolicyDrill(unittest.TestCase):
     def test_every_rule_holds(self) -> None:
         figures, found, answers = asyncio.run(drill.run(drill.Options(11, 20.0)))
-        self.assertTrue(drill.held(figures, found, answers), (figures, found.notes, answers.notes))
+        self.assertTrue(drill.passed(figures, found, answers), (figures, found.notes, answers.notes))
 
     def test_the_checker_finds_faults_planted_in_processes(self) -> None:
         async def apart(rig: FleetHarness) -> None:
--- a/tests/lab/test_policy_checker.py
+++ b/tests/lab/test_policy_checker.py
@@ -5,7 +5,7 @@
 import unittest
 from collections.abc import Awaitable, Callable
 
-from lemonridge.lab.checkers.policy import Proposed, check
+from lemonridge.lab.checkers.policy import ProposedChange, check
 from lemonridge.lab.rig import FleetHarness, SiteSettings
 
 SITE = SiteSettings(lease_ms=1000.0, short_deadline_broker=2)
@@ -16,7 +16,7 @@
     def test_reported_outcomes_are_compared_with_the_final_states(self) -> None:
         final_reports = [{"name": "a", "epoch": 2, "state": "x", "history": ["1 a: one", "2 a: two"]}] * 2
         proposals = [
-            Proposed(note, 1, 0, 0, True, end=end, reported_at=1, epoch=epoch)
+            ProposedChange(note, 1, 0, 0, True, outcome=end, reported_at=1, epoch=epoch)
             for note, end, epoch in (("one", "in force", 1), ("two", "nowhere", 0), ("three", "in force", 2))
         ]
         findings = check([], proposals, final_reports, {}, 1, (), 1, 1, 1)
--- a/tests/rollout/test_rollout_search.py
+++ b/tests/rollout/test_rollout_search.py
@@ -7,7 +7,7 @@
 from unittest import mock
 
 from lemonridge.lab.checkers import rollout as checker
-from lemonridge.lab.measure.rollout import Net, policy, rejection
+from lemonridge.lab.measure.rollout import RolloutFleet, policy, rejection
 from lemonridge.rollout import leases, paxos
 
 
@@ -16,13 +16,13 @@
 
     def test_no_message_order_chooses_two_values(self) -> None:
         for bounds in checker.STATED_AGREEMENT[:2]:
-            found = checker.agreement(bounds)
-            self.assertEqual((found.broken, found.whole), ("", True))
+            found = checker.search_agreement(bounds)
+            self.assertEqual((found.violation, found.complete), ("", True))
             self.assertGreater(found.states, 3_000)
 
     def test_no_message_order_puts_two_policies_in_use(self) -> None:
-        found = checker.leases(checker.Bounds(messages=0, ticks=1))
-        self.assertEqual((found.broken, found.whole), ("", True))
+        found = checker.search_leases(checker.Bounds(messages=0, ticks=1))
+        self.assertEqual((found.violation, found.complete), ("", True))
 
     def test_injected_paxos_faults_are_found(self) -> None:
         def ignore_accepted_values(
@@ -47,23 +47,23 @@
             ("quorum", mock.patch.object(paxos.Proposer, "quorum", 1)),
         ):
             with self.subTest(label), fault:
-                self.assertIn("two values", checker.agreement(checker.Bounds()).broken)
+                self.assertIn("two values", checker.search_agreement(checker.Bounds()).violation)
         # A member that lost its disk votes with its old store id.
-        same_store_id = checker.agreement(checker.Bounds(wipes=1), wipe=lambda store_id: store_id)
-        self.assertIn("two values", same_store_id.broken)
+        same_store_id = checker.search_agreement(checker.Bounds(wipes=1), wipe=lambda store_id: store_id)
+        self.assertIn("two values", same_store_id.violation)
 
     def test_switch_that_ignores_outstanding_leases_is_found(self) -> None:
-        self.assertEqual(checker.wander(checker.WIDE, 1, 60), "")
+        self.assertEqual(checker.random_walks(checker.RANDOM_WALK_BOUNDS, 1, 60), "")
         with mock.patch.object(leases, "overlap", lambda *_: True):
-            self.assertIn("they go by", checker.leases(checker.Bounds(messages=0, ticks=2)).broken)
+            self.assertIn("they go by", checker.search_leases(checker.Bounds(messages=0, ticks=2)).violation)
 
     def test_changes_of_voters_are_safe_and_injected_faults_are_found(self) -> None:
-        voter_changes = [bounds for bounds in checker.STATED_LEASES if bounds.sets]
+        voter_changes = [bounds for bounds in checker.STATED_LEASES if bounds.voter_sets]
         for bounds in voter_changes[:2]:
-            found = checker.leases(bounds)
-            self.assertEqual((found.broken, found.whole), ("", True))
-        two_voters_change = replace(voter_changes[0], sets=(voter_changes[0].sets[0], (0,)))
-        self.assertIn("they go by", checker.leases(two_voters_change).broken)
+            found = checker.search_leases(bounds)
+            self.assertEqual((found.violation, found.complete), ("", True))
+        two_voters_change = replace(voter_changes[0], voter_sets=(voter_changes[0].voter_sets[0], (0,)))
+        self.assertIn("they go by", checker.search_leases(two_voters_change).violation)
 
         def voters_of_first_epoch(
             holder: leases.LeaseHolder, interval: leases.EpochInterval
@@ -71,7 +71,7 @@
             return [holder.voters if interval[0] == holder.target_epoch else holder.previous_voters]
 
         with mock.patch.object(leases.LeaseHolder, "_voters_by_epoch", voters_of_first_epoch):
-            self.assertIn("they go by", checker.leases(voter_changes[2]).broken)
+            self.assertIn("they go by", checker.search_leases(voter_changes[2]).violation)
 
     def test_states_that_differ_only_by_member_numbers_count_once(self) -> None:
         model = checker.LeaseModel(checker.Bounds(messages=1, ticks=1))
@@ -79,11 +79,11 @@
         next_states = dict(model.moves(start))
         for name in ("{} asks, {} answers, {} answers", "{} accepts"):
             keys = {
-                checker._renamed(next_states[name.format(n, *(m for m in range(3) if m != n))])
+                checker._symmetric_key(next_states[name.format(n, *(m for m in range(3) if m != n))])
                 for n in range(3)
             }
             self.assertEqual(len(keys), 1, name)
-        self.assertNotEqual(checker._renamed(next_states["0 accepts"]), checker._renamed(start))
+        self.assertNotEqual(checker._symmetric_key(next_states["0 accepts"]), checker._symmetric_key(start))
 
 
 class InjectedLeaseFaults(unittest.TestCase):
@@ -91,36 +91,36 @@
 
     def run_late_replies(self) -> None:
         """The last replies to a broker arrive almost one lease late, and then it is partitioned."""
-        net = Net(3).steady()
+        net = RolloutFleet(3).run_until_steady()
         net.extra[0] = 1_800_000
         net.run(0.55)  # one lease request
         net.cut = {(0, 1), (0, 2)}
         net.run(1.0)
         net.broker(1).propose(policy(12), "half", net.now)
         net.run(4.0)
-        assert net.modes()[1] == (1, 1)
+        assert net.epochs_in_use()[1] == (1, 1)
 
     def run_slow_clock(self, error_us: int) -> None:
         """A broker whose clock runs slow by a tenth is partitioned."""
-        net = Net(3, error_us=error_us)
+        net = RolloutFleet(3, error_us=error_us)
         net.slow[0] = 0.9
-        net.steady()
+        net.run_until_steady()
         net.run(0.25)
         net.cut = {(0, 1), (0, 2), (1, 0), (2, 0)}
         net.broker(1).propose(policy(12), "half", net.now)
         net.run(4.0)
-        assert net.modes()[1] == (1, 1)
+        assert net.epochs_in_use()[1] == (1, 1)
 
     def run_restarts(self) -> None:
         """One broker is partitioned; the other two restart and change the policy at once."""
-        net = Net(3).steady()
+        net = RolloutFleet(3).run_until_steady()
         net.cut = {(0, 1), (0, 2), (1, 0), (2, 0)}
         for n in (1, 2):
             net.kill(n)
             net.start(n)
-        net.until(lambda: rejection(net.broker(1).propose, policy(12), "half", net.now) == "", 5.0)
+        net.run_until(lambda: rejection(net.broker(1).propose, policy(12), "half", net.now) == "", 5.0)
         net.run(3.0)
-        assert net.modes()[1] == (1, 1)
+        assert net.epochs_in_use()[1] == (1, 1)
 
     def test_lease_measured_from_the_reply_is_found(self) -> None:
         def measure_from_reply(
