--- a/lemonridge/lab/checkers/__init__.py
+++ b/lemonridge/lab/checkers/__init__.py
@@ -1,1 +1,1 @@
-"""Checkers: they judge a drill by what nodes and clients saw, never by the broker's own counters."""
+"""Checkers: they verify a drill by the records of nodes and clients, never by the broker's own counters."""
--- a/lemonridge/lab/drills/__init__.py
+++ b/lemonridge/lab/drills/__init__.py
@@ -1,1 +1,1 @@
-"""Drills: the real program among faults drawn from a seed, judged by a checker."""
+"""Drills: runs of the real program under faults drawn from a seed, verified by a checker."""
--- a/lemonridge/lab/drills/iscsi.py
+++ b/lemonridge/lab/drills/iscsi.py
@@ -1,10 +1,9 @@
-"""The drill `iscsi`: sessions of one to four connections, cut, spoilt, flooded and retried, before failing
-nodes.
+"""The drill `iscsi`: sessions of one to four connections under connection failures, corruption and overload.
 
 Each initiator has a session at recovery level 0, 1 or 2, with digests or without, with CHAP or without. Its
-connections are cut at random bytes, bits of digested PDUs are flipped, nodes are killed, fall silent and
-drain, and one initiator floods. What a command meets is recovered as its level has it; `check` judges every
-block by the nodes' logs, as in the drill `extents`.
+connections are cut at random bytes, bits of digested PDUs are flipped, nodes are killed, stop answering and
+drain, and one initiator floods the target. Initiators recover failed commands by the means of their level;
+`check` verifies every block by the nodes' logs, as in the drill `extents`.
 """
 
 from __future__ import annotations
@@ -79,42 +78,61 @@
 
 @dataclass
 class Options:
+    """The options of a run.
+
+    Attributes:
+        seed: The seed from which load and faults are drawn.
+        seconds: The duration of the load.
+    """
+
     seed: int
     seconds: float = 10.0
 
 
 @dataclass
-class Tally:
-    asked: list[CommandRecord] = field(default_factory=list)
-    lost: int = 0  # commands whose session ended under them: their end is unknown
+class CommandTally:
+    """The outcomes of the initiators' commands.
+
+    Attributes:
+        commands: The commands whose session ended or that were answered.
+        lost: How many commands were pending when their session ended; it is unknown whether they ran.
+        unanswered: How many commands got no answer in time.
+        flooded: How many commands the flooding initiator sent.
+    """
+
+    commands: list[CommandRecord] = field(default_factory=list)
+    lost: int = 0
     unanswered: int = 0
     flooded: int = 0
 
 
 class Drill:
-    """One run."""
+    """One run of the drill."""
 
     def __init__(self, options: Options) -> None:
-        self.options, self.ticks, self.tally = options, Ticks(), Tally()
-        self.random = {name: Random(f"{options.seed}/{name}") for name in ("load", "link", "node", "client")}
+        self.options, self.ticks, self.tally = options, Ticks(), CommandTally()
+        self.random_streams = {
+            name: Random(f"{options.seed}/{name}") for name in ("load", "link", "node", "client")
+        }
         self.etcd = Etcd()
         self.etcd.chunk_bytes = 4096
         self.nodes = [
-            ExtentNode(f"n{n}", n, self.ticks, self.random["node"], accepts_unversioned=True)
+            ExtentNode(f"n{n}", n, self.ticks, self.random_streams["node"], accepts_unversioned=True)
             for n in range(2)
         ]
         self.mover = Mover(self.nodes, self.etcd, PREFIX, self.ticks, Random(0))
-        self.link = FaultyLink(self.random["link"])
+        self.link = FaultyLink(self.random_streams["link"])
         self.drains = DrainMonitor(self.etcd, PREFIX)
         self.writes = 0
 
     async def run(self) -> tuple[dict[str, object], Findings]:
+        """Runs the load and the faults; returns the figures and the checker's findings."""
         for node in self.nodes:
             await node.start()
-            node.delay_s = lambda: self.random["load"].expovariate(1 / 0.003)
+            node.delay_s = lambda: self.random_streams["load"].expovariate(1 / 0.003)
         await self.etcd.start()
         for lun, node in enumerate(self.nodes):
-            self.mover.random = _Only(node)  # type: ignore[assignment]
+            self.mover.random = _FixedNode(node)  # type: ignore[assignment]
             self.mover.create_lun(lun, 1, BLOCKS)
         self.etcd.transact({f"{PREFIX}nodes/{node.name}": node.etcd_entry() for node in self.nodes})
         text = CONFIG.format(
@@ -133,8 +151,8 @@
             await self.link.start()
             clients = [self._client(number) for number in range(CLIENTS)]
             until = asyncio.get_running_loop().time() + self.options.seconds
-            await self._day(clients, until)
-            final = await self._final(port)
+            await self._run_load(clients, until)
+            final_writes = await self._read_all_blocks(port)
             for client in clients:
                 await client.close()
             self.link.stop()
@@ -142,12 +160,13 @@
             if node.alive:
                 node.kill()
         await self.etcd.stop()
-        logs = [line for node in self.nodes for line in node.log]
-        found = check(logs, self.mover.ownership_log, self.tally.asked, final)
-        return self._figures(found, program.counters, clients), found
+        executed_commands = [command for node in self.nodes for command in node.log]
+        findings = check(executed_commands, self.mover.ownership_log, self.tally.commands, final_writes)
+        return self._figures(findings, program.counters, clients), findings
 
     def _client(self, number: int) -> Client:
-        random = self.random["client"]
+        """Creates an initiator; its number and the seed determine level, connections, digests and CHAP."""
+        random = self.random_streams["client"]
         level = number % 3
         guarded = random.random() < 0.5
         digests = {
@@ -165,62 +184,75 @@
             keys=digests,
         )
 
-    # The day
+    # Load
 
-    async def _day(self, clients: list[Client], until: float) -> None:
+    async def _run_load(self, clients: list[Client], until: float) -> None:
+        """Runs the initiators' commands and the faults until a time of the loop's clock."""
         lanes = [
             self._lane(client, number * LANES + lane, until)
             for number, client in enumerate(clients)
             for lane in range(LANES)
         ]
-        await asyncio.gather(self._cuts(until), self._deaths(until), self._flood(until), *lanes)
+        await asyncio.gather(self._cut_links(until), self._fail_nodes(until), self._flood(until), *lanes)
         self.link.stop_faults()
 
     async def _lane(self, client: Client, lane: int, until: float) -> None:
-        """One command after another on blocks of its own."""
-        loop, random = asyncio.get_running_loop(), self.random["load"]
+        """Sends one command after another to a range of blocks that no other lane uses."""
+        loop, random = asyncio.get_running_loop(), self.random_streams["load"]
         size = 2 * BLOCKS // (CLIENTS * LANES)
         lun, start = lane % 2, lane // 2 * size
         while loop.time() < until:
             length = random.choice((1, 8, 16, 64))
-            first = start + random.randrange(size - length + 1)
-            await self._command(client, lun, first, length, random.random() < 0.5)
+            first_block = start + random.randrange(size - length + 1)
+            await self._command(client, lun, first_block, length, random.random() < 0.5)
 
-    async def _command(self, client: Client, lun: int, first: int, length: int, writes: bool) -> None:
+    async def _command(self, client: Client, lun: int, first_block: int, length: int, writes: bool) -> None:
+        """Sends a read or write of `length` blocks and records its outcome."""
         loop = asyncio.get_running_loop()
-        ident, data = 0, b""
+        write_number, data = 0, b""
         if writes:
             self.writes += 1
-            ident = self.writes
-            data = stamped_data(ident, first, length)
-        text = cdb(0x2A if writes else 0x28, first, length * BLOCK_BYTES)
-        begun = self.ticks()
+            write_number = self.writes
+            data = stamped_data(write_number, first_block, length)
+        command_block = cdb(0x2A if writes else 0x28, first_block, length * BLOCK_BYTES)
+        started_tick = self.ticks()
         try:
             async with asyncio.timeout_at(loop.time() + DEADLINE_S + GRACE_S + client.recovery_timeout_s):
-                status, found = await client.run(text, lun, data, 0 if writes else length * BLOCK_BYTES)
-        except CommandLostError:  # its session was lost with it: what it did is not known
+                status, read_data = await client.run(
+                    command_block, lun, data, 0 if writes else length * BLOCK_BYTES
+                )
+        except CommandLostError:  # the session ended with the command pending: it may or may not have run
             self.tally.lost += 1
-            self.tally.asked.append(CommandRecord(begun, self.ticks(), lun, first, length, ident, "failed"))
+            self.tally.commands.append(
+                CommandRecord(started_tick, self.ticks(), lun, first_block, length, write_number, "failed")
+            )
             return
         except TimeoutError:
             self.tally.unanswered += 1
             return
-        end = outcome_of(status)
-        seen = read_stamps(found, first, length) if end == "served" and not writes else ()
-        self.tally.asked.append(CommandRecord(begun, self.ticks(), lun, first, length, ident, end, seen))
-        if end != "served":
+        outcome = outcome_of(status)
+        found_writes = (
+            read_stamps(read_data, first_block, length) if outcome == "served" and not writes else ()
+        )
+        self.tally.commands.append(
+            CommandRecord(
+                started_tick, self.ticks(), lun, first_block, length, write_number, outcome, found_writes
+            )
+        )
+        if outcome != "served":
             await asyncio.sleep(0.01)
 
-    async def _cuts(self, until: float) -> None:
-        loop, random = asyncio.get_running_loop(), self.random["link"]
+    async def _cut_links(self, until: float) -> None:
+        """Schedules a cut of a connection and the flip of a bit every 0.05 to 0.25 s."""
+        loop, random = asyncio.get_running_loop(), self.random_streams["link"]
         while loop.time() < until:
             await asyncio.sleep(random.uniform(0.05, 0.25))
             self.link.schedule_cut()
             self.link.schedule_bit_flip()
 
-    async def _deaths(self, until: float) -> None:
-        """Nodes are killed, fall silent and drain, one after the other."""
-        loop, random = asyncio.get_running_loop(), self.random["node"]
+    async def _fail_nodes(self, until: float) -> None:
+        """Makes nodes crash, stop answering or drain, one node at a time."""
+        loop, random = asyncio.get_running_loop(), self.random_streams["node"]
         while loop.time() < until:
             await asyncio.sleep(random.uniform(0.7, 1.4))
             node, kind = random.choice(self.nodes), random.random()
@@ -232,7 +264,7 @@
             elif kind < 0.7:
                 node.silent = True
                 await asyncio.sleep(random.uniform(0.1, 0.5))
-                node.kill()  # what it swallowed is gone with it
+                node.kill()  # the commands that it received while silent are lost
                 node.silent = False
                 await node.start()
                 self.etcd.put(f"{PREFIX}nodes/{node.name}", node.etcd_entry())
@@ -240,8 +272,8 @@
                 await self.drains.drain(node)
 
     async def _flood(self, until: float) -> None:
-        """One initiator sends far more than its window, opens connections and reads nothing."""
-        loop, random = asyncio.get_running_loop(), self.random["client"]
+        """Opens connections that send far more commands than their window allows and read no answers."""
+        loop, random = asyncio.get_running_loop(), self.random_streams["client"]
         while loop.time() < until:
             client = Client(
                 self.link,
@@ -257,10 +289,13 @@
             await asyncio.sleep(random.uniform(0.2, 0.6))
             await client.close()
 
-    # The end
+    # Results
 
-    async def _final(self, port: int) -> dict[tuple[int, int], int]:
-        """Read every block back over a connection that nobody spoils."""
+    async def _read_all_blocks(self, port: int) -> dict[tuple[int, int], int]:
+        """Reads every block over a connection without faults and returns the write that it holds.
+
+        The result's keys are LUN and block.
+        """
         link = FaultyLink(Random(0))
         link.upstream_port = port
         await link.start()
@@ -274,64 +309,74 @@
             None,
             {"HeaderDigest": "None", "DataDigest": "None"},
         )
-        final: dict[tuple[int, int], int] = {}
+        final_writes: dict[tuple[int, int], int] = {}
         for lun in range(2):
-            for first in range(0, BLOCKS, 128):
-                found = b""
+            for first_block in range(0, BLOCKS, 128):
+                read_data = b""
                 for _ in range(200):
-                    status, found = await client.run(
-                        cdb(0x28, first, 128 * BLOCK_BYTES), lun, b"", 128 * BLOCK_BYTES
+                    status, read_data = await client.run(
+                        cdb(0x28, first_block, 128 * BLOCK_BYTES), lun, b"", 128 * BLOCK_BYTES
                     )
                     if status == 0:
                         break
                     await asyncio.sleep(0.05)
-                final.update(
-                    ((lun, first + place), ident)
-                    for place, ident in enumerate(read_stamps(found, first, 128))
+                final_writes.update(
+                    ((lun, first_block + offset), write_number)
+                    for offset, write_number in enumerate(read_stamps(read_data, first_block, 128))
                 )
         await client.close()
         link.stop()
-        return final
+        return final_writes
 
-    def _figures(self, found: Findings, counts: dict[str, int], clients: list[Client]) -> dict[str, object]:
-        asked = self.tally.asked
-        ends = {end: sum(one.end == end for one in asked) for end in ("served", "refused", "failed")}
+    def _figures(
+        self, findings: Findings, counters: dict[str, int], clients: list[Client]
+    ) -> dict[str, object]:
+        """Returns the figures of the last line."""
+        commands = self.tally.commands
+        outcomes = {
+            outcome: sum(command.outcome == outcome for command in commands)
+            for outcome in ("served", "refused", "failed")
+        }
         return {
             "drill": "iscsi",
             "seed": self.options.seed,
-            "commands": len(asked) + self.tally.unanswered,
-            **ends,
+            "commands": len(commands) + self.tally.unanswered,
+            **outcomes,
             "lost": self.tally.lost,
             "cut": self.link.cut_connections,
             "flipped": self.link.flipped_bits,
             "recovered": sum(client.recovered for client in clients),
             "sessions": sum(client.sessions for client in clients),
-            "reassigned": counts.get("tasks.reassigned", 0),
-            "recovery_r2ts": counts.get("r2ts.recovery", 0),
-            "snacks": counts.get("snacks", 0),
+            "reassigned": counters.get("tasks.reassigned", 0),
+            "recovery_r2ts": counters.get("r2ts.recovery", 0),
+            "snacks": counters.get("snacks", 0),
             "flooded": self.tally.flooded,
-            "refused_ran": found.refused_ran,
+            "refused_ran": findings.refused_ran,
             "late_work": self.drains.violations,
-            "run_twice": found.run_twice,
-            "wrong_data": found.wrong_reads + found.misdirected_writes,
-            "lost_writes": found.lost_writes,
+            "run_twice": findings.run_twice,
+            "wrong_data": findings.wrong_reads + findings.misdirected_writes,
+            "lost_writes": findings.lost_writes,
             "double_answers": sum(client.duplicate_answers for client in clients),
             "unanswered": self.tally.unanswered,
         }
 
 
-class _Only:
-    """Lays everything on one node."""
+class _FixedNode:
+    """Takes the place of the mover's random source: always chooses the same node."""
 
     def __init__(self, node: ExtentNode) -> None:
         self._node = node
 
     def choice(self, _: Any) -> ExtentNode:
+        """Returns the node, whatever the choices are."""
         return self._node
 
 
 def passed(figures: dict[str, object]) -> bool:
-    """Whether every rule held, and the drill met what it is for."""
-    whole = {name: value for name, value in figures.items() if isinstance(value, int)}
-    met = whole["recovered"] > 0 and whole["cut"] > 0 and whole["served"] * 2 > whole["commands"]
-    return met and not any(whole[name] for name in RULES)
+    """Whether no rule was violated and the run exercised what the drill tests.
+
+    Connections must have been cut, commands recovered, and more than half of the commands served.
+    """
+    counts = {name: value for name, value in figures.items() if isinstance(value, int)}
+    exercised = counts["recovered"] > 0 and counts["cut"] > 0 and counts["served"] * 2 > counts["commands"]
+    return exercised and not any(counts[name] for name in RULES)
