--- a/lemonridge/lab/drills/policy.py
+++ b/lemonridge/lab/drills/policy.py
@@ -1,7 +1,8 @@
-"""The drill `policy`: a fleet's policy is changed every few seconds under faults.
+"""The drill `policy`: changes a fleet's policy every few seconds under faults.
 
-Brokers are killed, paused and cut off, also the one that proposes; vote stores are lost or truncated; voters
-are retired and admitted. The last part has no faults: there all brokers have to converge.
+Brokers are killed, paused and cut off, among them the proposers of changes; vote stores are lost or
+truncated; voters are retired and admitted. The last part of the run has no faults: in it all brokers have to
+converge to one state.
 """
 
 from __future__ import annotations
@@ -25,26 +26,35 @@
 from lemonridge.rollout.policy_document import Policy
 
 NODES = 3
-LEASE_MS, CLOCK_MS, FLOOR = 1500.0, 50.0, 0.25
+LEASE_MS, CLOCK_ERROR_MS, FLOOR_SHARE = 1500.0, 50.0, 0.25
 LIMITS = (12.0, 18.0, 24.0, 36.0, 48.0)
-FLOODED = (1, 2)
-QUIET_END_S = 6.0  # at the end, without faults and changes
-CONVERGENCE_S = 8.0  # in which all must hold one state then
-WIPE_S = 8.0  # between two stores that are lost: one is let in again before another goes
-ENOUGH = 1 / 3  # of the sound proposals that must come into force
-UNSOUND = 0.2  # of the proposals one broker cannot decide by
+FLOODED_VOLUMES = (1, 2)
+QUIET_END_S = 6.0  # the part at the end of the run without faults and changes
+CONVERGENCE_S = 8.0  # from the end of the load: all brokers must have the same state within this time
+WIPE_INTERVAL_S = (
+    8.0  # between two lost vote stores: the first broker is admitted again before another store is lost
+)
+IN_FORCE_SHARE_MIN = 1 / 3  # the least share of the sound proposals that must come into force
+UNSOUND_SHARE = 0.2  # the share of the proposals by whose policy one broker cannot decide
 POLL_INTERVAL_S = 0.1
-VOTERS_LEAST = 4
-VOTE_S = 9.0  # between two votes that are taken away
-VOTE_LOOK_S = 0.5
-GRANTS_AGAIN_S = (
-    LEASE_MS / 1000 + 0.3
-)  # a voter that starts grants nothing for a lease and the error of clocks
+VOTERS_MIN = 4
+VOTE_CHANGE_INTERVAL_S = 9.0  # between two retirements of voters
+VOTE_POLL_INTERVAL_S = 0.5
+# After its start a voter grants no leases for the duration of a lease and the clock error.
+GRANT_PAUSE_S = LEASE_MS / 1000 + 0.3
 
 
 @dataclass(frozen=True)
 class Options:
-    """What the command line says."""
+    """The options of a run.
+
+    Attributes:
+        seed: The seed from which changes and faults are drawn.
+        seconds: The duration of the load.
+        brokers: The number of brokers.
+        faults: Whether faults are injected and voters changed.
+        mutant: The name of a fault to plant in every broker; empty for none.
+    """
 
     seed: int
     seconds: float = 30.0
@@ -54,248 +64,309 @@
 
 
 class Drill:
-    """One run."""
+    """One run of the drill.
+
+    Attributes:
+        options: The options of the run.
+        rig: The fleet.
+        change_random: The random source of the changes of policy.
+        fault_random: The random source of the faults.
+        vote_random: The random source of the changes of voters.
+        proposals: The proposed changes with their outcomes.
+        limits: By epoch, the limit of the flooded volumes' plan.
+        unavailable: The numbers of the brokers that are killed or paused now.
+        wipes: How many vote stores were lost or truncated.
+        applied_notes: The notes of all changes that were in the history of any broker.
+        vote_changes: How many voters were retired or admitted.
+        no_process_faults: Whether no broker may be killed or paused, as another missing voter could leave
+            the fleet without a majority.
+        switches: When proposers learned that their changes were in force, in seconds of the loop's clock.
+    """
 
     def __init__(self, options: Options, rig: FleetHarness) -> None:
         self.options, self.rig = options, rig
-        self.random, self.chaos = Random(f"{options.seed}/changes"), Random(f"{options.seed}/faults")
-        self.proposed: list[ProposedChange] = []
+        self.change_random, self.fault_random = (
+            Random(f"{options.seed}/changes"),
+            Random(f"{options.seed}/faults"),
+        )
+        self.proposals: list[ProposedChange] = []
         self.limits: dict[int, float] = {0: rig.site.limit}
-        self.busy: set[int] = set()  # brokers that something is done to
+        self.unavailable: set[int] = set()
         self.wipes = 0
-        self.came: set[str] = set()  # notes of changes that stood in any history
-        self.voting, self.votes = Random(f"{options.seed}/votes"), 0  # taken away or given
-        self.few, self._voted_s = False, 0.0  # whether few are left; the first is not taken at once
-        self._wiped_s = -WIPE_S
+        self.applied_notes: set[str] = set()
+        self.vote_random, self.vote_changes = Random(f"{options.seed}/votes"), 0
+        self.no_process_faults, self._last_vote_change_s = (
+            False,
+            0.0,
+        )  # so the first retirement does not follow at once
+        self._last_wipe_s = -WIPE_INTERVAL_S
         self.switches: list[float] = []
 
     @property
     def quiet_from_s(self) -> float:
-        """When faults and changes end, in seconds of the run."""
+        """The time at which faults and changes end, in seconds from the start of the load."""
         return self.options.seconds - QUIET_END_S
 
     # Changes
 
-    async def change(self) -> None:
-        """Propose, again and again, at a broker that is drawn."""
-        number, under_way = 0, list[asyncio.Task[None]]()
-        await asyncio.sleep(2.5)  # all have their first leases
+    async def run_changes(self) -> None:
+        """Proposes changes at random brokers until the part without faults.
+
+        Then proposes sound changes until all brokers are available and can decide by the policy in force.
+        """
+        number, pending = 0, list[asyncio.Task[None]]()
+        await asyncio.sleep(2.5)  # until all brokers have their first leases
         while self.rig.now() < self.quiet_from_s:
             number += 1
-            under_way.append(asyncio.create_task(self._propose(f"change {number}", self.options.faults)))
-            await asyncio.sleep(self.random.uniform(1.0, 3.0))
-        await asyncio.gather(*under_way)
-        while self.rig.now() < self.options.seconds and await self._faults():
-            number += 1  # what one of them cannot decide by came into force while it was not there
+            pending.append(asyncio.create_task(self._propose(f"change {number}", self.options.faults)))
+            await asyncio.sleep(self.change_random.uniform(1.0, 3.0))
+        await asyncio.gather(*pending)
+        while self.rig.now() < self.options.seconds and await self._any_unavailable_or_faulty():
+            number += 1  # an unsound policy came into force while the broker that rejects it was unavailable
             await self._propose(f"change {number}", False)
 
-    async def vote(self) -> None:
-        """Take a vote away and give it back, now and then. Of four voters only one can be missed, and two
-        faults are drawn at a time: so it waits until all are up, as operators would, and no process dies
-        until the vote is given back; links do.
+    async def run_vote_changes(self) -> None:
+        """Retires a voter and admits a broker without a vote, in turns.
+
+        A majority of four voters can miss only one, and two faults may be active at a time. So a voter is
+        retired only while all processes are up, as operators would do it, and no process is killed or paused
+        until another broker has the vote; links still fail.
         """
         await asyncio.sleep(4.0)
         while self.rig.now() < self.quiet_from_s:
-            broker = self.rig.brokers[self.voting.randrange(len(self.rig.brokers))]
+            broker = self.rig.brokers[self.vote_random.randrange(len(self.rig.brokers))]
             try:
-                voters = (await self.seen(broker))["voters"]
-                due = self.rig.now() - self._voted_s > VOTE_S
-                self.few = due or len(voters) <= VOTERS_LEAST
-                if len(voters) <= VOTERS_LEAST:
-                    gone = next(one for one in self.rig.brokers if f"b{one.number}" not in voters)
-                    await self.ask(gone, "policy-admit")
-                    self.votes += 1
-                elif due and self._up_s() > GRANTS_AGAIN_S:
-                    self._voted_s = self.rig.now()
-                    await self.ask(broker, f"policy-retire {self.voting.choice(voters)}")
-                    self.votes += 1
+                voters = (await self.read_report(broker))["voters"]
+                retirement_due = self.rig.now() - self._last_vote_change_s > VOTE_CHANGE_INTERVAL_S
+                self.no_process_faults = retirement_due or len(voters) <= VOTERS_MIN
+                if len(voters) <= VOTERS_MIN:
+                    non_voter = next(
+                        candidate for candidate in self.rig.brokers if f"b{candidate.number}" not in voters
+                    )
+                    await self.call_broker(non_voter, "policy-admit")
+                    self.vote_changes += 1
+                elif retirement_due and self._all_up_s() > GRANT_PAUSE_S:
+                    self._last_vote_change_s = self.rig.now()
+                    await self.call_broker(broker, f"policy-retire {self.vote_random.choice(voters)}")
+                    self.vote_changes += 1
             except CallError:
-                pass  # it is down, or cannot propose now
-            await asyncio.sleep(VOTE_LOOK_S)
-        self.few = False
+                pass  # the broker is down, or it cannot propose now
+            await asyncio.sleep(VOTE_POLL_INTERVAL_S)
+        self.no_process_faults = False
 
-    def _up_s(self) -> float:
-        """For how long all processes have run."""
-        ends = [end for one in self.rig.brokers for _, end in one.outages]
-        return 0.0 if self.busy else self.now() - max(ends, default=self.rig.load_started_at)
+    def _all_up_s(self) -> float:
+        """Returns for how many seconds all processes have been up."""
+        outage_ends = [end for broker in self.rig.brokers for _, end in broker.outages]
+        return 0.0 if self.unavailable else self.now() - max(outage_ends, default=self.rig.load_started_at)
 
-    async def _faults(self) -> bool:
-        """Whether a broker is not there, or says that it cannot decide by the policy that is in force."""
+    async def _any_unavailable_or_faulty(self) -> bool:
+        """Whether a broker is unreachable, or reports that it cannot decide by the policy in force."""
         try:
-            return any([(await self.seen(broker))["fault"] for broker in self.rig.brokers])
+            return any([(await self.read_report(broker))["fault"] for broker in self.rig.brokers])
         except CallError:
             return True
 
     def _can_answer_check(self, broker: Broker) -> bool:
-        """Whether the one that may have to reject is up, and what lies between it and a proposer whole."""
-        one, other = self.rig.site.short_deadline_broker, broker.number
-        pairs = [(one, other), (other, one)] if one != other else []
-        stretches = self.rig.network.links
-        return one not in self.busy and all(stretches[pair] == LinkFaults() for pair in pairs)
-
-    async def _propose(self, note: str, wild: bool) -> None:
-        """A change; of the wild ones some cannot be decided by at one broker, and some proposers die."""
-        rig, random = self.rig, self.random
+        """Whether the broker that rejects unsound policies is up, with faultless links to the proposer.
+
+        Args:
+            broker: The proposer.
+        """
+        rejecter, proposer = self.rig.site.short_deadline_broker, broker.number
+        pairs = [(rejecter, proposer), (proposer, rejecter)] if rejecter != proposer else []
+        links = self.rig.network.links
+        return rejecter not in self.unavailable and all(links[pair] == LinkFaults() for pair in pairs)
+
+    async def _propose(self, note: str, with_faults: bool) -> None:
+        """Proposes a change at a random broker and waits for its outcome.
+
+        Args:
+            note: The note of the change, which identifies it in the brokers' histories.
+            with_faults: Whether the policy may be unsound, so that one broker cannot decide by it, and
+                whether the proposer may be killed.
+        """
+        rig, random = self.rig, self.change_random
         broker = rig.brokers[random.randrange(len(rig.brokers))]
-        limit, sound = random.choice(LIMITS), random.random() >= UNSOUND or not wild
-        dies = wild and random.random() < 0.25
-        after_s = random.uniform(0.0, 0.35)
+        limit, sound = random.choice(LIMITS), random.random() >= UNSOUND_SHARE or not with_faults
+        proposer_dies = with_faults and random.random() < 0.25
+        death_after_s = random.uniform(0.0, 0.35)
         try:
-            before = await self.seen(broker)
+            before = await self.read_report(broker)
             policy = msgspec.convert(before["policy"], Policy)
-            rows = tuple(
-                msgspec.structs.replace(row, limit=limit) if row.name == "basic" else row
-                for row in policy.plan
+            plans = tuple(
+                msgspec.structs.replace(plan, limit=limit) if plan.name == "basic" else plan
+                for plan in policy.plan
             )
-            aim = 1000.0 if sound else rig.site.deadline_ms - 50.0  # the short one's requests end before
+            # An objective past the deadline of the broker with short deadlines makes the policy unsound.
+            objective_ms = 1000.0 if sound else rig.site.deadline_ms - 50.0
             classes = tuple(
                 msgspec.structs.replace(
-                    row, latency_objective_ms=aim if row.name == "read" else row.latency_objective_ms
+                    cls, latency_objective_ms=objective_ms if cls.name == "read" else cls.latency_objective_ms
                 )
-                for row in policy.classes
+                for cls in policy.classes
             )
-            told = ProposedChange(
+            proposal = ProposedChange(
                 note, limit, broker.number, self.now(), sound, self._can_answer_check(broker)
             )
-            wanted = msgspec.to_builtins(msgspec.structs.replace(policy, plan=rows, classes=classes))
-            line = orjson.dumps({"policy": wanted, "note": note}).decode()
-            await self.ask(broker, f"policy-propose {line}")
+            new_policy = msgspec.to_builtins(msgspec.structs.replace(policy, plan=plans, classes=classes))
+            line = orjson.dumps({"policy": new_policy, "note": note}).decode()
+            await self.call_broker(broker, f"policy-propose {line}")
         except CallError:
-            return  # it is down, or cannot propose now
-        self.proposed.append(told)
-        if dies and broker.number not in self.busy:
-            await asyncio.sleep(after_s)
-            told.rejecter_reachable = told.rejecter_reachable and self._can_answer_check(broker)
+            return  # the broker is down, or it cannot propose now
+        self.proposals.append(proposal)
+        if proposer_dies and broker.number not in self.unavailable:
+            await asyncio.sleep(death_after_s)
+            proposal.rejecter_reachable = proposal.rejecter_reachable and self._can_answer_check(broker)
             await self.restart(broker, 0.3)
             return
         until = rig.now() + 7.0
         while rig.now() < until:
             await asyncio.sleep(POLL_INTERVAL_S)
-            told.rejecter_reachable = told.rejecter_reachable and self._can_answer_check(broker)
+            proposal.rejecter_reachable = proposal.rejecter_reachable and self._can_answer_check(broker)
             try:
-                seen = await self.seen(broker)
+                report = await self.read_report(broker)
             except CallError:
                 continue
-            if seen["life"] != before["life"]:
-                return  # it died and came back: it does not know
-            if seen["results_ended"] > before["results_ended"]:
-                told.outcome, _, told.epoch = seen["results"][-1]
-                told.reported_at = self.now()
-                if told.outcome == "in force":
-                    self.switches.append(told.reported_at)
+            if report["life"] != before["life"]:
+                return  # the broker has restarted and does not know the outcome
+            if report["results_ended"] > before["results_ended"]:
+                proposal.outcome, _, proposal.epoch = report["results"][-1]
+                proposal.reported_at = self.now()
+                if proposal.outcome == "in force":
+                    self.switches.append(proposal.reported_at)
                 return
 
     def now(self) -> float:
-        """Loop time in seconds."""
+        """Returns the time of the event loop's clock, in seconds."""
         return asyncio.get_running_loop().time()
 
-    async def ask(self, broker: Broker, line: str) -> str:
-        """An admin call of a broker; CallError where it is down or rejects it."""
+    async def call_broker(self, broker: Broker, line: str) -> str:
+        """Sends an admin call to a broker and returns its reply.
+
+        Raises:
+            CallError: The broker is down or rejects the call.
+        """
         return await call(Address("127.0.0.1", broker.admin_port), line)
 
-    async def seen(self, broker: Broker) -> dict[str, Any]:
-        """A broker's report; each epoch's limit is noted on the way."""
-        told: dict[str, Any] = orjson.loads(await self.ask(broker, "policy"))
-        self.limits[told["epoch"]] = next(
-            row["limit"] for row in told["policy"]["plan"] if row["name"] == "basic"
+    async def read_report(self, broker: Broker) -> dict[str, Any]:
+        """Returns a broker's report, and records the limit of its epoch and the notes of its history.
+
+        Raises:
+            CallError: The broker is down.
+        """
+        report: dict[str, Any] = orjson.loads(await self.call_broker(broker, "policy"))
+        self.limits[report["epoch"]] = next(
+            plan["limit"] for plan in report["policy"]["plan"] if plan["name"] == "basic"
         )
-        self.came |= {line.partition(": ")[2] for line in told["history"]}
-        return told
+        self.applied_notes |= {line.partition(": ")[2] for line in report["history"]}
+        return report
 
-    async def watch(self) -> None:
-        """Look at all brokers, so that no epoch goes unseen."""
+    async def watch_reports(self) -> None:
+        """Polls the reports of all brokers, so that the limit of every epoch is recorded."""
         while self.rig.now() < self.options.seconds:
             for broker in self.rig.brokers:
                 if broker.program is not None:
                     try:
-                        await self.seen(broker)
+                        await self.read_report(broker)
                     except CallError:
                         continue
             await asyncio.sleep(POLL_INTERVAL_S)
 
     # Faults
 
-    async def trouble(self) -> None:
-        """One thing at a time goes wrong with a process; links go wrong beside it."""
-        await asyncio.gather(self._processes(), self._links())
+    async def run_faults(self) -> None:
+        """Injects faults of processes, one at a time, and at the same time faults of links."""
+        await asyncio.gather(self._run_process_faults(), self._run_link_faults())
 
-    async def _processes(self) -> None:
+    async def _run_process_faults(self) -> None:
+        """Kills and pauses random brokers until 4 s before the part without faults."""
         turn = 0
         while self.rig.now() < self.quiet_from_s - 4.0:
-            await asyncio.sleep(self.chaos.uniform(0.3, 1.5))
-            broker = self.rig.brokers[self.chaos.randrange(len(self.rig.brokers))]
-            away = self.chaos.uniform(0.3, 3.0)
+            await asyncio.sleep(self.fault_random.uniform(0.3, 1.5))
+            broker = self.rig.brokers[self.fault_random.randrange(len(self.rig.brokers))]
+            outage_s = self.fault_random.uniform(0.3, 3.0)
             kind = ("kill", "stop", "kill")[turn % 3]
-            if broker.number in self.busy or self.few:
+            if broker.number in self.unavailable or self.no_process_faults:
                 continue
             turn += 1
             if kind == "kill":
-                await self.restart(broker, away)
+                await self.restart(broker, outage_s)
             else:
-                self.busy.add(broker.number)
-                await self.rig.pause_broker(broker, away)
-                self.busy.discard(broker.number)
+                self.unavailable.add(broker.number)
+                await self.rig.pause_broker(broker, outage_s)
+                self.unavailable.discard(broker.number)
 
     async def restart(self, broker: Broker, down_s: float) -> None:
-        """Killed, perhaps without its store or with a part of it, and started again."""
-        lost = self.chaos.random()
-        wiped = lost < 0.35 and self.rig.now() - self._wiped_s > WIPE_S
+        """Kills a broker and starts it again, at times with its vote store removed or truncated."""
+        draw = self.fault_random.random()
+        wiped = draw < 0.35 and self.rig.now() - self._last_wipe_s > WIPE_INTERVAL_S
 
-        def meanwhile() -> None:
+        def damage_store() -> None:
             path = self.rig.vote_store_path(broker.number)
-            if wiped and lost < 0.2:
+            if wiped and draw < 0.2:
                 path.unlink()
             elif wiped:
                 data = path.read_bytes()
-                path.write_bytes(data[: self.chaos.randrange(len(data))])
+                path.write_bytes(data[: self.fault_random.randrange(len(data))])
 
-        self.busy.add(broker.number)
+        self.unavailable.add(broker.number)
         if wiped:
-            self._wiped_s, self.wipes = self.rig.now(), self.wipes + 1
-        await self.rig.restart_broker(broker, down_s, meanwhile)
-        self.busy.discard(broker.number)
+            self._last_wipe_s, self.wipes = self.rig.now(), self.wipes + 1
+        await self.rig.restart_broker(broker, down_s, damage_store)
+        self.unavailable.discard(broker.number)
 
-    async def _links(self) -> None:
+    async def _run_link_faults(self) -> None:
+        """Injects faults into the links between two groups of brokers, each kind in turn."""
         turn = 0
-        everyone = list(range(len(self.rig.brokers)))
+        broker_numbers = list(range(len(self.rig.brokers)))
         while self.rig.now() < self.quiet_from_s - 4.0:
-            await asyncio.sleep(self.chaos.uniform(0.5, 2.5))
-            length = round(self.chaos.uniform(0.5, 3.0), 3)
-            some = tuple(self.chaos.sample(everyone, self.chaos.randrange(1, max(2, len(everyone) // 2 + 1))))
-            rest = tuple(n for n in everyone if n not in some)
+            await asyncio.sleep(self.fault_random.uniform(0.5, 2.5))
+            duration_s = round(self.fault_random.uniform(0.5, 3.0), 3)
+            group = tuple(
+                self.fault_random.sample(
+                    broker_numbers, self.fault_random.randrange(1, max(2, len(broker_numbers) // 2 + 1))
+                )
+            )
+            others = tuple(n for n in broker_numbers if n not in group)
             kind = ("split", "one-way", "loss", "delay", "double", "cut")[turn % 6]
             turn += 1
             fault = Fault(
                 kind=kind,  # type: ignore[arg-type]
                 at_s=0.0,
-                for_s=length,
-                brokers=some,
-                to=rest,
+                for_s=duration_s,
+                brokers=group,
+                to=others,
                 share=0.3,
                 ms=(1.0, 250.0),
             )
-            pairs = [(i, j) for i in some for j in rest]
+            pairs = [(i, j) for i in group for j in others]
             if kind != "one-way":
                 pairs += [(j, i) for i, j in pairs]
             self.rig.splits += kind == "split"
             await self.rig.apply_link_fault(pairs, fault)
 
-    async def together(self) -> list[dict[str, Any]]:
-        """All brokers' reports, once they hold one state and go by it alone, or when the time is over."""
+    async def wait_for_convergence(self) -> list[dict[str, Any]]:
+        """Returns all brokers' reports once they have one state and only its epoch in use.
+
+        After CONVERGENCE_S it returns the reports as they are.
+        """
         until = self.rig.now() + CONVERGENCE_S
         while True:
-            ends = [await self.seen(broker) for broker in self.rig.brokers]
-            alike = len({one["state"] for one in ends}) == 1
-            alone = all(one["goes_by"] == [one["epoch"]] * 2 for one in ends)
-            if (alike and alone) or self.rig.now() > until:
-                return ends
+            reports = [await self.read_report(broker) for broker in self.rig.brokers]
+            one_state = len({report["state"] for report in reports}) == 1
+            one_epoch = all(report["goes_by"] == [report["epoch"]] * 2 for report in reports)
+            if (one_state and one_epoch) or self.rig.now() > until:
+                return reports
             await asyncio.sleep(POLL_INTERVAL_S)
 
 
 def policy_traffic(brokers: int, site: SiteSettings) -> list[VolumeTraffic]:
-    """Two volumes that flood their limit, one at all of its brokers in turn, one moving; and steady ones."""
+    """Returns the load: two volumes above their limit, and one steady volume per broker.
+
+    The first of the two sends to all of its brokers in turn, the second to another one every two seconds.
+    """
     hosts, shards = min(3, brokers), tuple(range(NODES))
-    made = [
+    flooding = [
         VolumeTraffic(
             1,
             "basic",
@@ -315,7 +386,7 @@
             site.largest_request_units,
         ),
     ]
-    return made + [
+    return flooding + [
         VolumeTraffic(
             100 + n,
             "priority",
@@ -330,97 +401,112 @@
 
 
 async def run(options: Options) -> tuple[dict[str, object], Findings, rules.Findings]:
-    """One run: the figures of the last line, and what was broken."""
-    site = SiteSettings(lease_ms=LEASE_MS, policy_floor=FLOOR, short_deadline_broker=options.brokers - 1)
+    """Runs the drill.
+
+    Returns:
+        The figures of the last line, the findings about the changes of policy, and those about the answers.
+    """
+    site = SiteSettings(
+        lease_ms=LEASE_MS, policy_floor=FLOOR_SHARE, short_deadline_broker=options.brokers - 1
+    )
     module = ("lemonridge.cli.mutant", f"fleet-fault={options.mutant}") if options.mutant else ("lemonridge",)
     async with running_fleet(options.brokers, NODES, options.seed, site, True, module=module) as rig:
-        clients = Clients([one.port for one in rig.brokers], options.seed, site.deadline_ms)
+        clients = Clients([broker.port for broker in rig.brokers], options.seed, site.deadline_ms)
         drill = Drill(options, rig)
         tasks = [
             clients.run(policy_traffic(options.brokers, site), options.seconds),
-            drill.change(),
-            drill.watch(),
+            drill.run_changes(),
+            drill.watch_reports(),
         ]
         if options.faults:
-            tasks += [drill.trouble(), drill.vote()]
+            tasks += [drill.run_faults(), drill.run_vote_changes()]
         await asyncio.gather(*tasks)
-        ends = await drill.together()
+        final_reports = await drill.wait_for_convergence()
         await rig.stop()
-    came = [one for node in rig.nodes for one in node.received]
-    found = check(
-        came,
-        drill.proposed,
-        ends,
+    attempts = [attempt for node in rig.nodes for attempt in node.received]
+    findings = check(
+        attempts,
+        drill.proposals,
+        final_reports,
         drill.limits,
-        site.limit * FLOOR,
-        FLOODED,
+        site.limit * FLOOR_SHARE,
+        FLOODED_VOLUMES,
         site.burst,
         site.limit_slack,
-        (LEASE_MS + CLOCK_MS) / 1000 + 0.3,
+        (LEASE_MS + CLOCK_ERROR_MS) / 1000 + 0.3,
     )
-    answers = rules.check(
-        came,
+    answer_findings = rules.check(
+        attempts,
         clients.requests,
         {},
         None,
         {},
-        {one.number: one.outages for one in rig.brokers},
+        {broker.number: broker.outages for broker in rig.brokers},
         sum(node.overloads for node in rig.nodes),
         clients.surplus,
     )
-    sound = [one for one in drill.proposed if one.sound]
+    sound = [proposal for proposal in drill.proposals if proposal.sound]
     figures: dict[str, object] = {
         "drill": "policy",
         "seed": options.seed,
         "brokers": options.brokers,
         "requests": len(clients.requests),
-        "served": sum(one.end == "served" for one in clients.requests),
-        "changes": len(drill.proposed),
+        "served": sum(request.end == "served" for request in clients.requests),
+        "changes": len(drill.proposals),
         "sound": len(sound),
-        "in_force": sum(one.note in drill.came for one in sound),
-        "rejected": sum(one.outcome == "nowhere" for one in drill.proposed),
-        "aborted": sum(one.outcome in ("another", "unknown", "") for one in drill.proposed),
-        "epoch": ends[0]["epoch"],
-        "kills": sum(one.kills for one in rig.brokers),
+        "in_force": sum(proposal.note in drill.applied_notes for proposal in sound),
+        "rejected": sum(proposal.outcome == "nowhere" for proposal in drill.proposals),
+        "aborted": sum(proposal.outcome in ("another", "unknown", "") for proposal in drill.proposals),
+        "epoch": final_reports[0]["epoch"],
+        "kills": sum(broker.kills for broker in rig.brokers),
         "wipes": drill.wipes,
-        "votes": drill.votes,
+        "votes": drill.vote_changes,
         "splits": rig.splits,
-        "stops": sum(one.pauses for one in rig.brokers),
-        "mixed_epochs": found.mixed_epochs,
-        "half_changes": found.half_changes,
-        "lost_changes": found.lost_changes,
-        "stale_serving": found.stale_serving,
-        "limit_excess": found.limit_excess,
-        "double_answers": answers.double_answers,
-        "unanswered": answers.unanswered,
-        "worst_switch_ms": _switch_ms(came, drill.proposed),
-        "worst_stall_ms": _stall_ms(came),
+        "stops": sum(broker.pauses for broker in rig.brokers),
+        "mixed_epochs": findings.mixed_epochs,
+        "half_changes": findings.half_changes,
+        "lost_changes": findings.lost_changes,
+        "stale_serving": findings.stale_serving,
+        "limit_excess": findings.limit_excess,
+        "double_answers": answer_findings.double_answers,
+        "unanswered": answer_findings.unanswered,
+        "worst_switch_ms": _switch_ms(attempts, drill.proposals),
+        "worst_stall_ms": _stall_ms(attempts),
     }
-    return figures, found, answers
+    return figures, findings, answer_findings
 
 
-def _switch_ms(came: list[Any], proposed: list[ProposedChange]) -> int:
-    """The longest from a proposal to the first attempt by its epoch alone."""
-    first: dict[int, float] = {}
-    for one in came:
-        interval = epochs(one.epoch)
+def _switch_ms(attempts: list[Any], proposed: list[ProposedChange]) -> int:
+    """Returns the longest time from a proposal to the first attempt under its epoch alone, in ms."""
+    first_attempt_at: dict[int, float] = {}
+    for attempt in attempts:
+        interval = epochs(attempt.epoch)
         if interval is not None and interval[0] == interval[1]:
-            first[interval[0]] = min(first.get(interval[0], one.head_received_at), one.head_received_at)
-    took = [
-        first[one.epoch] - one.proposed_at
-        for one in proposed
-        if one.outcome == "in force" and one.epoch in first
+            first_attempt_at[interval[0]] = min(
+                first_attempt_at.get(interval[0], attempt.head_received_at), attempt.head_received_at
+            )
+    durations_s = [
+        first_attempt_at[proposal.epoch] - proposal.proposed_at
+        for proposal in proposed
+        if proposal.outcome == "in force" and proposal.epoch in first_attempt_at
     ]
-    return int(max(took, default=0.0) * 1000)
+    return int(max(durations_s, default=0.0) * 1000)
 
 
-def _stall_ms(came: list[Any]) -> int:
-    """The longest time in which no node was sent anything by any broker."""
-    at = sorted(one.received_at for one in came)
-    return int(max((later - one for one, later in zip(at, at[1:], strict=False)), default=0.0) * 1000)
+def _stall_ms(attempts: list[Any]) -> int:
+    """Returns the longest time in which no node received an attempt, in milliseconds."""
+    times = sorted(attempt.received_at for attempt in attempts)
+    return int(
+        max((later - earlier for earlier, later in zip(times, times[1:], strict=False)), default=0.0) * 1000
+    )
 
 
-def passed(figures: dict[str, object], found: Findings, answers: rules.Findings) -> bool:
-    """Whether no rule broke, and enough came into force."""
-    enough = int(str(figures["in_force"])) >= ENOUGH * int(str(figures["sound"]))
-    return found.passed and not answers.double_answers and not answers.unanswered and enough
+def passed(figures: dict[str, object], findings: Findings, answer_findings: rules.Findings) -> bool:
+    """Whether no rule was violated and enough of the sound proposals came into force."""
+    enough_in_force = int(str(figures["in_force"])) >= IN_FORCE_SHARE_MIN * int(str(figures["sound"]))
+    return (
+        findings.passed
+        and not answer_findings.double_answers
+        and not answer_findings.unanswered
+        and enough_in_force
+    )
