--- a/lemonridge/lab/drills/policy.py
+++ b/lemonridge/lab/drills/policy.py
@@ -31,9 +31,7 @@
 FLOODED_VOLUMES = (1, 2)
 QUIET_END_S = 6.0  # the part at the end of the run without faults and changes
 CONVERGENCE_S = 8.0  # from the end of the load: all brokers must have the same state within this time
-WIPE_INTERVAL_S = (
-    8.0  # between two lost vote stores: the first broker is admitted again before another store is lost
-)
+WIPE_INTERVAL_S = 8.0  # between two lost vote stores: the first broker is admitted again before the next
 IN_FORCE_SHARE_MIN = 1 / 3  # the least share of the sound proposals that must come into force
 UNSOUND_SHARE = 0.2  # the share of the proposals by whose policy one broker cannot decide
 POLL_INTERVAL_S = 0.1
--- a/lemonridge/lab/drills/soak.py
+++ b/lemonridge/lab/drills/soak.py
@@ -1,10 +1,10 @@
-"""The drill `soak`: one broker under mixed trouble, judged by what clients, nodes and discovery saw.
+"""The drill `soak`: one broker under mixed faults, verified by the records of clients, nodes and discovery.
 
-A seed draws the settings (classes, effects, windows, deadlines, a limit) and the trouble: nodes that hang,
-reset, turn away, restart cold and drain; discovery that falls silent, is slow and moves; clients that leave,
-stop half way and pipeline, in some seeds beside a crowd of idle connections; SIGHUP and SIGUSR1 in series.
-Each life of the broker ends with SIGTERM and, at the page's earliest, SIGKILL; clients use open connections
-until then.
+A seed draws the settings (classes, idempotency, deduplication windows, deadlines, a limit) and the faults:
+nodes that hang, reset connections, reject, restart cold and drain; discovery that stops answering, is slow
+and moves to another address; clients that disconnect, stop in the middle of a request and pipeline, in some
+seeds beside many idle connections; series of SIGHUP and SIGUSR1. Each run of the broker process ends with
+SIGTERM and, at the earliest time that the page allows, SIGKILL; clients use open connections until then.
 """
 
 from __future__ import annotations
@@ -30,18 +30,19 @@
 
 SHARDS, NODES_OF_A_SHARD = 2, 2
 RATE = 120.0  # requests a second
-LIFE_S = 5.0  # of a broker, before SIGTERM
-KILL_S, COUNTED_S = 0.7, 3.0  # SIGKILL comes at the longest deadline (3 s at most) and 0.7 s
-NEW_FOR_S = 0.2  # new connections keep coming for 0.2 to 0.4 s
-TROUBLE_S = 0.35  # between two troubles
-TROUBLES = ("way",) * 5 + ("restart", "drain", "back", "back", "silent", "slow", "still", "still")
-# Of eight troubles these, whatever is drawn.
-FIXED_EVERY, FIXED = 8, {1: "drain", 3: "reset", 5: "restart", 7: "late"}
-ALONE_S = 1.5  # how long a node that restarts is alone in its shard
-CROWD = 100  # idle connections, in some seeds
-BEAT_S = 0.01  # between two looks at whether this process runs
+BROKER_RUN_S = 5.0  # the mean time from a start of the broker to SIGTERM
+# SIGKILL follows SIGTERM after the longest deadline, but at most 3 s, and another 0.7 s.
+KILL_AFTER_S, COUNTED_DEADLINE_MAX_S = 0.7, 3.0
+NEW_CONNECTIONS_S = 0.2  # after SIGTERM, connections may still be opened for 0.2 to 0.4 s
+FAULT_INTERVAL_S = 0.35  # the mean time between two faults
+FAULTS = ("behaviour",) * 5 + ("restart", "drain", "back", "back", "silent", "slow", "healthy", "healthy")
+# Of each eight faults the ones at these positions are fixed, so that every run has them.
+FIXED_FAULT_PERIOD, FIXED_FAULTS = 8, {1: "drain", 3: "reset", 5: "restart", 7: "late"}
+ONLY_NODE_S = 1.5  # how long a restarting node is the only active one of its shard
+IDLE_CONNECTIONS = 100  # in every fourth seed
+STALL_CHECK_S = 0.01  # between two checks whether this process was stalled
 SOCKETS = 256
-READY_S = 10.0  # for the first list
+READY_WAIT_S = 10.0  # for the broker to receive its first list of endpoints
 LIMIT = SoakLimits(
     rate=20.0,
     burst=40.0,
@@ -57,15 +58,21 @@
 
 @dataclass(frozen=True)
 class Options:
-    """What the command line says."""
+    """The options of a run.
+
+    Attributes:
+        seed: The seed from which settings, load and faults are drawn.
+        seconds: The duration of the load.
+        mutant: The name of a fault to plant in the broker; empty for none.
+    """
 
     seed: int
     seconds: float = 20.0
-    mutant: str = ""  # a fault planted in the broker
+    mutant: str = ""
 
 
 def draw_classes(random: Random) -> list[SoakClass]:
-    """One class of each effect, with deadlines from 80 ms to 2.5 s."""
+    """Draws one class of each kind of idempotency, with deadlines from 200 ms to 2.5 s."""
     deadline = random.choice((0.3, 0.5, 1.0, 1.5, 2.5))
     group = random.choice(("all", "zone", "cell"))
     window = random.choice((0.4, 1.0, 3.0))
@@ -77,18 +84,18 @@
 
 
 def settings(classes: list[SoakClass]) -> dict[str, Any]:
-    """The settings object of a broker's configuration."""
-    rows = [
+    """Returns the settings object of the broker's configuration."""
+    class_entries = [
         {
-            "aim-us": int(one.deadline_s * 4e5),
-            "deadline-us": int(one.deadline_s * 1e6),
+            "aim-us": int(cls.deadline_s * 4e5),
+            "deadline-us": int(cls.deadline_s * 1e6),
             "gain": 1.0,
-            "group": one.group,
-            "memory-span-us": int(one.window_s * 1e6),
-            "name": one.name,
-            "semantics": one.semantics,
+            "group": cls.group,
+            "memory-span-us": int(cls.window_s * 1e6),
+            "name": cls.name,
+            "semantics": cls.semantics,
         }
-        for one in classes
+        for cls in classes
     ]
     plans = [
         {
@@ -117,10 +124,10 @@
         "discovery": "push",
         "tick-us": 2000,
         "azs": ["a", "b"],
-        "classes": rows,
+        "classes": class_entries,
         "grades": plans,
         "family-info": {
-            "class-writes": [one.writes for one in classes],
+            "class-writes": [cls.writes for cls in classes],
             "cold-units": LIMIT.slow_start_units,
             "meter-us": 0,
             "n-shards": SHARDS,
@@ -147,7 +154,13 @@
 
 
 class Soak:
-    """One run."""
+    """One run of the drill.
+
+    Attributes:
+        record: What clients, nodes and discovery recorded.
+        broker_starts: How often the broker was started.
+        signals: How many SIGHUP and SIGUSR1 the broker was sent.
+    """
 
     def __init__(self, options: Options, folder: Path) -> None:
         self._options, self._random = options, Random(options.seed)
@@ -162,23 +175,25 @@
         ]
         self._program: Program | None = None
         self._port = 0
-        self._idle: list[tuple[asyncio.StreamReader, asyncio.StreamWriter]] = []
-        self._open: set[SoakRequest] = set()
+        self._idle_connections: list[tuple[asyncio.StreamReader, asyncio.StreamWriter]] = []
+        self._pending: set[SoakRequest] = set()
         self._stopping_at: float | None = None
         self._starting = False
         self._tasks: set[asyncio.Task[None]] = set()
-        self._count = 0
-        self.lives = self.signals = 0
+        self._request_count = 0
+        self.broker_starts = self.signals = 0
 
     @property
-    def longest_s(self) -> float:
-        return max(one.deadline_s for one in self._classes)
+    def longest_deadline_s(self) -> float:
+        """The longest deadline of the classes, in seconds."""
+        return max(cls.deadline_s for cls in self._classes)
 
     # The broker
 
     def _configure(self, discovery: int) -> None:
-        fresh = self._config.with_suffix(".new")
-        fresh.write_bytes(
+        """Replaces the configuration file by one with the address of the given discovery."""
+        new_file = self._config.with_suffix(".new")
+        new_file.write_bytes(
             orjson.dumps(
                 {
                     "name": "n1",
@@ -190,20 +205,21 @@
                 }
             )
         )
-        fresh.replace(self._config)
+        new_file.replace(self._config)
 
     async def _start(self) -> Program:
+        """Starts the broker and waits until it is ready."""
         module = (
             ("lemonridge.cli.mutant", f"soak-fault={self._options.mutant}")
             if self._options.mutant
             else ("lemonridge",)
         )
-        for discovery in self._discoveries:  # without a list no broker can serve
+        for discovery in self._discoveries:  # without a list of endpoints the broker cannot serve
             discovery.silent = False
         self._starting = True
         program = Program("serve", environment={"ROUTER_CONFIG": str(self._config)}, module=module)
         port = await program.start()
-        self.lives += 1
+        self.broker_starts += 1
         if not self._port:
             self._port = port
             self._configure(0)
@@ -212,9 +228,13 @@
         return program
 
     async def _ready(self) -> None:
-        """Wait until the broker says that it can be used; `ProgramError` where it does not."""
+        """Waits until the broker reports that it is ready.
+
+        Raises:
+            ProgramError: It is not ready within READY_WAIT_S.
+        """
         loop = asyncio.get_running_loop()
-        until = loop.time() + READY_S
+        until = loop.time() + READY_WAIT_S
         while loop.time() < until:
             with contextlib.suppress(TimeoutError, OSError, asyncio.IncompleteReadError):
                 async with asyncio.timeout_at(loop.time() + 0.5):
@@ -225,14 +245,14 @@
                     if b" 200 " in status:
                         return
             await asyncio.sleep(0.01)
-        raise ProgramError("it is not ready")
+        raise ProgramError("it is not ready in time")
 
-    async def _live(self, end_at: float) -> None:
-        """One life of the broker: signals in series, then SIGTERM and SIGKILL at its earliest."""
+    async def _run_broker(self, end_at: float) -> None:
+        """Runs the broker once: with series of signals, and SIGTERM and SIGKILL at the end."""
         loop = asyncio.get_running_loop()
         program = self._program = await self._start()
         self._stopping_at = None
-        stop_at = min(end_at, loop.time() + LIFE_S * self._random.uniform(0.6, 1.4))
+        stop_at = min(end_at, loop.time() + BROKER_RUN_S * self._random.uniform(0.6, 1.4))
         while loop.time() < stop_at:
             await asyncio.sleep(min(0.5, max(0.0, stop_at - loop.time())))
             if program.process.returncode is not None:
@@ -245,59 +265,65 @@
                 self.signals += 1
         program.process.send_signal(signal.SIGTERM)
         self._stopping_at = loop.time()
-        await self._until_killed(program)
+        await self._wait_until_killed(program)
 
-    async def _until_killed(self, program: Program) -> None:
+    async def _wait_until_killed(self, program: Program) -> None:
+        """Sends SIGKILL at the earliest allowed time unless the broker has ended, and waits for that time."""
         loop = asyncio.get_running_loop()
         assert self._stopping_at is not None
-        kill_at = self._stopping_at + min(self.longest_s, COUNTED_S) + KILL_S
+        kill_at = self._stopping_at + min(self.longest_deadline_s, COUNTED_DEADLINE_MAX_S) + KILL_AFTER_S
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout_at(kill_at):
                 await program.process.wait()
         if program.process.returncode is None:
-            for request in self._open:
+            for request in self._pending:
                 request.killed = True
                 request.late_at_kill = request.sent_at > self._stopping_at + EARLY_S
             program.process.kill()
         elif program.process.returncode != 0:
             self.record.crashes += 1
-            print(f"ended with {program.process.returncode}:", *program.last_log_lines[-12:], sep="\n")
+            print(
+                f"the broker exited with status {program.process.returncode}:",
+                *program.last_log_lines[-12:],
+                sep="\n",
+            )
         self._program = None
-        for _, writer in self._idle:
+        for _, writer in self._idle_connections:
             writer.close()
-        self._idle.clear()
+        self._idle_connections.clear()
         await asyncio.sleep(max(0.0, kill_at - loop.time()))
 
-    # Trouble
+    # Faults
 
-    async def _trouble(self, end_at: float) -> None:
+    async def _run_faults(self, end_at: float) -> None:
+        """Injects a fault every FAULT_INTERVAL_S on average."""
         loop = asyncio.get_running_loop()
         for number in itertools.count():
             if loop.time() >= end_at:
                 return
-            await asyncio.sleep(TROUBLE_S * self._random.uniform(0.5, 1.5))
+            await asyncio.sleep(FAULT_INTERVAL_S * self._random.uniform(0.5, 1.5))
             node = self._random.choice(self._nodes)
-            what = FIXED.get(number % FIXED_EVERY) or self._random.choice(TROUBLES)
-            if what == "way":
+            fault = FIXED_FAULTS.get(number % FIXED_FAULT_PERIOD) or self._random.choice(FAULTS)
+            if fault == "behaviour":
                 node.behaviour = self._random.choice(("hang", "reset", "busy", "late", "error", "serve"))
-            elif what in ("late", "reset"):
-                node.behaviour = what
-            elif what == "restart":
-                await self._restart(node)
-            elif what in ("drain", "back"):
-                await self._tell(node, "draining" if what == "drain" else "up")
+            elif fault in ("late", "reset"):
+                node.behaviour = fault
+            elif fault == "restart":
+                await self._restart_node(node)
+            elif fault in ("drain", "back"):
+                await self._set_health(node, "draining" if fault == "drain" else "up")
             else:
                 for discovery in self._discoveries:
-                    discovery.silent = what == "silent" and not self._starting
-                    discovery.slow = what == "slow"
+                    discovery.silent = fault == "silent" and not self._starting
+                    discovery.slow = fault == "slow"
 
-    async def _restart(self, node: SoakNode) -> None:
-        """Die, and come back cold; half of the time alone in its shard."""
+    async def _restart_node(self, node: SoakNode) -> None:
+        """Restarts a node cold, half of the time while the other nodes of its shard drain."""
         if self._random.random() < 0.5:
-            for other in self._nodes:
-                if other.shard == node.shard and other is not node:
-                    await self._tell(other, "draining")
-                    self._later(ALONE_S, self._tell(other, "up"))
+            for neighbour in self._nodes:
+                if neighbour.shard == node.shard and neighbour is not node:
+                    await self._set_health(neighbour, "draining")
+                    self._run_later(ONLY_NODE_S, self._set_health(neighbour, "up"))
         node.close()
         await asyncio.sleep(self._random.uniform(0.1, 0.6))
         await node.open()
@@ -306,114 +332,121 @@
         self.record.starts[node.name].append((started_at, started_at + ANNOUNCE_LIMIT_S))
         for discovery in self._discoveries:
             discovery.born_ms[node.name] = born_ms
-        await self._tell(node, "up", born_ms)
+        await self._set_health(node, "up", born_ms)
 
-    def _later(self, after_s: float, what: Coroutine[Any, Any, None]) -> None:
-        """Do something after a while, whatever goes on meanwhile."""
+    def _run_later(self, after_s: float, coroutine: Coroutine[Any, Any, None]) -> None:
+        """Runs a coroutine in the background after `after_s` seconds."""
 
-        async def wait() -> None:
+        async def run_delayed() -> None:
             await asyncio.sleep(after_s)
-            await what
+            await coroutine
 
-        task = asyncio.create_task(wait())
+        task = asyncio.create_task(run_delayed())
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    async def _tell(self, node: SoakNode, health: str, born_ms: int = 0) -> None:
+    async def _set_health(self, node: SoakNode, health: str, born_ms: int = 0) -> None:
+        """Sets a node's health and, unless it is 0, its start time in all discoveries."""
         for discovery in self._discoveries:
             await discovery.set(node, health, born_ms or discovery.entries[node.name]["born_ms"])
 
     # Clients
 
-    async def _clients(self, end_at: float) -> None:
+    async def _run_clients(self, end_at: float) -> None:
+        """Starts a client at random intervals, RATE a second on average."""
         loop = asyncio.get_running_loop()
         while loop.time() < end_at:
             await asyncio.sleep(self._random.expovariate(RATE))
             stopping_at = self._stopping_at
-            fresh_allowed = stopping_at is None or loop.time() < stopping_at + NEW_FOR_S
-            if self._program is not None and (self._idle or fresh_allowed):
-                task = asyncio.create_task(self._ask(fresh_allowed))
+            may_connect = stopping_at is None or loop.time() < stopping_at + NEW_CONNECTIONS_S
+            if self._program is not None and (self._idle_connections or may_connect):
+                task = asyncio.create_task(self._send_requests(may_connect))
                 self._tasks.add(task)
                 task.add_done_callback(self._tasks.discard)
 
     def _request(self) -> tuple[SoakRequest, bytes]:
-        random, self._count = self._random, self._count + 1
+        """Draws a request; returns its record and its bytes."""
+        random, self._request_count = self._random, self._request_count + 1
         cls = random.choice(self._classes)
         volume, units = random.randrange(1, 9), random.choice((1, 2, 2, 6))
-        part = random.choice((1.0, 1.0, 1.0, 0.4, 0.1))
-        deadline_ms = max(10, int(cls.deadline_s * part * 1000))
-        ident = f"{self._options.seed & 0xFFFFFFFF:08x}{self._count:08x}"
+        deadline_share = random.choice((1.0, 1.0, 1.0, 0.4, 0.1))
+        deadline_ms = max(10, int(cls.deadline_s * deadline_share * 1000))
+        request_id = f"{self._options.seed & 0xFFFFFFFF:08x}{self._request_count:08x}"
         limited = volume in LIMITED_VOLUMES
-        request = SoakRequest(ident, cls, volume, limited, units, deadline_ms / 1000)
+        request = SoakRequest(request_id, cls, volume, limited, units, deadline_ms / 1000)
         body = b"w" * random.choice((10, 5000)) if cls.writes else b""
         shard = -1 if cls.writes and random.random() < 0.5 else random.randrange(SHARDS)
         lines = (
-            f"{'PUT' if cls.writes else 'GET'} /{cls.name}/{volume:016x}/{self._count:016x} HTTP/1.1",
+            f"{'PUT' if cls.writes else 'GET'} /{cls.name}/{volume:016x}/{self._request_count:016x} HTTP/1.1",
             "Host: app.svc",
-            f"X-Request-Id: {ident}",
+            f"X-Request-Id: {request_id}",
             f"X-Class: {cls.name}",
             f"X-Qos-Policy: {'basic' if limited else 'free'}",
             f"X-Deadline-Ms: {deadline_ms}",
             f"X-Placement: units={units},shard={shard},hosts=1",
             f"Content-Length: {len(body)}",
-            *([f"Idempotency-Key: {ident}"] if cls.semantics == "by_key" else ()),
+            *([f"Idempotency-Key: {request_id}"] if cls.semantics == "by_key" else ()),
         )
         head = "".join(f"{line}\r\n" for line in lines) + "\r\n"
         return request, head.encode() + body
 
-    async def _ask(self, fresh_allowed: bool) -> None:
-        """One request of a client, on an idle connection if there is one."""
+    async def _send_requests(self, may_connect: bool) -> None:
+        """Sends one client's request, at times with two pipelined ones, and reads the responses.
+
+        It uses an idle connection if there is one.
+        """
         random, program, loop = self._random, self._program, asyncio.get_running_loop()
         try:
-            if self._idle and (not fresh_allowed or random.random() < 0.8):
-                reader, writer = self._idle.pop()
+            if self._idle_connections and (not may_connect or random.random() < 0.8):
+                reader, writer = self._idle_connections.pop()
             else:
                 reader, writer = await asyncio.open_connection("127.0.0.1", self._port)
         except OSError:
-            return  # the broker is gone or starts: nobody took it
-        request, text = self._request()
-        if random.random() < 0.03:  # it stops half way, and stays
-            writer.write(text[: random.randrange(1, len(text))])
+            return  # the broker is down or starting, so no request was sent
+        request, data = self._request()
+        if random.random() < 0.03:  # an incomplete request whose connection stays open for 3 s
+            writer.write(data[: random.randrange(1, len(data))])
             await asyncio.sleep(3.0)
             writer.close()
             return
-        further = [self._request() for _ in range(2)] if random.random() < 0.05 else []
-        for one, data in ((request, text), *further):
-            writer.write(data)
-            self._begin(one)
-        kept = True
-        for number, one in enumerate((request, *(row[0] for row in further))):
-            one.is_pipelined = number > 0
-            one.previous_answered_at = loop.time() if one.is_pipelined else 0.0
-            if kept:
-                kept = await self._await(one, reader, writer)
-            else:  # what ended its connection ended it too
-                one.disconnected_at, one.ended_at = request.disconnected_at, loop.time()
-            self._open.discard(one)
-        if kept and self._program is program:
-            self._idle.append((reader, writer))
+        pipelined = [self._request() for _ in range(2)] if random.random() < 0.05 else []
+        for sent_request, sent_data in ((request, data), *pipelined):
+            writer.write(sent_data)
+            self._record_sent(sent_request)
+        reusable = True
+        for number, sent_request in enumerate((request, *(pair[0] for pair in pipelined))):
+            sent_request.is_pipelined = number > 0
+            sent_request.previous_answered_at = loop.time() if sent_request.is_pipelined else 0.0
+            if reusable:
+                reusable = await self._read_response(sent_request, reader, writer)
+            else:  # the requests behind a failed one end with the connection
+                sent_request.disconnected_at, sent_request.ended_at = request.disconnected_at, loop.time()
+            self._pending.discard(sent_request)
+        if reusable and self._program is program:
+            self._idle_connections.append((reader, writer))
         else:
             writer.close()
 
-    def _begin(self, request: SoakRequest) -> None:
+    def _record_sent(self, request: SoakRequest) -> None:
+        """Records that a request was sent now."""
         request.sent_at = asyncio.get_running_loop().time()
         self.record.requests[request.request_id] = request
-        self._open.add(request)
+        self._pending.add(request)
 
-    async def _await(
+    async def _read_response(
         self, request: SoakRequest, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> bool:
-        """Read its answer; whether the connection goes on."""
+        """Reads a response and records it; returns whether the connection can be reused."""
         loop = asyncio.get_running_loop()
-        leaves = self._random.random() < 0.08
-        wait_s = self._random.uniform(0, 0.1) if leaves else request.deadline_s + 4 * GRACE_S
+        disconnects = self._random.random() < 0.08
+        wait_s = self._random.uniform(0, 0.1) if disconnects else request.deadline_s + 4 * GRACE_S
         try:
             async with asyncio.timeout_at(loop.time() + wait_s):
                 head = (await reader.readuntil(b"\r\n\r\n")).lower()
                 length = int(head.partition(b"content-length: ")[2].split(b"\r")[0])
                 await reader.readexactly(length)
         except TimeoutError:
-            if leaves:
+            if disconnects:
                 request.disconnected_at = loop.time()
                 writer.transport.abort()
             return False
@@ -423,30 +456,30 @@
         request.status, request.ended_at = int(head.split()[1]), loop.time()
         return b"connection: close" not in head
 
-    async def _crowd(self) -> None:
-        """Idle connections near the limit, opened again as they are closed."""
+    async def _hold_idle_connections(self) -> None:
+        """Holds idle connections near the limit of sockets, and replaces them every second."""
         while True:
-            rows = []
+            connections = []
             with contextlib.suppress(OSError):
-                for _ in range(CROWD):
-                    rows.append(await asyncio.open_connection("127.0.0.1", self._port))
+                for _ in range(IDLE_CONNECTIONS):
+                    connections.append(await asyncio.open_connection("127.0.0.1", self._port))
             await asyncio.sleep(1.0)
-            for _, writer in rows:
+            for _, writer in connections:
                 writer.close()
 
     # The run
 
-    async def _watch_itself(self) -> None:
-        """Note when this process did not run: what it saw then came earlier."""
+    async def _record_stalls(self) -> None:
+        """Records when this process was stalled: what it noticed then may have happened earlier."""
         loop = asyncio.get_running_loop()
         while True:
-            began_at = loop.time()
-            await asyncio.sleep(BEAT_S)
-            if loop.time() > began_at + 2 * BEAT_S:
-                self.record.stalls.append((began_at, loop.time()))
+            sleep_started_at = loop.time()
+            await asyncio.sleep(STALL_CHECK_S)
+            if loop.time() > sleep_started_at + 2 * STALL_CHECK_S:
+                self.record.stalls.append((sleep_started_at, loop.time()))
 
     async def run(self) -> tuple[dict[str, object], Findings]:
-        """Play, then judge; the figures of the last line and what was found."""
+        """Runs load and faults, then the checker; returns the figures and the findings."""
         loop = asyncio.get_running_loop()
         for listener in (*self._nodes, *self._discoveries):
             await listener.open()
@@ -456,15 +489,15 @@
         self._configure(0)
         end_at = loop.time() + self._options.seconds
         background = [
-            asyncio.create_task(self._clients(end_at)),
-            asyncio.create_task(self._trouble(end_at)),
-            asyncio.create_task(self._watch_itself()),
+            asyncio.create_task(self._run_clients(end_at)),
+            asyncio.create_task(self._run_faults(end_at)),
+            asyncio.create_task(self._record_stalls()),
         ]
         if self._options.seed % 4 == 0:
-            background.append(asyncio.create_task(self._crowd()))
+            background.append(asyncio.create_task(self._hold_idle_connections()))
         try:
             while loop.time() < end_at:
-                await self._live(end_at)
+                await self._run_broker(end_at)
         except ProgramError:
             self.record.crashes += 1
         finally:
@@ -475,25 +508,25 @@
         await asyncio.gather(*self._tasks, return_exceptions=True)
         for listener in (*self._nodes, *self._discoveries):
             listener.close()
-        found = check(self.record, LIMIT)
+        findings = check(self.record, LIMIT)
         figures: dict[str, object] = {
             "drill": "soak",
             "seed": self._options.seed,
-            "lives": self.lives,
+            "lives": self.broker_starts,
             "signals": self.signals,
             "requests": len(self.record.requests),
-            "served": sum(one.status == 200 for one in self.record.requests.values()),
-            "judge_late_ms": int(1000 * max((b - a for a, b in self.record.stalls), default=0)),
+            "served": sum(request.status == 200 for request in self.record.requests.values()),
+            "judge_late_ms": int(1000 * max((end - start for start, end in self.record.stalls), default=0)),
         }
-        return figures | {name: found.counts[name] for name in FIGURES}, found
+        return figures | {name: findings.counts[name] for name in FIGURES}, findings
 
 
-def passed(found: Findings) -> bool:
-    """Whether every rule held."""
-    return not found.counts.total()
+def passed(findings: Findings) -> bool:
+    """Whether no rule was violated."""
+    return not findings.counts.total()
 
 
 async def run(options: Options) -> tuple[dict[str, object], Findings]:
-    """One soak."""
+    """Runs the drill; returns the figures and the checker's findings."""
     with TemporaryDirectory() as folder:
         return await Soak(options, Path(folder)).run()
