--- a/lemonridge/lab/checkers/fleet.py
+++ b/lemonridge/lab/checkers/fleet.py
@@ -1,8 +1,8 @@
-"""Checks the platform's rules on a fleet, by what its endpoints and its clients saw.
+"""Checks the platform's rules on a fleet by the records of its endpoints and its clients.
 
-Nothing here knows what a broker counted or believed. A limit is one token bucket for all brokers (with its
-slack, and on sockets with what it allows in 150 ms), drains are followed within 500 ms (and 50) after they
-were announced, every request gets one answer that an endpoint made for it.
+Nothing here uses a broker's own counters or state. A limit is one token bucket for all brokers, with its
+slack and, on sockets, as many units more as it allows in 150 ms. Drains take effect within 500 ms (and 50 ms
+of tolerance) of their announcement. Every request gets one answer, which an endpoint made for it.
 """
 
 from __future__ import annotations
@@ -14,9 +14,9 @@
 from lemonridge.lab.load.fleet import GRACE_S, ClientRequest, RequestEnd
 from lemonridge.lab.standins.cold import ReceivedAttempt
 
-ON_SOCKETS_S = 0.15  # the slack of a limit grows by what it allows in this time
+ON_SOCKETS_S = 0.15  # the slack of a limit is extended by the units that it allows in this time
 DRAIN_S = 0.55
-RESTART_GRACE_S = 0.05  # a request due so soon after a broker's return may still find it away
+RESTART_GRACE_S = 0.05  # a request that is due this soon after a broker's restart may still fail to connect
 ATTEMPTS_MAX = 4  # of a request
 NOTES_MAX = 20
 ROUNDING = 1e-9  # units
@@ -24,7 +24,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Limit:
-    """A token bucket that all brokers draw on: units a second, units at most, units below zero."""
+    """A token bucket that all brokers draw on.
+
+    Attributes:
+        rate: Units a second at which it is refilled.
+        burst: The most units that it holds.
+        slack: How many units it may fall below zero.
+    """
 
     rate: float
     burst: float
@@ -32,25 +38,34 @@
 
     @property
     def overdraft(self) -> float:
-        """Units below zero that are still allowed on sockets."""
+        """How many units the bucket may fall below zero on sockets."""
         return self.slack + self.rate * ON_SOCKETS_S + ROUNDING
 
 
 @dataclass(slots=True)
 class Notes:
-    """The first NOTES_MAX violations, in words."""
+    """Descriptions of the first NOTES_MAX violations."""
 
     notes: list[str] = field(default_factory=list, kw_only=True)
 
     def note(self, text: str) -> None:
-        """Add one, if there is room."""
+        """Adds a description unless there are NOTES_MAX already."""
         if len(self.notes) < NOTES_MAX:
             self.notes.append(text)
 
 
 @dataclass(slots=True)
 class Findings(Notes):
-    """Violations by rule."""
+    """The number of violations of each rule.
+
+    Attributes:
+        limit_excess: Requests beyond the limit of their volume.
+        budget_excess: Attempts beyond the attempts of a request or the fleet's limit of retries.
+        late_sends: Attempts that arrived at an endpoint after its drain had to take effect.
+        double_answers: Requests with more than one answer or a wrong one, and surplus bytes on connections.
+        unanswered: Requests without an answer in time although their broker was up.
+        cold_overloads: Overloads of endpoints in slow start.
+    """
 
     limit_excess: int = 0
     budget_excess: int = 0
@@ -82,125 +97,140 @@
     overloads: int,
     surplus: int = 0,
 ) -> Findings:
-    """Check every rule.
+    """Checks every rule.
 
     Args:
-        attempts: as the endpoints received them.
-        requests: as the clients sent them.
-        limits: by volume.
-        retry_limit: of all brokers together; None: there is none.
-        health_updates: by broker, what discovery wrote to it: when, endpoint, health.
-        down: by broker, when it was dead, stopped or not ready yet.
-        overloads: times that an endpoint in slow start was overloaded.
-        surplus: connections on which bytes arrived that answer nothing.
+        attempts: The attempts that the endpoints received.
+        requests: The requests of the clients.
+        limits: By volume, its limit.
+        retry_limit: The limit of the retries of all brokers together; None for no limit.
+        health_updates: By broker, the updates that discovery wrote to it: time, endpoint and health.
+        down: By broker, the intervals in which it was dead, stopped or not ready.
+        overloads: How often an endpoint in slow start was overloaded.
+        surplus: How many connections received bytes that belong to no response.
+    """
+    findings = Findings(cold_overloads=overloads)
+    ordered = sorted(attempts, key=lambda attempt: attempt.received_at)
+    _check_limits(findings, ordered, limits)
+    _check_attempts(findings, ordered, retry_limit)
+    _check_drains(findings, ordered, health_updates)
+    _check_answers(findings, requests, down, surplus)
+    return findings
+
+
+def _check_limits(
+    findings: Findings, ordered: Sequence[ReceivedAttempt], limits: Mapping[int, Limit]
+) -> None:
+    """Checks that no volume's token bucket falls below its overdraft.
+
+    A request takes its units when its first attempt arrives at an endpoint, from one bucket for all brokers.
     """
-    found = Findings(cold_overloads=overloads)
-    ordered = sorted(attempts, key=lambda one: one.received_at)
-    _check_limits(found, ordered, limits)
-    _check_attempts(found, ordered, retry_limit)
-    _check_drains(found, ordered, health_updates)
-    _check_answers(found, requests, down, surplus)
-    return found
-
-
-def _check_limits(found: Findings, ordered: Sequence[ReceivedAttempt], limits: Mapping[int, Limit]) -> None:
-    """A request takes its units when it first arrives at an endpoint, from one bucket for all brokers."""
-    buckets: dict[int, tuple[float, float]] = {}  # tokens, and at what time
-    first: set[str] = set()
-    for one in ordered:
-        limit = limits.get(one.volume)
-        if limit is None or one.request_id in first:
+    buckets: dict[int, tuple[float, float]] = {}  # by volume: tokens, and at what time
+    counted_requests: set[str] = set()
+    for attempt in ordered:
+        limit = limits.get(attempt.volume)
+        if limit is None or attempt.request_id in counted_requests:
             continue
-        first.add(one.request_id)
-        tokens, at = buckets.get(one.volume, (limit.burst, one.received_at))
-        tokens = min(limit.burst, tokens + limit.rate * (one.received_at - at)) - one.units
-        buckets[one.volume] = tokens, one.received_at
+        counted_requests.add(attempt.request_id)
+        tokens, at = buckets.get(attempt.volume, (limit.burst, attempt.received_at))
+        tokens = min(limit.burst, tokens + limit.rate * (attempt.received_at - at)) - attempt.units
+        buckets[attempt.volume] = tokens, attempt.received_at
         if tokens < -limit.overdraft:
-            found.limit_excess += 1
-            found.note(
-                f"limit of volume {one.volume} passed: {tokens:.1f} at {one.received_at:.3f} by {one.broker}"
+            findings.limit_excess += 1
+            findings.note(
+                f"limit of volume {attempt.volume} exceeded: {tokens:.1f} at {attempt.received_at:.3f} "
+                f"by {attempt.broker}"
             )
 
 
-def _check_attempts(found: Findings, ordered: Sequence[ReceivedAttempt], retry_limit: Limit | None) -> None:
-    """At most ATTEMPTS_MAX for a request; retries draw on one bucket of the fleet, where there is one."""
-    made: dict[str, int] = defaultdict(int)
+def _check_attempts(
+    findings: Findings, ordered: Sequence[ReceivedAttempt], retry_limit: Limit | None
+) -> None:
+    """Checks that a request has at most ATTEMPTS_MAX attempts, and the fleet's limit of retries if any."""
+    attempt_counts: dict[str, int] = defaultdict(int)
     tokens, at = (retry_limit.burst if retry_limit else 0.0), 0.0
-    for one in ordered:
-        made[one.request_id] += 1
-        if made[one.request_id] > ATTEMPTS_MAX:
-            found.budget_excess += 1
-            found.note(f"{one.request_id} was sent {made[one.request_id]} times")
-        if retry_limit is not None and made[one.request_id] > 1:
-            refilled = tokens + retry_limit.rate * (one.received_at - at) if at else tokens
-            tokens, at = min(retry_limit.burst, refilled) - 1.0, one.received_at
+    for attempt in ordered:
+        attempt_counts[attempt.request_id] += 1
+        if attempt_counts[attempt.request_id] > ATTEMPTS_MAX:
+            findings.budget_excess += 1
+            findings.note(f"{attempt.request_id} was sent {attempt_counts[attempt.request_id]} times")
+        if retry_limit is not None and attempt_counts[attempt.request_id] > 1:
+            refilled = tokens + retry_limit.rate * (attempt.received_at - at) if at else tokens
+            tokens, at = min(retry_limit.burst, refilled) - 1.0, attempt.received_at
             if tokens < -retry_limit.overdraft:
-                found.budget_excess += 1
-                found.note(
-                    f"limit of retries passed: {tokens:.1f} at {one.received_at:.3f} by broker {one.broker}"
+                findings.budget_excess += 1
+                findings.note(
+                    f"limit of retries exceeded: {tokens:.1f} at {attempt.received_at:.3f} "
+                    f"by broker {attempt.broker}"
                 )
 
 
 def _check_drains(
-    found: Findings,
+    findings: Findings,
     ordered: Sequence[ReceivedAttempt],
     health_updates: Mapping[int, Sequence[tuple[float, str, str]]],
 ) -> None:
-    """No attempt arrives at an endpoint longer than DRAIN_S after its broker was told of the drain."""
-    updates = {broker: sorted(rows) for broker, rows in health_updates.items()}
-    applied = dict.fromkeys(updates, 0)
+    """Checks that no attempt arrives at an endpoint later than DRAIN_S after its broker got the drain."""
+    updates = {broker: sorted(broker_updates) for broker, broker_updates in health_updates.items()}
+    applied_counts = dict.fromkeys(updates, 0)
     draining_since: dict[tuple[int, str], float] = {}
-    for one in ordered:
-        rows = updates.get(one.broker, [])
-        while applied.get(one.broker, 0) < len(rows) and rows[applied[one.broker]][0] <= one.received_at:
-            at, node, health = rows[applied[one.broker]]
-            applied[one.broker] += 1
+    for attempt in ordered:
+        broker_updates = updates.get(attempt.broker, [])
+        while (
+            applied_counts.get(attempt.broker, 0) < len(broker_updates)
+            and broker_updates[applied_counts[attempt.broker]][0] <= attempt.received_at
+        ):
+            at, node, health = broker_updates[applied_counts[attempt.broker]]
+            applied_counts[attempt.broker] += 1
             if health == "up":
-                draining_since.pop((one.broker, node), None)
+                draining_since.pop((attempt.broker, node), None)
             else:
-                draining_since.setdefault((one.broker, node), at)
-        since = draining_since.get((one.broker, one.node))
-        if since is not None and one.received_at > since + DRAIN_S:
-            found.late_sends += 1
-            found.note(
-                f"{one.node} received {one.request_id} of broker {one.broker} "
-                f"{one.received_at - since:.3f} s after its drain was announced"
+                draining_since.setdefault((attempt.broker, node), at)
+        since = draining_since.get((attempt.broker, attempt.node))
+        if since is not None and attempt.received_at > since + DRAIN_S:
+            findings.late_sends += 1
+            findings.note(
+                f"{attempt.node} received {attempt.request_id} of broker {attempt.broker} "
+                f"{attempt.received_at - since:.3f} s after its drain was announced"
             )
 
 
 def _check_answers(
-    found: Findings,
+    findings: Findings,
     requests: Sequence[ClientRequest],
     down: Mapping[int, Sequence[tuple[float, float]]],
     surplus: int,
 ) -> None:
-    """One answer for each request, within its deadline, made for it; unless its broker was down."""
-    found.double_answers += surplus
+    """Checks that each request got exactly one answer, its own, in time; unless its broker was down."""
+    findings.double_answers += surplus
     if surplus:
-        found.note(f"{surplus} connections brought more than they were asked for")
-    for one in requests:
-        if one.wrong or one.surplus:
-            found.double_answers += 1
-            found.note(f"{one.request_id} got {'a wrong answer' if one.wrong else 'more than one answer'}")
-        late = one.ended_at > one.deadline_at + GRACE_S
-        if one.end not in (RequestEnd.NO_ANSWER, RequestEnd.CONNECTION_LOST) and not late:
+        findings.note(f"{surplus} connections received bytes that belong to no response")
+    for request in requests:
+        if request.wrong or request.surplus:
+            findings.double_answers += 1
+            findings.note(
+                f"{request.request_id} got {'a wrong answer' if request.wrong else 'more than one answer'}"
+            )
+        late = request.ended_at > request.deadline_at + GRACE_S
+        if request.end not in (RequestEnd.NO_ANSWER, RequestEnd.CONNECTION_LOST) and not late:
             continue
         if any(
-            began <= one.ended_at and one.due_at <= ended + RESTART_GRACE_S
-            for began, ended in down.get(one.broker, ())
+            outage_start <= request.ended_at and request.due_at <= outage_end + RESTART_GRACE_S
+            for outage_start, outage_end in down.get(request.broker, ())
         ):
             continue
-        found.unanswered += 1
-        found.note(
-            f"{one.request_id} of broker {one.broker}, due {one.due_at:.3f}, {one.end} {one.ended_at:.3f}"
+        findings.unanswered += 1
+        findings.note(
+            f"{request.request_id} of broker {request.broker}, due {request.due_at:.3f}, "
+            f"{request.end} {request.ended_at:.3f}"
         )
 
 
 def used_rate(attempts: Iterable[ReceivedAttempt], volume: int, begin: float, end: float) -> float:
-    """Units a second of a volume's first attempts between two times."""
-    return sum(one.units for one in _first_attempts(attempts, volume) if begin <= one.received_at < end) / (
-        end - begin
-    )
+    """Returns the units a second of a volume's first attempts between two times."""
+    return sum(
+        attempt.units for attempt in _first_attempts(attempts, volume) if begin <= attempt.received_at < end
+    ) / (end - begin)
 
 
 def recovery_ms(
@@ -212,22 +242,39 @@
     window_s: float = 1.5,
     step_s: float = 0.05,
 ) -> float:
-    """Milliseconds from `begin` until a volume has `rate` units a second over a window.
+    """Returns the time from `begin` until a volume reaches a rate, in milliseconds.
 
-    The whole time where it never has.
+    Args:
+        attempts: The attempts that the endpoints received.
+        volume: The volume.
+        begin: The time at which the measurement starts.
+        end: The time at which it ends; if the rate is not reached by then, the result is the whole time.
+        rate: The units a second to be reached by first attempts.
+        window_s: The time over which the rate is averaged.
+        step_s: The resolution of the result, in seconds.
     """
-    rows = sorted((one.received_at, one.units) for one in _first_attempts(attempts, volume))
-    at = begin
-    while at + window_s <= end:
-        if sum(units for when, units in rows if at <= when < at + window_s) >= rate * window_s:
-            return (at - begin) * 1000
-        at += step_s
+    received_units = sorted(
+        (attempt.received_at, attempt.units) for attempt in _first_attempts(attempts, volume)
+    )
+    window_start = begin
+    while window_start + window_s <= end:
+        if (
+            sum(
+                units
+                for received_at, units in received_units
+                if window_start <= received_at < window_start + window_s
+            )
+            >= rate * window_s
+        ):
+            return (window_start - begin) * 1000
+        window_start += step_s
     return (end - begin) * 1000
 
 
 def _first_attempts(attempts: Iterable[ReceivedAttempt], volume: int) -> list[ReceivedAttempt]:
-    first: dict[str, ReceivedAttempt] = {}
-    for one in sorted(attempts, key=lambda one: one.received_at):
-        if one.volume == volume:
-            first.setdefault(one.request_id, one)
-    return list(first.values())
+    """Returns the first attempt of each of a volume's requests, in order of time."""
+    first_attempts: dict[str, ReceivedAttempt] = {}
+    for attempt in sorted(attempts, key=lambda attempt: attempt.received_at):
+        if attempt.volume == volume:
+            first_attempts.setdefault(attempt.request_id, attempt)
+    return list(first_attempts.values())
