--- a/tests/rollout/test_rollout_search.py
+++ b/tests/rollout/test_rollout_search.py
@@ -94,33 +94,33 @@
     def run_late_replies(self) -> None:
         """The last replies to a broker arrive almost one lease late, and then it is partitioned."""
         net = RolloutFleet(3).run_until_steady()
-        net.extra[0] = 1_800_000
+        net.extra_delays_us[0] = 1_800_000
         net.run(0.55)  # one lease request
-        net.cut = {(0, 1), (0, 2)}
+        net.cut_links = {(0, 1), (0, 2)}
         net.run(1.0)
-        net.broker(1).propose(policy(12), "half", net.now)
+        net.broker(1).propose(policy(12), "half", net.now_us)
         net.run(4.0)
         assert net.epochs_in_use()[1] == (1, 1)
 
     def run_slow_clock(self, error_us: int) -> None:
         """A broker whose clock runs slow by a tenth is partitioned."""
         net = RolloutFleet(3, error_us=error_us)
-        net.slow[0] = 0.9
+        net.clock_rates[0] = 0.9
         net.run_until_steady()
         net.run(0.25)
-        net.cut = {(0, 1), (0, 2), (1, 0), (2, 0)}
-        net.broker(1).propose(policy(12), "half", net.now)
+        net.cut_links = {(0, 1), (0, 2), (1, 0), (2, 0)}
+        net.broker(1).propose(policy(12), "half", net.now_us)
         net.run(4.0)
         assert net.epochs_in_use()[1] == (1, 1)
 
     def run_restarts(self) -> None:
         """One broker is partitioned; the other two restart and change the policy at once."""
         net = RolloutFleet(3).run_until_steady()
-        net.cut = {(0, 1), (0, 2), (1, 0), (2, 0)}
+        net.cut_links = {(0, 1), (0, 2), (1, 0), (2, 0)}
         for n in (1, 2):
             net.kill(n)
             net.start(n)
-        net.run_until(lambda: rejection(net.broker(1).propose, policy(12), "half", net.now) == "", 5.0)
+        net.run_until(lambda: rejection(net.broker(1).propose, policy(12), "half", net.now_us) == "", 5.0)
         net.run(3.0)
         assert net.epochs_in_use()[1] == (1, 1)
 
