--- a/lemonridge/lab/measure/rollout_live.py
+++ b/lemonridge/lab/measure/rollout_live.py
@@ -1,5 +1,6 @@
-"""Changes of policy on processes, without faults: how long one takes, and what it costs the clients, by the
-number of brokers.
+"""Measures changes of policy on real processes without faults: their duration and their cost for clients.
+
+The measurement is repeated with several numbers of brokers.
 """
 
 from __future__ import annotations
@@ -21,79 +22,90 @@
 SIZES = (3, 5, 9, 16, 32)
 LEASE_MS = 2000.0
 CHANGES = 6
-FIRST_S, EVERY_S = 4.0, 3.0  # when the first one is proposed, and between two
-LOOK_S = 0.03
+FIRST_S, EVERY_S = 4.0, 3.0  # from the start to the first proposal, and between two proposals
+POLL_INTERVAL_S = 0.03  # between two polls of the brokers' reports
 
 
 async def measure_once(brokers: int, seed: int) -> dict[str, object]:
-    """The figures of one fleet: seconds from a proposal until all go by the new policy alone, and how many
-    requests of steady volumes were served in the second from it, where the run's mean is 1.
+    """Measures one fleet.
+
+    Returns:
+        Its figures, among them the seconds from a proposal until all brokers use the new policy alone, and
+        the rate of served requests of steady volumes in the second after a proposal, relative to the mean of
+        the run.
     """
     site = SiteSettings(lease_ms=LEASE_MS)
     seconds = FIRST_S + CHANGES * EVERY_S
     async with running_fleet(brokers, NODES, seed, site) as rig:
-        clients = Clients([one.port for one in rig.brokers], seed, site.deadline_ms)
-        took, at = [], []
+        clients = Clients([broker.port for broker in rig.brokers], seed, site.deadline_ms)
+        durations_s, proposal_times = [], []
 
-        async def changes() -> None:
+        async def run_changes() -> None:
             loop = asyncio.get_running_loop()
             for number in range(CHANGES):
                 await asyncio.sleep(max(0.0, rig.load_started_at + FIRST_S + number * EVERY_S - loop.time()))
-                at.append(loop.time())
-                took.append(await _change(rig, number % brokers, 48.0 if number % 2 == 0 else 24.0))
-
-        await asyncio.gather(clients.run(policy_traffic(brokers, site), seconds), changes())
-        begun, epochs = rig.load_started_at, [(await _seen(rig, n))["epoch"] for n in range(brokers)]
+                proposal_times.append(loop.time())
+                durations_s.append(await _change(rig, number % brokers, 48.0 if number % 2 == 0 else 24.0))
+
+        await asyncio.gather(clients.run(policy_traffic(brokers, site), seconds), run_changes())
+        started_at, epochs = (
+            rig.load_started_at,
+            [(await _read_report(rig, n))["epoch"] for n in range(brokers)],
+        )
         await rig.stop()
-    steady = [one for one in clients.requests if one.volume >= 100]
-    mean = _served(steady, begun + FIRST_S, begun + seconds) / (seconds - FIRST_S)
-    after = [_served(steady, moment, moment + 1.0) / mean for moment in at]
+    steady = [request for request in clients.requests if request.volume >= 100]
+    served_per_s = _served(steady, started_at + FIRST_S, started_at + seconds) / (seconds - FIRST_S)
+    relative_rates = [
+        _served(steady, proposed_at, proposed_at + 1.0) / served_per_s for proposed_at in proposal_times
+    ]
     return {
         "measure": "processes",
         "brokers": brokers,
         "seed": seed,
-        "changes": len(took),
+        "changes": len(durations_s),
         "epochs": len(set(epochs)),
-        "force_s": round(median(took), 2),
-        "force_most_s": round(max(took), 2),
-        "served_s": round(mean, 1),
-        "served_after": round(sum(after) / len(after), 2),
-        "served_after_least": round(min(after), 2),
-        "not_served": sum(one.end != "served" for one in steady),
+        "force_s": round(median(durations_s), 2),
+        "force_most_s": round(max(durations_s), 2),
+        "served_s": round(served_per_s, 1),
+        "served_after": round(sum(relative_rates) / len(relative_rates), 2),
+        "served_after_least": round(min(relative_rates), 2),
+        "not_served": sum(request.end != "served" for request in steady),
     }
 
 
-def _served(asked: list[ClientRequest], low: float, high: float) -> int:
-    return sum(one.end == "served" and low <= one.due_at < high for one in asked)
+def _served(requests: list[ClientRequest], begin: float, end: float) -> int:
+    """Returns how many requests that were due between two times were served."""
+    return sum(request.end == "served" and begin <= request.due_at < end for request in requests)
 
 
-async def _seen(rig: FleetHarness, number: int) -> dict[str, Any]:
-    told: dict[str, Any] = orjson.loads(
+async def _read_report(rig: FleetHarness, number: int) -> dict[str, Any]:
+    """Returns a broker's report of its policy."""
+    report: dict[str, Any] = orjson.loads(
         await call(Address("127.0.0.1", rig.brokers[number].admin_port), "policy")
     )
-    return told
+    return report
 
 
 async def _change(rig: FleetHarness, number: int, limit: float) -> float:
-    """Propose at a broker; seconds until all of them go by it alone."""
+    """Proposes a new limit at a broker; returns the seconds until all brokers use the new policy alone."""
     loop = asyncio.get_running_loop()
-    seen = await _seen(rig, number)
-    policy, epoch = msgspec.convert(seen["policy"], Policy), int(seen["epoch"]) + 1
-    rows = tuple(
-        msgspec.structs.replace(row, limit=limit) if row.name == "basic" else row for row in policy.plan
+    report = await _read_report(rig, number)
+    policy, epoch = msgspec.convert(report["policy"], Policy), int(report["epoch"]) + 1
+    plans = tuple(
+        msgspec.structs.replace(plan, limit=limit) if plan.name == "basic" else plan for plan in policy.plan
     )
-    told = {"policy": msgspec.to_builtins(msgspec.structs.replace(policy, plan=rows)), "note": "bench"}
-    begun = loop.time()
+    proposal = {"policy": msgspec.to_builtins(msgspec.structs.replace(policy, plan=plans)), "note": "bench"}
+    proposed_at = loop.time()
     address = Address("127.0.0.1", rig.brokers[number].admin_port)
-    await call(address, "policy-propose " + orjson.dumps(told).decode())
-    waiting = set(range(len(rig.brokers)))
-    while waiting:
-        views = [(n, await _seen(rig, n)) for n in sorted(waiting)]
-        waiting -= {n for n, view in views if view["goes_by"] == [epoch, epoch]}
-        await asyncio.sleep(LOOK_S if waiting else 0)
-    return loop.time() - begun
+    await call(address, "policy-propose " + orjson.dumps(proposal).decode())
+    pending = set(range(len(rig.brokers)))
+    while pending:
+        reports = [(n, await _read_report(rig, n)) for n in sorted(pending)]
+        pending -= {n for n, report in reports if report["goes_by"] == [epoch, epoch]}
+        await asyncio.sleep(POLL_INTERVAL_S if pending else 0)
+    return loop.time() - proposed_at
 
 
 def figures(seed: int, sizes: tuple[int, ...] = SIZES) -> list[dict[str, object]]:
-    """A line for each size, one play each."""
+    """Measures one fleet of each size; returns the figures of each."""
     return [asyncio.run(measure_once(brokers, seed)) for brokers in sizes]
--- a/lemonridge/lab/measure/validate.py
+++ b/lemonridge/lab/measure/validate.py
@@ -1,10 +1,10 @@
-"""The model against the real program: one deployment in both, their figures side by side, within bounds.
+"""Compares the model with the real program: figures of the same deployment in both, within bounds.
 
-The deployment is small enough for one machine: one broker before `nodes` stand-in disk nodes of two cores, a
-queue of 64 and exponential work of `work_ms` a mean request (lab/standins_http.py), each node a shard of its
-own, at `load` of what the nodes can do, reads alone, no limits. The model is given the same figures
-(`scenario`), and the load tool draws volumes, their shards and units as the model does. What the model leaves
-out (the broker's own CPU, loopback, HTTP) costs the real program time: the bounds say how much is allowed.
+The deployment is small enough for one machine: one broker with `nodes` stand-in disk nodes of two cores, a
+queue of 64 and exponential service times of `work_ms` for a request of mean size. Each node is a shard of its
+own. The load is reads only, without limits, at the fraction `load` of the nodes' capacity. The model has the
+same parameters (`scenario`), and the load generator draws volumes, their shards and units as the model does.
+The model does not include the broker's CPU time, loopback and HTTP; the bounds allow for them.
 """
 
 from __future__ import annotations
@@ -17,15 +17,22 @@
 from lemonridge.lab.model.world import LARGEST_REQUEST_UNITS, MEAN_REQUEST_UNITS, World
 
 CORES, QUEUE, DEADLINE_MS, VOLUMES = 2, 64, 1500, 16
-# Allowed differences: the real path adds its own time to every request, a few milliseconds on loopback.
-SHARE_GAP = 0.02  # of requests served
-P50_PART, P50_MS = 0.15, 8.0  # of the model's median, and milliseconds more
-P99_PART, P99_MS = 0.30, 15.0
+# Allowed differences: the real path adds a few milliseconds on loopback to every request.
+SERVED_SHARE_BOUND = 0.02  # difference of the fractions of served requests
+P50_RELATIVE_BOUND, P50_BOUND_MS = 0.15, 8.0  # a fraction of the model's median, plus milliseconds
+P99_RELATIVE_BOUND, P99_BOUND_MS = 0.30, 15.0
 
 
 @dataclass(frozen=True, slots=True)
 class Comparison:
-    """One figure: the model's, the program's, and whether they lie within the bound."""
+    """A figure of the model and of the program.
+
+    Attributes:
+        name: The name of the figure.
+        model: The model's value.
+        real: The program's value.
+        bound: The allowed difference.
+    """
 
     name: str
     model: float
@@ -34,11 +41,12 @@
 
     @property
     def within_bound(self) -> bool:
+        """Whether the values differ by at most the bound."""
         return abs(self.real - self.model) <= self.bound
 
 
 def scenario(nodes: int, work_ms: float, load: float, seconds: float) -> Scenario:
-    """The model's form of the deployment."""
+    """Returns the deployment as a scenario of the model."""
     return Scenario(
         name="validate",
         seconds=seconds,
@@ -66,17 +74,17 @@
     )
 
 
-def in_model(chosen: Scenario, seed: int) -> dict[str, float]:
-    """Served share, p50 and p99 in milliseconds, of one run of the model."""
-    figures = World(chosen, seed).run().figures()
-    asked = max(1.0, float(figures["asked"]))
-    return {"served": figures["in_time"] / asked, "p50_ms": figures["p50_ms"], "p99_ms": figures["p99_ms"]}
+def run_model(deployment: Scenario, seed: int) -> dict[str, float]:
+    """Runs the model; returns the fraction of served requests, and p50 and p99 in milliseconds."""
+    figures = World(deployment, seed).run().figures()
+    requests = max(1.0, float(figures["asked"]))
+    return {"served": figures["in_time"] / requests, "p50_ms": figures["p50_ms"], "p99_ms": figures["p99_ms"]}
 
 
-async def on_sockets(chosen: Scenario, seed: int) -> dict[str, float]:
-    """The same figures of the real program before stand-ins of the same parameters."""
-    nodes = chosen.nodes.count
-    table = tuple((volume.weight, tuple(volume.shards)) for volume in World(chosen, seed).volumes)
+async def run_program(deployment: Scenario, seed: int) -> dict[str, float]:
+    """Runs the real program with stand-in nodes of the same parameters; returns the same figures."""
+    nodes = deployment.nodes.count
+    table = tuple((volume.weight, tuple(volume.shards)) for volume in World(deployment, seed).volumes)
     async with load_http.running_broker(
         nodes,
         shards=nodes,
@@ -84,13 +92,13 @@
         seed=seed,
         cores=CORES,
         queue=QUEUE,
-        work_ms=chosen.classes[0].work_ms,
+        work_ms=deployment.classes[0].work_ms,
         mean_request_units=MEAN_REQUEST_UNITS,
     ) as (_, port, _):
         plan = load_http.LoadPlan(
             port,
-            chosen.rate(),
-            chosen.seconds,
+            deployment.rate(),
+            deployment.seconds,
             classes=(("read", False),),
             shards=nodes,
             largest_request_units=LARGEST_REQUEST_UNITS,
@@ -99,24 +107,28 @@
             seed=seed,
         )
         tally = await load_http.run(plan)
-    times = tally.times["read"]
+    histogram = tally.times["read"]
     return {
         "served": tally.served / max(1, tally.due),
-        "p50_ms": times.get_value_at_percentile(50) / 1000,
-        "p99_ms": times.get_value_at_percentile(99) / 1000,
+        "p50_ms": histogram.get_value_at_percentile(50) / 1000,
+        "p99_ms": histogram.get_value_at_percentile(99) / 1000,
     }
 
 
 def compare(model: dict[str, float], real: dict[str, float]) -> list[Comparison]:
-    """Each figure with its bound."""
+    """Compares each figure of the model with the program's."""
     return [
-        Comparison("served", model["served"], real["served"], SHARE_GAP),
-        Comparison("p50_ms", model["p50_ms"], real["p50_ms"], P50_PART * model["p50_ms"] + P50_MS),
-        Comparison("p99_ms", model["p99_ms"], real["p99_ms"], P99_PART * model["p99_ms"] + P99_MS),
+        Comparison("served", model["served"], real["served"], SERVED_SHARE_BOUND),
+        Comparison(
+            "p50_ms", model["p50_ms"], real["p50_ms"], P50_RELATIVE_BOUND * model["p50_ms"] + P50_BOUND_MS
+        ),
+        Comparison(
+            "p99_ms", model["p99_ms"], real["p99_ms"], P99_RELATIVE_BOUND * model["p99_ms"] + P99_BOUND_MS
+        ),
     ]
 
 
 def validate(nodes: int, work_ms: float, load: float, seconds: float, seed: int) -> list[Comparison]:
-    """Both runs, and their rows."""
-    chosen = scenario(nodes, work_ms, load, seconds)
-    return compare(in_model(chosen, seed), asyncio.run(on_sockets(chosen, seed)))
+    """Runs a deployment in the model and on the real program, and compares their figures."""
+    deployment = scenario(nodes, work_ms, load, seconds)
+    return compare(run_model(deployment, seed), asyncio.run(run_program(deployment, seed)))
