--- a/lemonridge/lab/fleet_mutants.py
+++ b/lemonridge/lab/fleet_mutants.py
@@ -1,6 +1,6 @@
-"""Starts the real program with a clock that is off, or as a mutant of what the fleet shares and decides.
+"""Plants a shifted clock or a fault of shared state and decisions in the real program.
 
-`cli/mutant.py` starts it so, in place of the program, so that nothing of this stands in it.
+`cli/mutant.py` applies one of them and then runs the program, which contains none of this code.
 """
 
 from __future__ import annotations
@@ -12,14 +12,14 @@
 
 
 def shift_clock(offset_ms: float) -> None:
-    """Unix time is off by so much, for whoever asks."""
-    real_ns, real = time.time_ns, time.time
+    """Shifts the Unix time of the whole process by an offset in milliseconds."""
+    real_ns, original = time.time_ns, time.time
     time.time_ns = lambda: real_ns() + int(offset_ms * 1e6)
-    time.time = lambda: real() + offset_ms / 1e3
+    time.time = lambda: original() + offset_ms / 1e3
 
 
-def _keep_lent_parts() -> None:
-    """The lender goes on using what it lends."""
+def _use_lent_parts() -> None:
+    """Makes a lender continue to use the parts that it has lent."""
     from lemonridge.fleet.quota_ledger import Budget, QuotaLedger
 
     def available_own_parts(self: QuotaLedger, budget: Budget, now_us: int) -> int:
@@ -29,16 +29,16 @@
 
 
 def _never_end_loans() -> None:
-    """A borrower goes on using a loan past its end."""
+    """Makes a borrower use a loan past its end."""
     from lemonridge.fleet import quota_ledger
     from lemonridge.fleet.datagrams import LoanGrant
 
-    real = quota_ledger.QuotaLedger.on_grant
+    original = quota_ledger.QuotaLedger.on_grant
 
     def on_grant(
         self: quota_ledger.QuotaLedger, lender: int, incarnation: int, grant: LoanGrant, now_us: int
     ) -> bool:
-        changed = real(self, lender, incarnation, grant, now_us)
+        changed = original(self, lender, incarnation, grant, now_us)
         for budget in self.budgets.values():
             for loan in budget.loans_in.values():
                 loan.end_us = now_us + 3_600_000_000
@@ -47,13 +47,13 @@
     quota_ledger.QuotaLedger.on_grant = on_grant  # type: ignore[method-assign]
 
 
-def _lift_floors_at_start() -> None:
-    """A fresh start believes that it has granted no loans."""
+def _skip_floors_at_start() -> None:
+    """Makes a restarted broker assume that it has granted no loans."""
     from lemonridge.fleet import quota_ledger
 
-    real = quota_ledger.QuotaLedger.__init__
+    original = quota_ledger.QuotaLedger.__init__
 
-    def begin(
+    def initialize(
         self: quota_ledger.QuotaLedger,
         own_id: int,
         incarnation: int,
@@ -62,14 +62,14 @@
         now_us: int,
         others: Iterable[int] = (),
     ) -> None:
-        real(self, own_id, incarnation, first_request_id, clock_error_us, now_us, others)
+        original(self, own_id, incarnation, first_request_id, clock_error_us, now_us, others)
         self.floors_until_us = now_us
 
-    quota_ledger.QuotaLedger.__init__ = begin  # type: ignore[method-assign]
+    quota_ledger.QuotaLedger.__init__ = initialize  # type: ignore[method-assign]
 
 
 def _unbounded_retries() -> None:
-    """Retries draw on a budget without an end."""
+    """Makes the budget of retries unlimited."""
     from lemonridge import scheduling
     from lemonridge.scheduling.token_bucket import TokenBucket
 
@@ -78,27 +78,27 @@
             super().refill(now_us)
             return 1e9
 
-    real = scheduling.Scheduler.__init__
+    original = scheduling.Scheduler.__init__
 
-    def begin(
+    def initialize(
         self: scheduling.Scheduler, settings: Settings, seed: int, host_confirms_start: bool = False
     ) -> None:
-        real(self, settings, seed, host_confirms_start)
+        original(self, settings, seed, host_confirms_start)
         self.retries.fleet_retries = UnboundedBucket(0)
 
-    scheduling.Scheduler.__init__ = begin  # type: ignore[method-assign]
+    scheduling.Scheduler.__init__ = initialize  # type: ignore[method-assign]
 
 
 def _report_all_unreachable() -> None:
-    """Reports every endpoint as unreachable, all the time."""
+    """Makes a broker report every endpoint as unreachable, all the time."""
     from lemonridge.fleet import gossip, health_gossip
 
-    real = gossip.Gossip.record_outcome
+    original = gossip.Gossip.record_outcome
 
     def record_outcome(
         self: gossip.Gossip, endpoint_key: int, outcome: health_gossip.ObservedOutcome, now_us: int
     ) -> bool:
-        real(self, endpoint_key, health_gossip.ObservedOutcome.CONNECT_FAILED, now_us)
+        original(self, endpoint_key, health_gossip.ObservedOutcome.CONNECT_FAILED, now_us)
         self.reported_us = now_us - gossip.REPORT_INTERVAL_US
         return False
 
@@ -106,21 +106,21 @@
 
 
 def _agree_with_one_report() -> None:
-    """One report on an endpoint counts as agreed."""
+    """Makes a single report on an endpoint count as agreed."""
     from lemonridge.fleet import health_gossip
 
     health_gossip.AGREEMENT_MIN = 1
 
 
-def _decide_right_after_a_stop() -> None:
-    """Decides after a stop by what was known before it."""
+def _decide_during_catch_up() -> None:
+    """Makes a broker decide right after a stop, before it has read the input that arrived meanwhile."""
     from lemonridge.core import stall_detector
 
     stall_detector.CATCH_UP_S = 0.0
 
 
 def _ignore_lease_end() -> None:
-    """Decides by the epochs of its last lease, whether that has ended or not."""
+    """Makes a broker use the epochs of its last lease after the lease has ended."""
     from lemonridge.rollout import leases
 
     def is_valid(self: leases.LeaseHolder, now_us: int) -> bool:
@@ -130,13 +130,13 @@
 
 
 def _switch_before_leases_end() -> None:
-    """Decides by a new policy alone as soon as it is known."""
+    """Makes a broker use a new policy alone as soon as it knows it."""
     from lemonridge.rollout import leases
 
-    real = leases.LeaseHolder.on_epoch
+    original = leases.LeaseHolder.on_epoch
 
     def on_epoch(self: leases.LeaseHolder, epoch: int, voters: tuple[int, ...], now_us: int) -> None:
-        real(self, epoch, voters, now_us)
+        original(self, epoch, voters, now_us)
         self.in_use = (epoch, epoch)
 
     leases.LeaseHolder.on_epoch = on_epoch  # type: ignore[method-assign]
@@ -145,14 +145,15 @@
     )
 
 
+# By name, as given to `cli/mutant.py`: the function that plants the fault.
 FAULTS: dict[str, Callable[[], None]] = {
-    "lends-unlowered": _keep_lent_parts,
+    "lends-unlowered": _use_lent_parts,
     "keeps-for-ever": _never_end_loans,
-    "forgets-its-loans": _lift_floors_at_start,
+    "forgets-its-loans": _skip_floors_at_start,
     "spends-further": _unbounded_retries,
     "liar": _report_all_unreachable,
     "believes-one": _agree_with_one_report,
-    "decides-at-once": _decide_right_after_a_stop,
+    "decides-at-once": _decide_during_catch_up,
     "serves-on": _ignore_lease_end,
     "switches-at-once": _switch_before_leases_end,
 }
--- a/lemonridge/lab/soak_mutants.py
+++ b/lemonridge/lab/soak_mutants.py
@@ -1,4 +1,4 @@
-"""Faults to plant in the real program, for the soak that has to find them; `cli/mutant.py` plants one."""
+"""Faults for the real program that the drill `soak` must detect; `cli/mutant.py` plants one of them."""
 
 from __future__ import annotations
 
@@ -9,50 +9,56 @@
 from lemonridge.scheduling.events import EndpointListUpdate, EndpointState
 
 
-def _loses_answers() -> None:
+def _drop_answers() -> None:
+    """Makes a connection drop all further input at every 50th attempt to read a request."""
     from lemonridge.net.http_connection import Connection
 
-    real, count = Connection._next_request, [0]
+    original, count = Connection._next_request, [0]
 
     def next_request(self: Connection) -> None:
         count[0] += 1
         if count[0] % 50 == 0:
             self._drops_input = True
-        real(self)
+        original(self)
 
     Connection._next_request = next_request  # type: ignore[method-assign]
 
 
-def _repeats_anything() -> None:
+def _repeat_all_requests() -> None:
+    """Makes every request repeatable, whatever its class."""
     from lemonridge.scheduling.retries import RetryRules
 
     RetryRules.repeatable = lambda self, request, endpoint: True  # type: ignore[method-assign]
 
 
-def _sends_to_draining() -> None:
+def _ignore_drains() -> None:
+    """Withholds drains from the scheduler, so that draining endpoints get attempts."""
     from lemonridge.core.endpoint_registry import EndpointAddress, EndpointRegistry
 
-    real = EndpointRegistry._publish
+    original = EndpointRegistry._publish
 
-    def tell(self: EndpointRegistry, kind: EndpointListUpdate, changes: list[EndpointAddress]) -> None:
-        real(self, kind, [one for one in changes if one.endpoint.state is EndpointState.ACTIVE])
+    def publish(self: EndpointRegistry, kind: EndpointListUpdate, changes: list[EndpointAddress]) -> None:
+        original(self, kind, [change for change in changes if change.endpoint.state is EndpointState.ACTIVE])
 
-    EndpointRegistry._publish = tell  # type: ignore[method-assign]
+    EndpointRegistry._publish = publish  # type: ignore[method-assign]
 
 
-def _floods_cold_nodes() -> None:
+def _skip_slow_start() -> None:
+    """Treats every endpoint as warm."""
     from lemonridge.scheduling.slow_start import SlowStart
 
     SlowStart.in_slow_start = lambda self, endpoint: False  # type: ignore[method-assign]
 
 
-def _knows_no_limit() -> None:
+def _ignore_limits() -> None:
+    """Removes the limits of volumes."""
     from lemonridge.scheduling.token_bucket import TokenBucket
 
     TokenBucket.wait_us = lambda self, units, now_us: 0  # type: ignore[method-assign]
 
 
-def _sends_for_the_gone() -> None:
+def _ignore_disconnections() -> None:
+    """Continues the requests of clients that have disconnected."""
     from lemonridge.core.broker import Broker
     from lemonridge.core.decision_host import DecisionHost
 
@@ -60,13 +66,15 @@
     DecisionHost.may_begin = lambda self, mailbox, number: True  # type: ignore[method-assign]
 
 
-def _tells_the_whole_deadline() -> None:
+def _extend_deadlines() -> None:
+    """Forwards deadlines with 400 ms too much."""
     from lemonridge.net import http_endpoints
 
     http_endpoints.forwarded_deadline_ms = lambda left_us: left_us // 1000 + 400
 
 
-def _refuses_anything() -> None:
+def _reject_without_checks() -> None:
+    """Rejects requests even if they may have run."""
     from lemonridge.scheduling import Request
     from lemonridge.scheduling.request_lifecycle import RequestLifecycle
 
@@ -77,7 +85,8 @@
     RequestLifecycle.reject = reject  # type: ignore[method-assign]
 
 
-def _dies_of_a_signal() -> None:
+def _die_of_signals() -> None:
+    """Keeps the default action of the handled signals, which ends the process."""
     from lemonridge.service import signals
 
     def handle(self: signals.SignalReceiver, number: int, action: Callable[[], object]) -> None:
@@ -86,14 +95,15 @@
     signals.SignalReceiver.handle = handle  # type: ignore[method-assign]
 
 
-MUTANTS: dict[str, tuple[Callable[[], None], str]] = {  # with the figure that has to find it
-    "loses-answers": (_loses_answers, "lost"),
-    "repeats-anything": (_repeats_anything, "duplicate"),
-    "sends-to-draining": (_sends_to_draining, "late_drain"),
-    "floods-cold-nodes": (_floods_cold_nodes, "cold_overloads"),
-    "knows-no-limit": (_knows_no_limit, "limit_excess"),
-    "sends-for-the-gone": (_sends_for_the_gone, "sent_after_leave"),
-    "tells-the-whole-deadline": (_tells_the_whole_deadline, "deadline_over"),
-    "refuses-anything": (_refuses_anything, "bad_refusals"),
-    "dies-of-a-signal": (_dies_of_a_signal, "crashes"),
+# By name: the function that plants the fault, and the figure of the drill that must detect it.
+MUTANTS: dict[str, tuple[Callable[[], None], str]] = {
+    "loses-answers": (_drop_answers, "lost"),
+    "repeats-anything": (_repeat_all_requests, "duplicate"),
+    "sends-to-draining": (_ignore_drains, "late_drain"),
+    "floods-cold-nodes": (_skip_slow_start, "cold_overloads"),
+    "knows-no-limit": (_ignore_limits, "limit_excess"),
+    "sends-for-the-gone": (_ignore_disconnections, "sent_after_leave"),
+    "tells-the-whole-deadline": (_extend_deadlines, "deadline_over"),
+    "refuses-anything": (_reject_without_checks, "bad_refusals"),
+    "dies-of-a-signal": (_die_of_signals, "crashes"),
 }
