--- a/lemonridge/lab/checkers/policy.py
+++ b/lemonridge/lab/checkers/policy.py
@@ -225,6 +225,7 @@
     highest_limit = max([floor, *limits.values()])
 
     def refill_rate(begin: float, end: float) -> float:
+        """Returns the highest limit of the epochs that were in use between two times."""
         used = [
             limits.get(epoch, highest_limit)
             for epoch, (first, last) in spans.items()
--- a/lemonridge/lab/checkers/rollout.py
+++ b/lemonridge/lab/checkers/rollout.py
@@ -121,6 +121,7 @@
     store_ids = dict.fromkeys(range(MEMBERS), 0)
 
     def make_proposer(round_: ProposalRound) -> Proposer:
+        """Creates the proposer of a round from its fields in a state."""
         proposer = Proposer(round_.member, 1, VALUES[round_.member], store_ids, round_.round_number)
         proposer._promises = {
             voter: Promised(1, proposer.ballot, accepted_ballot, value)
@@ -134,6 +135,7 @@
         return proposer
 
     def updated_round(round_: ProposalRound, proposer: Proposer) -> ProposalRound:
+        """Returns a round with the fields of its proposer."""
         promises = tuple(
             sorted(
                 (n, promised.accepted_ballot, promised.accepted_value)
@@ -148,6 +150,7 @@
         )
 
     def moves(state: VotingState) -> Iterator[tuple[str, VotingState]]:
+        """Yields all transitions of a state, each with its name and the next state."""
         last_round = max((round_.round_number for round_ in state.rounds), default=0)
         for member in range(2):
             if state.tries[member]:
@@ -221,6 +224,7 @@
             )
 
     def violation(state: VotingState) -> str:
+        """Describes how a state breaks the invariant; empty if it does not."""
         chosen = {round_.value for round_ in state.rounds if round_.chosen}
         return "" if len(chosen) < 2 else f"two values were chosen: {sorted(chosen)}"
 
--- a/lemonridge/lab/drills/fleet.py
+++ b/lemonridge/lab/drills/fleet.py
@@ -58,6 +58,7 @@
     shards = tuple(range(NODES))
 
     def hosts_from(first: int) -> list[int]:
+        """Returns the brokers of a volume whose first one is `first`."""
         return [(first + step) % brokers for step in range(hosts)]
 
     hosts_from_0, hosts_from_1, hosts_from_2 = hosts_from(0), hosts_from(1), hosts_from(2)
--- a/lemonridge/lab/drills/policy.py
+++ b/lemonridge/lab/drills/policy.py
@@ -93,10 +93,8 @@
         self.wipes = 0
         self.applied_notes: set[str] = set()
         self.vote_random, self.vote_changes = Random(f"{options.seed}/votes"), 0
-        self.no_process_faults, self._last_vote_change_s = (
-            False,
-            0.0,
-        )  # so the first retirement does not follow at once
+        # 0.0, so no voter is retired in the first VOTE_CHANGE_INTERVAL_S of the run.
+        self.no_process_faults, self._last_vote_change_s = False, 0.0
         self._last_wipe_s = -WIPE_INTERVAL_S
         self.switches: list[float] = []
 
@@ -300,6 +298,7 @@
         wiped = draw < 0.35 and self.rig.now() - self._last_wipe_s > WIPE_INTERVAL_S
 
         def damage_store() -> None:
+            """Removes or truncates the vote store, if it is to be lost."""
             path = self.rig.vote_store_path(broker.number)
             if wiped and draw < 0.2:
                 path.unlink()
--- a/lemonridge/lab/drills/soak.py
+++ b/lemonridge/lab/drills/soak.py
@@ -338,6 +338,7 @@
         """Runs a coroutine in the background after `after_s` seconds."""
 
         async def run_delayed() -> None:
+            """Waits, then runs the coroutine."""
             await asyncio.sleep(after_s)
             await coroutine
 
--- a/lemonridge/lab/measure/iscsi.py
+++ b/lemonridge/lab/measure/iscsi.py
@@ -121,6 +121,7 @@
     until = loop.time() + seconds
 
     async def lane(number: int) -> None:
+        """Sends one command after another."""
         blocks = setting.size // BLOCK_BYTES
         first_block, writes = number * blocks % (BLOCKS - blocks + 1), bool(number % 2)
         while loop.time() < until:
--- a/lemonridge/lab/measure/membership.py
+++ b/lemonridge/lab/measure/membership.py
@@ -205,6 +205,7 @@
         began_us, times_s = self.now_us, dict[int, float]()
 
         def all_know() -> bool:
+            """Records the time of new detections; returns whether all running brokers have detected it."""
             for n in range(self.count):
                 if n not in times_s and n not in self.down and victim in self._dead[n]:
                     times_s[n] = (self.now_us - began_us) / 1e6
--- a/lemonridge/lab/measure/nodes.py
+++ b/lemonridge/lab/measure/nodes.py
@@ -106,6 +106,7 @@
         self.bytes = 0
 
     async def _serve(self, request: web.BaseRequest) -> web.StreamResponse:
+        """Answers a request and counts the bytes of the answer."""
         response = await super()._serve(request)
         if isinstance(response, web.Response) and isinstance(response.body, bytes):
             self.bytes += len(response.body)
--- a/lemonridge/lab/measure/rollout.py
+++ b/lemonridge/lab/measure/rollout.py
@@ -314,13 +314,13 @@
     Over a lease one clock is ahead by the stated error, and another one is behind by it.
     """
 
-    def skewed(net: RolloutFleet) -> None:
+    def set_clock_rates(net: RolloutFleet) -> None:
         net.clock_rates[0], net.clock_rates[1] = (
             1 - error_ms * 1000 / net.lease_us,
             1 + error_ms * 1000 / net.lease_us,
         )
 
-    return _change(5, 0.0, seed, dead=True, error_us=error_ms * 1000, prepare=skewed)
+    return _change(5, 0.0, seed, dead=True, error_us=error_ms * 1000, prepare=set_clock_rates)
 
 
 def _floor_share_cut_off(lease_us: int, seconds: float = 10.0) -> float:
@@ -391,6 +391,7 @@
     from matplotlib import pyplot as plt
 
     def values(measure: str, key: str, **filters: object) -> list[float]:
+        """Returns one figure of all rows of a measurement whose other figures have the given values."""
         return [
             float(str(row[key]))
             for row in rows
--- a/lemonridge/lab/measure/rollout_live.py
+++ b/lemonridge/lab/measure/rollout_live.py
@@ -41,6 +41,7 @@
         durations_s, proposal_times = [], []
 
         async def run_changes() -> None:
+            """Proposes all changes at their times, at one broker after the other."""
             loop = asyncio.get_running_loop()
             for number in range(CHANGES):
                 await asyncio.sleep(max(0.0, rig.load_started_at + FIRST_S + number * EVERY_S - loop.time()))
