--- a/tests/integration/test_conformance.py
+++ b/tests/integration/test_conformance.py
@@ -26,4 +26,4 @@
 
     async def test_iscsi_drill_meets_all_criteria(self) -> None:
         figures, findings = await drill_iscsi.Drill(drill_iscsi.Options(5, seconds=5.0)).run()
-        self.assertTrue(drill_iscsi.held(figures), (figures, findings.notes))
+        self.assertTrue(drill_iscsi.passed(figures), (figures, findings.notes))
--- a/tests/integration/test_extents_live.py
+++ b/tests/integration/test_extents_live.py
@@ -16,7 +16,7 @@
 from lemonridge.extents.routing import Redirect
 from lemonridge.iscsi import versions
 from lemonridge.lab.checkers.extents import stamp
-from lemonridge.lab.drills.extents import Drill, Options, held
+from lemonridge.lab.drills.extents import Drill, Options, passed
 from lemonridge.lab.load.initiator import Initiator, cdb
 from lemonridge.lab.standins.etcd import Etcd
 from lemonridge.lab.standins.mover import Mover
@@ -382,14 +382,14 @@
     async def test_drill_meets_every_rule(self) -> None:
         options = Options(11, seconds=4.0)
         figures, findings = await Drill(options).run()
-        self.assertTrue(held(figures, options), (figures, findings.notes))
+        self.assertTrue(passed(figures, options), (figures, findings.notes))
 
     async def test_drill_without_version_checks_fails(self) -> None:
         """Without version checks in the nodes, writes reach nodes that no longer hold the extent."""
         options = Options(12, seconds=4.0, move_every_s=0.1, checked=False)
         figures, _ = await Drill(options).run()
         self.assertGreater(figures["misdirected_writes"], 0)
-        self.assertFalse(held(figures, options))
+        self.assertFalse(passed(figures, options))
 
 
 class VersionEncoding(unittest.TestCase):
--- a/tests/integration/test_fleet_live.py
+++ b/tests/integration/test_fleet_live.py
@@ -226,7 +226,9 @@
         self.assertTrue(findings.passed, findings.notes)
 
     def test_cold_node_receives_more_from_the_broker_with_demand_and_does_not_fail(self) -> None:
-        unshared, shared = asyncio.run(run_both(fleet_cold.once(3, False), fleet_cold.once(3, True)))
+        unshared, shared = asyncio.run(
+            run_both(fleet_cold.measure_once(3, False), fleet_cold.measure_once(3, True))
+        )
         self.assertEqual(unshared["falls"] + shared["falls"], 0)
         self.assertGreater(shared["sent"], 1.3 * unshared["sent"], (unshared, shared))
 
@@ -291,4 +293,4 @@
 
     def test_drill_meets_every_rule(self) -> None:
         figures, findings, _ = asyncio.run(drill.run(drill.Options(11, 16.0)))
-        self.assertTrue(drill.held(figures, findings), (figures, findings.notes))
+        self.assertTrue(drill.passed(figures, findings), (figures, findings.notes))
--- a/tests/integration/test_load_http.py
+++ b/tests/integration/test_load_http.py
@@ -99,8 +99,10 @@
         model = {"served": 0.99, "p50_ms": 100.0, "p99_ms": 400.0}
         within = {"served": 0.98, "p50_ms": 120.0, "p99_ms": 500.0}
         outside = {"served": 0.90, "p50_ms": 140.0, "p99_ms": 600.0}
-        self.assertTrue(all(row.held for row in validate.compare(model, within)))
-        self.assertEqual([row.held for row in validate.compare(model, outside)], [False, False, False])
+        self.assertTrue(all(row.within_bound for row in validate.compare(model, within)))
+        self.assertEqual(
+            [row.within_bound for row in validate.compare(model, outside)], [False, False, False]
+        )
 
     def test_load_draws_volumes_and_shards_by_the_table_of_the_model(self) -> None:
         from random import Random
--- a/tests/integration/test_rollout_live.py
+++ b/tests/integration/test_rollout_live.py
@@ -120,7 +120,7 @@
     rigs = []
     for rig, clients in asyncio.run(run_all()):
         findings = check_attempts(rig)
-        case.assertTrue(findings.held, findings.notes)
+        case.assertTrue(findings.passed, findings.notes)
         for request in clients.requests:
             down = any(
                 start <= request.ended_at and request.due_at <= end + 0.05
@@ -326,7 +326,7 @@
 class PolicyDrill(unittest.TestCase):
     def test_drill_meets_every_rule(self) -> None:
         figures, findings, answers = asyncio.run(drill.run(drill.Options(11, 20.0)))
-        self.assertTrue(drill.held(figures, findings, answers), (figures, findings.notes, answers.notes))
+        self.assertTrue(drill.passed(figures, findings, answers), (figures, findings.notes, answers.notes))
 
     def test_checker_finds_faults_planted_in_processes(self) -> None:
         async def broker_is_partitioned(rig: FleetHarness) -> None:
