--- a/lemonridge/iscsi/connection.py
+++ b/lemonridge/iscsi/connection.py
@@ -12,6 +12,7 @@
 from lemonridge.iscsi.numbers import StatusLog
 from lemonridge.iscsi.pdu import (
     RESERVED_TAG,
+    UINT32_MASK,
     DataDigestError,
     HeaderDigestError,
     Op,
@@ -176,7 +177,7 @@
                 words=[0, 0, front.login_exp_cmd_sns[self], 0, reply.status << 16, 0, 0],
             )
             self._assign_stat_sn(response)
-            response.words[3] = (front.login_exp_cmd_sns[self] + front.config.queue_depth - 1) & RESERVED_TAG
+            response.words[3] = (front.login_exp_cmd_sns[self] + front.config.queue_depth - 1) & UINT32_MASK
             self.writer.write(response.encode())
             await self.writer.drain()
             if reply.login_ended:
--- a/lemonridge/iscsi/initiator.py
+++ b/lemonridge/iscsi/initiator.py
@@ -32,6 +32,7 @@
     MAX_DATA_SEGMENT_BYTES,
     RESERVED_TAG,
     TEXT_MAX_BYTES,
+    UINT32_MASK,
     DataDigestError,
     HeaderDigestError,
     Op,
@@ -469,7 +470,7 @@
         if numbered:
             pdu.words[1], pdu.words[2] = self._cmd_sn, self._exp_stat_sn
             if not pdu.immediate:
-                self._cmd_sn = (self._cmd_sn + 1) & RESERVED_TAG
+                self._cmd_sn = (self._cmd_sn + 1) & UINT32_MASK
         else:
             pdu.words[2] = self._exp_stat_sn
         if not self._writer.is_closing():
@@ -478,7 +479,7 @@
     def _update_numbers(self, pdu: Pdu, carries_status: bool) -> None:
         """Updates ExpStatSN and MaxCmdSN from a received PDU."""
         if carries_status:
-            self._exp_stat_sn = (pdu.words[1] + 1) & RESERVED_TAG
+            self._exp_stat_sn = (pdu.words[1] + 1) & UINT32_MASK
         if serial_distance(pdu.words[3], self._max_cmd_sn) > 0 or not self._pending_commands:
             self._max_cmd_sn = pdu.words[3]
 
--- a/lemonridge/iscsi/pdu.py
+++ b/lemonridge/iscsi/pdu.py
@@ -19,6 +19,7 @@
 
 BHS = struct.Struct(">BBBBI8sI7I")
 RESERVED_TAG = 0xFFFFFFFF  # value of a task tag or transfer tag field that identifies nothing
+UINT32_MASK = 0xFFFFFFFF  # keeps a sum within the 32 bits of a serial number on the wire
 FINAL, CONTINUE = 0x80, 0x40  # F (or T) and C bits of the flags byte
 TEXT_MAX_BYTES = 16 * 1024  # text keys of one exchange
 MAX_DATA_SEGMENT_BYTES = 64 * 1024  # data segment that this program accepts, as target and as initiator
--- a/lemonridge/lab/standins/node.py
+++ b/lemonridge/lab/standins/node.py
@@ -17,7 +17,17 @@
 
 from lemonridge.extents.routing import Redirect
 from lemonridge.iscsi import scsi, versions
-from lemonridge.iscsi.pdu import FINAL, RESERVED_TAG, Op, Pdu, pack_text, read_pdu, unpack_lun, unpack_text
+from lemonridge.iscsi.pdu import (
+    FINAL,
+    RESERVED_TAG,
+    UINT32_MASK,
+    Op,
+    Pdu,
+    pack_text,
+    read_pdu,
+    unpack_lun,
+    unpack_text,
+)
 from lemonridge.lab.ticks import Ticks
 
 BLOCK_BYTES = 512
@@ -277,7 +287,7 @@
             if self.node.silent:
                 continue  # PDUs are read but neither run nor answered
             if not pdu.immediate and pdu.opcode != Op.DATA_OUT:
-                self.exp_cmd_sn = (pdu.words[1] + 1) & RESERVED_TAG
+                self.exp_cmd_sn = (pdu.words[1] + 1) & UINT32_MASK
             if pdu.opcode == Op.LOGIN:
                 self._login(pdu)
             elif pdu.opcode == Op.SCSI_COMMAND:
@@ -291,8 +301,8 @@
 
     def send(self, pdu: Pdu, status: bool = True) -> None:
         """Sends a PDU with the current sequence numbers; one with a status advances StatSN."""
-        pdu.words[1:4] = [self.stat_sn, self.exp_cmd_sn, (self.exp_cmd_sn + 63) & RESERVED_TAG]
-        self.stat_sn = (self.stat_sn + status) & RESERVED_TAG
+        pdu.words[1:4] = [self.stat_sn, self.exp_cmd_sn, (self.exp_cmd_sn + 63) & UINT32_MASK]
+        self.stat_sn = (self.stat_sn + status) & UINT32_MASK
         if not self.writer.is_closing():
             self.writer.write(pdu.encode())
 
