--- a/lemonridge/iscsi/connection.py
+++ b/lemonridge/iscsi/connection.py
@@ -153,7 +153,7 @@
             if pdu.opcode != Op.LOGIN:
                 raise PduError(PduError.PROTOCOL, "expected a Login Request", pdu)
             if is_first_request:
-                front.login_exp_cmd_sns[self] = pdu.words[1]
+                front.login_exp_cmd_sns[self] = pdu.words[1]  # CmdSN
                 self.cid, is_first_request = pdu.words[0] >> 16, False
             reply = login.answer(pdu)
             if reply.status:
@@ -177,6 +177,7 @@
                 words=[0, 0, front.login_exp_cmd_sns[self], 0, reply.status << 16, 0, 0],
             )
             self._assign_stat_sn(response)
+            # MaxCmdSN
             response.words[3] = (front.login_exp_cmd_sns[self] + front.config.queue_depth - 1) & UINT32_MASK
             self.writer.write(response.encode())
             await self.writer.drain()
--- a/lemonridge/iscsi/device.py
+++ b/lemonridge/iscsi/device.py
@@ -51,11 +51,11 @@
 LOCAL_DATA_OUT_COMMANDS = frozenset((MODE_SELECT_6, MODE_SELECT_10, PERSISTENT_RESERVE_OUT))
 # Commands that are executed despite a pending unit attention (SAM-5, 5.14)
 EXEMPT_FROM_UNIT_ATTENTION = frozenset((INQUIRY, REQUEST_SENSE, REPORT_LUNS))
-# Commands that a reservation of another nexus allows: TEST UNIT READY, READ CAPACITY (10), SERVICE ACTION IN
+# Commands that a reservation of another nexus allows
 EXEMPT_FROM_RESERVATION = EXEMPT_FROM_UNIT_ATTENTION | {
-    0x00,
-    0x25,
-    0x9E,
+    0x00,  # TEST UNIT READY
+    0x25,  # READ CAPACITY (10)
+    0x9E,  # SERVICE ACTION IN (16)
     PERSISTENT_RESERVE_IN,
     PERSISTENT_RESERVE_OUT,
     MAINTENANCE_IN,
@@ -411,7 +411,7 @@
                 or len(pages) < len(current)
                 or pages[1] != current[1]
             ):
-                return scsi.check_condition(0x05, 0x26)
+                return scsi.check_condition(0x05, 0x26)  # invalid field in parameter list
             if pages[2 : len(current)] != current[2:]:
                 return scsi.check_condition(0x05, 0x26)
             pages = pages[len(current) :]
@@ -435,11 +435,11 @@
     def _persistent_reserve_out(self, nexus: Nexus, command: scsi.Command) -> Reply:
         cdb, data = command.cdb, command.data
         if len(data) != 24 or int.from_bytes(cdb[5:9], "big") != 24:
-            return scsi.check_condition(0x05, 0x1A)
+            return scsi.check_condition(0x05, 0x1A)  # parameter list length error
         key, action_key, flags = struct.unpack(">QQ4xBxxx", data)
         # SPEC_I_PT and ALL_TG_PT are not supported; APTPL requires a reservation file.
         if flags & 0x0C or (flags & 0x01 and self._reservation_file is None):
-            return scsi.check_condition(0x05, 0x26)
+            return scsi.check_condition(0x05, 0x26)  # invalid field in parameter list
         reservations = self.reservations.setdefault(command.lun, Reservations())
         previous = reservations.copy()
         result: ActionResult = reservations.persistent_reserve_out(
--- a/lemonridge/iscsi/initiator.py
+++ b/lemonridge/iscsi/initiator.py
@@ -97,7 +97,8 @@
         self._config, self._registry, self._counters = config, registry, counters
         self._loop = asyncio.get_running_loop()
         self._sessions: dict[str, asyncio.Task[EndpointSession]] = {}
-        # Commands that wait for each login. They count until they resume, some loop turns after its end.
+        # Number of commands that wait for each login. A command is counted until it resumes, which is some
+        # iterations of the event loop after the end of the login.
         self._login_waiters: Counter[asyncio.Task[EndpointSession]] = Counter()
 
     async def attempt(self, attempt: Attempt) -> Outcome:
@@ -304,8 +305,8 @@
         if config.endpoint_account is not None:
             await self._authenticate(isid, names, config.endpoint_account)
             names = []
-        wishes = config.endpoint_preferences
-        offers = proposal(wishes, OFFERED_KEYS)
+        preferences = config.endpoint_preferences
+        offers = proposal(preferences, OFFERED_KEYS)
         offers.append(("MaxRecvDataSegmentLength", str(MAX_DATA_SEGMENT_BYTES)))
         if config.mapped:
             offers.append((versions.EXTENT_VERSION_KEY, versions.EXTENT_VERSION_VALUE))
--- a/lemonridge/iscsi/keys.py
+++ b/lemonridge/iscsi/keys.py
@@ -1,4 +1,4 @@
-"""Text keys and their negotiation (RFC 7143, chapters 6 and 13). Pure.
+"""Text keys and their negotiation (RFC 7143, chapters 6 and 13). No I/O.
 
 `TABLE` defines for each key its type, the phase in which it may be sent, its default and its bounds.
 `Responder` answers the keys that a peer offers, and `apply_answers` evaluates a peer's answers to a proposal.
--- a/lemonridge/iscsi/login.py
+++ b/lemonridge/iscsi/login.py
@@ -1,9 +1,9 @@
-"""The target's side of the login phase (RFC 7143, chapter 6 and sections 11.12 and 11.13). Pure.
+"""The target's side of the login phase (RFC 7143, chapter 6 and sections 11.12 and 11.13). No I/O.
 
 `TargetLogin` receives the login requests of one connection and returns the responses. It handles text that is
 split over several PDUs in either direction, the security stage with CHAP, the operational stage, and whether
-the connection leads a new session, replaces a session or joins an existing one. It does no I/O: the caller
-provides random bytes and looks up existing sessions.
+the connection leads a new session, replaces a session or joins an existing one. The caller provides random
+bytes and looks up existing sessions.
 """
 
 from __future__ import annotations
@@ -249,8 +249,8 @@
             raise _RefusedError(UNSUPPORTED_VERSION, f"Version-min {pdu.byte3} is not supported")
         if self._policy.is_stopping():
             raise _RefusedError(SERVICE_UNAVAILABLE, "the front is shutting down")
-        first = self._stage < 0
-        if first:
+        is_first_request = self._stage < 0
+        if is_first_request:
             self.isid, self.tsih, self.cid = pdu.lun[:6], int.from_bytes(pdu.lun[6:]), pdu.words[0] >> 16
         elif pdu.lun[:6] != self.isid or pdu.words[0] >> 16 != self.cid:
             raise _RefusedError(INVALID_DURING_LOGIN, "ISID or CID changed during the login")
@@ -260,7 +260,7 @@
         if (
             not valid_stages
             or (transit and next_stage <= stage)
-            or (not first and stage != self._stage)
+            or (not is_first_request and stage != self._stage)
             or (transit and pdu.flags & CONTINUE)
         ):
             raise _RefusedError(
@@ -306,6 +306,7 @@
                 raise _RefusedError(AUTHORIZATION_FAILURE, f"{self.initiator} may not log in")
             accounts = [rule.accounts for rule in rules]
             self._accounts = {name: account for by_name in accounts for name, account in by_name.items()}
+            # If one of the targets requires no authentication, the list of targets requires none either.
             self._authenticated = not all(accounts)
         else:
             if "TargetName" not in values:
--- a/lemonridge/iscsi/numbers.py
+++ b/lemonridge/iscsi/numbers.py
@@ -1,4 +1,4 @@
-"""Command and status sequence numbers of a session (RFC 7143, sections 4.2.2 and 7.1). Pure.
+"""Command and status sequence numbers of a session (RFC 7143, sections 4.2.2 and 7.1). No I/O.
 
 The commands of a session may arrive on several connections and out of order; `CommandWindow` delivers them in
 the order of CmdSN. Statuses are numbered per connection; `StatusLog` retains them until they are acknowledged
--- a/lemonridge/iscsi/reservations.py
+++ b/lemonridge/iscsi/reservations.py
@@ -1,4 +1,4 @@
-"""Persistent reservations of one logical unit (SPC-4, sections 5.13, 6.15 and 6.16). Pure.
+"""Persistent reservations of one logical unit (SPC-4, sections 5.13, 6.15 and 6.16). No I/O.
 
 Records which nexus registered which key and which nexus holds the reservation, and decides which commands of
 other nexuses conflict with it. The state lasts as long as the program, or longer if the caller saves it and
--- a/lemonridge/iscsi/runner.py
+++ b/lemonridge/iscsi/runner.py
@@ -66,7 +66,7 @@
             previous is not None and (previous.status is None or session.agreed.recovery_level)
         ):
             raise PduError(PduError.FIELD, "task tag is reserved or in use", pdu)
-        reads, writes = bool(pdu.flags & 0x40), bool(pdu.flags & 0x20)
+        reads, writes = bool(pdu.flags & 0x40), bool(pdu.flags & 0x20)  # R and W bits
         lun, length = unpack_lun(pdu.lun), pdu.words[0]
         more_data_follows = not pdu.flags & FINAL
         if more_data_follows and (agreed.initial_r2t or not writes):
@@ -315,7 +315,7 @@
         residual = reply.residual
         if task.command.reads:
             residual = length - transferred or min(0, reply.residual)
-        flags = FINAL | (0x02 if residual > 0 else 0x04 if residual < 0 else 0)
+        flags = FINAL | (0x02 if residual > 0 else 0x04 if residual < 0 else 0)  # U (underflow), O (overflow)
         sense = len(reply.sense).to_bytes(2, "big") + reply.sense if reply.sense else b""
         data_in_count = outbound.pdu_count if outbound is not None else 0
         task.status = Pdu(
@@ -366,22 +366,22 @@
         Raises:
             PduError: The session runs at recovery level 0.
         """
-        kind, begin_run, run_length = pdu.flags & 0x0F, pdu.words[5], pdu.words[6]
+        snack_type, begin_run, run_length = pdu.flags & 0x0F, pdu.words[5], pdu.words[6]
         self._front.counters["snacks"] += 1
         if not self._session.agreed.recovery_level:
             raise PduError(PduError.PROTOCOL, "SNACK at recovery level 0", pdu)
-        if kind == STATUS_SNACK:
+        if snack_type == STATUS_SNACK:
             statuses = connection.statuses.find_retained(begin_run, run_length)
             if statuses is not None:
                 for _, status in statuses:
                     connection.write(status)
                 return
         task = self._session.tasks.get(pdu.tag)
-        if task is not None and task.connection is connection and kind != STATUS_SNACK:
-            if kind == DATA_ACK and task.outbound is not None:
+        if task is not None and task.connection is connection and snack_type != STATUS_SNACK:
+            if snack_type == DATA_ACK and task.outbound is not None:
                 task.outbound.acknowledged = max(task.outbound.acknowledged, begin_run)
                 return
-            if kind == RDATA_SNACK and task.outbound is not None and not begin_run and not run_length:
+            if snack_type == RDATA_SNACK and task.outbound is not None and not begin_run and not run_length:
                 task.outbound = Outbound(
                     task.outbound.data, connection.agreed.send_segment, self._session.agreed.max_burst
                 )
@@ -392,7 +392,8 @@
                 for part in parts:
                     self._send_data_in(connection, task, task.outbound, part)
                 return
-            if task.inbound is not None and kind == DATA_SNACK:  # the initiator did not receive some R2Ts
+            # For a write, a Data SNACK means that the initiator did not receive some R2Ts.
+            if task.inbound is not None and snack_type == DATA_SNACK:
                 self._send_recovery_r2ts(task, task.inbound.recovery_r2ts_after_stall())
                 return
         connection.reject(pdu, PduError.SNACK)
--- a/lemonridge/iscsi/session.py
+++ b/lemonridge/iscsi/session.py
@@ -117,9 +117,9 @@
         """Removes a connection that has been closed or lost.
 
         At recovery level 2 its tasks wait to be reassigned, for DefaultTime2Wait plus DefaultTime2Retain
-        seconds, and a session without connections ends after that time. At lower levels the tasks are
-        aborted; the session ends unless this side closed the connection and another one is left. A discovery
-        session ends at once.
+        seconds, and a session without connections ends after that time, or at once if DefaultTime2Retain is
+        0. At lower levels the tasks are aborted; the session ends unless this side closed the connection and
+        another one is left. A discovery session ends at once.
 
         Args:
             connection: The connection; nothing changes if another one has taken its CID.
@@ -175,7 +175,7 @@
     def request_logout(self) -> None:
         """Asks the initiator to log out within one second, by an Asynchronous Message on each connection.
 
-        AsyncEvent 1 (RFC 7143, section 11.9.1).
+        The message carries AsyncEvent 1 (RFC 7143, section 11.9.1).
         """
         for connection in self.connections.values():
             connection.send(Pdu(Op.ASYNC, words=[0, 0, 0, 0, 1 << 24, 1, 0]), status=True)
@@ -199,8 +199,8 @@
         """Returns the current ExpCmdSN and MaxCmdSN.
 
         Each task without a status occupies a slot of the command window. Where the kept statuses fill more
-        than half of their limit (`statuses`), the free slots are also bounded by the statuses that can still
-        be kept.
+        than half of `max_unacknowledged_statuses`, the free slots are also bounded by the number of statuses
+        that can still be kept.
         """
         occupied = sum(task.status is None for task in self.tasks.values())
         kept_statuses = sum(
@@ -249,11 +249,11 @@
                 return True
             return self._dispatch(connection, pdu)
         self.command_numbers()  # updates MaxCmdSN in the window, which bounds the accepted CmdSN
-        place, ready = self.window.receive(pdu.words[1], (connection, pdu))
-        if place is ArrivalResult.REPEATED and connection.agreed.recovery_level:
+        arrival, ready = self.window.receive(pdu.words[1], (connection, pdu))
+        if arrival is ArrivalResult.REPEATED and connection.agreed.recovery_level:
             self._resend_status(connection, pdu)
         if (
-            place is ArrivalResult.NEXT
+            arrival is ArrivalResult.NEXT
             and not ready
             and len(self.connections) == 1
             and not self.agreed.recovery_level
@@ -414,9 +414,9 @@
         return pairs
 
     def _receive_logout(self, connection: Connection, pdu: Pdu) -> bool:
-        """Closes the session or a connection, or removes a connection for recovery, by the reason code.
+        """Executes a logout request and sends its response (RFC 7143, sections 11.14 and 11.15).
 
-        RFC 7143, sections 11.14 and 11.15.
+        Reason code 0 closes the session, 1 closes a connection, and 2 removes a connection for recovery.
 
         Returns:
             Whether the connection that received the logout stays open.
@@ -429,11 +429,11 @@
             connection.reject(pdu, PduError.FIELD)
             return True
         if reason == 2 and self.agreed.recovery_level < 2:
-            response = 2
+            response = 2  # connection recovery is not supported
         elif logged_out is None and not (
             reason == 2 and any(task.connection is None for task in self.tasks.values())
         ):
-            response = 1
+            response = 1  # CID not found
         connection.send(
             Pdu(Op.LOGOUT_RESPONSE, byte2=response, tag=pdu.tag, words=[0, 0, 0, 0, 0, times, 0]), status=True
         )
--- a/lemonridge/iscsi/task_order.py
+++ b/lemonridge/iscsi/task_order.py
@@ -1,4 +1,4 @@
-"""Decides which commands of a session wait for earlier ones at the same LUN. Pure.
+"""Decides which commands of a session wait for earlier ones at the same LUN. No I/O.
 
 Commands are delivered in the order of CmdSN (RFC 7143, section 4.2.2.1); this module decides how far their
 execution may depart from it. The control mode page reports restricted reordering (SPC-4, QUEUE ALGORITHM
--- a/lemonridge/iscsi/transfer.py
+++ b/lemonridge/iscsi/transfer.py
@@ -1,4 +1,4 @@
-"""Data transfer of one SCSI command, in both directions, as PDUs and byte offsets. Pure.
+"""Data transfer of one SCSI command, in both directions, as PDUs and byte offsets. No I/O.
 
 Implements the data transfer rules of RFC 7143, sections 4.2.5, 11.7 and 11.8, and the recovery of lost data
 within a command (7.2). `Inbound` collects the data of a write: first the immediate and unsolicited data, then
@@ -111,6 +111,7 @@
         return r2ts
 
     def _create_r2t(self, start: int, end: int) -> ReadyToTransfer:
+        """Opens a burst for the byte range [start, end) and returns the R2T that requests it."""
         self._last_transfer_tag = (self._last_transfer_tag + 1) % UNSOLICITED_TRANSFER_TAG
         self._bursts[self._last_transfer_tag] = _Burst(start, end, next_offset=start)
         self._next_r2t_sn += 1
