--- a/lemonridge/core/broker.py
+++ b/lemonridge/core/broker.py
@@ -53,7 +53,7 @@
     ) -> None:
         self._decision_host, self._endpoints = decision_host, endpoints
         self._counters, self._routes = counters, routes
-        self._runners: dict[str, asyncio.Task[None]] = {}  # by the scheduler's name for the request
+        self._runners: dict[str, asyncio.Task[None]] = {}  # of requests with an attempt, by mailbox name
         self.open_ids = OpenIds()
 
     def submit(self, request: Request, on_answer: Callable[[Answer], None]) -> RequestMailbox:
@@ -126,6 +126,7 @@
     def _on_answer(
         self, mailbox: RequestMailbox, answer: Answer, on_answer: Callable[[Answer], None]
     ) -> None:
+        """Counts the final answer and passes it to the front, unless the client has disconnected."""
         self._counters[f"answers.{answer.kind.value}"] += 1
         if mailbox.name not in self._runners:  # otherwise its task closes it, after its last attempt
             self._close(mailbox)
@@ -173,6 +174,7 @@
             self._close(mailbox)
 
     def _new_attempt(self, mailbox: RequestMailbox, number: int, send: Send) -> Attempt:
+        """Returns the attempt that the scheduler has decided on."""
         return Attempt(
             mailbox.request,
             number,
@@ -192,6 +194,7 @@
     def _attempt_ended(
         mailbox: RequestMailbox, attempt: Attempt, outcome: Outcome, latency_us: int
     ) -> AttemptEnded:
+        """Returns the event that reports the end of an attempt to the scheduler."""
         return AttemptEnded(
             request=mailbox.name,
             attempt=attempt.number,
@@ -237,7 +240,7 @@
             async with asyncio.timeout_at(deadline_s) as mailbox.timeout_scope:
                 outcome = await self._endpoints.attempt(attempt)
         except TimeoutError:
-            if not attempt.begun:  # only a failed connect counts against the endpoint
+            if not attempt.begun:  # unlike a failed connect, this does not count against the endpoint
                 outcome = Outcome(AttemptResult.NOT_SENT)
             else:
                 cancelled = mailbox.attempt_cancelled
--- a/lemonridge/core/decision_host.py
+++ b/lemonridge/core/decision_host.py
@@ -177,6 +177,7 @@
         self._apply_open_requests_max()
 
     def _apply_open_requests_max(self) -> None:
+        """Gives the scheduler this process's share of the maximum."""
         if self._open_requests_max is not None:
             self._scheduler.open_requests_max = self._open_requests_max // self._processes
 
@@ -247,6 +248,7 @@
             self._carry_out(action)
 
     def _carry_out(self, action: Action) -> None:
+        """Carries out one action of the scheduler."""
         match action:
             case Send():
                 self._send(action)
@@ -263,6 +265,7 @@
                 pass  # the endpoint list is watched permanently
 
     def _send(self, action: Send) -> None:
+        """Passes the decision to send an attempt to the request's mailbox, if the request is still open."""
         mailbox = self._mailboxes.get(action.request)
         if mailbox is None:
             return
@@ -271,6 +274,7 @@
         mailbox.deliver(action)
 
     def _deliver_answer(self, action: Reject | Fail) -> None:
+        """Counts a rejection or failure and passes it to the request's mailbox."""
         self._counters[f"rejected.{action.reason.value}"] += 1
         mailbox = self._mailboxes.get(action.request)
         if mailbox is not None:
--- a/lemonridge/core/request_mailbox.py
+++ b/lemonridge/core/request_mailbox.py
@@ -81,10 +81,12 @@
         return self._sends.popleft()
 
     def _cancel_attempt(self) -> None:
+        """Cancels the attempt in flight, by moving its timeout to now."""
         if self.timeout_scope is not None and not self.timeout_scope.expired():
             self.attempt_cancelled = True
             self.timeout_scope.reschedule(asyncio.get_running_loop().time())
 
     def _notify_runner(self) -> None:
+        """Wakes the request's task if it waits in `next_send`."""
         if self._waiter is not None and not self._waiter.done():
             self._waiter.set_result(None)
--- a/lemonridge/iscsi/initiator.py
+++ b/lemonridge/iscsi/initiator.py
@@ -432,7 +432,7 @@
                 self._write(
                     Pdu(
                         Op.TASK_MANAGEMENT,
-                        FINAL | 1,
+                        FINAL | 1,  # ABORT TASK
                         lun=pack_lun(command.lun),
                         tag=next(self._task_tags) % RESERVED_TAG,
                         immediate=True,
@@ -519,7 +519,7 @@
             if pending is not None:
                 self._receive_response(pending, pdu)
         elif pdu.opcode == Op.DATA_IN:
-            self._update_numbers(pdu, carries_status=bool(pdu.flags & 1))
+            self._update_numbers(pdu, carries_status=bool(pdu.flags & 1))  # S bit
             if pending is not None:
                 self._receive_data_in(pending, pdu)
         elif pdu.opcode == Op.R2T:
--- a/lemonridge/net/discovery.py
+++ b/lemonridge/net/discovery.py
@@ -24,14 +24,15 @@
 log = logging.getLogger(__name__)
 
 MISSED_CHANGE_NOTIFIED_AFTER_S = 6.0  # a missed change counts as notified this long after a silence began
-AGENT_WATCH_S = 2.0  # watch at an agent: it, a silence, the next call and a slow answer take under 6 s
-POLL_WATCH_S = 60.0  # watch where calls are charged: the longest that the protocol allows
-SILENCE_MAX_S = 1.0  # without a byte after the watch time or within an answer: the call is lost
+# Watch time of a call to an agent: the watch, a silence, the next call and a slow answer take less than 6 s.
+AGENT_WATCH_S = 2.0
+POLL_WATCH_S = 60.0  # watch time where calls are charged: the longest that the protocol allows
+SILENCE_MAX_S = 1.0  # after the watch time or within an answer; a longer silence means the call is lost
 ANSWER_MAX_S = 5.0  # for a complete answer, even if it keeps arriving
 AGENT_OPEN_CALLS_MAX = 4  # concurrent calls to an agent
 CHANGES_WATCH_MS = 1  # watch time of a call for the changes up to now
 BACKOFF_FIRST_S = 0.05
-POLL_INTERVAL_PER_BROKER_S = 0.125  # brokers that poll wait this long per broker, to spread their calls
+POLL_INTERVAL_PER_BROKER_S = 0.125  # first pause, per broker of the fleet, where discovery must be polled
 LIST_MAX_BYTES = 4 * 2**20  # about 20,000 endpoints
 
 CALL_FAILURES = (aiohttp.ClientError, OSError, DiscoveryError)  # OSError includes TimeoutError
@@ -116,12 +117,12 @@
         settings: Settings,
     ) -> None:
         self._url, self._zones, self._registry = f"http://{address}/api/targets", zones, registry
-        self._polls = settings.polls_endpoint_list
-        self._watch_s = POLL_WATCH_S if self._polls else AGENT_WATCH_S
+        self._calls_are_charged = settings.polls_endpoint_list  # a polled service; False: an agent
+        self._watch_s = POLL_WATCH_S if self._calls_are_charged else AGENT_WATCH_S
         # An agent answers a call without a watch immediately; otherwise its connection has failed silently.
         self._answer_timeout_s = (
             MISSED_CHANGE_NOTIFIED_AFTER_S - SILENCE_MAX_S
-            if self._polls
+            if self._calls_are_charged
             else settings.drain_grace_us / 2e6 or SILENCE_MAX_S
         )
         self._backoff = Backoff("discovery", log, *backoff_bounds_s(settings), random, counters)
@@ -140,17 +141,18 @@
         self._version = version
         if version is not None:
             await self._backoff.wait_before_first()  # the cached list is used meanwhile
-        polls_next = False
+        skips_watch = False
         async with open_session() as http:
             while True:
                 try:
-                    is_watch = self._version is not None and not polls_next
+                    is_watch = self._version is not None and not skips_watch
                     body = await (self._watch(http) if is_watch else self._poll(http))
                     self._version = self._apply(body)
-                    polls_next = False
+                    skips_watch = False
                     self._backoff.reset()
                 except CALL_FAILURES as error:
-                    polls_next = not self._polls  # get the missed changes from an agent immediately
+                    # An agent is asked for the missed changes immediately.
+                    skips_watch = not self._calls_are_charged
                     self._check_version(error)
                     await self._backoff.wait_after(error)
                 except Exception as error:
@@ -164,7 +166,7 @@
         This is the case if an answer was malformed, or if an agent refuses connections: its process has
         exited, and the next one may restart its version numbers.
         """
-        has_agent_exited = isinstance(error, aiohttp.ClientConnectorError) and not self._polls
+        has_agent_exited = isinstance(error, aiohttp.ClientConnectorError) and not self._calls_are_charged
         if has_agent_exited or isinstance(error, MalformedListError):
             self._version = None
 
@@ -190,7 +192,7 @@
             while True:
                 now_s = loop.time()
                 if not any(call.is_answering for call in calls):
-                    if len(calls) >= (1 if self._polls else AGENT_OPEN_CALLS_MAX):
+                    if len(calls) >= (1 if self._calls_are_charged else AGENT_OPEN_CALLS_MAX):
                         calls.pop(0).task.cancel()
                     calls.append(self._start_call(http, now_s + ANSWER_MAX_S))
                 try:
--- a/lemonridge/net/http_connection.py
+++ b/lemonridge/net/http_connection.py
@@ -24,7 +24,7 @@
 BODY_MIN_BYTES_PER_S = 64_000  # lowest accepted transfer rate of a body
 SHORT_BODY_BYTES = 16 * 1024  # bodies up to this size do not count against the limit for long bodies
 READ_AHEAD_BYTES = 16 * 1024  # buffered beyond an open request before reading is paused
-READ_BYTES = 32 * 1024  # per read, so also the overshoot past READ_AHEAD_BYTES; asyncio reads 256 KiB
+READ_BYTES = 32 * 1024  # per read, so also the overshoot past READ_AHEAD_BYTES; asyncio's default is 256 KiB
 CLOSE_CHECK_INTERVAL_S = 0.1  # interval of checks for a disconnect while reading is paused
 
 
@@ -71,9 +71,9 @@
         self.state: ConnectionState | None = None
         self.accepted_late = table.lifecycle.phase is Phase.STOPPING
         self.arrived_us = 0
-        self._received_bytes = 0
-        # Numbers of received bytes with their times: a pipelined request is dated by the arrival of its last
-        # byte.
+        self._received_bytes = 0  # since the connection was accepted
+        # The value of `_received_bytes` after each read, with the time of the read in microseconds: they give
+        # the arrival time of a pipelined request, which is that of its last byte.
         self._arrivals: deque[tuple[int, int]] = deque()
         self._paused_since_us = 0  # later bytes may have waited since this time; 0: not paused
         self.response_unread_since_s: float | None = None
@@ -186,10 +186,12 @@
         self._table.set_state(self, ConnectionState.RECEIVING)
 
     def reject(self, status: int, reason: str) -> None:
-        """Answers a request that is not forwarded, and closes: the next request's start is unknown.
+        """Answers a request that is not forwarded, and ends the connection.
 
-        The connection is not read any more, and it is closed after a delay: if it were closed immediately,
-        TCP would reset it, and a client that is still sending could lose the response (RFC 9112, 9.6).
+        No further request can be read, because it is unknown where the next one starts. The connection is
+        closed after a delay: if it were closed immediately, TCP would reset it, and a client that is still
+        sending could lose the response (RFC 9112, 9.6). Until then, input is read and dropped after a status
+        of 503, and not read after any other status.
 
         Args:
             status: The status code.
@@ -203,7 +205,8 @@
         self._table.buffered_bytes -= len(self._data) + len(self._body)
         self._data, self._body = bytearray(), bytearray()
         self.closing_since_s = asyncio.get_running_loop().time()
-        if status != HTTPStatus.SERVICE_UNAVAILABLE:  # on 503 input is read on, so the client reads this
+        # After 503 input is still read, so that a client that first sends its whole body gets the response.
+        if status != HTTPStatus.SERVICE_UNAVAILABLE:
             self._transport.pause_reading()
         self._transport.write_eof()
         self._table.set_state(self, ConnectionState.CLOSING)
--- a/lemonridge/net/http_endpoints.py
+++ b/lemonridge/net/http_endpoints.py
@@ -243,9 +243,10 @@
 def forwarded_deadline_ms(left_us: int) -> int:
     """Returns the deadline that is sent to the endpoint, in milliseconds, at least 1.
 
-    STANDING: at most the client's remaining time, with 0.15 s of slack. The process may have been delayed by
-    0.15 s before it read the request, and may be delayed again before the write, so 0.15 s are subtracted. A
-    remaining time of less than 0.15 s is sent unchanged, because any delay is within the slack.
+    STANDING allows at most the client's remaining time plus 0.15 s. The process may have been delayed by
+    0.15 s before it read the request, and may be delayed by as much again before the write, so 0.15 s are
+    subtracted. At least 0.15 s are sent if that much time remains; a shorter remaining time is sent
+    unchanged.
 
     Args:
         left_us: The remaining time until the client's deadline, in microseconds.
@@ -263,7 +264,7 @@
 
 
 def _parse_count(text: str | None, increment: int) -> int | None:
-    """Returns the whole number in a header plus `increment`; None if there is none."""
+    """Returns the number in a header, rounded down, plus `increment`; None if it is missing or unusable."""
     value = _parse_number(text)
     return None if value is None else int(value) + increment
 
--- a/lemonridge/net/http_front.py
+++ b/lemonridge/net/http_front.py
@@ -105,7 +105,7 @@
         self.has_lease: Callable[[], bool] = lambda: True
         self.configure(platform)
         self.listener: Listener
-        self._open: dict[Connection, OpenRequest] = {}
+        self._open_requests: dict[Connection, OpenRequest] = {}  # at most one per connection
         self._streams: dict[Connection, asyncio.Task[None]] = {}  # tasks that write streamed responses
 
     def configure(self, platform: PlatformConfig) -> None:
@@ -149,17 +149,17 @@
         self.on_lifecycle_changed()
         loop = asyncio.get_running_loop()
         await asyncio.sleep((self._lifecycle.accept_until_us - self._clock.now_us()) / 1e6)
-        give_up_at_s = self._clock.loop_time(self._lifecycle.request_complete_by_us)
-        await self.listener.accept_pending(give_up_at_s)
+        request_complete_by_s = self._clock.loop_time(self._lifecycle.request_complete_by_us)
+        await self.listener.accept_pending(request_complete_by_s)
         self.listener.close()
         while self.listener.has_starting_connections or self._table.close_inactive(
-            allow_incomplete=loop.time() < give_up_at_s
+            allow_incomplete=loop.time() < request_complete_by_s
         ):
             await asyncio.sleep(CLOSE_CHECK_INTERVAL_S)
 
     def on_lifecycle_changed(self) -> None:
         """Applies a change of the lifecycle's state immediately."""
-        for connection, open_request in self._open.items():
+        for connection, open_request in self._open_requests.items():
             self._schedule_answer(connection, open_request)
         self._table.on_lifecycle_changed()
 
@@ -199,7 +199,7 @@
         if self._lifecycle.accept_until_us != NEVER_US:
             self._counters["requests.stopping"] += 1
         mailbox = self._broker.submit(request, functools.partial(self._on_answer, connection))
-        self._open[connection] = open_request = OpenRequest(request, mailbox, arrived_us)
+        self._open_requests[connection] = open_request = OpenRequest(request, mailbox, arrived_us)
         self._schedule_answer(connection, open_request)
 
     def _schedule_answer(self, connection: Connection, open_request: OpenRequest) -> None:
@@ -216,7 +216,7 @@
 
     def _answer_for_stop(self, connection: Connection) -> None:
         """Answers an open request without waiting for the broker, because the process ends."""
-        open_request = self._open.pop(connection)
+        open_request = self._open_requests.pop(connection)
         self._broker.disconnect(open_request.mailbox)
         forwarded = open_request.request.forwarded
         self._respond(
@@ -225,7 +225,7 @@
 
     def _on_disconnect(self, connection: Connection) -> None:
         """Cancels the open request and the streamed response of a connection that has ended."""
-        open_request = self._open.pop(connection, None)
+        open_request = self._open_requests.pop(connection, None)
         if open_request is not None:
             open_request.cancel_timer()
             self._broker.disconnect(open_request.mailbox)
@@ -237,7 +237,7 @@
 
     def _on_answer(self, connection: Connection, answer: Answer) -> None:
         """Sends the broker's final answer to the client."""
-        self._open.pop(connection).cancel_timer()
+        self._open_requests.pop(connection).cancel_timer()
         if isinstance(answer.reply, StreamedResponse):
             stream = self._loop.create_task(self._stream(connection, answer.reply))
             self._streams[connection] = stream
--- a/lemonridge/net/process_handover.py
+++ b/lemonridge/net/process_handover.py
@@ -38,7 +38,7 @@
 
 REQUEST_RETRY_S = 0.05  # before the request is repeated to a process that is itself in a handover
 PENDING_CALLS_MAX = 64  # forwarded calls that the other process has not acknowledged
-BACKLOG = 4
+BACKLOG = 4  # connections that wait to be accepted
 UNIX_PATH_MAX_BYTES = 100  # a Unix socket address holds 108 bytes
 
 
@@ -103,7 +103,7 @@
         return decode(line)
 
     def write(self, message: Message) -> None:
-        """Sends a message without waiting for the transfer."""
+        """Sends a message; returns before it is transmitted."""
         self._writer.write(encode(message))
 
     async def serve(self) -> None:
@@ -236,11 +236,11 @@
         try:
             own_path.unlink(missing_ok=True)
             with _short_path(own_path) as name:
-                mask = os.umask(0o177)
+                previous_umask = os.umask(0o177)  # the socket is for this user alone
                 try:
                     listener.bind(name)
                 finally:
-                    os.umask(mask)
+                    os.umask(previous_umask)
             self._server = await asyncio.start_unix_server(
                 self._on_connection, sock=listener, limit=LINE_MAX, backlog=BACKLOG
             )
@@ -263,7 +263,7 @@
     # Ids of open requests
 
     def _on_id_change(self, request_id: str, opened: bool) -> None:
-        """Records a change that is sent at the end of this iteration of the event loop.
+        """Records that an id was opened or closed; sent at the end of this iteration of the event loop.
 
         An id that is opened and closed within one iteration is not sent.
         """
--- a/lemonridge/service/admin.py
+++ b/lemonridge/service/admin.py
@@ -105,9 +105,9 @@
     async def take_over(self, handover: ProcessHandover) -> None:
         """Takes over from the serving process, if there is one, and listens for the next successor.
 
-        Waits up to `FIRST_LIST_WAIT_US` for a list from discovery first, so that the first request uses that
-        list and not a cached one. If discovery does not answer, the predecessor's list is used, since it is
-        newer than the cached one.
+        Waits up to `FIRST_LIST_TIMEOUT_US` for a list from discovery first, so that the first request uses
+        that list and not a cached one. If discovery does not answer, the predecessor's list is used, since it
+        is newer than the cached one.
         """
         self._taking_over = True
         with contextlib.suppress(TimeoutError):
@@ -122,6 +122,7 @@
         self._handover, self._taking_over = handover, False
 
     def _import_state(self, state: HandoverState) -> None:
+        """Applies the predecessor's state, with its endpoint list only if discovery has not answered yet."""
         if not self._registry.source_has_answered.is_set():
             endpoints = [EndpointAddress(listed.endpoint, listed.address) for listed in state.endpoints]
             self._registry.update(EndpointListUpdate.CACHED, endpoints)
@@ -177,6 +178,7 @@
         self._decision_host.set_processes(processes)
 
     async def _resume_listening(self) -> None:
+        """Accepts clients and a successor again."""
         await self._front.listen()
         if self._handover is not None:
             await self._handover.listen()
--- a/lemonridge/service/signals.py
+++ b/lemonridge/service/signals.py
@@ -40,6 +40,7 @@
         signal.signal(number, on_signal)
 
     def _drain(self) -> None:
+        """Reads and discards the bytes that the interpreter has written for signals."""
         with contextlib.suppress(BlockingIOError):
             self._read_end.recv(4096)
 
