--- a/lemonridge/net/http_front.py
+++ b/lemonridge/net/http_front.py
@@ -105,7 +105,7 @@
         self.has_lease: Callable[[], bool] = lambda: True
         self.configure(platform)
         self.listener: Listener
-        self._open_requests: dict[Connection, OpenRequest] = {}  # at most one per connection
+        self._open: dict[Connection, OpenRequest] = {}  # at most one per connection
         self._streams: dict[Connection, asyncio.Task[None]] = {}  # tasks that write streamed responses
 
     def configure(self, platform: PlatformConfig) -> None:
@@ -159,7 +159,7 @@
 
     def on_lifecycle_changed(self) -> None:
         """Applies a change of the lifecycle's state immediately."""
-        for connection, open_request in self._open_requests.items():
+        for connection, open_request in self._open.items():
             self._schedule_answer(connection, open_request)
         self._table.on_lifecycle_changed()
 
@@ -199,7 +199,7 @@
         if self._lifecycle.accept_until_us != NEVER_US:
             self._counters["requests.stopping"] += 1
         mailbox = self._broker.submit(request, functools.partial(self._on_answer, connection))
-        self._open_requests[connection] = open_request = OpenRequest(request, mailbox, arrived_us)
+        self._open[connection] = open_request = OpenRequest(request, mailbox, arrived_us)
         self._schedule_answer(connection, open_request)
 
     def _schedule_answer(self, connection: Connection, open_request: OpenRequest) -> None:
@@ -216,7 +216,7 @@
 
     def _answer_for_stop(self, connection: Connection) -> None:
         """Answers an open request without waiting for the broker, because the process ends."""
-        open_request = self._open_requests.pop(connection)
+        open_request = self._open.pop(connection)
         self._broker.disconnect(open_request.mailbox)
         forwarded = open_request.request.forwarded
         self._respond(
@@ -225,7 +225,7 @@
 
     def _on_disconnect(self, connection: Connection) -> None:
         """Cancels the open request and the streamed response of a connection that has ended."""
-        open_request = self._open_requests.pop(connection, None)
+        open_request = self._open.pop(connection, None)
         if open_request is not None:
             open_request.cancel_timer()
             self._broker.disconnect(open_request.mailbox)
@@ -237,7 +237,7 @@
 
     def _on_answer(self, connection: Connection, answer: Answer) -> None:
         """Sends the broker's final answer to the client."""
-        self._open_requests.pop(connection).cancel_timer()
+        self._open.pop(connection).cancel_timer()
         if isinstance(answer.reply, StreamedResponse):
             stream = self._loop.create_task(self._stream(connection, answer.reply))
             self._streams[connection] = stream
