--- a/lemonridge/config/address.py
+++ b/lemonridge/config/address.py
@@ -33,4 +33,5 @@
         return cls(host.strip("[]"), int(port))
 
     def __str__(self) -> str:
+        """Returns HOST:PORT, with brackets around an IPv6 address."""
         return f"[{self.host}]:{self.port}" if ":" in self.host else f"{self.host}:{self.port}"
--- a/lemonridge/core/endpoint_registry.py
+++ b/lemonridge/core/endpoint_registry.py
@@ -110,6 +110,7 @@
         return tuple(self._source_list.values())
 
     def _log(self, changed: list[EndpointAddress]) -> None:
+        """Logs changed endpoints, up to `LOG_LINES_MAX` of them one by one."""
         for change in changed[:LOG_LINES_MAX]:
             endpoint = change.endpoint
             log.info(
--- a/lemonridge/core/stall_detector.py
+++ b/lemonridge/core/stall_detector.py
@@ -45,6 +45,7 @@
         return self._paused_until_s if self._loop.time() < self._paused_until_s else None
 
     def _check(self, last_heartbeat_s: float) -> None:
+        """Starts a pause of decisions if the last heartbeat is too long ago."""
         now_s = self._loop.time()
         since_heartbeat_s = now_s - last_heartbeat_s
         if since_heartbeat_s > HEARTBEAT_PERIOD_S + STALL_MIN_S and now_s > self._paused_until_s:
--- a/lemonridge/iscsi/chap.py
+++ b/lemonridge/iscsi/chap.py
@@ -128,6 +128,7 @@
         raise ChapError("keys after the end of the exchange")
 
     def _send_challenge(self, keys: Mapping[str, str]) -> TextPairs:
+        """Chooses an offered algorithm and returns the challenge."""
         if "CHAP_A" not in keys:
             raise ChapError("no algorithm was offered")
         offered = keys["CHAP_A"].split(",")
@@ -140,6 +141,7 @@
         return [("CHAP_A", chosen), ("CHAP_I", str(self._ident)), ("CHAP_C", encode(self._challenge))]
 
     def _check_response(self, keys: Mapping[str, str]) -> TextPairs:
+        """Checks the initiator's response; returns this side's own response if it is required too."""
         if "CHAP_N" not in keys or "CHAP_R" not in keys:
             raise ChapError("name or response is missing")
         name, received = keys["CHAP_N"], decode(keys["CHAP_R"])
--- a/lemonridge/iscsi/device.py
+++ b/lemonridge/iscsi/device.py
@@ -283,6 +283,7 @@
         return Reply(scsi.Status.GOOD, data[: command.length])
 
     def _report_luns(self, command: scsi.Command) -> Reply:
+        """Executes REPORT LUNS."""
         allocation_length = int.from_bytes(command.cdb[6:10], "big")
         if command.cdb[2] not in (0, 1, 2) or allocation_length < 16:
             return scsi.invalid_field()
@@ -296,6 +297,7 @@
         return hashlib.sha256(f"{self.config.target}/{lun}".encode()).digest()[:16]
 
     def _inquiry(self, command: scsi.Command) -> Reply:
+        """Executes INQUIRY: returns the standard data or a page of vital product data."""
         cdb = command.cdb
         allocation_length = int.from_bytes(cdb[3:5], "big")
         if not cdb[1] & 1:
@@ -322,9 +324,11 @@
         return self._data(command, (struct.pack(">BBH", 0, cdb[2], len(body)) + body)[:allocation_length])
 
     def _supported_pages(self, _: int) -> bytes:
+        """Returns the body of page 00h: the codes of the supported pages."""
         return bytes((0x00, 0x80, 0x83, 0xB0, 0xB1, 0xB2))
 
     def _serial_number(self, lun: int) -> bytes:
+        """Returns the body of page 80h."""
         return self._identities[lun].hex()[:16].encode()
 
     def _device_identification(self, lun: int) -> bytes:
@@ -357,9 +361,11 @@
         )
 
     def _block_characteristics(self, _: int) -> bytes:
+        """Returns the body of page B1h."""
         return struct.pack(">HBB", 1, 0, 0).ljust(60, b"\0")  # non-rotating medium
 
     def _logical_block_provisioning(self, _: int) -> bytes:
+        """Returns the body of page B2h."""
         return struct.pack(">BBBB", 0, 0xE0, 2, 0)  # UNMAP; WRITE SAME (16), (10) with UNMAP; thin
 
     # Mode pages (SPC-4, 7.5; SBC-3, 6.4)
@@ -379,6 +385,7 @@
         return {0x08: caching, 0x0A: control, 0x3F: caching + control}.get(page)
 
     def _mode_sense(self, command: scsi.Command) -> Reply:
+        """Executes MODE SENSE (6) and (10)."""
         cdb = command.cdb
         page, page_control = cdb[2] & 0x3F, cdb[2] >> 6
         body = self._mode_pages(page, page_control == 1) if cdb[3] in (0, 0xFF) else None
@@ -420,6 +427,7 @@
     # Persistent reservations
 
     def _persistent_reserve_in(self, command: scsi.Command) -> Reply:
+        """Executes PERSISTENT RESERVE IN."""
         reservations = self.reservations.get(command.lun) or Reservations()
         service_actions: dict[int, Callable[[], bytes]] = {
             0: reservations.read_keys,
@@ -433,6 +441,7 @@
         return self._data(command, service_action()[: int.from_bytes(command.cdb[7:9], "big")])
 
     def _persistent_reserve_out(self, nexus: Nexus, command: scsi.Command) -> Reply:
+        """Executes PERSISTENT RESERVE OUT, and saves the change if reservations persist."""
         cdb, data = command.cdb, command.data
         if len(data) != 24 or int.from_bytes(cdb[5:9], "big") != 24:
             return scsi.check_condition(0x05, 0x1A)  # parameter list length error
@@ -482,6 +491,7 @@
         return True
 
     def _add_unit_attention(self, name: str, lun: int, attention: UnitAttention) -> None:
+        """Queues a unit attention for the nexus of this name."""
         for nexus in self.nexuses:
             if nexus.name == name:
                 nexus.add_unit_attention(lun, attention.value)
@@ -489,6 +499,7 @@
     # MAINTENANCE IN
 
     def _maintenance_in(self, command: scsi.Command) -> Reply:
+        """Executes REPORT TARGET PORT GROUPS and REPORT SUPPORTED OPERATION CODES."""
         cdb = command.cdb
         allocation_length = int.from_bytes(cdb[6:10], "big")
         if cdb[1] & 0x1F == REPORT_TARGET_PORT_GROUPS:
--- a/lemonridge/iscsi/keys.py
+++ b/lemonridge/iscsi/keys.py
@@ -318,20 +318,20 @@
 
 def _apply_result(parameters: NegotiatedParameters, name: str, result: str) -> NegotiatedParameters:
     """Returns a copy of `parameters` with the negotiated result of one key."""
-    yes = result == "Yes"
+    is_yes = result == "Yes"
     if name in ("HeaderDigest", "DataDigest"):
         enabled = result == "CRC32C"
         if name == "HeaderDigest":
             return replace(parameters, header_digest=enabled)
         return replace(parameters, data_digest=enabled)
     if name == "InitialR2T":
-        return replace(parameters, initial_r2t=yes)
+        return replace(parameters, initial_r2t=is_yes)
     if name == "ImmediateData":
-        return replace(parameters, immediate_data=yes)
+        return replace(parameters, immediate_data=is_yes)
     if name == "DataPDUInOrder":
-        return replace(parameters, data_pdu_in_order=yes)
+        return replace(parameters, data_pdu_in_order=is_yes)
     if name == "DataSequenceInOrder":
-        return replace(parameters, data_sequence_in_order=yes)
+        return replace(parameters, data_sequence_in_order=is_yes)
     fields = {
         "MaxConnections": "max_connections",
         "MaxBurstLength": "max_burst",
@@ -424,6 +424,7 @@
         return result
 
     def _receive_declaration(self, key: Key, value: str) -> str | None:
+        """Applies a declared key; returns Reject if it is not permitted, otherwise None."""
         if key.name == "MaxRecvDataSegmentLength":
             length = parse_number(value)
             if length is None or not key.low <= length <= key.high:
--- a/lemonridge/iscsi/mapped.py
+++ b/lemonridge/iscsi/mapped.py
@@ -200,7 +200,7 @@
             piece, start = route.piece, (route.piece.first - first) * block_bytes
             length = piece.length * block_bytes
             data = command.data[start : start + length] if writes else b""
-            part = scsi.Command(
+            piece_command = scsi.Command(
                 command.lun,
                 scsi.with_block_range(command.cdb, piece.first, piece.length),
                 command.reads,
@@ -209,7 +209,7 @@
                 data,
             )
             request = make_request(
-                self._config, part, lun, route.shard, deadline_us, has_initiator_disconnected
+                self._config, piece_command, lun, route.shard, deadline_us, has_initiator_disconnected
             )
             request.route = route
             requests.append(request)
@@ -228,9 +228,8 @@
         if outcome.result is JoinResult.SERVED:
             parts = [reply_from_answer(answer).data for answer in answers if answer is not None]
             expected_lengths = [_transfer_length(piece) if command.reads else 0 for piece in requests]
-            if [
-                len(part) for part in parts
-            ] != expected_lengths:  # a short part would shift the data of the later ones
+            # A part that is too short would shift the data of the later ones.
+            if [len(part) for part in parts] != expected_lengths:
                 return scsi.unreachable()
             return scsi.Reply(scsi.Status.GOOD, b"".join(parts))
         if outcome.result is JoinResult.REPORTED:
--- a/lemonridge/iscsi/reservations.py
+++ b/lemonridge/iscsi/reservations.py
@@ -212,6 +212,7 @@
     # Service actions
 
     def _register(self, nexus: str, key: int, action_key: int, ignore: bool) -> ActionResult:
+        """Executes REGISTER, or REGISTER AND IGNORE EXISTING KEY if `ignore` is set."""
         registered_key = self.keys.get(nexus)
         if not ignore and key != (registered_key or 0):
             return _refused(Refusal.CONFLICT)
@@ -246,6 +247,7 @@
         return tuple((other, UnitAttention.RESERVATIONS_RELEASED) for other in notified)
 
     def _reserve(self, nexus: str, reservation_type: ReservationType) -> ActionResult:
+        """Executes RESERVE."""
         if self.type is None:
             self.holder, self.type = nexus, reservation_type
             return ActionResult()
@@ -254,6 +256,7 @@
         return ActionResult()
 
     def _release(self, nexus: str, reservation_type: ReservationType) -> ActionResult:
+        """Executes RELEASE."""
         if self.type is None or not self._is_holder(nexus):
             return ActionResult()  # the nexus holds no reservation
         if self.type is not reservation_type:
--- a/lemonridge/iscsi/task.py
+++ b/lemonridge/iscsi/task.py
@@ -21,7 +21,7 @@
     Attributes:
         pdu: The SCSI Command PDU as received.
         command: The command to execute.
-        arrived_us: Arrival time in microseconds of the program's clock.
+        arrived_us: Arrival time in microseconds of the broker's clock.
         connection: Connection that the command is allegiant to (RFC 7143, 4.2.5.1); None after that
             connection was lost.
         inbound: Data of a write that is being received.
--- a/lemonridge/iscsi/task_order.py
+++ b/lemonridge/iscsi/task_order.py
@@ -16,7 +16,7 @@
 from lemonridge.iscsi import scsi
 
 COMPARE_AND_WRITE, UNMAP = 0x89, 0x42
-VERIFY_AND_WRITE_SAME = {0x2F: 10, 0x41: 10, 0x8F: 16, 0x93: 16}  # the length of the CDB
+VERIFY_AND_WRITE_SAME = {0x2F: 10, 0x41: 10, 0x8F: 16, 0x93: 16}  # CDB length in bytes by opcode
 
 
 class TaskAttribute(IntEnum):
--- a/lemonridge/net/admin_server.py
+++ b/lemonridge/net/admin_server.py
@@ -56,6 +56,7 @@
         return True  # keep the connection open for the reply
 
     async def _reply(self, line: bytes) -> None:
+        """Sends the reply to a call and ends the connection."""
         reply = await self._server.reply(line)
         if not self.transport.is_closing():
             self.transport.write(reply.encode())
@@ -100,7 +101,7 @@
             connection.transport.abort()
 
     def admit(self, connection: _AdminConnection) -> None:
-        """Adds a connection; above the limit, evicts the oldest, which has not received a reply yet."""
+        """Adds a connection; above the limit, aborts the oldest, whose call then gets no reply."""
         if len(self._connections) >= CONNECTIONS_MAX:
             self._counters["calls.evicted"] += 1
             oldest = next(iter(self._connections))
--- a/lemonridge/net/connection_table.py
+++ b/lemonridge/net/connection_table.py
@@ -123,6 +123,7 @@
         self._sockets_max, self.body_bytes_max = sockets, body_bytes_max
 
     def __len__(self) -> int:
+        """Returns the number of connections in any state."""
         return sum(map(len, self._states))
 
     def set_state(self, connection: TableEntry, state: ConnectionState | None) -> None:
--- a/lemonridge/net/discovery_format.py
+++ b/lemonridge/net/discovery_format.py
@@ -80,6 +80,7 @@
 
 
 def _parse_entry(entry: Any, zones: tuple[str, ...]) -> EndpointAddress:
+    """Returns the endpoint that one entry of the list describes."""
     endpoint_id, shard, started_ms = entry["host"], entry["block"], entry["born_ms"] or 0
     if (
         not isinstance(endpoint_id, str)
--- a/lemonridge/net/listener.py
+++ b/lemonridge/net/listener.py
@@ -166,8 +166,8 @@
         """Gives an accepted connection its protocol, even if a socket option cannot be set."""
         accepted.setblocking(False)
         # asyncio sets TCP_NODELAY only on sockets whose protocol is TCP, and an accepted socket has the
-        # protocol number of its listener. Without it, bytes of a response that the operating system delays
-        # would be lost on a reset.
+        # protocol number of its listener. Without the option, bytes of a response that the operating system
+        # delays would be lost on a reset.
         try:
             accepted.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         except OSError as error:
--- a/lemonridge/net/sockets.py
+++ b/lemonridge/net/sockets.py
@@ -37,6 +37,7 @@
 
 
 def _poll(transport: asyncio.BaseTransport, events: int) -> bool:
+    """Returns whether one of these poll(2) events is set on the connection's socket, or it is closed."""
     descriptor = transport.get_extra_info("socket").fileno()
     if descriptor < 0:
         return True  # closed
--- a/lemonridge/service/iscsi.py
+++ b/lemonridge/service/iscsi.py
@@ -113,6 +113,7 @@
 
 
 async def _close(endpoints: IscsiEndpoints, router: Router | None, refresher: Refresher | None) -> None:
+    """Closes the connections to the nodes, and stops the router and the reader of single extents."""
     await endpoints.close()
     if router is not None:
         router.stop()
--- a/lemonridge/service/log_format.py
+++ b/lemonridge/service/log_format.py
@@ -19,6 +19,7 @@
 
 
 def _format_value(value: object) -> str:
+    """Returns a value as text; quotes it if it is empty or holds whitespace, a quote or an equals sign."""
     text = str(value)
     if _UNQUOTED_VALUE.fullmatch(text):
         return text
@@ -75,6 +76,7 @@
             self._thread.join(FLUSH_WAIT_S)
 
     def _run(self) -> None:
+        """Writes queued lines until `finish` ends the queue; runs in the background thread."""
         while (line := self._lines.get()) is not None:
             try:
                 self._stream.write(line + "\n")
--- a/lemonridge/service/platform.py
+++ b/lemonridge/service/platform.py
@@ -71,6 +71,7 @@
         self._admin = AdminService(service, self.front, self._lifecycle)
 
     def _log_settings(self) -> None:
+        """Logs the settings that the platform starts with."""
         settings = self._config.settings
         log.info(
             "settings",
