--- a/lemonridge/iscsi/device.py
+++ b/lemonridge/iscsi/device.py
@@ -51,11 +51,11 @@
 LOCAL_DATA_OUT_COMMANDS = frozenset((MODE_SELECT_6, MODE_SELECT_10, PERSISTENT_RESERVE_OUT))
 # Commands that are executed despite a pending unit attention (SAM-5, 5.14)
 EXEMPT_FROM_UNIT_ATTENTION = frozenset((INQUIRY, REQUEST_SENSE, REPORT_LUNS))
-# Commands that a reservation of another nexus allows: TEST UNIT READY, READ CAPACITY (10), SERVICE ACTION IN
+# Commands that a reservation of another nexus allows
 EXEMPT_FROM_RESERVATION = EXEMPT_FROM_UNIT_ATTENTION | {
-    0x00,
-    0x25,
-    0x9E,
+    0x00,  # TEST UNIT READY
+    0x25,  # READ CAPACITY (10)
+    0x9E,  # SERVICE ACTION IN (16)
     PERSISTENT_RESERVE_IN,
     PERSISTENT_RESERVE_OUT,
     MAINTENANCE_IN,
@@ -283,6 +283,7 @@
         return Reply(scsi.Status.GOOD, data[: command.length])
 
     def _report_luns(self, command: scsi.Command) -> Reply:
+        """Executes REPORT LUNS."""
         allocation_length = int.from_bytes(command.cdb[6:10], "big")
         if command.cdb[2] not in (0, 1, 2) or allocation_length < 16:
             return scsi.invalid_field()
@@ -296,6 +297,7 @@
         return hashlib.sha256(f"{self.config.target}/{lun}".encode()).digest()[:16]
 
     def _inquiry(self, command: scsi.Command) -> Reply:
+        """Executes INQUIRY: returns the standard data or a page of vital product data."""
         cdb = command.cdb
         allocation_length = int.from_bytes(cdb[3:5], "big")
         if not cdb[1] & 1:
@@ -322,9 +324,11 @@
         return self._data(command, (struct.pack(">BBH", 0, cdb[2], len(body)) + body)[:allocation_length])
 
     def _supported_pages(self, _: int) -> bytes:
+        """Returns the body of page 00h: the codes of the supported pages."""
         return bytes((0x00, 0x80, 0x83, 0xB0, 0xB1, 0xB2))
 
     def _serial_number(self, lun: int) -> bytes:
+        """Returns the body of page 80h."""
         return self._identities[lun].hex()[:16].encode()
 
     def _device_identification(self, lun: int) -> bytes:
@@ -357,9 +361,11 @@
         )
 
     def _block_characteristics(self, _: int) -> bytes:
+        """Returns the body of page B1h."""
         return struct.pack(">HBB", 1, 0, 0).ljust(60, b"\0")  # non-rotating medium
 
     def _logical_block_provisioning(self, _: int) -> bytes:
+        """Returns the body of page B2h."""
         return struct.pack(">BBBB", 0, 0xE0, 2, 0)  # UNMAP; WRITE SAME (16), (10) with UNMAP; thin
 
     # Mode pages (SPC-4, 7.5; SBC-3, 6.4)
@@ -379,6 +385,7 @@
         return {0x08: caching, 0x0A: control, 0x3F: caching + control}.get(page)
 
     def _mode_sense(self, command: scsi.Command) -> Reply:
+        """Executes MODE SENSE (6) and (10)."""
         cdb = command.cdb
         page, page_control = cdb[2] & 0x3F, cdb[2] >> 6
         body = self._mode_pages(page, page_control == 1) if cdb[3] in (0, 0xFF) else None
@@ -411,7 +418,7 @@
                 or len(pages) < len(current)
                 or pages[1] != current[1]
             ):
-                return scsi.check_condition(0x05, 0x26)
+                return scsi.check_condition(0x05, 0x26)  # invalid field in parameter list
             if pages[2 : len(current)] != current[2:]:
                 return scsi.check_condition(0x05, 0x26)
             pages = pages[len(current) :]
@@ -420,6 +427,7 @@
     # Persistent reservations
 
     def _persistent_reserve_in(self, command: scsi.Command) -> Reply:
+        """Executes PERSISTENT RESERVE IN."""
         reservations = self.reservations.get(command.lun) or Reservations()
         service_actions: dict[int, Callable[[], bytes]] = {
             0: reservations.read_keys,
@@ -433,13 +441,14 @@
         return self._data(command, service_action()[: int.from_bytes(command.cdb[7:9], "big")])
 
     def _persistent_reserve_out(self, nexus: Nexus, command: scsi.Command) -> Reply:
+        """Executes PERSISTENT RESERVE OUT, and saves the change if reservations persist."""
         cdb, data = command.cdb, command.data
         if len(data) != 24 or int.from_bytes(cdb[5:9], "big") != 24:
-            return scsi.check_condition(0x05, 0x1A)
+            return scsi.check_condition(0x05, 0x1A)  # parameter list length error
         key, action_key, flags = struct.unpack(">QQ4xBxxx", data)
         # SPEC_I_PT and ALL_TG_PT are not supported; APTPL requires a reservation file.
         if flags & 0x0C or (flags & 0x01 and self._reservation_file is None):
-            return scsi.check_condition(0x05, 0x26)
+            return scsi.check_condition(0x05, 0x26)  # invalid field in parameter list
         reservations = self.reservations.setdefault(command.lun, Reservations())
         previous = reservations.copy()
         result: ActionResult = reservations.persistent_reserve_out(
@@ -482,6 +491,7 @@
         return True
 
     def _add_unit_attention(self, name: str, lun: int, attention: UnitAttention) -> None:
+        """Queues a unit attention for the nexus of this name."""
         for nexus in self.nexuses:
             if nexus.name == name:
                 nexus.add_unit_attention(lun, attention.value)
@@ -489,6 +499,7 @@
     # MAINTENANCE IN
 
     def _maintenance_in(self, command: scsi.Command) -> Reply:
+        """Executes REPORT TARGET PORT GROUPS and REPORT SUPPORTED OPERATION CODES."""
         cdb = command.cdb
         allocation_length = int.from_bytes(cdb[6:10], "big")
         if cdb[1] & 0x1F == REPORT_TARGET_PORT_GROUPS:
--- a/lemonridge/iscsi/initiator.py
+++ b/lemonridge/iscsi/initiator.py
@@ -32,6 +32,7 @@
     MAX_DATA_SEGMENT_BYTES,
     RESERVED_TAG,
     TEXT_MAX_BYTES,
+    UINT32_MASK,
     DataDigestError,
     HeaderDigestError,
     Op,
@@ -96,7 +97,8 @@
         self._config, self._registry, self._counters = config, registry, counters
         self._loop = asyncio.get_running_loop()
         self._sessions: dict[str, asyncio.Task[EndpointSession]] = {}
-        # Commands that wait for each login. They count until they resume, some loop turns after its end.
+        # Number of commands that wait for each login. A command is counted until it resumes, which is some
+        # iterations of the event loop after the end of the login.
         self._login_waiters: Counter[asyncio.Task[EndpointSession]] = Counter()
 
     async def attempt(self, attempt: Attempt) -> Outcome:
@@ -303,8 +305,8 @@
         if config.endpoint_account is not None:
             await self._authenticate(isid, names, config.endpoint_account)
             names = []
-        wishes = config.endpoint_preferences
-        offers = proposal(wishes, OFFERED_KEYS)
+        preferences = config.endpoint_preferences
+        offers = proposal(preferences, OFFERED_KEYS)
         offers.append(("MaxRecvDataSegmentLength", str(MAX_DATA_SEGMENT_BYTES)))
         if config.mapped:
             offers.append((versions.EXTENT_VERSION_KEY, versions.EXTENT_VERSION_VALUE))
@@ -430,7 +432,7 @@
                 self._write(
                     Pdu(
                         Op.TASK_MANAGEMENT,
-                        FINAL | 1,
+                        FINAL | 1,  # ABORT TASK
                         lun=pack_lun(command.lun),
                         tag=next(self._task_tags) % RESERVED_TAG,
                         immediate=True,
@@ -469,7 +471,7 @@
         if numbered:
             pdu.words[1], pdu.words[2] = self._cmd_sn, self._exp_stat_sn
             if not pdu.immediate:
-                self._cmd_sn = (self._cmd_sn + 1) & RESERVED_TAG
+                self._cmd_sn = (self._cmd_sn + 1) & UINT32_MASK
         else:
             pdu.words[2] = self._exp_stat_sn
         if not self._writer.is_closing():
@@ -478,7 +480,7 @@
     def _update_numbers(self, pdu: Pdu, carries_status: bool) -> None:
         """Updates ExpStatSN and MaxCmdSN from a received PDU."""
         if carries_status:
-            self._exp_stat_sn = (pdu.words[1] + 1) & RESERVED_TAG
+            self._exp_stat_sn = (pdu.words[1] + 1) & UINT32_MASK
         if serial_distance(pdu.words[3], self._max_cmd_sn) > 0 or not self._pending_commands:
             self._max_cmd_sn = pdu.words[3]
 
@@ -517,7 +519,7 @@
             if pending is not None:
                 self._receive_response(pending, pdu)
         elif pdu.opcode == Op.DATA_IN:
-            self._update_numbers(pdu, carries_status=bool(pdu.flags & 1))
+            self._update_numbers(pdu, carries_status=bool(pdu.flags & 1))  # S bit
             if pending is not None:
                 self._receive_data_in(pending, pdu)
         elif pdu.opcode == Op.R2T:
--- a/lemonridge/net/http_front.py
+++ b/lemonridge/net/http_front.py
@@ -105,7 +105,7 @@
         self.has_lease: Callable[[], bool] = lambda: True
         self.configure(platform)
         self.listener: Listener
-        self._open: dict[Connection, OpenRequest] = {}
+        self._open: dict[Connection, OpenRequest] = {}  # at most one per connection
         self._streams: dict[Connection, asyncio.Task[None]] = {}  # tasks that write streamed responses
 
     def configure(self, platform: PlatformConfig) -> None:
@@ -149,11 +149,11 @@
         self.on_lifecycle_changed()
         loop = asyncio.get_running_loop()
         await asyncio.sleep((self._lifecycle.accept_until_us - self._clock.now_us()) / 1e6)
-        give_up_at_s = self._clock.loop_time(self._lifecycle.request_complete_by_us)
-        await self.listener.accept_pending(give_up_at_s)
+        request_complete_by_s = self._clock.loop_time(self._lifecycle.request_complete_by_us)
+        await self.listener.accept_pending(request_complete_by_s)
         self.listener.close()
         while self.listener.has_starting_connections or self._table.close_inactive(
-            allow_incomplete=loop.time() < give_up_at_s
+            allow_incomplete=loop.time() < request_complete_by_s
         ):
             await asyncio.sleep(CLOSE_CHECK_INTERVAL_S)
 
