--- a/lemonridge/rollout/leases.py
+++ b/lemonridge/rollout/leases.py
@@ -137,7 +137,10 @@
         return granted
 
     def _limit_incarnations(self, incarnations: dict[int, Grant]) -> None:
-        """Limits the recorded incarnations of one member, by merging the two grants that expire first."""
+        """Merges the two grants of a member that expire first, if too many incarnations are recorded.
+
+        Both stay if they have no epoch in common.
+        """
         if len(incarnations) <= INCARNATIONS_MAX:
             return
         first, second = sorted(
@@ -262,7 +265,7 @@
         return False
 
     def _has_majority(self, interval: EpochInterval, now_us: int) -> bool:
-        """Whether a majority of each epoch's voters has granted this interval or a part of it.
+        """Returns whether a majority of each epoch's voters has granted this interval or a part of it.
 
         Such grants exclude, at every other broker, the intervals that do not overlap this one.
         """
--- a/lemonridge/scheduling/endpoint_health.py
+++ b/lemonridge/scheduling/endpoint_health.py
@@ -28,7 +28,7 @@
 CROWDED_LOAD_RATIO = 4.0  # outstanding requests of all hosts per request of this host
 CROWDED_RESTART_WINDOW = 1 / 16  # requests; window after the first good response of a crowded endpoint
 MAX_CROWDED_REDUCTION = 16.0  # maximum divisor when the window of a crowded endpoint is reduced
-PROBE_SLOTS = 0.5  # free slots of an endpoint that may receive one probe; ranks below any other endpoint
+PROBE_SLOTS = 0.5  # free slots of an endpoint that may receive a single request; ranks below any free slot
 
 RESPONSES = frozenset(
     (AttemptResult.OK, AttemptResult.ERROR, AttemptResult.QUEUE_FULL, AttemptResult.DATA_MIGRATED)
@@ -67,7 +67,11 @@
         return best
 
     def _free_slots(self, endpoint: TrackedEndpoint) -> float:
-        """Returns how many requests may be sent to an endpoint now, or `PROBE_SLOTS` for a single probe."""
+        """Returns how many requests may be sent to an endpoint now, or `PROBE_SLOTS`.
+
+        `PROBE_SLOTS` stands for a single request: a probe of a suspect endpoint that is due, or the next
+        request to an endpoint with a window below one after its pause.
+        """
         free = endpoint.window - endpoint.open_attempts
         now_us = self._context.now_us
         if self.is_suspect(endpoint):
@@ -104,7 +108,7 @@
         return int(SILENCE_MULTIPLE * endpoint.largest_open_size * max(expected_us, MIN_EXPECTED_LATENCY_US))
 
     def expects_response(self, endpoint: TrackedEndpoint, request: Request) -> bool:
-        """Returns whether a missing response to a request, or its rejection, counts against the endpoint.
+        """Returns whether a missing response, or a rejection by the endpoint, counts against the endpoint.
 
         It counts if the time left until the deadline is at least the silence limit of the endpoint, or at
         least half of the deadline of the request's class. Endpoints may drop a request with very little time
--- a/lemonridge/scheduling/request_lifecycle.py
+++ b/lemonridge/scheduling/request_lifecycle.py
@@ -224,13 +224,13 @@
     def handle_overdue_attempt(self, request_id: str, number: int) -> None:
         """Handles an attempt without a response for longer than the silence limit of its endpoint.
 
-        If the endpoint has responded to later requests, the request or its response is presumed lost and the
-        attempt no longer counts against the window. If lost requests still counted, they would fill the
-        window until the clients' deadlines. If the attempt is only slow, the endpoint receives one request
-        more than its window allows.
+        If the endpoint has sent any response since the response to this attempt was expected, the request or
+        its response is presumed lost and the attempt no longer counts against the window. If lost requests
+        still counted, they would fill the window until the clients' deadlines. If the attempt is only slow,
+        the endpoint receives one request more than its window allows.
 
-        If the endpoint has not responded since, its window is reduced as after a timeout, long before the
-        client's deadline, and the attempt is checked again later.
+        If the endpoint has sent no response since then, its window is reduced as after a timeout, long before
+        the client's deadline, and the attempt is checked again later.
         """
         attempt = self.open_attempts.get((request_id, number))
         if attempt is None:
--- a/lemonridge/scheduling/token_bucket.py
+++ b/lemonridge/scheduling/token_bucket.py
@@ -57,7 +57,8 @@
     time that it specifies.
 
     Attributes:
-        tokens: The units that may be drawn; a negative value is a debt.
+        tokens: The units that may be drawn. Negative after a draw of more units than the bucket held, until
+            the next refill, which raises a negative value to 0.
         refilled_us: The time of the last refill.
         refill_sign: 1, or -1 after a handover: the remaining tokens then decrease at the rate at which the
             successor's bucket is refilled.
@@ -136,7 +137,7 @@
         self.quota.set(part, until_us, after)
 
     def draw(self, units: float, now_us: int) -> None:
-        """Draws units from the bucket, which may leave a debt."""
+        """Draws units from the bucket, even if it holds fewer."""
         self.tokens = self.refill(now_us) - units
 
     def settle(self, units: float, now_us: int, returned: bool) -> None:
@@ -154,14 +155,16 @@
 
     def wait_us(self, units: float, now_us: int) -> int:
         """Returns the time in microseconds until the bucket holds `units`, or NEVER_US if it never will."""
-        missing = (units + ROUNDING_MARGIN_UNITS - self.refill(now_us)) * 1e6
-        if missing <= 0:
+        missing_micro_units = (units + ROUNDING_MARGIN_UNITS - self.refill(now_us)) * 1e6
+        if missing_micro_units <= 0:
             return 0
         quota = self.quota
-        refilled_before_change = self.rate * quota.part * max(0, quota.until_us - now_us)
-        if self.refill_sign <= 0 or (refilled_before_change < missing and quota.after * self.rate <= 0):
+        micro_units_before_change = self.rate * quota.part * max(0, quota.until_us - now_us)
+        if self.refill_sign <= 0 or (
+            micro_units_before_change < missing_micro_units and quota.after * self.rate <= 0
+        ):
             return NEVER_US
-        if refilled_before_change >= missing:
-            return int(missing / (self.rate * quota.part)) + 1
-        remaining = missing - refilled_before_change
-        return max(0, quota.until_us - now_us) + int(remaining / (self.rate * quota.after)) + 1
+        if micro_units_before_change >= missing_micro_units:
+            return int(missing_micro_units / (self.rate * quota.part)) + 1
+        remaining_micro_units = missing_micro_units - micro_units_before_change
+        return max(0, quota.until_us - now_us) + int(remaining_micro_units / (self.rate * quota.after)) + 1
--- a/lemonridge/scheduling/volume_queues.py
+++ b/lemonridge/scheduling/volume_queues.py
@@ -265,8 +265,9 @@
         request is sent no later than one dispatch cycle before its deadline, because an attempt that times
         out makes a request that may not be retried fail, even if the attempt never ran.
 
-        Queued retries that are no longer allowed are rejected as well. The reason is SLOW_START if the wait
-        for the slow-start budget of the endpoint is longer than its latency, and OBJECTIVE_MISSED otherwise.
+        Queued retries that are no longer allowed are rejected as well. In both cases the reason is
+        SLOW_START if the wait for the slow-start budget of the endpoint is longer than the expected latency
+        of the request, and OBJECTIVE_MISSED otherwise.
 
         Args:
             queue: The queue to check.
