--- a/lemonridge/coordination/etcd_follower.py
+++ b/lemonridge/coordination/etcd_follower.py
@@ -82,17 +82,17 @@
                         await self._read_snapshot(http)
                     await self._watch(http)
                 except CompactedError:
-                    log.info("etcd revision compacted, reading all keys", extra=self._log_keys())
+                    log.info("etcd revision compacted, reading all keys", extra=self._log_fields())
                     self._counters["etcd.compacted"] += 1
                     self._revision = 0
                 except MissedChangeError:
-                    log.info("etcd watch out of step, reading all keys", extra=self._log_keys())
+                    log.info("etcd watch out of step, reading all keys", extra=self._log_fields())
                     self._counters["etcd.out_of_step"] += 1
                     self._revision = 0
                 except RETRYABLE_ERRORS as error:
                     await self._backoff.wait_after(error)
 
-    def _log_keys(self) -> dict[str, object]:
+    def _log_fields(self) -> dict[str, object]:
         return {"kind": self._kind, "revision": self._revision}
 
     async def _read_snapshot(self, http: aiohttp.ClientSession) -> None:
--- a/lemonridge/coordination/etcd_source.py
+++ b/lemonridge/coordination/etcd_source.py
@@ -1,4 +1,4 @@
-"""The endpoint list and the contracts from etcd.
+"""The endpoint list and the contracts, which are the plans of volumes, from etcd.
 
 Below the operators' prefix, the key `nodes/NAME` holds an endpoint and `plans/NAME` the values of a plan,
 each as a JSON object with the keys of the operators' file. The extent map is below `map/`
@@ -96,7 +96,7 @@
 
 
 class PlansFeed:
-    """Keeps the contracts, from the keys `plans/NAME`. A plan whose key is deleted stays unchanged.
+    """Keeps the plans, from the keys `plans/NAME`. A plan whose key is deleted stays unchanged.
 
     In a fleet with an agreed policy the plans are proposals, which are passed to `on_change`. Otherwise the
     scheduler gets them once, at the start, and a later change takes effect at the next start.
--- a/lemonridge/extents/routing.py
+++ b/lemonridge/extents/routing.py
@@ -27,7 +27,7 @@
     """The limits for one command, and the maximum age of the map.
 
     Reads may use an older map than writes. An outdated map is safe for both, because nodes check the version;
-    but a write that is redirected after moves that ended long ago keeps its data in memory to no purpose.
+    but a write to an extent that moved long ago is redirected, and its data stays in memory meanwhile.
 
     Attributes:
         redirects: The maximum number of redirects of one piece.
--- a/lemonridge/fleet/failure_detector.py
+++ b/lemonridge/fleet/failure_detector.py
@@ -137,14 +137,14 @@
         member_id = self._next_member_to_probe()
         if member_id is None:
             return []
-        slowness = 1 + self._membership.local_health
+        timeout_factor = 1 + self._membership.local_health
         self._probe = _Probe(
             self._next_nonce(),
             member_id,
             began_us=now_us,
             repeat_us=now_us + int(PING_REPEAT_FRACTION * PROBE_PERIOD_US),
-            indirect_us=now_us + int(INDIRECT_PROBE_FRACTION * PROBE_PERIOD_US * slowness),
-            end_us=now_us + PROBE_PERIOD_US * slowness,
+            indirect_us=now_us + int(INDIRECT_PROBE_FRACTION * PROBE_PERIOD_US * timeout_factor),
+            end_us=now_us + PROBE_PERIOD_US * timeout_factor,
         )
         return [(member_id, Ping(self._probe.nonce, member_id))]
 
--- a/lemonridge/fleet/gossip.py
+++ b/lemonridge/fleet/gossip.py
@@ -26,7 +26,7 @@
     Attributes:
         observations: What this broker observed of endpoints itself.
         peer_reports: What other members reported about endpoints.
-        reported_us: The time of the last report.
+        reported_us: The time of the last report, or an earlier time that makes a report due immediately.
 
     Args:
         member_list: The configured members of the fleet.
@@ -115,7 +115,10 @@
         return None
 
     def _no_member_is_silent(self, now_us: int) -> bool:
-        """Returns whether no live member is silent; what a silent member served is not known."""
+        """Returns whether no live member is silent; what a silent member served is not known.
+
+        In a fleet in which a report does not go to all members, the result is always False.
+        """
         if self._member_list.size > FANOUT + 1:
             return False
         members = (self._membership.members[n] for n in self._others)
--- a/lemonridge/fleet/membership.py
+++ b/lemonridge/fleet/membership.py
@@ -123,7 +123,7 @@
             return []
         if state is MemberState.SUSPECT:
             return self._on_suspicion(sender, update, now_us)
-        if version > known_version or state > member.state:
+        if version > known_version or state > member.state:  # at the same version the higher state applies
             self._set_state(update.member_id, state, *version, now_us)
         return []
 
@@ -196,15 +196,17 @@
         if suspector in member.suspectors:
             return
         member.suspectors.add(suspector)
-        member.transmissions = min(member.transmissions, 1)
+        member.transmissions = min(member.transmissions, 1)  # so that the confirmation is sent to others too
         size = self.member_list.size
         # A broker that receives few answers gives others more time here too, since its own links may be bad.
-        slowness = 1 + self.local_health / 2
-        duration_min_us = SUSPICION_MIN_MULTIPLE * max(1.0, log(size, 10)) * PROBE_PERIOD_US * slowness
+        timeout_factor = 1 + self.local_health / 2
+        duration_min_us = SUSPICION_MIN_MULTIPLE * max(1.0, log(size, 10)) * PROBE_PERIOD_US * timeout_factor
         duration_max_us = duration_min_us * SUSPICION_MAX_MULTIPLE
         confirmations_max = max(0, min(SUSPICION_CONFIRMATIONS, size - 2))
-        confirmed = log(len(member.suspectors)) / log(confirmations_max + 1) if confirmations_max else 1.0
-        duration_us = duration_max_us - (duration_max_us - duration_min_us) * min(1.0, confirmed)
+        confirmed_fraction = (
+            log(len(member.suspectors)) / log(confirmations_max + 1) if confirmations_max else 1.0
+        )
+        duration_us = duration_max_us - (duration_max_us - duration_min_us) * min(1.0, confirmed_fraction)
         member.suspicion_ends_us = member.suspicion_began_us + int(max(duration_min_us, duration_us))
 
     def end_suspicions(self, now_us: int) -> None:
--- a/lemonridge/fleet/quota_ledger.py
+++ b/lemonridge/fleet/quota_ledger.py
@@ -353,7 +353,7 @@
     # Lending
 
     def on_request(self, borrower: int, incarnation: int, request: LoanRequest, now_us: int) -> LoanGrant:
-        """Lends parts above the floor and the own demand; a grant of 0 parts refuses the request."""
+        """Lends parts that neither the floor nor own demand reserves; a grant of 0 parts is a refusal."""
         refusal = LoanGrant(request.kind, request.key, request.request_id, 0, 0)
         known_kind = request.kind in (BudgetKind.LIMIT, BudgetKind.SLOW_START, BudgetKind.RETRIES)
         if not known_kind or request.duration_ms * 1000 > LOAN_DURATION_US:
--- a/lemonridge/fleet/quota_lending.py
+++ b/lemonridge/fleet/quota_lending.py
@@ -22,7 +22,7 @@
 RECALL_INTERVAL_US = 100_000  # between recalls to members that have not acknowledged
 IDLE_BUDGET_US = 30_000_000  # a budget without use or loans for this long is dropped
 SLOW_START_DEMAND_MAX = 1000.0  # units a second at one endpoint
-SLOW_START_DEMAND_MULTIPLE = 4  # the observed demand is at least a quarter of what the broker can use
+SLOW_START_DEMAND_MULTIPLE = 4  # quota above this multiple of the observed demand is of no use
 MICRO_UNITS = 1_000_000  # in a unit
 SLOW_START_PARTS_LIMIT = 1 << 31  # micro-units a second; datagrams hold less than this
 RETRY_BUDGET = BudgetKey(int(BudgetKind.RETRIES), 0)
--- a/lemonridge/rollout/change_proposal.py
+++ b/lemonridge/rollout/change_proposal.py
@@ -37,7 +37,7 @@
 
     IN_FORCE = "in force"  # decided
     NOWHERE = "nowhere"  # never decided
-    ANOTHER = "another"  # another change was decided in its slot
+    ANOTHER = "another"  # another change was decided in its slot or a later one
     UNKNOWN = "unknown"  # the vote began, and it is not known whether the change was decided
 
 
@@ -48,7 +48,7 @@
     Attributes:
         outcome: The outcome.
         reason: Why the change failed; empty if it is in force.
-        epoch: The epoch that was decided in the change's slot; 0 if none is known.
+        epoch: The epoch whose decision ended the change, in its slot or a later one; 0 if none did.
         is_rejection: Whether a member or an operator rejected the change. Proposing the same change again
             would have the same outcome.
     """
@@ -149,7 +149,7 @@
         return True
 
     def on_decided(self, slot: int, digest: bytes) -> None:
-        """Finishes the change under way if its slot is decided."""
+        """Finishes the change under way if its slot or a later one is decided."""
         if self.change is None or self.change.slot > slot:
             return
         if self.change.digest == digest:
@@ -204,7 +204,7 @@
                 self._context.send(member, CheckRequest(change.slot, change.digest))
 
     def _majorities_have_answered(self, change: Change) -> bool:
-        """Whether majorities of both the current voters and the voters of the new state have replied."""
+        """Returns whether majorities of the current voters and of the new state's voters have replied."""
         return all(
             is_quorum(sum(member in change.check_answers for member in voters), len(voters))
             for voters in (
--- a/lemonridge/rollout/rollout_member.py
+++ b/lemonridge/rollout/rollout_member.py
@@ -379,7 +379,7 @@
         self.proposals.advance(now_us)
 
     def _needs_admission(self) -> bool:
-        """Whether the newest state lists this broker as a voter, but with another store id."""
+        """Returns whether the newest state lists this broker as a voter, but with another store id."""
         return not self.is_voter and self._context.name in self.state.voters
 
     def next_tick_us(self, now_us: int) -> int:
--- a/lemonridge/scheduling/requests.py
+++ b/lemonridge/scheduling/requests.py
@@ -25,6 +25,7 @@
         AttemptResult.DATA_MIGRATED,
     )
 )  # results which prove that the endpoint did not run the attempt
+# Results after which the endpoint may still be running the attempt, or may run it later.
 MAY_STILL_RUN = frozenset((AttemptResult.TIMEOUT, AttemptResult.RESET, AttemptResult.CANCELLED))
 
 
