--- a/lemonridge/operate/lifecycle.py
+++ b/lemonridge/operate/lifecycle.py
@@ -6,7 +6,7 @@
 
                 keeps connections alive until    closes idle ones at    answers late requests by
     drain       1.5 s after the call             3.0 s                  3.7 s
-    handover    the handover                     the stop signal        -
+    handover    the handover                     as in a stop           -
     stop        `close_after_answer_from_us`     `accept_until_us`      `answer_by_us`
 
 The times of a stop are derived from the longest deadline: see `StopSchedule`, and the table in
--- a/lemonridge/scheduling/slow_start.py
+++ b/lemonridge/scheduling/slow_start.py
@@ -103,9 +103,9 @@
         capacity = endpoint.capacity_fraction
         growth = capacity / (SLOW_START_FRACTION_GROWS_AT * settings.slow_start_initial_fraction or 1.0)
         fraction = min(1.0, SLOW_START_FRACTION * max(1.0, growth))
-        load = fraction * settings.overload_multiple * capacity
+        load_factor = fraction * settings.overload_multiple * capacity
         own_rate = self._own_rate(endpoint)
-        endpoint.slow_start_rate = max(0.0, own_rate + endpoint.borrowed_quota.at(now_us)) * load
+        endpoint.slow_start_rate = max(0.0, own_rate + endpoint.borrowed_quota.at(now_us)) * load_factor
         max_tokens = 0.0
         if settings.hosts > SMALL_FLEET_HOSTS:
             max_tokens = (
@@ -116,7 +116,9 @@
             )
         since_us = endpoint.slow_start_refilled_us
         refill = own_rate * (now_us - since_us) + endpoint.borrowed_quota.integral(since_us, now_us)
-        endpoint.slow_start_tokens = min(max_tokens, endpoint.slow_start_tokens + max(0.0, refill) * load)
+        endpoint.slow_start_tokens = min(
+            max_tokens, endpoint.slow_start_tokens + max(0.0, refill) * load_factor
+        )
         endpoint.slow_start_refilled_us = now_us
 
     def wait_us(self, endpoint: TrackedEndpoint, request: Request) -> int:
