--- a/tests/net/test_http_endpoints.py
+++ b/tests/net/test_http_endpoints.py
@@ -24,9 +24,6 @@
 from lemonridge.net.http_endpoints import HttpEndpoints
 from lemonridge.scheduling.events import AttemptResult
 
-# Client and node share one event loop, which a busy machine holds up for longer than a usual connect limit.
-CONNECT_LIMIT_US = 2_000_000
-
 
 class HttpEndpointsTest(unittest.IsolatedAsyncioTestCase):
     """Runs `HttpEndpoints` without a broker, for tests that make an attempt at a specific moment."""
@@ -35,9 +32,7 @@
         self.node = await Server(serve_ok).start()
         self.addresses: list[str | None] = []
         self.clock = Clock(asyncio.get_running_loop())
-        platform = SimpleNamespace(
-            connect_us=CONNECT_LIMIT_US, keepalive_us=500_000, in_flight_field="busy_reqs"
-        )
+        platform = SimpleNamespace(connect_us=250_000, keepalive_us=500_000, in_flight_field="busy_reqs")
         self.endpoints = HttpEndpoints(self, self.clock, platform, Counters())  # type: ignore[arg-type]
         self.addAsyncCleanup(self.endpoints.close)
 
